--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -70,7 +70,7 @@
 	if s.listener, err = l.Listen(addr, s.accept); err != nil {
 		return nil, err
 	}
-	s.listener.Urgent()
+	s.listener.Prioritize()
 	return s, nil
 }
 
@@ -111,7 +111,7 @@
 	}
 	c.conn = conn
 	c.place = s.conns.PushBack(c)
-	conn.Urgent()
+	conn.Prioritize()
 	conn.OnRelease(func() {
 		c.timer.Stop()
 		s.conns.Remove(c.place)
@@ -122,11 +122,11 @@
 	})
 }
 
-// Up implements loop.Handler.
-func (c *caller) Up() {}
+// Connected implements loop.Handler.
+func (c *caller) Connected() {}
 
-// Drained implements loop.Handler.
-func (c *caller) Drained() {}
+// Flushed implements loop.Handler.
+func (c *caller) Flushed() {}
 
 // End implements loop.Handler.
 func (c *caller) End(error) {}
@@ -193,7 +193,7 @@
 		headers = append(headers, httpc.Header{Name: "Allow", Value: allow})
 	}
 	c.conn.Write(httpc.AppendAnswer(nil, r.Status, headers, r.Body))
-	c.conn.Finish(lingerFor)
+	c.conn.CloseGracefully(lingerFor)
 }
 
 // Close gives the address back; calls that were answered reach their callers.
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -362,8 +362,8 @@
 	})
 }
 
-// Up implements loop.Handler.
-func (l *link) Up() {
+// Connected implements loop.Handler.
+func (l *link) Connected() {
 	now := l.f.loop.Now()
 	l.up, l.wait, l.heard, l.hellos, l.changes, l.talk = true, redialMin, now, 0, 0, unknown
 	l.f.note("planner_up", "addr="+l.addr.String())
@@ -377,8 +377,8 @@
 	}
 }
 
-// Drained implements loop.Handler.
-func (l *link) Drained() {}
+// Flushed implements loop.Handler.
+func (l *link) Flushed() {}
 
 // Data implements loop.Handler.
 func (l *link) Data(data []byte) {
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -26,9 +26,9 @@
 
 // Handler is a connection's owner. The calls come from the loop, never from inside one of the Conn's own methods.
 type Handler interface {
-	Up()              // the connection stands
+	Connected()       // the connection stands
 	Data(data []byte) // bytes have come; data is the loop's and good only during the call
-	Drained()         // all that was written has been handed to the system
+	Flushed()         // all that was written has been handed to the system
 	End(err error)    // the connection is over and given back; io.EOF when the other end has finished
 }
 
@@ -49,8 +49,8 @@
 	freed   func() // called when the descriptor is given back
 }
 
-// Urgent has its events come before all others of a turn.
-func (c *Conn) Urgent() { c.source.urgent = true }
+// Prioritize has its events come before all others of a turn.
+func (c *Conn) Prioritize() { c.source.urgent = true }
 
 // OnRelease calls f when the descriptor is given back, however that comes about; at once if it has been.
 func (c *Conn) OnRelease(f func()) {
@@ -99,8 +99,8 @@
 // Written is the number of bytes handed to the system so far.
 func (c *Conn) Written() int64 { return c.written }
 
-// Taken is the number of bytes that the other end has acknowledged.
-func (c *Conn) Taken() int64 {
+// Acknowledged is the number of bytes that the other end has acknowledged.
+func (c *Conn) Acknowledged() int64 {
 	if c.closed {
 		return c.written
 	}
@@ -111,18 +111,18 @@
 	return c.written - int64(waits)
 }
 
-// Queued is the number of bytes written or waiting to be: where the next byte will stand.
-func (c *Conn) Queued() int64 { return c.written + int64(len(c.out)) }
+// WriteOffset is the number of bytes written or waiting to be: where the next byte will stand.
+func (c *Conn) WriteOffset() int64 { return c.written + int64(len(c.out)) }
 
-// Deepen asks the system for room for so many bytes more than it holds for the other end to take. It gives what its own
+// GrowSendBuffer asks the system for room for so many bytes more than it holds for the other end to take. It gives what its own
 // bounds allow, and never less than before.
-func (c *Conn) Deepen(bytes int) {
+func (c *Conn) GrowSendBuffer(bytes int) {
 	if c.closed || c.last {
 		return
 	}
 	was, err := unix.GetsockoptInt(c.source.fd, unix.SOL_SOCKET, unix.SO_SNDBUF)
 	// The system doubles what it is told, for its own bookkeeping; so does what it tells.
-	if want := int(c.written-c.Taken()) + bytes; err == nil && 2*want > was {
+	if want := int(c.written-c.Acknowledged()) + bytes; err == nil && 2*want > was {
 		unix.SetsockoptInt(c.source.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, want)
 	}
 }
@@ -152,10 +152,10 @@
 	}
 }
 
-// TakeBack takes back what was written between two places, as Queued told them, unless a byte of that has been handed to
+// CancelWrite takes back what was written between two places, as Queued told them, unless a byte of that has been handed to
 // the system. It reports whether it did; what was written behind it moves up.
-func (c *Conn) TakeBack(from, to int64) bool {
-	if from < c.written || to < from || to > c.Queued() || c.closed || c.last {
+func (c *Conn) CancelWrite(from, to int64) bool {
+	if from < c.written || to < from || to > c.WriteOffset() || c.closed || c.last {
 		return false
 	}
 	c.out = slices.Delete(c.out, int(from-c.written), int(to-c.written))
@@ -180,25 +180,25 @@
 	return sent, nil
 }
 
-// Pause stops reading, and goes on with it.
-func (c *Conn) Pause(on bool) {
+// SetPaused stops reading, and goes on with it.
+func (c *Conn) SetPaused(on bool) {
 	if c.paused != on && !c.closed {
 		c.paused = on
 		c.interest()
 	}
 }
 
-// HeedEnd has the connection end as soon as the other end has finished or reset it, also while reading is paused, whatever
+// WatchPeerClose has the connection end as soon as the other end has finished or reset it, also while reading is paused, whatever
 // it sent before and nobody has read: for clients, who have left then. Such ends come before all other events of a turn
 // that are not urgent.
-func (c *Conn) HeedEnd() {
+func (c *Conn) WatchPeerClose() {
 	c.source.leaves = true
 	c.interest()
 }
 
-// Left reports whether the other end of a connection that heeds its end has left, whether or not the owner has been told
+// PeerClosed reports whether the other end of a connection that heeds its end has left, whether or not the owner has been told
 // yet. What it says is lookAgain old at most, however long the loop has been busy.
-func (c *Conn) Left() bool {
+func (c *Conn) PeerClosed() bool {
 	if !c.closed {
 		c.loop.again()
 	}
@@ -236,8 +236,8 @@
 	return !errors.Is(err, unix.EAGAIN) // what can't be looked at is not known to be idle
 }
 
-// LastData is how long ago bytes last came from the other end, read or not, as far as the system knows.
-func (c *Conn) LastData() (ago time.Duration, known bool) {
+// SinceLastData is how long ago bytes last came from the other end, read or not, as far as the system knows.
+func (c *Conn) SinceLastData() (ago time.Duration, known bool) {
 	if c.closed {
 		return 0, false
 	}
@@ -251,17 +251,17 @@
 // Close gives the connection back at once, without a call to End.
 func (c *Conn) Close() { c.release() }
 
-// Finish closes the connection when all that was written is with the other end: it ends the sending, then passes
+// CloseGracefully closes the connection when all that was written is with the other end: it ends the sending, then passes
 // over what still comes until the other end has finished too, or the time is over. Closing at once with bytes
 // unread would make the system throw away answers on their way. The owner is not called any more.
-func (c *Conn) Finish(within time.Duration) {
+func (c *Conn) CloseGracefully(within time.Duration) {
 	if c.closed || c.last {
 		return
 	}
 	c.last, c.handler = true, nobody{}
 	c.source.leaves = false // what still comes is passed over, up to the end
 	c.linger = c.loop.After(within, c.release)
-	c.Pause(false)
+	c.SetPaused(false)
 	if len(c.out) == 0 && c.up {
 		unix.Shutdown(c.source.fd, unix.SHUT_WR)
 	}
@@ -269,9 +269,9 @@
 
 type nobody struct{}
 
-func (nobody) Up()         {}
+func (nobody) Connected()  {}
 func (nobody) Data([]byte) {}
-func (nobody) Drained()    {}
+func (nobody) Flushed()    {}
 func (nobody) End(error)   {}
 
 // release gives back the descriptor, the buffer and the timer; a second call does nothing.
@@ -299,7 +299,7 @@
 func (c *Conn) fail(err error) {
 	if !c.failed {
 		c.failed = true
-		c.loop.Later(func() { c.end(err) })
+		c.loop.Defer(func() { c.end(err) })
 	}
 }
 
@@ -315,7 +315,7 @@
 		}
 		c.up = true
 		c.interest()
-		c.handler.Up()
+		c.handler.Connected()
 	}
 	if c.source.leaves && events&ended != 0 {
 		// Guards against taking what a client had asked for before it left, which may be long ago: it would be sent on.
@@ -346,7 +346,7 @@
 	if c.last {
 		unix.Shutdown(c.source.fd, unix.SHUT_WR)
 	}
-	c.handler.Drained()
+	c.handler.Flushed()
 }
 
 func (c *Conn) read() {
@@ -381,8 +381,8 @@
 	closed bool
 }
 
-// Steers reports whether new connections come to this one alone of those that share its address.
-func (ln *Listener) Steers() bool { return ln.steers }
+// SteersConnections reports whether new connections come to this one alone of those that share its address.
+func (ln *Listener) SteersConnections() bool { return ln.steers }
 
 // Addr is the address that it listens on.
 func (ln *Listener) Addr() netip.AddrPort {
@@ -399,9 +399,9 @@
 	return netip.AddrPort{}
 }
 
-// Share lets other processes of the same user listen on the same address, or no more of them. While it is not shared
+// SetShared lets other processes of the same user listen on the same address, or no more of them. While it is not shared
 // the system refuses them: two by mistake would divide the connections between them unnoticed.
-func (ln *Listener) Share(on bool) {
+func (ln *Listener) SetShared(on bool) {
 	if ln == nil || ln.closed {
 		return
 	}
@@ -418,10 +418,10 @@
 	return l.listen(addr, accept, false)
 }
 
-// Join listens on an address beside another process whose listener is shared, see Share. With others so many before it,
+// ListenShared listens on an address beside another process whose listener is shared, see Share. With others so many before it,
 // new connections come to this one alone from then on, where the system can do that: the others' queues run empty, and
 // nothing is lost when they close.
-func (l *Loop) Join(addr netip.AddrPort, others int, accept func(fd int)) (*Listener, error) {
+func (l *Loop) ListenShared(addr netip.AddrPort, others int, accept func(fd int)) (*Listener, error) {
 	ln, err := l.listen(addr, accept, true)
 	if err != nil {
 		return nil, err
@@ -472,7 +472,7 @@
 		switch {
 		case err == nil:
 			ln.accept(fd)
-		case Momentary(err):
+		case IsResourceShortage(err):
 			// Guards against a loop that spins on a connection for which there is no descriptor.
 			ln.rest()
 			return
@@ -483,8 +483,8 @@
 	ln.waits = true // guards against those beyond the bound that count from the next turn
 }
 
-// Came is since when a connection that is accepted now may have waited.
-func (ln *Listener) Came() time.Duration { return ln.came }
+// EarliestArrival is since when a connection that is accepted now may have waited.
+func (ln *Listener) EarliestArrival() time.Duration { return ln.came }
 
 // settle settles Came for what is accepted in this turn.
 func (ln *Listener) settle() {
@@ -518,8 +518,8 @@
 	ln.loop.expect(ln.source, events)
 }
 
-// Urgent has new connections accepted before all else of a turn.
-func (ln *Listener) Urgent() { ln.source.urgent = true }
+// Prioritize has new connections accepted before all else of a turn.
+func (ln *Listener) Prioritize() { ln.source.urgent = true }
 
 // drainQueue takes all that waits, whether accepting rests or not: what the system has accepted would be reset. It reports
 // whether nothing is left, as far as can be known.
@@ -532,7 +532,7 @@
 			ln.accept(fd)
 		case errors.Is(err, unix.EAGAIN):
 			return true
-		case Momentary(err):
+		case IsResourceShortage(err):
 			return false
 		case errors.Is(err, unix.EBADF), errors.Is(err, unix.EINVAL), errors.Is(err, unix.ENOTSOCK):
 			return true // there is no such listener
@@ -552,8 +552,8 @@
 	return c, err
 }
 
-// Pause stops accepting, and goes on with it.
-func (ln *Listener) Pause(on bool) {
+// SetPaused stops accepting, and goes on with it.
+func (ln *Listener) SetPaused(on bool) {
 	if ln == nil || ln.closed {
 		return
 	}
--- a/internal/loop/faults_test.go
+++ b/internal/loop/faults_test.go
@@ -79,12 +79,12 @@
 	failFirst(t, system.CallAccept, 0, 1, unix.ENFILE)
 	connected(t, ln)
 	passes(t, l, shortOf/2) // it rests
-	ln.Pause(true)
+	ln.SetPaused(true)
 	passes(t, l, 2*shortOf)
 	if len(*accepted) != 0 {
 		t.Fatalf("%d accepted while its owner has it paused", len(*accepted))
 	}
-	ln.Pause(false)
+	ln.SetPaused(false)
 	until(t, l, "it goes on", func() bool { return len(*accepted) == 1 })
 }
 
@@ -95,8 +95,8 @@
 	failFirst(t, system.CallAccept, 0, 1, unix.EMFILE)
 	connected(t, ln)
 	passes(t, l, shortOf/4)
-	ln.Pause(true)
-	ln.Pause(false)
+	ln.SetPaused(true)
+	ln.SetPaused(false)
 	passes(t, l, shortOf/4)
 	if len(*accepted) != 0 {
 		t.Error("accepted while it rests for want of descriptors")
@@ -136,11 +136,11 @@
 			near = &Conn{loop: l, source: s, up: true}
 		}
 	}
-	near.HeedEnd()
+	near.WatchPeerClose()
 	conn.Close()
 	time.Sleep(2 * lookAgain)
 	failFirst(t, system.CallEpollWait, 0, 3, unix.EINTR)
-	if !near.Left() {
+	if !near.PeerClosed() {
 		t.Error("its client has left, which is not told")
 	}
 }
@@ -156,8 +156,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.Pause(true)
-			c.Pause(false)
+			c.SetPaused(true)
+			c.SetPaused(false)
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/loop/leave_test.go
+++ b/internal/loop/leave_test.go
@@ -47,12 +47,12 @@
 func TestAnEndOfAConnectionThatIsOver(t *testing.T) {
 	l, r := newLoop(t), &record{}
 	c, far := dial(t, l, r)
-	c.HeedEnd()
+	c.WatchPeerClose()
 	far.Write([]byte("one request too many"))
 	c.Write(make([]byte, 16<<20)) // more than the system takes
-	c.Finish(5 * time.Second)
+	c.CloseGracefully(5 * time.Second)
 	leave(t, far, func(c *net.TCPConn) { c.CloseWrite() })
-	until(t, l, "the connection is given back", func() bool { return l.Open() == 0 })
+	until(t, l, "the connection is given back", func() bool { return l.OpenSockets() == 0 })
 	if n, err := io.Copy(io.Discard, far); n != c.Written() || n == 0 || err != nil {
 		t.Errorf("%d bytes of %d that the system had, %v", n, c.Written(), err)
 	}
@@ -73,14 +73,14 @@
 	data func()
 }
 
-func (s scribe) Up() {}
+func (s scribe) Connected() {}
 func (s scribe) Data([]byte) {
 	*s.list = append(*s.list, s.name+" data")
 	if s.data != nil {
 		s.data()
 	}
 }
-func (s scribe) Drained()  {}
+func (s scribe) Flushed()  {}
 func (s scribe) End(error) { *s.list = append(*s.list, s.name+" end") }
 
 // scribed opens a connection that heeds its end.
@@ -88,7 +88,7 @@
 	t.Helper()
 	c, far := dial(t, l, &record{})
 	c.handler = s
-	c.HeedEnd()
+	c.WatchPeerClose()
 	return c, far
 }
 
@@ -101,8 +101,8 @@
 			far.Write(make([]byte, readSize/4))
 			leave(t, far, how)
 			until(t, l, "the end", func() bool { return len(list) > 0 })
-			if !slices.Equal(list, []string{"it end"}) || l.Open() != 0 {
-				t.Errorf("%q, %d open", list, l.Open())
+			if !slices.Equal(list, []string{"it end"}) || l.OpenSockets() != 0 {
+				t.Errorf("%q, %d open", list, l.OpenSockets())
 			}
 		})
 	}
@@ -115,7 +115,7 @@
 		t.Run(name, func(t *testing.T) {
 			l, list := newLoop(t), []string{}
 			hasty, urgent := scribed(t, l, scribe{"urgent", &list, nil})
-			hasty.Urgent()
+			hasty.Prioritize()
 			var busy []*net.TCPConn
 			for range maxEvents + 10 {
 				_, far := scribed(t, l, scribe{"other", &list, nil})
@@ -149,12 +149,12 @@
 				_, far := scribed(t, l, scribe{"busy", &list, func() {
 					if !done {
 						done = true
-						if gone.Left() {
+						if gone.PeerClosed() {
 							t.Error("it has not left")
 						}
 						leave(t, leaver, how)
 						l.looked -= time.Hour // the call takes long
-						left = gone.Left()
+						left = gone.PeerClosed()
 						l.looked -= time.Hour
 					}
 				}})
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -58,8 +58,8 @@
 	told    time.Duration // when it last answered for a turn
 	came    time.Duration // since when what a turn handles may have been there
 
-	// Late is the longest that a timer has been overdue since it was last set to zero.
-	Late time.Duration
+	// MaxTimerDelay is the longest that a timer has been overdue since it was last set to zero.
+	MaxTimerDelay time.Duration
 }
 
 // source is what epoll watches on behalf of an owner. The serial tells a descriptor's present owner from one whose
@@ -71,7 +71,7 @@
 	urgent bool // its events come first in each turn
 	added  bool // epoll knows of it
 	again  bool // what epoll had no memory for will be tried again
-	leaves bool // once the other end has finished it has left, see Conn.HeedEnd
+	leaves bool // once the other end has finished it has left, see Conn.WatchPeerClose
 	left   bool // it has
 	ready  func(events uint32)
 }
@@ -89,7 +89,7 @@
 // New returns a loop that watches nothing yet. Where the system is short of descriptors or memory it is tried again for a second.
 func New() (l *Loop, err error) {
 	for range startTries {
-		if l, err = open(); !Momentary(err) {
+		if l, err = open(); !IsResourceShortage(err) {
 			break
 		}
 		time.Sleep(startGap)
@@ -125,12 +125,12 @@
 	return l.epoch + time.Since(l.start)
 }
 
-// Open is the number of sockets held.
-func (l *Loop) Open() int { return l.open }
+// OpenSockets is the number of sockets held.
+func (l *Loop) OpenSockets() int { return l.open }
 
-// Later runs f when the callback that is running has returned. What a callback brings about goes this way, so that
+// Defer runs f when the callback that is running has returned. What a callback brings about goes this way, so that
 // no owner is called while it is calling.
-func (l *Loop) Later(f func()) { l.later = append(l.later, f) }
+func (l *Loop) Defer(f func()) { l.later = append(l.later, f) }
 
 // Post runs f on the loop. It is the one call that other goroutines (the one for signals) may make.
 func (l *Loop) Post(f func()) {
@@ -203,11 +203,11 @@
 	return batch, err
 }
 
-// Came is since when what the running turn handles may have been there. It is before Now where the process was stopped or busy.
-func (l *Loop) Came() time.Duration { return l.came }
+// EarliestArrival is since when what the running turn handles may have been there. It is before Now where the process was stopped or busy.
+func (l *Loop) EarliestArrival() time.Duration { return l.came }
 
-// Told is when epoll told what the running turn handles.
-func (l *Loop) Told() time.Duration { return l.told }
+// PolledAt is when epoll told what the running turn handles.
+func (l *Loop) PolledAt() time.Duration { return l.told }
 
 // look asks epoll what has come, waiting so many milliseconds at most, and notes who has left.
 func (l *Loop) look(events []unix.EpollEvent, patience int) ([]unix.EpollEvent, error) {
@@ -294,7 +294,7 @@
 	} else {
 		err = system.EpollAdd(l.epoll, s.fd, &e)
 	}
-	if !Momentary(err) {
+	if !IsResourceShortage(err) {
 		s.added = s.added || err == nil
 		return err
 	}
@@ -310,8 +310,8 @@
 	return nil
 }
 
-// Momentary reports whether an error of a system call tells of a shortage that passes by itself.
-func Momentary(err error) bool {
+// IsResourceShortage reports whether an error of a system call tells of a shortage that passes by itself.
+func IsResourceShortage(err error) bool {
 	for _, shortage := range []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC} {
 		if errors.Is(err, shortage) {
 			return true
@@ -429,7 +429,7 @@
 func (l *Loop) ring(looked time.Duration) {
 	for l.heed(); len(l.timers.list) > 0 && l.timers.list[0].at <= looked; l.heed() {
 		t := heap.Pop(&l.timers).(*Timer)
-		l.Late = max(l.Late, l.Now()-t.at)
+		l.MaxTimerDelay = max(l.MaxTimerDelay, l.Now()-t.at)
 		t.f()
 		l.settle()
 	}
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -19,9 +19,9 @@
 	end         error
 }
 
-func (r *record) Up()           { r.up++ }
+func (r *record) Connected()    { r.up++ }
 func (r *record) Data(b []byte) { r.data = append(r.data, b...) }
-func (r *record) Drained()      { r.drained++ }
+func (r *record) Flushed()      { r.drained++ }
 func (r *record) End(err error) { r.end = err }
 
 func newLoop(t *testing.T) *Loop {
@@ -49,7 +49,7 @@
 			l.After(time.Millisecond, look)
 		}
 	}
-	l.Later(look)
+	l.Defer(look)
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
 	}
@@ -97,22 +97,22 @@
 
 func TestConnPassesBytesAndEnds(t *testing.T) {
 	l, r := newLoop(t), &record{}
-	before := l.Open()
+	before := l.OpenSockets()
 	c, far := dial(t, l, r)
 	c.Write([]byte("hello"))
 	buf := make([]byte, 5)
 	if _, err := io.ReadFull(far, buf); err != nil || string(buf) != "hello" {
 		t.Fatalf("%q, %v", buf, err)
 	}
-	if c.Written() != 5 || c.Queued() != 5 || c.Stale() {
-		t.Errorf("written %d, queued %d, stale %v", c.Written(), c.Queued(), c.Stale())
+	if c.Written() != 5 || c.WriteOffset() != 5 || c.Stale() {
+		t.Errorf("written %d, queued %d, stale %v", c.Written(), c.WriteOffset(), c.Stale())
 	}
 	far.Write([]byte("there"))
 	until(t, l, "the answer", func() bool { return string(r.data) == "there" })
 	far.Close()
 	until(t, l, "the end", func() bool { return r.end != nil })
-	if !errors.Is(r.end, io.EOF) || l.Open() != before {
-		t.Errorf("ended with %v, %d sockets held", r.end, l.Open())
+	if !errors.Is(r.end, io.EOF) || l.OpenSockets() != before {
+		t.Errorf("ended with %v, %d sockets held", r.end, l.OpenSockets())
 	}
 	c.Close() // harmless
 }
@@ -124,17 +124,17 @@
 	c, far := dial(t, l, r)
 	big := make([]byte, 16<<20)
 	c.Write(big)
-	if c.Written() <= 0 || c.Written() >= int64(len(big)) || c.Queued() != int64(len(big)) ||
-		c.Pending() != int(c.Queued()-c.Written()) {
-		t.Fatalf("written %d, queued %d, pending %d", c.Written(), c.Queued(), c.Pending())
+	if c.Written() <= 0 || c.Written() >= int64(len(big)) || c.WriteOffset() != int64(len(big)) ||
+		c.Pending() != int(c.WriteOffset()-c.Written()) {
+		t.Fatalf("written %d, queued %d, pending %d", c.Written(), c.WriteOffset(), c.Pending())
 	}
 	// Guards against taking a slow reader for a dead one: what it takes shows before the system asks for more.
-	written, taken := c.Written(), c.Taken()
+	written, taken := c.Written(), c.Acknowledged()
 	buf := make([]byte, 64<<10)
 	for range 10 {
 		io.ReadFull(far, buf)
 	}
-	until(t, l, "what was read shows", func() bool { return c.Taken() > taken || c.Written() > written })
+	until(t, l, "what was read shows", func() bool { return c.Acknowledged() > taken || c.Written() > written })
 	go io.Copy(io.Discard, far)
 	until(t, l, "all is handed over", func() bool { return r.drained == 1 && c.Pending() == 0 })
 	if c.Written() != int64(len(big)) {
@@ -145,7 +145,7 @@
 func TestPausedConnReadsLater(t *testing.T) {
 	l, r := newLoop(t), &record{}
 	c, far := dial(t, l, r)
-	c.Pause(true)
+	c.SetPaused(true)
 	far.Write([]byte("x"))
 	time.Sleep(20 * time.Millisecond)
 	until(t, l, "a look", func() bool { return true })
@@ -155,7 +155,7 @@
 	if !c.Stale() {
 		t.Error("unasked bytes do not show")
 	}
-	c.Pause(false)
+	c.SetPaused(false)
 	until(t, l, "the byte", func() bool { return string(r.data) == "x" })
 }
 
@@ -171,21 +171,21 @@
 			t.Run(name, func(t *testing.T) {
 				l, r := newLoop(t), &record{}
 				c, far := dial(t, l, r)
-				c.Pause(true)
+				c.SetPaused(true)
 				if heeds {
-					c.HeedEnd()
+					c.WatchPeerClose()
 				}
 				far.Write([]byte("asked before"))
 				leave(far)
 				if heeds || name == "reset" {
 					until(t, l, "the end", func() bool { return r.end != nil })
-					if heeds && len(r.data) > 0 || l.Open() != 0 {
-						t.Errorf("read %q, %d open", r.data, l.Open())
+					if heeds && len(r.data) > 0 || l.OpenSockets() != 0 {
+						t.Errorf("read %q, %d open", r.data, l.OpenSockets())
 					}
 					return
 				}
 				until(t, l, "the end shows", c.Stale)
-				c.Pause(false)
+				c.SetPaused(false)
 				until(t, l, "the end", func() bool { return r.end != nil })
 				if string(r.data) != "asked before" {
 					t.Errorf("read %q", r.data)
@@ -201,14 +201,14 @@
 	c, far := dial(t, l, r)
 	big := make([]byte, 32<<20)
 	c.Write(big)
-	at := c.Queued()
+	at := c.WriteOffset()
 	c.Write([]byte("one,"))
 	c.Write([]byte("two,"))
 	c.Write([]byte("three"))
-	if c.TakeBack(0, at) || c.TakeBack(at+8, at+14) || c.TakeBack(at+4, at) {
+	if c.CancelWrite(0, at) || c.CancelWrite(at+8, at+14) || c.CancelWrite(at+4, at) {
 		t.Error("took back what has gone, or never was")
 	}
-	if !c.TakeBack(at+4, at+8) || c.Queued() != at+9 {
+	if !c.CancelWrite(at+4, at+8) || c.WriteOffset() != at+9 {
 		t.Error("did not take back what has not gone")
 	}
 	got := make(chan string, 1)
@@ -230,11 +230,11 @@
 	l, r := newLoop(t), &record{}
 	c, far := dial(t, l, r)
 	c.Write(make([]byte, 32<<20))
-	if c.Pending() == 0 || !c.TakeBack(c.Queued()-int64(c.Pending()), c.Queued()) {
+	if c.Pending() == 0 || !c.CancelWrite(c.WriteOffset()-int64(c.Pending()), c.WriteOffset()) {
 		t.Fatal("nothing is taken back")
 	}
 	go io.Copy(io.Discard, far)
-	until(t, l, "all has come", func() bool { return c.Taken() == c.Queued() })
+	until(t, l, "all has come", func() bool { return c.Acknowledged() == c.WriteOffset() })
 	told, ready := 0, c.source.ready
 	c.source.ready = func(events uint32) { told++; ready(events) }
 	for range 3 {
@@ -244,25 +244,25 @@
 		t.Errorf("told %d times that there is room", told)
 	}
 	c.Write([]byte("more"))
-	until(t, l, "it goes on", func() bool { return c.Pending() == 0 && c.Taken() == c.Queued() })
+	until(t, l, "it goes on", func() bool { return c.Pending() == 0 && c.Acknowledged() == c.WriteOffset() })
 }
 
 // Finish must not throw away an answer on its way because of bytes that came meanwhile.
 func TestFinishDeliversWhatWasWritten(t *testing.T) {
 	l, r := newLoop(t), &record{}
-	before := l.Open()
+	before := l.OpenSockets()
 	c, far := dial(t, l, r)
 	far.Write([]byte("one request too many"))
 	big := make([]byte, 4<<20)
 	c.Write(big)
-	c.Finish(5 * time.Second)
+	c.CloseGracefully(5 * time.Second)
 	done := make(chan int64, 1)
 	go func() {
 		n, _ := io.Copy(io.Discard, far)
 		far.Close()
 		done <- n
 	}()
-	until(t, l, "the connection is given back", func() bool { return l.Open() == before })
+	until(t, l, "the connection is given back", func() bool { return l.OpenSockets() == before })
 	if n := <-done; n != int64(len(big)) {
 		t.Errorf("%d bytes arrived of %d", n, len(big))
 	}
@@ -306,7 +306,7 @@
 		t.Fatal(err)
 	}
 	addr := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(at.(*unix.SockaddrInet4).Port)).String()
-	ln.Pause(true)
+	ln.SetPaused(true)
 	for range 3 {
 		far, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -318,12 +318,12 @@
 	if len(conns) != 0 {
 		t.Error("accepted while paused")
 	}
-	ln.Pause(false)
+	ln.SetPaused(false)
 	until(t, l, "the connections", func() bool { return len(conns) == 3 })
 	ln.Close()
 	ln.Close()
-	if l.Open() != 3 {
-		t.Errorf("%d sockets held", l.Open())
+	if l.OpenSockets() != 3 {
+		t.Errorf("%d sockets held", l.OpenSockets())
 	}
 }
 
--- a/internal/loop/share_test.go
+++ b/internal/loop/share_test.go
@@ -37,10 +37,10 @@
 		}
 	}
 	refused("at first")
-	if _, err := l.Join(addr, 1, nil); !errors.Is(err, unix.EADDRINUSE) {
+	if _, err := l.ListenShared(addr, 1, nil); !errors.Is(err, unix.EADDRINUSE) {
 		t.Errorf("joined one that does not share: %v", err)
 	}
-	old.Share(true)
+	old.SetShared(true)
 	refused("while shared")
 	dial := func(times int) {
 		t.Helper()
@@ -52,16 +52,16 @@
 			defer c.Close()
 		}
 	}
-	old.Pause(true)
+	old.SetPaused(true)
 	dial(5) // they wait in the old one's queue
-	fresh, err := l.Join(addr, 1, accept("fresh"))
+	fresh, err := l.ListenShared(addr, 1, accept("fresh"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !fresh.Steers() {
+	if !fresh.SteersConnections() {
 		t.Skip("the system does not steer connections")
 	}
-	old.Share(false)
+	old.SetShared(false)
 	dial(20)
 	until(t, l, "the new one has them all", func() bool { return taken["fresh"] == 20 })
 	if old.Close(); taken["old"] != 5 {
@@ -70,8 +70,8 @@
 	dial(20)
 	until(t, l, "the new one has them all", func() bool { return taken["fresh"] == 40 })
 	refused("after the old one's end")
-	fresh.Share(true) // and once more
-	newest, err := l.Join(addr, 1, accept("newest"))
+	fresh.SetShared(true) // and once more
+	newest, err := l.ListenShared(addr, 1, accept("newest"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/loop/tls.go
+++ b/internal/loop/tls.go
@@ -52,7 +52,7 @@
 		conn.Close()
 		return
 	}
-	c.tell(func() { c.h.Up() })
+	c.tell(func() { c.h.Connected() })
 	go func() {
 		for {
 			select {
@@ -99,7 +99,7 @@
 		cfg = cfg.Clone()
 		cfg.ServerName = addr.Addr().String()
 	}
-	conn := tls.Client(Counted(raw, &c.in, &c.out), cfg)
+	conn := tls.Client(CountBytes(raw, &c.in, &c.out), cfg)
 	if err := conn.HandshakeContext(ctx); err != nil {
 		raw.Close()
 		return nil, err
@@ -110,8 +110,8 @@
 // Bytes is what has come and gone over the socket so far, with all that TLS adds.
 func (c *TLSConn) Bytes() (in, out int64) { return c.in.Load(), c.out.Load() }
 
-// Counted is a connection of which the bytes that come and go are added to in and out.
-func Counted(conn net.Conn, in, out *atomic.Int64) net.Conn { return &counted{conn, in, out} }
+// CountBytes is a connection of which the bytes that come and go are added to in and out.
+func CountBytes(conn net.Conn, in, out *atomic.Int64) net.Conn { return &counted{conn, in, out} }
 
 type counted struct {
 	net.Conn
@@ -157,7 +157,7 @@
 	select {
 	case c.queue <- append([]byte(nil), data...):
 	default:
-		c.loop.Later(func() {
+		c.loop.Defer(func() {
 			if !c.closed {
 				c.end(net.ErrClosed)
 			}
--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -110,7 +110,7 @@
 	if !stop {
 		b.heard = b.link.pool.node.loop.Now()
 	}
-	b.link.conn.Pause(stop)
+	b.link.conn.SetPaused(stop)
 	b.link.paused = stop
 }
 
@@ -181,7 +181,7 @@
 // breakOff ends a connection in the midst of an answer: with its end the client knows that it is not whole.
 func (c *client) breakOff() {
 	c.node.noteClosed(c, closedBroken)
-	c.conn.Finish(lingerFor)
+	c.conn.CloseGracefully(lingerFor)
 	c.ended()
 }
 
@@ -198,5 +198,5 @@
 	}
 	c.deep = rest
 	n.deep += rest
-	c.conn.Deepen(rest)
+	c.conn.GrowSendBuffer(rest)
 }
--- a/internal/node/capacity.go
+++ b/internal/node/capacity.go
@@ -43,7 +43,7 @@
 	if s.closing {
 		// Guards against idle clients that take all descriptors of a node that sends its clients away: servers and the list had
 		// none left (129 held where 64 were allowed).
-		s.listener.Pause(s.brimful())
+		s.listener.SetPaused(s.brimful())
 		return
 	}
 	// Guards against requests that wait unread for a descriptor, and are lost by it, while others are idle. First go
@@ -60,7 +60,7 @@
 			s.node.shed()
 		}
 	}
-	s.listener.Pause(s.brimful())
+	s.listener.SetPaused(s.brimful())
 	if s.crowded() && s.retry == nil {
 		s.retry = s.node.loop.After(lookEvery, func() {
 			s.retry = nil
@@ -93,7 +93,7 @@
 // has acknowledged all that it was sent.
 func (s *clients) part() bool {
 	c := front(s.parted)
-	if c == nil || s.node.loop.Now()-c.used < partShort || c.conn.Taken() < c.conn.Queued() {
+	if c == nil || s.node.loop.Now()-c.used < partShort || c.conn.Acknowledged() < c.conn.WriteOffset() {
 		return false
 	}
 	c.conn.Close()
@@ -172,7 +172,7 @@
 		return
 	}
 	n.shedding = true
-	n.loop.Later(func() {
+	n.loop.Defer(func() {
 		n.shedding = false
 		worst := c
 		for x := range n.clients.all {
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -52,7 +52,7 @@
 	case safety.StillOut, safety.MayHaveRun, safety.OtherGroup:
 		n.violation("repeat", why, t.call.id, t.pool.id) // the module asks before it sends
 	}
-	n.loop.Later(func() { n.finished(t, answer{outcome: outcome}) })
+	n.loop.Defer(func() { n.finished(t, answer{outcome: outcome}) })
 }
 
 // refuseLate ends an attempt that was allowed a moment ago and may not be written now. Time may have passed, where the process was held
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -89,7 +89,7 @@
 	if others == 0 {
 		s.listener, err = s.node.loop.Listen(s.node.cfg.Listen, s.accept)
 	} else {
-		s.listener, err = s.node.loop.Join(s.node.cfg.Listen, others, s.accept)
+		s.listener, err = s.node.loop.ListenShared(s.node.cfg.Listen, others, s.accept)
 	}
 	return err
 }
@@ -106,7 +106,7 @@
 // descriptors or memory.
 func persist(listen func() error) (err error) {
 	for range listenTries {
-		if err = listen(); !errors.Is(err, syscall.EADDRINUSE) && !loop.Momentary(err) {
+		if err = listen(); !errors.Is(err, syscall.EADDRINUSE) && !loop.IsResourceShortage(err) {
 			break
 		}
 		time.Sleep(listenGap)
@@ -118,7 +118,7 @@
 // unread in the system's queue is lost.
 func (s *clients) accept(fd int) {
 	now := s.node.loop.Now()
-	c := &client{node: s.node, used: now, since: now, arrived: s.listener.Came(), opened: s.node.loop.Told()}
+	c := &client{node: s.node, used: now, since: now, arrived: s.listener.EarliestArrival(), opened: s.node.loop.PolledAt()}
 	away := s.closing && s.brimful() // of a listen queue that is taken whole as the listener closes
 	conn, err := s.node.loop.Accept(fd, c)
 	if err != nil {
@@ -134,7 +134,7 @@
 	}
 	// Guards against a client that leaves while nothing is read from it: its end would stand behind what it had sent, and
 	// what it asked for would be sent on as if it waited.
-	conn.HeedEnd()
+	conn.WatchPeerClose()
 	s.all[c] = true
 	c.rest(s.owing)
 	s.node.count.clientsIn++
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -36,13 +36,13 @@
 // it is read soon after; else since the loop can't say that nothing was there. Where that is long, because the process stood
 // still, the system may know better.
 func (c *client) settleArrival() {
-	if came := c.node.loop.Came(); c.asked || came > c.opened+withOpening {
+	if came := c.node.loop.EarliestArrival(); c.asked || came > c.opened+withOpening {
 		c.arrived = came
 	}
 	if c.used-c.arrived <= withOpening {
 		return
 	}
-	if ago, known := c.conn.LastData(); known {
+	if ago, known := c.conn.SinceLastData(); known {
 		c.arrived = max(c.arrived, c.used-ago)
 	}
 }
--- a/internal/node/connection.go
+++ b/internal/node/connection.go
@@ -7,8 +7,8 @@
 
 // A client's connection: its answers in their turn, its rests and its end.
 
-// Up implements loop.Handler.
-func (c *client) Up() {}
+// Connected implements loop.Handler.
+func (c *client) Connected() {}
 
 // flush writes the answers whose turn it is, then goes on with what had to wait for them.
 func (c *client) flush() {
@@ -59,10 +59,10 @@
 		c.up.flow()
 		return
 	}
-	c.conn.Pause(blocked || closing && len(c.calls) > 0)
+	c.conn.SetPaused(blocked || closing && len(c.calls) > 0)
 	if !blocked && len(c.input) > 0 && !c.again && c.waits() {
 		c.again = true
-		c.node.loop.Later(c.more)
+		c.node.loop.Defer(c.more)
 	}
 }
 
@@ -96,7 +96,7 @@
 	if c.slow != nil {
 		return
 	}
-	c.taken, c.moved = c.conn.Taken(), c.node.loop.Now()
+	c.taken, c.moved = c.conn.Acknowledged(), c.node.loop.Now()
 	c.look()
 }
 
@@ -105,7 +105,7 @@
 	c.slow = c.node.loop.After(slowFor/5, func() {
 		// Guards against taking a slow reader for a dead one: the system hands over what it holds long before it asks
 		// for more, so only what the client has acknowledged tells.
-		now, taken := c.node.loop.Now(), c.conn.Taken()
+		now, taken := c.node.loop.Now(), c.conn.Acknowledged()
 		if taken != c.taken {
 			c.taken, c.moved = taken, now
 		}
@@ -126,8 +126,8 @@
 	c.ended()
 }
 
-// Drained implements loop.Handler.
-func (c *client) Drained() { c.flush() }
+// Flushed implements loop.Handler.
+func (c *client) Flushed() { c.flush() }
 
 // End implements loop.Handler: the client has gone away, and nobody waits for what it had asked.
 func (c *client) End(error) {
@@ -176,7 +176,7 @@
 		if c.bad > 0 || !c.asked { // whose next bytes nobody wants
 			linger /= 4
 		}
-		c.conn.Finish(linger)
+		c.conn.CloseGracefully(linger)
 		c.used, c.parts = c.node.loop.Now(), c.node.clients.parted.PushBack(c)
 		c.drop()
 	}
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -130,7 +130,7 @@
 	put("now_revision", revision)
 	put("now_servers", int64(servers))
 	put("now_held", int64(kept))
-	put("now_sockets", int64(n.loop.Open()))
-	fmt.Fprintf(&b, " late_max=%s", n.loop.Late)
+	put("now_sockets", int64(n.loop.OpenSockets()))
+	fmt.Fprintf(&b, " late_max=%s", n.loop.MaxTimerDelay)
 	return b.String()
 }
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -206,7 +206,7 @@
 				b.connect(1)[0].Close()
 				b.run("one is taken in "+what, func() bool { return n.count.clientsIn > before })
 				b.run("it is gone", func() bool { return len(n.clients.all) == 0 && n.clients.parted.Len() == 0 })
-				n.clients.listener.Pause(true) // as in a full house, of which the last has gone
+				n.clients.listener.SetPaused(true) // as in a full house, of which the last has gone
 				n.lame = false
 				n.clients.resume()
 			}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -13,7 +13,7 @@
 	case succeeded:
 		s.listener.Close()
 		s.drained.Stop()
-		s.node.loop.Later(s.empty)
+		s.node.loop.Defer(s.empty)
 	case s.drained == nil:
 		s.drained = s.node.loop.After(lameFor, s.empty)
 	}
@@ -60,7 +60,7 @@
 	s.drained.Stop()
 	s.drained, s.closing = nil, false
 	for c := range s.all {
-		c.node.loop.Later(c.flush)
+		c.node.loop.Defer(c.flush)
 	}
 	s.thin() // the listener may rest
 }
--- a/internal/node/holdup_test.go
+++ b/internal/node/holdup_test.go
@@ -38,7 +38,7 @@
 		time.Sleep(heldUp)
 	}
 	busy := func(s *stage, send func()) {
-		s.node.loop.Later(func() {
+		s.node.loop.Defer(func() {
 			send()
 			time.Sleep(heldUp)
 		})
--- a/internal/node/leave_turn_test.go
+++ b/internal/node/leave_turn_test.go
@@ -363,7 +363,7 @@
 	c := s.ask("gone")
 	s.taken(1)
 	gone(t, c, ways["close"])
-	s.node.loop.Later(func() { actions{s.node}.Send("gone", "c-9", 0, 0) })
+	s.node.loop.Defer(func() { actions{s.node}.Send("gone", "c-9", 0, 0) })
 	s.run("its place is free", func() bool { return len(s.node.calls) == 0 })
 	if s.node.count.abandoned != 1 || s.outcomes(policy.ConnectFailed) != 1 {
 		t.Errorf("%d abandoned, %v", s.node.count.abandoned, s.node.count.outcomes)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -316,7 +316,7 @@
 func (n *Node) withdraw(c *call) {
 	for _, t := range c.tries {
 		if !t.done {
-			n.loop.Later(func() { t.pool.withdraw(t) })
+			n.loop.Defer(func() { t.pool.withdraw(t) })
 		}
 	}
 }
@@ -391,14 +391,14 @@
 	x := c.client
 	// Guards against an attempt for a client that has gone, whose end stands in the system behind what had this one begin: an
 	// answer that gave it room, a time-out, another that was to fetch for it.
-	gone := x == nil || x.conn.Left()
+	gone := x == nil || x.conn.PeerClosed()
 	why := n.maySend(t, left, gone)
 	if why == safety.Allowed && left <= 0 {
 		why = safety.TimeOver
 	}
 	if why != safety.Allowed {
 		if gone && x != nil {
-			n.loop.Later(x.away)
+			n.loop.Defer(x.away)
 		}
 		n.refuseSend(t, why)
 		return
@@ -437,7 +437,7 @@
 		return // its value has begun to flow
 	}
 	t := c.tries[k]
-	a.n.loop.Later(func() { t.pool.cancel(t) })
+	a.n.loop.Defer(func() { t.pool.cancel(t) })
 }
 
 // Timer implements policy.Actions.
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -156,7 +156,7 @@
 		l = p.shared()
 	}
 	if l == nil {
-		n.loop.Later(func() { n.finished(t, answer{outcome: policy.ConnectFailed}) })
+		n.loop.Defer(func() { n.finished(t, answer{outcome: policy.ConnectFailed}) })
 		return
 	}
 	n.count.attempts++
@@ -187,7 +187,7 @@
 // write writes an attempt's request, which tells how long the node waits.
 func (l *link) write(t *try, wait time.Duration) {
 	text := l.pool.proto.request(nil, t, wait)
-	t.first = l.conn.Queued()
+	t.first = l.conn.WriteOffset()
 	t.last = t.first + int64(len(text)) // before writing: what a broken connection does not take was never written
 	l.conn.Write(text)
 	t.waits = l.conn.Written() <= t.first
@@ -201,7 +201,7 @@
 // retell writes anew what has waited for the connection to come up, lest it tells its server of time that has passed since: that
 // would work for those who have stopped waiting. What was called off meanwhile is not written at all.
 func (l *link) retell() {
-	now, old := l.pool.node.loop.Now(), l.conn.Queued()
+	now, old := l.pool.node.loop.Now(), l.conn.WriteOffset()
 	if len(l.tries) == 0 || slices.ContainsFunc(l.tries, func(t *try) bool { return t != nil && t.call.upload != nil }) {
 		return // of a long value not all may be kept; it has the connection to itself
 	}
@@ -220,7 +220,7 @@
 		l.write(t, t.waitsStill(now))
 		t.first, t.last = t.first-old, t.last-old
 	}
-	l.conn.TakeBack(0, old) // nothing has been handed to the system yet
+	l.conn.CancelWrite(0, old) // nothing has been handed to the system yet
 }
 
 // takeBack takes back the attempts of which no byte has been written.
@@ -237,10 +237,10 @@
 func (l *link) takeOut(t *try, o policy.Outcome) bool {
 	end := t.last
 	if t.call.upload != nil { // has a connection to itself, and not all of it has come
-		end = l.conn.Queued()
+		end = l.conn.WriteOffset()
 	}
 	i := slices.Index(l.tries, t)
-	if i < 0 || l.gone || !l.conn.TakeBack(t.first, end) {
+	if i < 0 || l.gone || !l.conn.CancelWrite(t.first, end) {
 		return false
 	}
 	for _, x := range l.tries[i+1:] {
@@ -314,7 +314,7 @@
 // room is how many connections the node may have, of clients and to servers; open is how many descriptors they, and what
 // is in reserve, hold. The operators' address has its own.
 func (n *Node) room() int { return n.sockets() - n.reserve() - n.control.Share() }
-func (n *Node) open() int { return n.loop.Open() - n.control.Open() }
+func (n *Node) open() int { return n.loop.OpenSockets() - n.control.Open() }
 
 // brim is how many the node may have in all, with the reserve.
 func (n *Node) brim() int { return n.room() + n.reserve() - min(ownSockets, n.sockets()/4) }
@@ -505,8 +505,8 @@
 	p.node.finished(t, end)
 }
 
-// Up implements loop.Handler.
-func (l *link) Up() {
+// Connected implements loop.Handler.
+func (l *link) Connected() {
 	l.up = true
 	l.pool.heard = l.pool.node.loop.Now()
 	l.timer.Stop()
@@ -520,8 +520,8 @@
 	l.rest()
 }
 
-// Drained implements loop.Handler.
-func (l *link) Drained() {
+// Flushed implements loop.Handler.
+func (l *link) Flushed() {
 	l.wrote()
 	if l.going != nil {
 		l.going.flow()
@@ -653,7 +653,7 @@
 	b := l.body
 	l.body = nil
 	b.timer.Stop()
-	l.conn.Pause(false)
+	l.conn.SetPaused(false)
 	l.paused = false
 	t := l.tries[0]
 	l.tries = l.tries[1:]
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -68,7 +68,7 @@
 			b.node.loop.After(time.Millisecond, look)
 		}
 	}
-	b.node.loop.Later(look)
+	b.node.loop.Defer(look)
 	if err := b.node.loop.Run(); err != nil {
 		b.t.Fatal(err)
 	}
--- a/internal/node/recorder_test.go
+++ b/internal/node/recorder_test.go
@@ -114,7 +114,7 @@
 	c := s.node.calls["one"]
 	c.class = &class{name: "once", effect: safety.Unsafe}
 	attempts := s.node.count.attempts
-	s.node.loop.Later(func() { actions{s.node}.Send("one", "c-1", 0, 0) })
+	s.node.loop.Defer(func() { actions{s.node}.Send("one", "c-1", 0, 0) })
 	s.run("it is refused", func() bool { return s.node.count.sendsRefused[safety.StillOut] == 1 })
 	if s.node.count.attempts != attempts || s.node.count.violated[safety.StillOut] != 1 {
 		t.Errorf("%d attempts, then %d; %v violated", attempts, s.node.count.attempts, s.node.count.violated)
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -133,7 +133,7 @@
 			n.loop.After(time.Millisecond, look)
 		}
 	}
-	n.loop.Later(look)
+	n.loop.Defer(look)
 	if err := n.loop.Run(); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -168,13 +168,13 @@
 	}
 	n, others := s.node, processes(s.others())
 	self := s.member.Self().Process
-	self.Open, self.Stage = n.loop.Open(), s.stage()
+	self.Open, self.Stage = n.loop.OpenSockets(), s.stage()
 	waited := s.readyAt > 0 && n.loop.Now()-s.readyAt > deafFor
 	was := self.Room
 	self, s.made = decide.Share(n.cfg.Sockets, self, others, waited)
 	s.room = self.Room
 	if n.clients.listener != nil {
-		n.clients.listener.Share(slices.ContainsFunc(others, func(o decide.Process) bool { return o.Order > self.Order }))
+		n.clients.listener.SetShared(slices.ContainsFunc(others, func(o decide.Process) bool { return o.Order > self.Order }))
 	}
 	if was != self.Room && len(others) > 0 && was > 0 && self.Stage == decide.Serving {
 		n.clients.thin()
@@ -332,7 +332,7 @@
 		n.loop.After(listenAgain, n.takeClients)
 		return
 	}
-	log.Printf("event=handover_taken beside=%d room=%d steers=%t", serving, s.room, n.clients.listener.Steers())
+	log.Printf("event=handover_taken beside=%d room=%d steers=%t", serving, s.room, n.clients.listener.SteersConnections())
 	s.settle()
 }
 
--- a/internal/node/succession_test.go
+++ b/internal/node/succession_test.go
@@ -80,15 +80,15 @@
 			writes++
 		}
 	}
-	if writes != 0 || n.loop.Open() < 20 {
-		t.Errorf("written anew %d times for 20 connections; it holds %d", writes, n.loop.Open())
+	if writes != 0 || n.loop.OpenSockets() < 20 {
+		t.Errorf("written anew %d times for 20 connections; it holds %d", writes, n.loop.OpenSockets())
 	}
 	n.leaving = true // its stage is news, and what it takes is less: what it holds is told with them
 	if !settle() {
 		t.Error("its stage is not told")
 	}
 	young.Look()
-	if p := young.Peers()[0].Process; p.Stage != decide.Leaving || p.Open != n.loop.Open() || p.Room != s.room {
-		t.Errorf("tells %+v, holds %d and takes %d", p, n.loop.Open(), s.room)
+	if p := young.Peers()[0].Process; p.Stage != decide.Leaving || p.Open != n.loop.OpenSockets() || p.Room != s.room {
+		t.Errorf("tells %+v, holds %d and takes %d", p, n.loop.OpenSockets(), s.room)
 	}
 }
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -114,7 +114,7 @@
 	if u.whole {
 		u.finish()
 	}
-	u.client.node.loop.Later(u.flow)
+	u.client.node.loop.Defer(u.flow)
 }
 
 // finish writes the end of the value: from here on the write may run.
@@ -147,7 +147,7 @@
 func (u *upload) ended(t *try) {
 	if u.try == t {
 		u.try = nil
-		u.client.node.loop.Later(u.flow)
+		u.client.node.loop.Defer(u.flow)
 	}
 }
 
@@ -166,7 +166,7 @@
 // flow reads on, or not.
 func (u *upload) flow() {
 	if c := u.client; c.up == u && !c.gone {
-		c.conn.Pause(u.stop())
+		c.conn.SetPaused(u.stop())
 		c.account()
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -224,7 +224,7 @@
 // serve speaks with one forwarder, in two goroutines.
 func (p *Planner) serve(raw net.Conn) {
 	defer p.held.Add(-1)
-	c := &conn{p: p, tls: tls.Server(loop.Counted(raw, &p.in, &p.sent), p.tls.Load()), out: make(chan []byte, 2)}
+	c := &conn{p: p, tls: tls.Server(loop.CountBytes(raw, &p.in, &p.sent), p.tls.Load()), out: make(chan []byte, 2)}
 	defer c.tls.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), shakeWithin)
 	err := c.tls.HandshakeContext(ctx)
--- a/internal/registry/announce.go
+++ b/internal/registry/announce.go
@@ -95,7 +95,7 @@
 	o := &once{announcer: a, call: c}
 	conn, err := (&Client{loop: a.loop, cfg: a.cfg}).dial(addr, o)
 	if err != nil {
-		a.loop.Later(func() { a.failed(c.ID, err.Error(), false) })
+		a.loop.Defer(func() { a.failed(c.ID, err.Error(), false) })
 		return
 	}
 	o.conn, a.out = conn, o
@@ -206,11 +206,11 @@
 	gone      bool
 }
 
-// Up implements loop.Handler.
-func (o *once) Up() {}
+// Connected implements loop.Handler.
+func (o *once) Connected() {}
 
-// Drained implements loop.Handler.
-func (o *once) Drained() {}
+// Flushed implements loop.Handler.
+func (o *once) Flushed() {}
 
 // End implements loop.Handler.
 func (o *once) End(err error) {
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -147,7 +147,7 @@
 		l := &link{client: c, addr: addr}
 		conn, err := c.dial(addr, l)
 		if err != nil {
-			c.loop.Later(func() { c.follower.Failed(c.loop.Now(), call.ID, err.Error()) })
+			c.loop.Defer(func() { c.follower.Failed(c.loop.Now(), call.ID, err.Error()) })
 			return
 		}
 		l.conn, c.link = conn, l
@@ -212,11 +212,11 @@
 	c.follower.Failed(c.loop.Now(), call, why)
 }
 
-// Up implements loop.Handler.
-func (l *link) Up() { l.rise.Stop() }
+// Connected implements loop.Handler.
+func (l *link) Connected() { l.rise.Stop() }
 
-// Drained implements loop.Handler.
-func (l *link) Drained() {}
+// Flushed implements loop.Handler.
+func (l *link) Flushed() {}
 
 // End implements loop.Handler.
 func (l *link) End(err error) {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -88,7 +88,7 @@
 		r.notes = append(r.notes, event+" "+why)
 	})
 	done := make(chan error, 1)
-	r.loop.Later(func() { r.client.Start(revision, saved) })
+	r.loop.Defer(func() { r.client.Start(revision, saved) })
 	go func() { done <- r.loop.Run() }()
 	t.Cleanup(func() {
 		r.on(func() { r.client.Close(); r.loop.Stop() })
@@ -387,7 +387,7 @@
 		r.reg.Set(server(1, world.Draining))
 		eventually(t, "and followed", r.is)
 		open := 0
-		r.on(func() { r.client.Close(); open = r.loop.Open() })
+		r.on(func() { r.client.Close(); open = r.loop.OpenSockets() })
 		if open != 0 {
 			t.Errorf("%d descriptors are held", open)
 		}
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -414,8 +414,8 @@
 
 // sample reads all counters. Settled: what nobody uses any more is not counted as memory.
 func (h *hollow) sample(settled bool) *sample {
-	s := &sample{Late: h.loop.Late, Seconds: h.seconds, Low: map[string]int{}}
-	h.seconds, h.loop.Late = nil, 0
+	s := &sample{Late: h.loop.MaxTimerDelay, Seconds: h.seconds, Low: map[string]int{}}
+	h.seconds, h.loop.MaxTimerDelay = nil, 0
 	for _, n := range h.nodes {
 		if n.led() {
 			s.Led++
