--- a/internal/handover/faults_test.go
+++ b/internal/handover/faults_test.go
@@ -14,7 +14,7 @@
 // failing has all calls of some kinds fail until it is ended.
 func failing(t *testing.T, errno unix.Errno, calls ...system.Call) (end func()) {
 	t.Helper()
-	system.Inject(func(c system.Call) error {
+	system.InjectFailures(func(c system.Call) error {
 		for _, x := range calls {
 			if x == c {
 				return errno
@@ -22,8 +22,8 @@
 		}
 		return nil
 	})
-	t.Cleanup(func() { system.Inject(nil) })
-	return func() { system.Inject(nil) }
+	t.Cleanup(func() { system.InjectFailures(nil) })
+	return func() { system.InjectFailures(nil) }
 }
 
 // While nothing can be opened or read, a process that lives is known as it was, and its file stays.
--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -39,7 +39,7 @@
 
 // files gives the files of the node's processes, the youngest process first. Names that make no sense are left out.
 func (m *Member) files() ([]file, error) {
-	names, err := system.ReadDir(m.opt.Dir)
+	names, err := system.ReadDirNames(m.opt.Dir)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -219,7 +219,7 @@
 	}
 	if m.said == nil || string(text) != string(m.said) {
 		sync := !slices.Equal(s.Hands, m.words)
-		if m.owed = system.WriteWhole(m.own+fileEnding, m.own+newEnding, text, fileMode, sync); m.owed != nil {
+		if m.owed = system.WriteFileAtomic(m.own+fileEnding, m.own+newEnding, text, fileMode, sync); m.owed != nil {
 			return m.owed
 		}
 		m.said = text
--- a/internal/handover/order.go
+++ b/internal/handover/order.go
@@ -119,7 +119,7 @@
 	s.Process.Order = order
 	text, err := json.Marshal(s)
 	if err == nil {
-		err = system.WriteWhole(base+fileEnding, base+newEnding, text, fileMode, true)
+		err = system.WriteFileAtomic(base+fileEnding, base+newEnding, text, fileMode, true)
 	}
 	if err != nil {
 		lock.Close()
--- a/internal/loop/faults_test.go
+++ b/internal/loop/faults_test.go
@@ -17,7 +17,7 @@
 // failFirst has the first so many calls of a kind fail with an error, after so many that don't.
 func failFirst(t *testing.T, call system.Call, skip, count int, errno unix.Errno) {
 	t.Helper()
-	system.Inject(func(c system.Call) error {
+	system.InjectFailures(func(c system.Call) error {
 		if c != call {
 			return nil
 		}
@@ -29,7 +29,7 @@
 		}
 		return nil
 	})
-	t.Cleanup(func() { system.Inject(nil) })
+	t.Cleanup(func() { system.InjectFailures(nil) })
 }
 
 // listening opens a listener that gives what it accepts to owners of its own.
@@ -189,8 +189,8 @@
 
 // Connecting, sending and receiving go on after what is no end of the connection, in whatever pieces.
 func TestMomentaryFailuresEndNoConnection(t *testing.T) {
-	system.Shorten(func(_ system.Call, length int) int { return length/3 + 1 })
-	defer system.Shorten(nil)
+	system.LimitTransfers(func(_ system.Call, length int) int { return length/3 + 1 })
+	defer system.LimitTransfers(nil)
 	for _, c := range []struct {
 		call  system.Call
 		errno unix.Errno
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -107,7 +107,7 @@
 		unix.Close(epoll)
 		return nil, err
 	}
-	l := &Loop{epoll: epoll, wake: wake, epoch: system.Wall(), start: time.Now(), sources: map[int32]*source{},
+	l := &Loop{epoll: epoll, wake: wake, epoch: system.WallClock(), start: time.Now(), sources: map[int32]*source{},
 		posts: make(chan func(), 16), buffer: make([]byte, readSize)}
 	l.told = l.Now()
 	l.came = l.told
--- a/internal/system/faults.go
+++ b/internal/system/faults.go
@@ -14,11 +14,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Faulty reports whether this build can make system calls fail.
-const Faulty = true
+// FaultsEnabled reports whether this build can make system calls fail.
+const FaultsEnabled = true
 
-// Variable names the environment variable with a process's plan, see Parse.
-const Variable = "LAPISSHELF_FAULTS"
+// PlanVariable names the environment variable with a process's plan, see Parse.
+const PlanVariable = "LAPISSHELF_FAULTS"
 
 // documented are the errors that a call is made to fail with, each of which its manual page names.
 var documented = map[Call][]unix.Errno{
@@ -38,25 +38,25 @@
 	CallRename:    {unix.ENOSPC, unix.EIO},
 }
 
-// Plan says which calls fail, how often and when.
-type Plan struct {
-	Seed  uint64
-	Rate  float64       // the part of the calls that fail while failures last, 0 to 1
-	After time.Duration // when they begin, from the process's start
-	Every time.Duration // and begin again; 0: never
-	For   time.Duration // how long they last each time
-	Skew  time.Duration // of the wall clock
-	Drift time.Duration // drawn by each process: its wall clock is off by as much at most, either way
-	Calls map[Call]bool
-	// Breaks has send and receive fail as broken connections do too. Off by default: who is at the other end of a connection that
+// FaultPlan says which calls fail, how often and when.
+type FaultPlan struct {
+	Seed     uint64
+	Rate     float64       // the part of the calls that fail while failures last, 0 to 1
+	After    time.Duration // when they begin, from the process's start
+	Interval time.Duration // and begin again; 0: never
+	Length   time.Duration // how long they last each time
+	Skew     time.Duration // of the wall clock
+	Drift    time.Duration // drawn by each process: its wall clock is off by as much at most, either way
+	Calls    map[Call]bool
+	// BreakConnections has send and receive fail as broken connections do too. Off by default: who is at the other end of a connection that
 	// breaks so is not answered, which nobody can tell from a request that was lost.
-	Breaks bool
+	BreakConnections bool
 }
 
-// Parse reads a plan: name=value pairs between commas, seed, rate, after, every, for, skew, drift, breaks, and calls with names between plus
+// ParseFaultPlan reads a plan: name=value pairs between commas, seed, rate, after, every, for, skew, drift, breaks, and calls with names between plus
 // signs. An unknown name, call or value is an error.
-func Parse(text string) (Plan, error) {
-	p := Plan{Rate: 1, Calls: map[Call]bool{}}
+func ParseFaultPlan(text string) (FaultPlan, error) {
+	p := FaultPlan{Rate: 1, Calls: map[Call]bool{}}
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		var err error
@@ -68,47 +68,47 @@
 		case "after":
 			p.After, err = time.ParseDuration(value)
 		case "every":
-			p.Every, err = time.ParseDuration(value)
+			p.Interval, err = time.ParseDuration(value)
 		case "for":
-			p.For, err = time.ParseDuration(value)
+			p.Length, err = time.ParseDuration(value)
 		case "skew":
 			p.Skew, err = time.ParseDuration(value)
 		case "drift":
 			p.Drift, err = time.ParseDuration(value)
 		case "breaks":
-			p.Breaks, err = strconv.ParseBool(value)
+			p.BreakConnections, err = strconv.ParseBool(value)
 		case "calls":
 			for _, c := range strings.Split(value, "+") {
 				if documented[Call(c)] == nil {
-					return p, fmt.Errorf("%s: no call %q", Variable, c)
+					return p, fmt.Errorf("%s: no call %q", PlanVariable, c)
 				}
 				p.Calls[Call(c)] = true
 			}
 		default:
-			return p, fmt.Errorf("%s: no setting %q", Variable, name)
+			return p, fmt.Errorf("%s: no setting %q", PlanVariable, name)
 		}
 		if err != nil {
-			return p, fmt.Errorf("%s: %s: %w", Variable, name, err)
+			return p, fmt.Errorf("%s: %s: %w", PlanVariable, name, err)
 		}
 	}
 	return p, nil
 }
 
 // active reports whether failures last so long after the start.
-func (p *Plan) active(since time.Duration) bool {
+func (p *FaultPlan) active(since time.Duration) bool {
 	since -= p.After
 	if since < 0 {
 		return false
 	}
-	if p.Every > 0 {
-		since %= p.Every
+	if p.Interval > 0 {
+		since %= p.Interval
 	}
-	return since < p.For
+	return since < p.Length
 }
 
 var injector = struct {
 	sync.Mutex
-	plan  Plan
+	plan  FaultPlan
 	rng   *rand.Rand
 	start time.Time
 	hook  func(Call) error
@@ -116,11 +116,11 @@
 }{start: time.Now()}
 
 func init() {
-	text := os.Getenv(Variable)
+	text := os.Getenv(PlanVariable)
 	if text == "" {
 		return
 	}
-	plan, err := Parse(text)
+	plan, err := ParseFaultPlan(text)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
@@ -131,15 +131,15 @@
 	}
 }
 
-// Inject has calls fail as fail says, and none for a nil one, in place of the process's plan.
-func Inject(fail func(Call) error) {
+// InjectFailures has calls fail as fail says, and none for a nil one, in place of the process's plan.
+func InjectFailures(fail func(Call) error) {
 	injector.Lock()
 	defer injector.Unlock()
 	injector.hook = fail
 }
 
-// Shorten has Send and Receive take so many bytes at most as cut says; a nil one: all.
-func Shorten(cut func(Call, int) int) {
+// LimitTransfers has Send and Receive take so many bytes at most as cut says; a nil one: all.
+func LimitTransfers(cut func(Call, int) int) {
 	injector.Lock()
 	defer injector.Unlock()
 	injector.shut = cut
@@ -157,7 +157,7 @@
 	}
 	list := documented[c]
 	errno := list[injector.rng.IntN(len(list))]
-	if !p.Breaks && (c == CallSend || c == CallReceive) && (errno == unix.ETIMEDOUT || errno == unix.EHOSTUNREACH) {
+	if !p.BreakConnections && (c == CallSend || c == CallReceive) && (errno == unix.ETIMEDOUT || errno == unix.EHOSTUNREACH) {
 		return nil
 	}
 	return errno
--- a/internal/system/faults_test.go
+++ b/internal/system/faults_test.go
@@ -14,21 +14,21 @@
 
 // A write that fails anywhere leaves the old file whole.
 func TestAFailedWriteLeavesTheOldFile(t *testing.T) {
-	defer Inject(nil)
+	defer InjectFailures(nil)
 	dir := t.TempDir()
 	path, beside := filepath.Join(dir, "state"), filepath.Join(dir, "state.new")
-	if err := WriteWhole(path, beside, []byte("whole"), 0o600, true); err != nil {
+	if err := WriteFileAtomic(path, beside, []byte("whole"), 0o600, true); err != nil {
 		t.Fatal(err)
 	}
 	for _, call := range []Call{CallOpen, CallWrite, CallSync, CallRename} {
 		for _, errno := range []error{unix.ENOSPC, unix.EIO} {
-			Inject(func(c Call) error {
+			InjectFailures(func(c Call) error {
 				if c == call {
 					return errno
 				}
 				return nil
 			})
-			if err := WriteWhole(path, beside, []byte("another text"), 0o600, true); !errors.Is(err, errno) {
+			if err := WriteFileAtomic(path, beside, []byte("another text"), 0o600, true); !errors.Is(err, errno) {
 				t.Errorf("%s: %v", call, err)
 			}
 			if got, err := os.ReadFile(path); err != nil || string(got) != "whole" {
@@ -39,7 +39,7 @@
 }
 
 func TestParse(t *testing.T) {
-	p, err := Parse("seed=7,rate=0.5,after=1s,every=3s,for=500ms,skew=-1h,calls=accept+fsync")
+	p, err := ParseFaultPlan("seed=7,rate=0.5,after=1s,every=3s,for=500ms,skew=-1h,calls=accept+fsync")
 	if err != nil || p.Seed != 7 || p.Rate != 0.5 || p.Skew != -time.Hour || !p.Calls[CallAccept] || !p.Calls[CallSync] || p.Calls[CallSend] {
 		t.Errorf("%+v, %v", p, err)
 	}
@@ -49,7 +49,7 @@
 		}
 	}
 	for _, bad := range []string{"x=1", "rate=much", "calls=fork"} {
-		if _, err := Parse(bad); err == nil {
+		if _, err := ParseFaultPlan(bad); err == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
--- a/internal/system/release.go
+++ b/internal/system/release.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// Faulty reports whether this build can make system calls fail.
-const Faulty = false
+// FaultsEnabled reports whether this build can make system calls fail.
+const FaultsEnabled = false
 
 func failure(Call) error           { return nil }
 func limit(_ Call, length int) int { return length }
--- a/internal/system/system.go
+++ b/internal/system/system.go
@@ -34,8 +34,8 @@
 	CallRename    Call = "rename"
 )
 
-// Wall is the wall clock, in Unix time. It may step; nothing but a process's start is told from it.
-func Wall() time.Duration { return time.Duration(time.Now().UnixNano()) + skew() }
+// WallClock is the wall clock, in Unix time. It may step; nothing but a process's start is told from it.
+func WallClock() time.Duration { return time.Duration(time.Now().UnixNano()) + skew() }
 
 // Socket opens a TCP socket that does not block.
 func Socket(family int) (int, error) {
@@ -133,8 +133,8 @@
 	return os.OpenFile(path, flag, mode)
 }
 
-// ReadDir gives the names in a directory, in no order.
-func ReadDir(path string) ([]string, error) {
+// ReadDirNames gives the names in a directory, in no order.
+func ReadDirNames(path string) ([]string, error) {
 	if err := failure(CallRead); err != nil {
 		return nil, &fs.PathError{Op: "read", Path: path, Err: err}
 	}
@@ -146,9 +146,9 @@
 	return dir.Readdirnames(-1)
 }
 
-// WriteWhole replaces a file: it is written beside, synced if that is asked for, and renamed over the old one, so that whoever
+// WriteFileAtomic replaces a file: it is written beside, synced if that is asked for, and renamed over the old one, so that whoever
 // reads finds the old or the new one whole, also after a kill in between. With an error the old one stands.
-func WriteWhole(path, beside string, data []byte, mode fs.FileMode, sync bool) error {
+func WriteFileAtomic(path, beside string, data []byte, mode fs.FileMode, sync bool) error {
 	f, err := OpenFile(beside, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, mode)
 	if err != nil {
 		return err
--- a/internal/system/system_test.go
+++ b/internal/system/system_test.go
@@ -34,7 +34,7 @@
 
 // What is forced by system calls that fail passes, built with the tag.
 func TestWithFaults(t *testing.T) {
-	if Faulty {
+	if FaultsEnabled {
 		t.Skip("this is that build")
 	}
 	out, err := exec.Command("go", "test", "-count=1", "-tags", "faults", "lapisshelf/internal/system", "lapisshelf/internal/loop", "lapisshelf/internal/handover").CombinedOutput()
@@ -48,17 +48,17 @@
 	dir := t.TempDir()
 	path, beside := filepath.Join(dir, "state"), filepath.Join(dir, "state.new")
 	for _, text := range []string{"first", "second, longer", "3"} {
-		if err := WriteWhole(path, beside, []byte(text), 0o600, true); err != nil {
+		if err := WriteFileAtomic(path, beside, []byte(text), 0o600, true); err != nil {
 			t.Fatal(err)
 		}
 		if got, err := os.ReadFile(path); err != nil || string(got) != text {
 			t.Fatalf("%q, %v", got, err)
 		}
 	}
-	if names, err := ReadDir(dir); err != nil || len(names) != 1 {
+	if names, err := ReadDirNames(dir); err != nil || len(names) != 1 {
 		t.Errorf("%v, %v", names, err)
 	}
-	if err := WriteWhole(filepath.Join(dir, "none", "state"), filepath.Join(dir, "none", "new"), nil, 0o600, false); !errors.Is(err, unix.ENOENT) {
+	if err := WriteFileAtomic(filepath.Join(dir, "none", "state"), filepath.Join(dir, "none", "new"), nil, 0o600, false); !errors.Is(err, unix.ENOENT) {
 		t.Errorf("in no directory: %v", err)
 	}
 }
