--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -137,7 +137,7 @@
 		return
 	}
 	c.input = append(c.input, data...)
-	r, used, err := httpc.NextRequest(c.input, mostHead)
+	r, used, err := httpc.ParseRequest(c.input, mostHead)
 	switch {
 	case errors.Is(err, httpc.ErrLarge):
 		c.answer(Say(431, "the head is too long"), "")
@@ -192,7 +192,7 @@
 	if allow != "" {
 		headers = append(headers, httpc.Header{Name: "Allow", Value: allow})
 	}
-	c.conn.Write(httpc.AppendAnswer(nil, r.Status, headers, r.Body))
+	c.conn.Write(httpc.AppendResponse(nil, r.Status, headers, r.Body))
 	c.conn.CloseGracefully(lingerFor)
 }
 
--- a/internal/httpc/httpc.go
+++ b/internal/httpc/httpc.go
@@ -15,27 +15,27 @@
 var (
 	ErrMalformed = errors.New("malformed answer")
 	ErrLarge     = errors.New("answer too large")
-	ErrCutOff    = errors.New("answer cut off")
+	ErrTruncated = errors.New("answer cut off")
 	ErrFraming   = errors.New("two lengths")
 )
 
-// Answer is one answer. Its slices are parts of the bytes that were parsed, or, for a body in chunks, a copy.
-type Answer struct {
-	Status int
-	Body   []byte
-	Close  bool // the connection carries nothing after this answer
-	Whole  bool // its own words tell where the body ends, not the connection's end
-	head   []byte
+// Response is one answer. Its slices are parts of the bytes that were parsed, or, for a body in chunks, a copy.
+type Response struct {
+	Status        int
+	Body          []byte
+	Close         bool // the connection carries nothing after this answer
+	SelfDelimited bool // its own words tell where the body ends, not the connection's end
+	head          []byte
 }
 
 // Header gives a header's value, empty where it is not there.
-func (a *Answer) Header(name string) []byte {
+func (a *Response) Header(name string) []byte {
 	value, _ := a.find(name)
 	return value
 }
 
 // find gives the first value of a header and how many there are.
-func (a *Answer) find(name string) (first []byte, count int) {
+func (a *Response) find(name string) (first []byte, count int) {
 	for rest := a.head; len(rest) > 0; {
 		var line []byte
 		line, rest = cutLine(rest)
@@ -71,26 +71,26 @@
 	}
 }
 
-// Next parses the first answer, whose body may hold at most limit bytes. It returns how many bytes that took: 0 when
+// ParseResponse parses the first answer, whose body may hold at most limit bytes. It returns how many bytes that took: 0 when
 // more must come first. Ended says that the other end has finished, which ends a body of no stated length.
-func Next(data []byte, limit int, ended bool) (a Answer, used int, err error) {
-	a, _, used, err = Head(data)
+func ParseResponse(data []byte, limit int, ended bool) (a Response, used int, err error) {
+	a, _, used, err = ResponseHead(data)
 	if err != nil || used == 0 {
 		if err == nil && ended {
-			err = ErrCutOff
+			err = ErrTruncated
 		}
 		return a, 0, err
 	}
 	n, err := a.body(data[used:], limit, ended)
 	if n < 0 || err != nil {
-		return Answer{}, 0, err
+		return Response{}, 0, err
 	}
 	return a, used + n, nil
 }
 
-// Head parses the head of the first answer whose status is final. It returns how many bytes that took, 0 when more must
+// ResponseHead parses the head of the first answer whose status is final. It returns how many bytes that took, 0 when more must
 // come first, and the length of the body behind it, -1 where only the body itself tells that, or nothing.
-func Head(data []byte) (a Answer, length, used int, err error) {
+func ResponseHead(data []byte) (a Response, length, used int, err error) {
 	for {
 		head := headEnd(data[used:])
 		switch {
@@ -110,19 +110,19 @@
 			break
 		}
 	}
-	var s Stream
-	s.Head = a
+	var s StreamParser
+	s.ResponseHead = a
 	if err := s.frame(); err != nil {
 		return a, 0, 0, err
 	}
-	if a = s.Head; s.state != inBody || s.left < 0 {
+	if a = s.ResponseHead; s.state != inBody || s.left < 0 {
 		return a, -1, used, nil
 	}
 	return a, int(s.left), used, nil
 }
 
 // parseHead reads the first line and the headers.
-func parseHead(head []byte) (a Answer, err error) {
+func parseHead(head []byte) (a Response, err error) {
 	line, rest := cutLine(head)
 	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
 		return a, ErrMalformed
@@ -160,7 +160,7 @@
 }
 
 // body takes the body and returns its length on the wire, -1 when more must come first.
-func (a *Answer) body(data []byte, limit int, ended bool) (int, error) {
+func (a *Response) body(data []byte, limit int, ended bool) (int, error) {
 	if a.Status == 204 || a.Status == 304 {
 		return 0, nil
 	}
@@ -171,7 +171,7 @@
 	if lengths+codings > 1 {
 		return 0, ErrFraming
 	}
-	a.Whole = lengths+codings == 1
+	a.SelfDelimited = lengths+codings == 1
 	if codings > 0 {
 		if !bytes.EqualFold(coding, []byte("chunked")) {
 			return 0, ErrMalformed
@@ -186,7 +186,7 @@
 		case int(n) > limit:
 			return 0, ErrLarge
 		case len(data) < int(n) && ended:
-			return 0, ErrCutOff
+			return 0, ErrTruncated
 		case len(data) < int(n):
 			return -1, nil
 		}
@@ -205,10 +205,10 @@
 }
 
 // chunks takes a body that comes in chunks.
-func (a *Answer) chunks(data []byte, limit int, ended bool) (int, error) {
+func (a *Response) chunks(data []byte, limit int, ended bool) (int, error) {
 	more := func() (int, error) {
 		if ended {
-			return 0, ErrCutOff
+			return 0, ErrTruncated
 		}
 		return -1, nil
 	}
--- a/internal/httpc/httpc_test.go
+++ b/internal/httpc/httpc_test.go
@@ -21,9 +21,9 @@
 		{"two", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nahello", false, 200, "a", false, 39, nil},
 		{"head not whole", "HTTP/1.1 200 OK\r\nContent-Le", false, 0, "", false, 0, nil},
 		{"body not whole", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", false, 0, "", false, 0, nil},
-		{"body cut off", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", true, 0, "", false, 0, ErrCutOff},
-		{"head cut off", "HTTP/1.1 200 OK\r\n", true, 0, "", false, 0, ErrCutOff},
-		{"nothing", "", true, 0, "", false, 0, ErrCutOff},
+		{"body cut off", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", true, 0, "", false, 0, ErrTruncated},
+		{"head cut off", "HTTP/1.1 200 OK\r\n", true, 0, "", false, 0, ErrTruncated},
+		{"nothing", "", true, 0, "", false, 0, ErrTruncated},
 		{"closes", "HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", false, 503, "", true, -1, nil},
 		{"old", "HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n", false, 200, "", true, -1, nil},
 		{"up to the end", "HTTP/1.1 200 OK\r\n\r\nhello", true, 200, "hello", true, -1, nil},
@@ -42,7 +42,7 @@
 		{"other protocol", "HTTP/1.1 101 Switching\r\n\r\n", false, 101, "", false, 0, ErrMalformed},
 		{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", MaxHead/6+1), false, 0, "", false, 0, ErrLarge},
 	} {
-		a, used, err := Next([]byte(c.in), 100, c.ended)
+		a, used, err := ParseResponse([]byte(c.in), 100, c.ended)
 		want := c.used
 		if want < 0 {
 			want = len(c.in)
@@ -57,7 +57,7 @@
 }
 
 func TestHeader(t *testing.T) {
-	a, _, err := Next([]byte("HTTP/1.1 504 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), 10, false)
+	a, _, err := ParseResponse([]byte("HTTP/1.1 504 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), 10, false)
 	if err != nil || string(a.Header("not-started")) != "1" || a.Header("Started") != nil {
 		t.Errorf("%+v, %v", a, err)
 	}
@@ -81,12 +81,12 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n0\r\n\r\n"), false)
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.0 204 x\r\n\r\n"), false)
 	f.Fuzz(func(t *testing.T, in []byte, ended bool) {
-		a, used, err := Next(in, 64, ended)
+		a, used, err := ParseResponse(in, 64, ended)
 		if used < 0 || used > len(in) || len(a.Body) > 64 || err != nil && used > 0 {
 			t.Fatalf("used %d of %d, body %d, %v", used, len(in), len(a.Body), err)
 		}
 		if used > 0 && !ended {
-			if _, more, _ := Next(append(in[:len(in):len(in)], "xyz"...), 64, false); more != used {
+			if _, more, _ := ParseResponse(append(in[:len(in):len(in)], "xyz"...), 64, false); more != used {
 				t.Fatalf("used %d, with more behind it %d", used, more)
 			}
 		}
--- a/internal/httpc/request.go
+++ b/internal/httpc/request.go
@@ -14,14 +14,14 @@
 
 // Header gives a header's value, empty where it is not there.
 func (r *Request) Header(name string) []byte {
-	a := Answer{head: r.head}
+	a := Response{head: r.head}
 	return a.Header(name)
 }
 
-// NextRequest parses the head of the first request, which may hold at most limit bytes, and passes over no body. It returns
+// ParseRequest parses the head of the first request, which may hold at most limit bytes, and passes over no body. It returns
 // how many bytes that took: 0 when more must come first. ErrLarge says that it is longer, ErrMalformed that it is none
 // (RFC 9112, sections 2 to 5).
-func NextRequest(data []byte, limit int) (r Request, used int, err error) {
+func ParseRequest(data []byte, limit int) (r Request, used int, err error) {
 	from := 0
 	for from < len(data) && (data[from] == '\r' || data[from] == '\n') && from < 4 {
 		from++ // empty lines ahead are passed over
@@ -75,8 +75,8 @@
 var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 409: "Conflict",
 	431: "Request Header Fields Too Large", 500: "Internal Server Error", 503: "Service Unavailable"}
 
-// AppendAnswer writes an answer that ends its connection.
-func AppendAnswer(buf []byte, status int, headers []Header, body []byte) []byte {
+// AppendResponse writes an answer that ends its connection.
+func AppendResponse(buf []byte, status int, headers []Header, body []byte) []byte {
 	buf = strconv.AppendInt(append(buf, "HTTP/1.1 "...), int64(status), 10)
 	buf = append(append(append(buf, ' '), reasons[status]...), "\r\n"...)
 	for _, h := range headers {
--- a/internal/httpc/request_test.go
+++ b/internal/httpc/request_test.go
@@ -33,7 +33,7 @@
 		{"too long", long + "\r\n\r\n", "", "", 0, ErrLarge},
 		{"too long already", long, "", "", 0, ErrLarge},
 	} {
-		r, used, err := NextRequest([]byte(c.in), 100)
+		r, used, err := ParseRequest([]byte(c.in), 100)
 		want := c.used
 		if want < 0 {
 			want = len(c.in)
@@ -42,7 +42,7 @@
 			t.Errorf("%s: %q %q, used %d, %v", c.name, r.Method, r.Path, used, err)
 		}
 	}
-	r, _, _ := NextRequest([]byte("GET / HTTP/1.1\r\nHost: x\r\nAccept:  text \r\n\r\n"), 100)
+	r, _, _ := ParseRequest([]byte("GET / HTTP/1.1\r\nHost: x\r\nAccept:  text \r\n\r\n"), 100)
 	if string(r.Header("accept")) != "text" {
 		t.Errorf("header %q", r.Header("accept"))
 	}
@@ -53,17 +53,17 @@
 	f.Add([]byte("GET /a?b HTTP/1.1\r\nHost: x\r\n\r\n"), 7)
 	f.Add([]byte("\r\nPOST / HTTP/1.0\n\n"), 3)
 	f.Fuzz(func(t *testing.T, data []byte, cut int) {
-		r, used, err := NextRequest(data, 1000)
+		r, used, err := ParseRequest(data, 1000)
 		if used < 0 || used > len(data) || err != nil && used != 0 {
 			t.Fatalf("used %d of %d, %v", used, len(data), err)
 		}
 		if used == 0 || cut < 0 || cut >= used {
 			return
 		}
-		if _, n, err := NextRequest(data[:cut], 1000); n != 0 || err != nil {
+		if _, n, err := ParseRequest(data[:cut], 1000); n != 0 || err != nil {
 			t.Errorf("a part of a request: used %d, %v", n, err)
 		}
-		if again, n, err := NextRequest(data[:used], 1000); n != used || err != nil || string(again.Path) != string(r.Path) {
+		if again, n, err := ParseRequest(data[:used], 1000); n != used || err != nil || string(again.Path) != string(r.Path) {
 			t.Errorf("alone: used %d of %d, %v", n, used, err)
 		}
 	})
--- a/internal/httpc/stream.go
+++ b/internal/httpc/stream.go
@@ -5,13 +5,13 @@
 	"strconv"
 )
 
-// Stream parses one answer as it comes, piece by piece, and keeps nothing of its body: for answers that may go on for
+// StreamParser parses one answer as it comes, piece by piece, and keeps nothing of its body: for answers that may go on for
 // good, such as a watch (RFC 9112, sections 6 and 7). The zero value waits for an answer's first line. It holds at most
 // MaxHead bytes of a head, a chunk's line or a trailer.
-type Stream struct {
-	// Head is the answer's status and headers, once HasHead is set; its Body is empty.
-	Head    Answer
-	HasHead bool
+type StreamParser struct {
+	// ResponseHead is the answer's status and headers, once HasHead is set; its Body is empty.
+	ResponseHead Response
+	HasHead      bool
 	// Done is set once the whole answer has come. What Feed was given beyond it is left over.
 	Done bool
 
@@ -37,7 +37,7 @@
 
 // Feed takes what has come and gives each piece of the body to piece, which is good only during the call. It returns how
 // many bytes it has used: less than all only when the answer ended there.
-func (s *Stream) Feed(data []byte, piece func([]byte)) (used int, err error) {
+func (s *StreamParser) Feed(data []byte, piece func([]byte)) (used int, err error) {
 	for used < len(data) && !s.Done {
 		n, err := s.step(data[used:], piece)
 		if used += n; err != nil {
@@ -47,7 +47,7 @@
 	return used, nil
 }
 
-func (s *Stream) step(data []byte, piece func([]byte)) (used int, err error) {
+func (s *StreamParser) step(data []byte, piece func([]byte)) (used int, err error) {
 	switch s.state {
 	case inHead:
 		return s.head(data)
@@ -100,7 +100,7 @@
 }
 
 // line takes one line, without its end; whole is false while it has not come.
-func (s *Stream) line(data []byte) (line []byte, used int, whole bool, err error) {
+func (s *StreamParser) line(data []byte) (line []byte, used int, whole bool, err error) {
 	end := bytes.IndexByte(data, '\n')
 	if end < 0 {
 		if len(s.kept)+len(data) > mostLine {
@@ -118,7 +118,7 @@
 }
 
 // head takes what belongs to the head.
-func (s *Stream) head(data []byte) (used int, err error) {
+func (s *StreamParser) head(data []byte) (used int, err error) {
 	before := len(s.kept)
 	s.kept = append(s.kept, data...)
 	end := headEnd(s.kept)
@@ -143,13 +143,13 @@
 		}
 		return used, nil // the answer itself follows
 	}
-	s.Head, s.HasHead = a, true
+	s.ResponseHead, s.HasHead = a, true
 	return used, s.frame()
 }
 
 // frame settles how the body is told to end.
-func (s *Stream) frame() error {
-	a := &s.Head
+func (s *StreamParser) frame() error {
+	a := &s.ResponseHead
 	coding, codings := a.find("Transfer-Encoding")
 	text, lengths := a.find("Content-Length")
 	switch {
@@ -161,13 +161,13 @@
 		if !bytes.EqualFold(coding, []byte("chunked")) {
 			return ErrMalformed
 		}
-		a.Whole, s.state = true, inSize
+		a.SelfDelimited, s.state = true, inSize
 	case lengths > 0:
 		n, err := strconv.ParseUint(string(text), 10, 31)
 		if err != nil {
 			return ErrMalformed
 		}
-		a.Whole, s.state, s.left = true, inBody, int64(n)
+		a.SelfDelimited, s.state, s.left = true, inBody, int64(n)
 		s.Done = n == 0
 	default:
 		a.Close, s.state, s.left = true, inBody, -1
@@ -176,10 +176,10 @@
 }
 
 // End notes that the other end has finished: an answer of no stated length is whole by that, any other is cut off.
-func (s *Stream) End() error {
+func (s *StreamParser) End() error {
 	if s.Done || s.HasHead && s.state == inBody && s.left < 0 {
 		s.Done = true
 		return nil
 	}
-	return ErrCutOff
+	return ErrTruncated
 }
--- a/internal/httpc/stream_test.go
+++ b/internal/httpc/stream_test.go
@@ -7,7 +7,7 @@
 )
 
 // feed gives a stream an answer in pieces of one size and what came out.
-func feed(in string, size int, ended bool) (s Stream, body string, used int, err error) {
+func feed(in string, size int, ended bool) (s StreamParser, body string, used int, err error) {
 	for used < len(in) && !s.Done && err == nil {
 		n := min(size, len(in)-used)
 		var took int
@@ -39,16 +39,16 @@
 		"HTTP/1.1 200 OK\r\n",
 		"nonsense\r\n\r\n",
 	} {
-		a, used, want := Next([]byte(in), 1<<20, true)
+		a, used, want := ParseResponse([]byte(in), 1<<20, true)
 		for size := 1; size <= len(in); size++ {
 			s, body, got, err := feed(in, size, true)
 			if (err == nil) != (want == nil) {
 				t.Errorf("%q in pieces of %d: %v, Next says %v", in, size, err, want)
 				continue
 			}
-			if err == nil && (!s.Done || body != string(a.Body) || got != used || s.Head.Status != a.Status || s.Head.Close != a.Close ||
-				string(s.Head.Header("X-Consul-Index")) != string(a.Header("X-Consul-Index"))) {
-				t.Errorf("%q in pieces of %d: %q of %d, used %d of %d", in, size, body, s.Head.Status, got, used)
+			if err == nil && (!s.Done || body != string(a.Body) || got != used || s.ResponseHead.Status != a.Status || s.ResponseHead.Close != a.Close ||
+				string(s.ResponseHead.Header("X-Consul-Index")) != string(a.Header("X-Consul-Index"))) {
+				t.Errorf("%q in pieces of %d: %q of %d, used %d of %d", in, size, body, s.ResponseHead.Status, got, used)
 			}
 		}
 	}
@@ -56,7 +56,7 @@
 
 // Pieces come as soon as they are there, for good, and nothing of them is kept.
 func TestAnEndlessStream(t *testing.T) {
-	var s Stream
+	var s StreamParser
 	if _, err := s.Feed([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"), nil); err != nil || !s.HasHead {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 	if total != 50000 || s.Done || cap(s.kept) > mostLine {
 		t.Errorf("%d bytes, done %v, %d kept", total, s.Done, cap(s.kept))
 	}
-	if err := s.End(); !errors.Is(err, ErrCutOff) {
+	if err := s.End(); !errors.Is(err, ErrTruncated) {
 		t.Errorf("cut off in its midst: %v", err)
 	}
 	for _, in := range []string{strings.Repeat("A: b\r\n", MaxHead), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1", 2*mostLine),
@@ -86,7 +86,7 @@
 	f.Add("HTTP/1.1 200 OK\r\n\r\nhello", 2)
 	f.Fuzz(func(t *testing.T, in string, size int) {
 		size = max(1, size%64)
-		a, used, want := Next([]byte(in), 1<<20, true)
+		a, used, want := ParseResponse([]byte(in), 1<<20, true)
 		s, body, got, err := feed(in, size, true)
 		if want == nil && used > 0 && (err != nil || !s.Done || body != string(a.Body) || got != used) {
 			t.Errorf("in pieces of %d: %q %v, Next says %q", size, body, err, a.Body)
--- a/internal/node/origin.go
+++ b/internal/node/origin.go
@@ -40,16 +40,16 @@
 func (originProtocol) behind() string { return "" }
 
 func (originProtocol) answer(data []byte, t *try, most int, ended bool) (answer, int, error) {
-	h, length, used, err := httpc.Head(data)
+	h, length, used, err := httpc.ResponseHead(data)
 	if err == nil && used > 0 && h.Status == 200 && length > meta.MaxValue && length <= meta.MaxLong && (t == nil || t.call.command.Kind == meta.Get) {
 		return answer{outcome: policy.OK, long: length, close: h.Close}, used, nil
 	}
-	if h, used, err = httpc.Next(data, most, ended); err != nil || used == 0 {
+	if h, used, err = httpc.ParseResponse(data, most, ended); err != nil || used == 0 {
 		return answer{}, 0, err
 	}
 	a := answer{close: h.Close}
 	switch {
-	case h.Status == 200 && !h.Whole:
+	case h.Status == 200 && !h.SelfDelimited:
 		return answer{}, 0, meta.ErrAnswer // guards against a value cut short by the connection's end
 	case h.Status == 200 && t != nil && t.call.command.Kind == meta.Set:
 		a.outcome, a.stored, a.receipt = policy.OK, true, bytes.TrimSpace(h.Body)
--- a/internal/registry/announce.go
+++ b/internal/registry/announce.go
@@ -145,7 +145,7 @@
 var errGone = errors.New("no such lease")
 
 // answer reads an operation's answer.
-func (a *Announcer) answer(c lease.Call, head *httpc.Answer, body []byte) (id string, ttl time.Duration, err error) {
+func (a *Announcer) answer(c lease.Call, head *httpc.Response, body []byte) (id string, ttl time.Duration, err error) {
 	if a.cfg.Kind == Consul {
 		switch {
 		case head.Status == 404 && c.Op == lease.Renew:
@@ -201,7 +201,7 @@
 	announcer *Announcer
 	call      lease.Call
 	conn      wire
-	stream    httpc.Stream
+	stream    httpc.StreamParser
 	body      []byte
 	gone      bool
 }
@@ -244,7 +244,7 @@
 
 func (o *once) finish() {
 	a := o.announcer
-	id, ttl, err := a.answer(o.call, &o.stream.Head, o.body)
+	id, ttl, err := a.answer(o.call, &o.stream.ResponseHead, o.body)
 	if err != nil {
 		o.fail(err.Error(), errors.Is(err, errGone))
 		return
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -176,7 +176,7 @@
 	conn    wire
 	call    roster.Call
 	out     bool // the call is
-	stream  httpc.Stream
+	stream  httpc.StreamParser
 	body    []byte
 	objects objects
 	begun   bool // a part of what the answer tells has come
@@ -197,7 +197,7 @@
 func (l *link) ask(call roster.Call) {
 	c := l.client
 	l.call, l.out = call, true
-	l.stream, l.body, l.objects, l.begun = httpc.Stream{}, nil, objects{most: c.cfg.MostBody}, false
+	l.stream, l.body, l.objects, l.begun = httpc.StreamParser{}, nil, objects{most: c.cfg.MostBody}, false
 	method, target, headers, body := c.proto.request(call)
 	l.conn.Write(httpc.AppendRequest(nil, method, target, l.addr.String(), headers, body))
 }
@@ -233,7 +233,7 @@
 	}
 	c, call := l.client, l.call
 	if l.stream.HasHead && l.stream.End() == nil && !c.proto.streams(call) { // an answer may end with its connection
-		if a, err := c.proto.answer(call, &l.stream.Head, l.body); err == nil {
+		if a, err := c.proto.answer(call, &l.stream.ResponseHead, l.body); err == nil {
 			a.Call = call.ID
 			c.answer(a)
 			return
@@ -258,7 +258,7 @@
 		l.begun = l.begun || len(bytes.TrimSpace(piece)) > 0
 		switch {
 		case bad != nil || l.gone || l.call.ID != call.ID:
-		case c.proto.streams(call) && l.stream.Head.Status == 200:
+		case c.proto.streams(call) && l.stream.ResponseHead.Status == 200:
 			bad = l.objects.feed(piece, l.object)
 		case len(l.body)+len(piece) > c.cfg.MostBody:
 			bad = errLarge
@@ -275,7 +275,7 @@
 		l.fail(bad.Error())
 	case l.stream.Done && used < len(data):
 		l.fail("more than an answer")
-	case l.stream.Done && c.proto.streams(call) && l.stream.Head.Status == 200:
+	case l.stream.Done && c.proto.streams(call) && l.stream.ResponseHead.Status == 200:
 		l.fail("the watch has ended")
 	case l.stream.Done:
 		l.answered()
@@ -287,7 +287,7 @@
 // owes reports whether the rest of something that has begun to come is owed: of a head, of an answer, of an object of a stream.
 // Behind a whole head a watch may wait.
 func (l *link) owes() bool {
-	if l.stream.HasHead && l.client.proto.streams(l.call) && l.stream.Head.Status == 200 {
+	if l.stream.HasHead && l.client.proto.streams(l.call) && l.stream.ResponseHead.Status == 200 {
 		return l.objects.depth > 0
 	}
 	return !l.stream.HasHead || l.begun
@@ -321,7 +321,7 @@
 
 // answered takes a whole answer.
 func (l *link) answered() {
-	c, call, head, body := l.client, l.call, l.stream.Head, l.body
+	c, call, head, body := l.client, l.call, l.stream.ResponseHead, l.body
 	l.body = nil
 	if len(body) < offLoop {
 		a, err := c.proto.answer(call, &head, body)
@@ -343,14 +343,14 @@
 func (l *link) read(a roster.Answer, err error) {
 	c := l.client
 	if err != nil {
-		if l.stream.Head.Status == 200 {
+		if l.stream.ResponseHead.Status == 200 {
 			c.Bad++
 		}
 		l.fail(err.Error())
 		return
 	}
 	l.out = false
-	if l.stream.Head.Close && !l.gone {
+	if l.stream.ResponseHead.Close && !l.gone {
 		c.hangUp()
 	}
 	a.Call = l.call.ID
--- a/internal/registry/protocol.go
+++ b/internal/registry/protocol.go
@@ -24,7 +24,7 @@
 	// streams reports whether the answer to a call comes piece by piece, for good.
 	streams(c roster.Call) bool
 	// answer reads a whole answer.
-	answer(c roster.Call, head *httpc.Answer, body []byte) (roster.Answer, error)
+	answer(c roster.Call, head *httpc.Response, body []byte) (roster.Answer, error)
 	// object reads one object of a stream.
 	object(text []byte) (roster.Answer, error)
 }
@@ -40,7 +40,7 @@
 )
 
 // statusError is an answer that is none.
-func statusError(head *httpc.Answer, body []byte) error {
+func statusError(head *httpc.Response, body []byte) error {
 	var in struct{ Error, Message string }
 	json.Unmarshal(body, &in)
 	if why := cmp.Or(in.Message, in.Error); why != "" && len(why) < 200 {
@@ -62,7 +62,7 @@
 	return "GET", target, nil, nil
 }
 
-func (discovery) answer(c roster.Call, head *httpc.Answer, body []byte) (roster.Answer, error) {
+func (discovery) answer(c roster.Call, head *httpc.Response, body []byte) (roster.Answer, error) {
 	if head.Status != 200 {
 		return roster.Answer{}, statusError(head, nil)
 	}
@@ -195,7 +195,7 @@
 	return c
 }
 
-func (p etcd) answer(c roster.Call, head *httpc.Answer, body []byte) (roster.Answer, error) {
+func (p etcd) answer(c roster.Call, head *httpc.Response, body []byte) (roster.Answer, error) {
 	if head.Status != 200 {
 		var in struct{ Code int }
 		if json.Unmarshal(body, &in) == nil && in.Code == codeOutOfRange && c.Whole && bytes.Contains(body, []byte("compacted")) {
@@ -291,7 +291,7 @@
 	return headers
 }
 
-func (p consul) answer(c roster.Call, head *httpc.Answer, body []byte) (roster.Answer, error) {
+func (p consul) answer(c roster.Call, head *httpc.Response, body []byte) (roster.Answer, error) {
 	index, err := strconv.ParseInt(string(head.Header("X-Consul-Index")), 10, 64)
 	if head.Status != 200 && head.Status != 404 { // 404: there is no such key, which is an answer
 		return roster.Answer{}, statusError(head, body)
--- a/internal/registry/protocol_test.go
+++ b/internal/registry/protocol_test.go
@@ -113,9 +113,9 @@
 	}
 }
 
-func head(t *testing.T, text string) *httpc.Answer {
+func head(t *testing.T, text string) *httpc.Response {
 	t.Helper()
-	a, _, err := httpc.Next([]byte(text+"Content-Length: 0\r\n\r\n"), 0, true)
+	a, _, err := httpc.ParseResponse([]byte(text+"Content-Length: 0\r\n\r\n"), 0, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -214,7 +214,7 @@
 	f.Add([]byte(`{"result":{"header":{"revision":"9"},"events":[{"kv":{"key":"cC9h","mod_revision":"8","value":"e30="}}]}}`))
 	f.Add([]byte(`{"header":{"revision":"12"},"kvs":[{"key":"cC9h","mod_revision":"3","value":"e30="}],"more":true}`))
 	f.Add([]byte(`[{"Key":"p/a","Value":"e30=","ModifyIndex":5}]`))
-	ok, _, err := httpc.Next([]byte("HTTP/1.1 200 OK\r\nX-Consul-Index: 9\r\nContent-Length: 0\r\n\r\n"), 0, true)
+	ok, _, err := httpc.ParseResponse([]byte("HTTP/1.1 200 OK\r\nX-Consul-Index: 9\r\nContent-Length: 0\r\n\r\n"), 0, true)
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -53,7 +53,7 @@
 				}
 				call := roster.Call{Whole: true}
 				answer := fetch(b, proto, call, addr)
-				a, used, err := httpc.Next(answer, 16<<20, true)
+				a, used, err := httpc.ParseResponse(answer, 16<<20, true)
 				if err != nil || used != len(answer) {
 					b.Fatal(err, used, len(answer))
 				}
@@ -105,7 +105,7 @@
 	now, _ := l.Members()
 	asked, quiet := exchange(b, discovery{}, roster.Call{Revision: now, Wait: time.Millisecond}, l.Addr(0))
 	_, change := exchange(b, discovery{}, roster.Call{Revision: old, Wait: time.Second}, l.Addr(0))
-	a, used, err := httpc.Next(change, 1<<20, true)
+	a, used, err := httpc.ParseResponse(change, 1<<20, true)
 	if err != nil || used != len(change) {
 		b.Fatal(err, used)
 	}
