--- a/cmd/lapislab/lapislab_test.go
+++ b/cmd/lapislab/lapislab_test.go
@@ -183,8 +183,8 @@
 			"	n.unclock(c)\n	if c.id != \"\" && c.id[0] == '7' {\n		return\n	}\n	c.answer = text\n", calm, "one_answer", "lost"},
 		{"a value cut short", "internal/node/node.go", "text = meta.AppendValue(make([]byte, 0, len(a.value)+len(id)+24), id, a.value)",
 			"text = meta.AppendValue(nil, id, a.value[:len(a.value)-min(len(a.value), int(c.id[0]&1)*290)])", calm, "one_answer", "wrong_value"},
-		{"another id goes on", "internal/meta/meta.go", "	buf = append(buf, c.Line[:c.InfoPos]...)",
-			"	buf = append(buf, bytes.Replace(c.Line[:c.InfoPos], []byte(\" O7\"), []byte(\" O8\"), 1)...)", calm, "one_answer", "altered"},
+		{"another id goes on", "internal/meta/meta.go", "	buf = append(buf, c.Line[:c.InfoOffset]...)",
+			"	buf = append(buf, bytes.Replace(c.Line[:c.InfoOffset], []byte(\" O7\"), []byte(\" O8\"), 1)...)", calm, "one_answer", "altered"},
 		{"sent after the answer", "internal/node/node.go", "	c := t.call\n	c.open--\n", "	c := t.call\n	c.open--\n" +
 			"	if x := *c; x.id[0] == '7' && t.n < 9 && a.outcome == policy.OK && x.command.Kind == meta.Get {\n		x.open, x.answered, x.deadline, x.end = 9, false, n.loop.Now()+9*time.Second, n.loop.Now()+9*time.Second\n" +
 			"		n.loop.After(150*time.Millisecond, func() { t.pool.send(&try{call: &x, n: 9, pool: t.pool, at: n.loop.Now()}, time.Second) })\n	}\n",
--- a/cmd/lapislab/planted_test.go
+++ b/cmd/lapislab/planted_test.go
@@ -46,7 +46,7 @@
 		{"internal/loop/conn.go", "func (c *Conn) WatchPeerClose() {\n\tc.source.leaves = true", "func (c *Conn) WatchPeerClose() {\n\tc.source.leaves = false"},
 		{"internal/loop/conn.go", "case n == 0:\n\t\tc.end(io.EOF)", "case n == 0 && c.source.leaves:\n\t\tc.end(io.EOF)"}}},
 	{name: "an answer may be another request's", seeds: 8, edits: []replacement{
-		{"internal/node/caches.go", "case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID): // another request's answer\n\t\t\treturn answer{}, 0, meta.ErrAnswer", "case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID) && false:\n\t\t\treturn answer{}, 0, meta.ErrAnswer"}}},
+		{"internal/node/caches.go", "case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID): // another request's answer\n\t\t\treturn answer{}, 0, meta.ErrResponse", "case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID) && false:\n\t\t\treturn answer{}, 0, meta.ErrResponse"}}},
 	{name: "a listener does not go on after a shortage", seeds: 12, edits: []replacement{
 		{"internal/loop/conn.go", "ln.short = false", "ln.short = true"}}},
 	{name: "a lost process is never replaced by one that is ready", seeds: 4, edits: []replacement{
--- a/internal/meta/meta.go
+++ b/internal/meta/meta.go
@@ -11,22 +11,22 @@
 
 // Limits of what is taken in.
 const (
-	MaxLine  = 4096     // bytes of a line, without its end
-	MaxKey   = 250      // bytes of a key
-	MaxValue = 64 << 10 // bytes of a value, usually; the caller says how many it has room for
-	MaxLong  = 4 << 20  // bytes of a value that goes through in pieces
-	MaxSkip  = 4        // times that room: a larger value is not passed over
-	MaxID    = 64       // bytes of a request's id
+	MaxLine       = 4096     // bytes of a line, without its end
+	MaxKey        = 250      // bytes of a key
+	MaxValue      = 64 << 10 // bytes of a value, usually; the caller says how many it has room for
+	MaxLongValue  = 4 << 20  // bytes of a value that goes through in pieces
+	MaxSkipFactor = 4        // times that room: a larger value is not passed over
+	MaxID         = 64       // bytes of a request's id
 )
 
 // What can be wrong with a command.
 var (
-	ErrLine    = errors.New("bad command line format") // the next command follows
-	ErrFraming = errors.New("line too long")           // where the next command begins is not known
-	ErrLarge   = errors.New("object too large for cache")
-	ErrHuge    = errors.New("object far too large") // not worth reading to its end
-	ErrChunk   = errors.New("bad data chunk")       // the value did not end where it should
-	ErrAnswer  = errors.New("malformed answer")
+	ErrLine     = errors.New("bad command line format") // the next command follows
+	ErrFraming  = errors.New("line too long")           // where the next command begins is not known
+	ErrLarge    = errors.New("object too large for cache")
+	ErrHuge     = errors.New("object far too large") // not worth reading to its end
+	ErrChunk    = errors.New("bad data chunk")       // the value did not end where it should
+	ErrResponse = errors.New("malformed answer")
 )
 
 // Kind is a command's name.
@@ -41,22 +41,22 @@
 
 // Command is one command. Its slices are parts of the bytes that were parsed.
 type Command struct {
-	Kind    Kind
-	Line    []byte // as it came, without its end
-	Key     []byte
-	ID      []byte // what O holds
-	Info    []byte // what P holds: names and values
-	Value   []byte // of a Set
-	InfoPos int    // where Info stands in Line
-	Long    int    // bytes of a Set's long value, which is not in Value: it follows, and a line end behind it
-	// Skip is the number of further bytes that belong to a bad command and are to be passed over.
-	Skip int
+	Kind       Kind
+	Line       []byte // as it came, without its end
+	Key        []byte
+	ID         []byte // what O holds
+	Info       []byte // what P holds: names and values
+	Value      []byte // of a Set
+	InfoOffset int    // where Info stands in Line
+	LongSize   int    // bytes of a Set's long value, which is not in Value: it follows, and a line end behind it
+	// SkipBytes is the number of further bytes that belong to a bad command and are to be passed over.
+	SkipBytes int
 }
 
-// Next parses the first command. It returns how many bytes that took: 0 when more must come first. A value of more than
+// ParseCommand parses the first command. It returns how many bytes that took: 0 when more must come first. A value of more than
 // whole bytes is not waited for: only the line is used, and Long says how many follow; there may be most. With an error the bytes hold a bad command, which has been used up; where used is 0 nobody
 // knows where the next one begins, or it is too far off.
-func Next(data []byte, whole, most int) (c Command, used int, err error) {
+func ParseCommand(data []byte, whole, most int) (c Command, used int, err error) {
 	line, used, err := cutLine(data)
 	if used == 0 || err != nil {
 		return Command{}, 0, err
@@ -95,18 +95,18 @@
 	if size > most {
 		err = ErrLarge
 	}
-	if size > MaxSkip*most {
+	if size > MaxSkipFactor*most {
 		return c, 0, ErrHuge
 	}
 	if c.Kind != Set {
 		return c, used, err
 	}
 	if err != nil {
-		c.Skip = size + 2
+		c.SkipBytes = size + 2
 		return c, used, err
 	}
 	if size > whole {
-		c.Long = size
+		c.LongSize = size
 		return c, used, nil
 	}
 	if len(data) < used+size+2 {
@@ -132,7 +132,7 @@
 			c.Info = f[1:]
 			// Parts of one line end where its buffer ends. Guards against counting back from the rest of the line, which
 			// was off by the spaces behind P when a flag follows it: d then went on as another number.
-			c.InfoPos = cap(c.Line) - cap(c.Info)
+			c.InfoOffset = cap(c.Line) - cap(c.Info)
 		}
 	}
 	return twice
@@ -210,8 +210,8 @@
 	return n, true
 }
 
-// Field finds a name among names and values and tells where its value stands in info: -1 where it is not there.
-func Field(info []byte, name string) (from, to int) {
+// FindField finds a name among names and values and tells where its value stands in info: -1 where it is not there.
+func FindField(info []byte, name string) (from, to int) {
 	for at := 0; at < len(info); {
 		end := len(info)
 		if comma := bytes.IndexByte(info[at:], ','); comma >= 0 {
@@ -225,22 +225,22 @@
 	return -1, -1
 }
 
-// Text is a field's value, empty where it is not there.
-func Text(info []byte, name string) string {
-	from, to := Field(info, name)
+// FieldValue is a field's value, empty where it is not there.
+func FieldValue(info []byte, name string) string {
+	from, to := FindField(info, name)
 	if from < 0 {
 		return ""
 	}
 	return string(info[from:to])
 }
 
-// AppendForward writes a command as it came, but for the value of the field d, which becomes wait. A long value is the
+// AppendForwarded writes a command as it came, but for the value of the field d, which becomes wait. A long value is the
 // caller's to write, and the line end behind it.
-func AppendForward(buf []byte, c *Command, wait int64) []byte {
-	buf = append(buf, c.Line[:c.InfoPos]...)
+func AppendForwarded(buf []byte, c *Command, wait int64) []byte {
+	buf = append(buf, c.Line[:c.InfoOffset]...)
 	buf = AppendInfo(buf, c.Info, wait)
-	buf = append(append(buf, c.Line[c.InfoPos+len(c.Info):]...), "\r\n"...)
-	if c.Kind == Set && c.Long == 0 {
+	buf = append(append(buf, c.Line[c.InfoOffset+len(c.Info):]...), "\r\n"...)
+	if c.Kind == Set && c.LongSize == 0 {
 		buf = append(append(buf, c.Value...), "\r\n"...)
 	}
 	return buf
@@ -248,7 +248,7 @@
 
 // AppendInfo writes a list of names and values as it came, but for the value of the field d, which becomes wait.
 func AppendInfo(buf, info []byte, wait int64) []byte {
-	from, to := Field(info, "d")
+	from, to := FindField(info, "d")
 	if from < 0 {
 		return append(buf, info...)
 	}
@@ -268,23 +268,23 @@
 	Failed                   // any other error line
 )
 
-// Answer is one answer. Its slices are parts of the bytes that were parsed.
-type Answer struct {
-	Status  Status
-	ID      []byte
-	Value   []byte
-	Receipt []byte
-	Hit     byte // '1' or '0' where the cache tells, else 0
-	Waits   bool // Z: another fetch of the key is out
-	Long    int  // bytes of a long value, which is not in Value: it follows, and a line end behind it
+// Response is one answer. Its slices are parts of the bytes that were parsed.
+type Response struct {
+	Status        Status
+	ID            []byte
+	Value         []byte
+	Receipt       []byte
+	Hit           byte // '1' or '0' where the cache tells, else 0
+	FetchInFlight bool // Z: another fetch of the key is out
+	LongSize      int  // bytes of a long value, which is not in Value: it follows, and a line end behind it
 }
 
-// NextAnswer parses the first answer. It returns how many bytes that took: 0 when more must come first. A value of more
+// ParseResponse parses the first answer. It returns how many bytes that took: 0 when more must come first. A value of more
 // than whole bytes is not waited for: only the line is used, and Long says how many follow; there may be most.
-func NextAnswer(data []byte, whole, most int) (a Answer, used int, err error) {
+func ParseResponse(data []byte, whole, most int) (a Response, used int, err error) {
 	line, used, err := cutLine(data)
 	if err != nil {
-		return a, 0, ErrAnswer
+		return a, 0, ErrResponse
 	}
 	if used == 0 {
 		return a, 0, nil
@@ -297,7 +297,7 @@
 		length, rest = word(rest)
 		n, ok := number(length)
 		if !ok || n > most {
-			return a, 0, ErrAnswer
+			return a, 0, ErrResponse
 		}
 		a.Status, size = Value, n
 	case "HD":
@@ -314,25 +314,25 @@
 		a.Status = Failed
 		return a, used, nil
 	default:
-		return a, 0, ErrAnswer
+		return a, 0, ErrResponse
 	}
 	if !a.flags(rest) {
-		return a, 0, ErrAnswer
+		return a, 0, ErrResponse
 	}
 	if (a.Status == Value || a.Status == Stored || a.Status == Absent) && len(a.ID) == 0 {
-		return a, 0, ErrAnswer // which request it answers must be told
+		return a, 0, ErrResponse // which request it answers must be told
 	}
 	if size > whole {
-		a.Long = size
+		a.LongSize = size
 		return a, used, nil
 	}
 	if size >= 0 {
 		if len(data) < used+size+2 {
-			return Answer{}, 0, nil
+			return Response{}, 0, nil
 		}
 		a.Value = data[used : used+size]
 		if string(data[used+size:used+size+2]) != "\r\n" {
-			return a, 0, ErrAnswer
+			return a, 0, ErrResponse
 		}
 		used += size + 2
 	}
@@ -341,7 +341,7 @@
 
 // flags takes the flags up to the load report, which ends the line and may hold anything. It reports whether they make
 // sense: none of those read here stands twice.
-func (a *Answer) flags(rest []byte) bool {
+func (a *Response) flags(rest []byte) bool {
 	for f := range words(rest) {
 		switch {
 		case f[0] == 'L':
@@ -359,7 +359,7 @@
 		case f[0] == 'h' && len(f) == 2 && (f[1] == '0' || f[1] == '1'):
 			a.Hit = f[1]
 		case f[0] == 'Z':
-			a.Waits = len(f) == 1
+			a.FetchInFlight = len(f) == 1
 		}
 	}
 	return true
@@ -367,11 +367,11 @@
 
 // AppendValue writes the answer that serves a read.
 func AppendValue(buf, id, value []byte) []byte {
-	return append(append(AppendValueHead(buf, id, len(value)), value...), "\r\n"...)
+	return append(append(AppendValueLine(buf, id, len(value)), value...), "\r\n"...)
 }
 
-// AppendValueHead writes the line of such an answer, behind which the value follows and a line end.
-func AppendValueHead(buf, id []byte, size int) []byte {
+// AppendValueLine writes the line of such an answer, behind which the value follows and a line end.
+func AppendValueLine(buf, id []byte, size int) []byte {
 	buf = strconv.AppendInt(append(buf, "VA "...), int64(size), 10)
 	return append(append(append(buf, " O"...), id...), "\r\n"...)
 }
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -43,25 +43,25 @@
 		{"line too long", strings.Repeat("x", MaxLine+2), 0, 0, 0, ErrFraming},
 		{"ended line too long", strings.Repeat("x", MaxLine+1) + "\r\n", 0, 0, 0, ErrFraming},
 	} {
-		m, used, err := Next([]byte(c.in), MaxValue, MaxLong)
+		m, used, err := ParseCommand([]byte(c.in), MaxValue, MaxLongValue)
 		want := c.used
 		if want < 0 {
 			want = len(c.in)
 		}
-		if used != want || !errors.Is(err, c.err) || m.Skip != c.skip || m.Kind != c.kind {
-			t.Errorf("%s: kind %d, used %d, skip %d, error %v; want %d, %d, %d, %v", c.name, m.Kind, used, m.Skip, err,
+		if used != want || !errors.Is(err, c.err) || m.SkipBytes != c.skip || m.Kind != c.kind {
+			t.Errorf("%s: kind %d, used %d, skip %d, error %v; want %d, %d, %d, %v", c.name, m.Kind, used, m.SkipBytes, err,
 				c.kind, want, c.skip, c.err)
 		}
 	}
 }
 
 func TestNextTakesTheFields(t *testing.T) {
-	m, _, err := Next([]byte("ms k1 5 O9b1f Pc=put,t=acme,d=480,k=5c0f\r\nhello\r\n"), MaxValue, MaxLong)
+	m, _, err := ParseCommand([]byte("ms k1 5 O9b1f Pc=put,t=acme,d=480,k=5c0f\r\nhello\r\n"), MaxValue, MaxLongValue)
 	if err != nil || string(m.Key) != "k1" || string(m.ID) != "9b1f" || string(m.Value) != "hello" {
 		t.Fatalf("%+v, %v", m, err)
 	}
 	for name, want := range map[string]string{"c": "put", "t": "acme", "d": "480", "k": "5c0f", "x": "", "": ""} {
-		if got := Text(m.Info, name); got != want {
+		if got := FieldValue(m.Info, name); got != want {
 			t.Errorf("%s is %q, want %q", name, got, want)
 		}
 	}
@@ -75,8 +75,8 @@
 		{"mg k v O1 Pc=read,dd=480\r\n", "mg k v O1 Pc=read,dd=480\r\n"},
 		{"ms k 2 Pd=1 O1\r\nhi\r\n", "ms k 2 Pd=77 O1\r\nhi\r\n"},
 	} {
-		m, _, err := Next([]byte(c.in), MaxValue, MaxLong)
-		if got := string(AppendForward(nil, &m, 77)); err != nil || got != c.want {
+		m, _, err := ParseCommand([]byte(c.in), MaxValue, MaxLongValue)
+		if got := string(AppendForwarded(nil, &m, 77)); err != nil || got != c.want {
 			t.Errorf("%q goes on as %q, want %q (%v)", c.in, got, c.want, err)
 		}
 	}
@@ -106,17 +106,17 @@
 		{"two", "EN Oa1\r\nEN Oa2\r\n", Absent, "a1", "", "", 0, false, 8, nil},
 		{"not whole", "VA 5 Oa1\r\nhel", 0, "", "", "", 0, false, 0, nil},
 		{"nothing yet", "", 0, "", "", "", 0, false, 0, nil},
-		{"no id", "VA 5\r\nhello\r\n", Value, "", "", "", 0, false, 0, ErrAnswer},
-		{"receipt without id", "HD cR7\r\n", Stored, "", "", "R7", 0, false, 0, ErrAnswer},
-		{"value too long for its length", "VA 4 Oa1\r\nhello\r\n", Value, "a1", "hell", "", 0, false, 0, ErrAnswer},
+		{"no id", "VA 5\r\nhello\r\n", Value, "", "", "", 0, false, 0, ErrResponse},
+		{"receipt without id", "HD cR7\r\n", Stored, "", "", "R7", 0, false, 0, ErrResponse},
+		{"value too long for its length", "VA 4 Oa1\r\nhello\r\n", Value, "a1", "hell", "", 0, false, 0, ErrResponse},
 		{"long", "VA 65537 Oa1 h1\r\nhel", Value, "a1", "", "", '1', false, 17, nil},
-		{"too long", "VA 4194305 Oa1\r\n", 0, "", "", "", 0, false, 0, ErrAnswer},
-		{"long, without id", "VA 65537\r\n", Value, "", "", "", 0, false, 0, ErrAnswer},
-		{"no length", "VA x Oa1\r\n", 0, "", "", "", 0, false, 0, ErrAnswer},
-		{"not an answer", "hello\r\n", 0, "", "", "", 0, false, 0, ErrAnswer},
-		{"endless line", strings.Repeat("x", MaxLine+2), 0, "", "", "", 0, false, 0, ErrAnswer},
+		{"too long", "VA 4194305 Oa1\r\n", 0, "", "", "", 0, false, 0, ErrResponse},
+		{"long, without id", "VA 65537\r\n", Value, "", "", "", 0, false, 0, ErrResponse},
+		{"no length", "VA x Oa1\r\n", 0, "", "", "", 0, false, 0, ErrResponse},
+		{"not an answer", "hello\r\n", 0, "", "", "", 0, false, 0, ErrResponse},
+		{"endless line", strings.Repeat("x", MaxLine+2), 0, "", "", "", 0, false, 0, ErrResponse},
 	} {
-		a, used, err := NextAnswer([]byte(c.in), MaxValue, MaxLong)
+		a, used, err := ParseResponse([]byte(c.in), MaxValue, MaxLongValue)
 		want := c.used
 		if want < 0 {
 			want = len(c.in)
@@ -125,7 +125,7 @@
 			t.Errorf("%s: used %d, error %v; want %d, %v", c.name, used, err, want, c.err)
 		}
 		if a.Status != c.status || string(a.ID) != c.id || string(a.Value) != c.value ||
-			string(a.Receipt) != c.receipt || a.Hit != c.hit || a.Waits != c.waits {
+			string(a.Receipt) != c.receipt || a.Hit != c.hit || a.FetchInFlight != c.waits {
 			t.Errorf("%s: %+v", c.name, a)
 		}
 	}
@@ -138,19 +138,19 @@
 	f.Add([]byte("ms k 65537 Oa1\r\n\r\n"), 3)
 	f.Add([]byte("ms k 5 O\r\nhello\r\n"), 1)
 	f.Fuzz(func(t *testing.T, in []byte, cut int) {
-		m, used, err := Next(in, MaxValue, MaxLong)
-		if used < 0 || used > len(in) || m.Skip < 0 {
-			t.Fatalf("used %d of %d, skip %d", used, len(in), m.Skip)
+		m, used, err := ParseCommand(in, MaxValue, MaxLongValue)
+		if used < 0 || used > len(in) || m.SkipBytes < 0 {
+			t.Fatalf("used %d of %d, skip %d", used, len(in), m.SkipBytes)
 		}
 		if cut > 0 && cut < len(in) {
-			if early, n, bad := Next(in[:cut], MaxValue, MaxLong); n > 0 && bad == nil && (n != used || early.Kind != m.Kind) {
+			if early, n, bad := ParseCommand(in[:cut], MaxValue, MaxLongValue); n > 0 && bad == nil && (n != used || early.Kind != m.Kind) {
 				t.Fatalf("cut at %d: used %d, whole: %d", cut, n, used)
 			}
 		}
 		if err != nil || used == 0 || m.Kind == Noop {
 			return
 		}
-		again, n, err := Next(AppendForward(nil, &m, 123), MaxValue, MaxLong)
+		again, n, err := ParseCommand(AppendForwarded(nil, &m, 123), MaxValue, MaxLongValue)
 		if err != nil || n == 0 || !bytes.Equal(again.Key, m.Key) || !bytes.Equal(again.ID, m.ID) ||
 			!bytes.Equal(again.Value, m.Value) {
 			t.Fatalf("%q goes on as something else: %v", in[:used], err)
@@ -163,7 +163,7 @@
 	f.Add([]byte("HD Oa1 cR7\r\n"))
 	f.Add([]byte("SERVER_ERROR busy\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		a, used, err := NextAnswer(in, MaxValue, MaxLong)
+		a, used, err := ParseResponse(in, MaxValue, MaxLongValue)
 		if used < 0 || used > len(in) || err != nil && used > 0 || used > 0 && a.Status == 0 {
 			t.Fatalf("used %d of %d, status %d, %v", used, len(in), a.Status, err)
 		}
--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -117,7 +117,7 @@
 // begin gives the client the beginning, at the answer's turn on its connection.
 func (b *body) begin(c *client) {
 	b.begun = true
-	head := meta.AppendValueHead(make([]byte, 0, len(b.kept)+64), b.try.call.command.ID, b.size)
+	head := meta.AppendValueLine(make([]byte, 0, len(b.kept)+64), b.try.call.command.ID, b.size)
 	c.conn.Write(append(head, b.kept...))
 	b.kept = nil
 	b.link.account()
@@ -163,7 +163,7 @@
 	id := c.command.ID
 	switch {
 	case whole && !b.begun:
-		n.reply(c, append(append(meta.AppendValueHead(nil, id, b.size), b.kept...), "\r\n"...), served)
+		n.reply(c, append(append(meta.AppendValueLine(nil, id, b.size), b.kept...), "\r\n"...), served)
 	case whole:
 		n.reply(c, []byte("\r\n"), served)
 	case !b.begun:
--- a/internal/node/caches.go
+++ b/internal/node/caches.go
@@ -15,7 +15,7 @@
 
 // request is the client's command as it came, with the node's own wait.
 func (cacheProtocol) request(buf []byte, t *try, wait time.Duration) []byte {
-	return meta.AppendForward(buf, &t.call.command, told(wait))
+	return meta.AppendForwarded(buf, &t.call.command, told(wait))
 }
 
 // told is how long the node waits, as an attempt tells it: in whole milliseconds, at least one.
@@ -24,7 +24,7 @@
 func (cacheProtocol) behind() string { return "\r\n" }
 
 func (cacheProtocol) answer(data []byte, t *try, _ int, _ bool) (answer, int, error) {
-	m, used, err := meta.NextAnswer(data, meta.MaxValue, meta.MaxLong)
+	m, used, err := meta.ParseResponse(data, meta.MaxValue, meta.MaxLongValue)
 	if err != nil || used == 0 {
 		return answer{}, 0, err
 	}
@@ -32,12 +32,12 @@
 		c := &t.call.command
 		switch {
 		case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID): // another request's answer
-			return answer{}, 0, meta.ErrAnswer
+			return answer{}, 0, meta.ErrResponse
 		case m.Status == meta.Value && c.Kind != meta.Get, m.Status == meta.Stored && c.Kind != meta.Set:
-			return answer{}, 0, meta.ErrAnswer // an answer to another kind of request
+			return answer{}, 0, meta.ErrResponse // an answer to another kind of request
 		}
 	}
-	a := answer{value: m.Value, receipt: m.Receipt, long: m.Long, tail: "\r\n"}
+	a := answer{value: m.Value, receipt: m.Receipt, long: m.LongSize, tail: "\r\n"}
 	switch m.Status {
 	case meta.Value:
 		a.outcome = policy.OK
@@ -51,7 +51,7 @@
 		a.outcome = policy.Errored
 	}
 	switch {
-	case m.Waits:
+	case m.FetchInFlight:
 		a.note = policy.NoteFetching
 	case m.Hit == '1':
 		a.note = policy.NoteHit
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -75,7 +75,7 @@
 			}
 			continue
 		}
-		m, used, err := meta.Next(data, meta.MaxValue, meta.MaxLong)
+		m, used, err := meta.ParseCommand(data, meta.MaxValue, meta.MaxLongValue)
 		switch {
 		case err != nil:
 			c.reject(err)
@@ -83,13 +83,13 @@
 				c.last = true
 				return nil
 			}
-			data = c.pass(data[used:], m.Skip)
+			data = c.pass(data[used:], m.SkipBytes)
 		case used == 0:
 			return data
 		default:
 			data = data[used:]
-			if c.command(m); m.Long > 0 && c.up == nil { // turned away, as is its value
-				data = c.pass(data, m.Long+len("\r\n"))
+			if c.command(m); m.LongSize > 0 && c.up == nil { // turned away, as is its value
+				data = c.pass(data, m.LongSize+len("\r\n"))
 			}
 		}
 	}
@@ -127,7 +127,7 @@
 		c.reject(err)
 		return
 	}
-	if m.Long == 0 {
+	if m.LongSize == 0 {
 		n.register(m.ID)
 	}
 	// Whoever asks goes before those who may be about to.
@@ -137,7 +137,7 @@
 		c.parting = true // its descriptor is wanted
 		return
 	}
-	if n.full(len(m.Value) + min(m.Long, bodyKept)) {
+	if n.full(len(m.Value) + min(m.LongSize, bodyKept)) {
 		n.count.full++
 		c.refuse(kind)
 		return
@@ -145,7 +145,7 @@
 	now := n.loop.Now()
 	// Guards against telling servers of time that has passed while the request stood unread, in a process that was stopped or
 	// busy: they would work for a client that has stopped waiting.
-	if m.Long == 0 {
+	if m.LongSize == 0 {
 		wait -= now - c.arrived
 		if safety.Start(safety.Request{Left: wait}) != safety.Allowed {
 			n.count.tooLate++
@@ -154,8 +154,8 @@
 		}
 	}
 	k := &call{id: string(m.ID), class: kind, client: c, command: keep(m)}
-	if m.Long > 0 {
-		c.upload(k, m.Long, wait)
+	if m.LongSize > 0 {
+		c.upload(k, m.LongSize, wait)
 		return
 	}
 	c.calls = append(c.calls, k)
@@ -199,13 +199,13 @@
 
 // patience is the request's class and how long the client waits, as the request tells; no longer than its class allows.
 func (n *Node) patience(info []byte) (*class, time.Duration, error) {
-	kind := n.classes[meta.Text(info, "c")]
+	kind := n.classes[meta.FieldValue(info, "c")]
 	if kind == nil {
 		// Guards against what servers turn away: each such answer told against a healthy server, and three skipped it
 		// (launceston-platform, rude+garble 3: all nine caches skipped at once).
 		return nil, 0, errors.New("no such class")
 	}
-	text := meta.Text(info, "d") // an empty one is no number either: servers turn it away
+	text := meta.FieldValue(info, "d") // an empty one is no number either: servers turn it away
 	if whole, _, ok := strings.Cut(text, "."); ok {
 		text = whole
 	}
@@ -227,9 +227,9 @@
 		from := cap(m.Line) - cap(part) // parts of one line end where its buffer ends
 		return text[from : from+len(part)]
 	}
-	k := meta.Command{Kind: m.Kind, Line: text[:len(m.Line)], InfoPos: m.InfoPos, Long: m.Long}
+	k := meta.Command{Kind: m.Kind, Line: text[:len(m.Line)], InfoOffset: m.InfoOffset, LongSize: m.LongSize}
 	k.Key, k.ID, k.Info = at(m.Key), at(m.ID), at(m.Info)
-	if m.Kind == meta.Set && m.Long == 0 {
+	if m.Kind == meta.Set && m.LongSize == 0 {
 		k.Value = text[len(m.Line):]
 	}
 	return k
@@ -243,7 +243,7 @@
 
 // waits reports whether the input begins with a whole command, which had to wait.
 func (c *client) waits() bool {
-	_, used, err := meta.Next(c.input, meta.MaxValue, meta.MaxLong)
+	_, used, err := meta.ParseCommand(c.input, meta.MaxValue, meta.MaxLongValue)
 	return used > 0 || err != nil
 }
 
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -308,7 +308,7 @@
 	for _, id := range []string{"off", "two"} {
 		c := &call{id: id, class: s.node.classes["read"], client: &client{node: s.node, gone: true}, deadline: s.node.loop.Now() + 25*time.Second, end: s.node.loop.Now() + 25*time.Second, counted: true}
 		s.node.inFlight++
-		m, _, err := meta.Next([]byte("mg key v O"+id+" Pc=read,d=25000\r\n"), meta.MaxValue, meta.MaxLong)
+		m, _, err := meta.ParseCommand([]byte("mg key v O"+id+" Pc=read,d=25000\r\n"), meta.MaxValue, meta.MaxLongValue)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -362,7 +362,7 @@
 	close(gate)
 	s.run("it is served", func() bool { return s.node.count.ended[served] == 1 })
 	info := <-infos
-	if got, err := strconv.ParseInt(meta.Text([]byte(info), "d"), 10, 64); err != nil || got > most || got <= 0 || !strings.HasPrefix(info, "c=read,d=") {
+	if got, err := strconv.ParseInt(meta.FieldValue([]byte(info), "d"), 10, 64); err != nil || got > most || got <= 0 || !strings.HasPrefix(info, "c=read,d=") {
 		t.Errorf("the origin was told %q, where %d ms were left before the cache had answered", info, most)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -197,7 +197,7 @@
 	n.calls[c.id] = c
 	n.note(requestTaken, c)
 	if n.forwarder != nil {
-		n.forwarder.Request(string(c.command.Key), meta.Text(info, "t"))
+		n.forwarder.Request(string(c.command.Key), meta.FieldValue(info, "t"))
 	}
 	if c.upload == nil {
 		n.clock(c, now, c.deadline-now)
@@ -205,7 +205,7 @@
 		c.end = now + c.upload.wait
 	}
 	n.guard("request", func() {
-		n.policy.Request(now, policy.Request{ID: c.id, Class: c.class.name, Tenant: meta.Text(info, "t"),
+		n.policy.Request(now, policy.Request{ID: c.id, Class: c.class.name, Tenant: meta.FieldValue(info, "t"),
 			Key: string(c.command.Key), Left: c.end - now, Write: c.command.Kind == meta.Set,
 			Coming: c.upload != nil})
 	})
--- a/internal/node/origin.go
+++ b/internal/node/origin.go
@@ -23,8 +23,8 @@
 	c := &t.call.command
 	target := "/" + url.PathEscape(string(c.Key))
 	headers := []httpc.Header{{Name: "Request-Id", Value: string(c.ID)}, {Name: "Request-Info", Value: string(meta.AppendInfo(nil, c.Info, told(wait)))}}
-	if c.Long > 0 {
-		headers = append(headers, httpc.Header{Name: "Content-Length", Value: strconv.Itoa(c.Long)})
+	if c.LongSize > 0 {
+		headers = append(headers, httpc.Header{Name: "Content-Length", Value: strconv.Itoa(c.LongSize)})
 		return httpc.AppendRequest(buf, "PUT", target, p.host, headers, nil)
 	}
 	if c.Kind == meta.Set {
@@ -41,7 +41,7 @@
 
 func (originProtocol) answer(data []byte, t *try, most int, ended bool) (answer, int, error) {
 	h, length, used, err := httpc.ResponseHead(data)
-	if err == nil && used > 0 && h.Status == 200 && length > meta.MaxValue && length <= meta.MaxLong && (t == nil || t.call.command.Kind == meta.Get) {
+	if err == nil && used > 0 && h.Status == 200 && length > meta.MaxValue && length <= meta.MaxLongValue && (t == nil || t.call.command.Kind == meta.Get) {
 		return answer{outcome: policy.OK, long: length, close: h.Close}, used, nil
 	}
 	if h, used, err = httpc.ParseResponse(data, most, ended); err != nil || used == 0 {
@@ -50,11 +50,11 @@
 	a := answer{close: h.Close}
 	switch {
 	case h.Status == 200 && !h.SelfDelimited:
-		return answer{}, 0, meta.ErrAnswer // guards against a value cut short by the connection's end
+		return answer{}, 0, meta.ErrResponse // guards against a value cut short by the connection's end
 	case h.Status == 200 && t != nil && t.call.command.Kind == meta.Set:
 		a.outcome, a.stored, a.receipt = policy.OK, true, bytes.TrimSpace(h.Body)
 		if bytes.ContainsFunc(a.receipt, func(r rune) bool { return r <= ' ' || r == 0x7f }) {
-			return answer{}, 0, meta.ErrAnswer // it could not stand in the answer's line
+			return answer{}, 0, meta.ErrResponse // it could not stand in the answer's line
 		}
 	case h.Status == 200:
 		a.outcome, a.value = policy.OK, h.Body
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -165,7 +165,7 @@
 	l.tries = append(l.tries, t)
 	l.write(t, wait)
 	if u := t.call.upload; u != nil {
-		t.last += int64(t.call.command.Long + len(p.proto.behind()))
+		t.last += int64(t.call.command.LongSize + len(p.proto.behind()))
 		u.sent(t)
 	}
 	l.wrote()
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -83,7 +83,7 @@
 func (b *bench) attempt(c *call) *try {
 	b.t.Helper()
 	line := "mg key v O" + c.id + " Pc=read,d=1000"
-	m, _, err := meta.Next([]byte(line+"\r\n"), meta.MaxValue, meta.MaxLong)
+	m, _, err := meta.ParseCommand([]byte(line+"\r\n"), meta.MaxValue, meta.MaxLongValue)
 	if err != nil {
 		b.t.Fatal(err)
 	}
--- a/internal/node/protocol_test.go
+++ b/internal/node/protocol_test.go
@@ -12,7 +12,7 @@
 
 func tryOf(t *testing.T, line string) *try {
 	t.Helper()
-	m, _, err := meta.Next([]byte(line), meta.MaxValue, meta.MaxLong)
+	m, _, err := meta.ParseCommand([]byte(line), meta.MaxValue, meta.MaxLongValue)
 	if err != nil {
 		t.Fatal(err)
 	}
