--- a/internal/system/faults.go
+++ b/internal/system/faults.go
@@ -14,14 +14,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// FaultsEnabled reports whether this build can make system calls fail.
+// FaultsEnabled reports whether this build can inject failures into system calls.
 const FaultsEnabled = true
 
-// PlanVariable names the environment variable with a process's plan, see Parse.
+// PlanVariable is the environment variable that holds a process's fault plan, see ParseFaultPlan.
 const PlanVariable = "LAPISSHELF_FAULTS"
 
-// documented are the errors that a call is made to fail with, each of which its manual page names.
-var documented = map[Call][]unix.Errno{
+// documentedErrors are the errors that are injected into each call; its manual page documents them.
+var documentedErrors = map[Call][]unix.Errno{
 	CallSocket:    {unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM},
 	CallConnect:   {unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EINTR, unix.ETIMEDOUT},
 	CallAccept:    {unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINTR, unix.EPROTO},
@@ -38,23 +38,23 @@
 	CallRename:    {unix.ENOSPC, unix.EIO},
 }
 
-// FaultPlan says which calls fail, how often and when.
+// FaultPlan describes which calls fail, how often and when.
 type FaultPlan struct {
 	Seed     uint64
-	Rate     float64       // the part of the calls that fail while failures last, 0 to 1
-	After    time.Duration // when they begin, from the process's start
-	Interval time.Duration // and begin again; 0: never
-	Length   time.Duration // how long they last each time
-	Skew     time.Duration // of the wall clock
-	Drift    time.Duration // drawn by each process: its wall clock is off by as much at most, either way
+	Rate     float64       // share of the calls that fail during a fault period, 0 to 1
+	After    time.Duration // start of the first fault period, from the process's start
+	Interval time.Duration // time between the starts of fault periods; 0: there is only one
+	Length   time.Duration // length of each fault period
+	Skew     time.Duration // offset of the wall clock
+	Drift    time.Duration // bound of a further wall clock offset, in either direction, that each process draws at random
 	Calls    map[Call]bool
-	// BreakConnections has send and receive fail as broken connections do too. Off by default: who is at the other end of a connection that
-	// breaks so is not answered, which nobody can tell from a request that was lost.
+	// BreakConnections also injects errors of broken connections into send and receive. Off by default: the peer of such a connection
+	// gets no response, which cannot be distinguished from a lost request.
 	BreakConnections bool
 }
 
-// ParseFaultPlan reads a plan: name=value pairs between commas, seed, rate, after, every, for, skew, drift, breaks, and calls with names between plus
-// signs. An unknown name, call or value is an error.
+// ParseFaultPlan parses a plan of comma-separated name=value pairs: seed, rate, after, every, for, skew, drift, breaks, and calls with
+// names separated by plus signs. An unknown name, call or value is an error.
 func ParseFaultPlan(text string) (FaultPlan, error) {
 	p := FaultPlan{Rate: 1, Calls: map[Call]bool{}}
 	for _, pair := range strings.Split(text, ",") {
@@ -79,7 +79,7 @@
 			p.BreakConnections, err = strconv.ParseBool(value)
 		case "calls":
 			for _, c := range strings.Split(value, "+") {
-				if documented[Call(c)] == nil {
+				if documentedErrors[Call(c)] == nil {
 					return p, fmt.Errorf("%s: no call %q", PlanVariable, c)
 				}
 				p.Calls[Call(c)] = true
@@ -94,7 +94,7 @@
 	return p, nil
 }
 
-// active reports whether failures last so long after the start.
+// active reports whether a fault period is in progress at a time since the process's start.
 func (p *FaultPlan) active(since time.Duration) bool {
 	since -= p.After
 	if since < 0 {
@@ -108,11 +108,11 @@
 
 var injector = struct {
 	sync.Mutex
-	plan  FaultPlan
-	rng   *rand.Rand
-	start time.Time
-	hook  func(Call) error
-	shut  func(Call, int) int
+	plan      FaultPlan
+	rng       *rand.Rand
+	start     time.Time
+	failHook  func(Call) error
+	limitHook func(Call, int) int
 }{start: time.Now()}
 
 func init() {
@@ -131,31 +131,32 @@
 	}
 }
 
-// InjectFailures has calls fail as fail says, and none for a nil one, in place of the process's plan.
-func InjectFailures(fail func(Call) error) {
+// InjectFailures replaces the process's plan by a function that returns the error of each call; nil restores the plan.
+func InjectFailures(hook func(Call) error) {
 	injector.Lock()
 	defer injector.Unlock()
-	injector.hook = fail
+	injector.failHook = hook
 }
 
-// LimitTransfers has Send and Receive take so many bytes at most as cut says; a nil one: all.
-func LimitTransfers(cut func(Call, int) int) {
+// LimitTransfers limits the bytes that Send and Receive transfer per call to what the function returns; nil restores the plan.
+func LimitTransfers(limit func(Call, int) int) {
 	injector.Lock()
 	defer injector.Unlock()
-	injector.shut = cut
+	injector.limitHook = limit
 }
 
-func failure(c Call) error {
+// injectedFailure returns the error that a call is to fail with, or nil.
+func injectedFailure(c Call) error {
 	injector.Lock()
 	defer injector.Unlock()
-	if injector.hook != nil {
-		return injector.hook(c)
+	if injector.failHook != nil {
+		return injector.failHook(c)
 	}
 	p := &injector.plan
 	if !p.Calls[c] || !p.active(time.Since(injector.start)) || injector.rng.Float64() >= p.Rate {
 		return nil
 	}
-	list := documented[c]
+	list := documentedErrors[c]
 	errno := list[injector.rng.IntN(len(list))]
 	if !p.BreakConnections && (c == CallSend || c == CallReceive) && (errno == unix.ETIMEDOUT || errno == unix.EHOSTUNREACH) {
 		return nil
@@ -163,11 +164,12 @@
 	return errno
 }
 
-func limit(c Call, length int) int {
+// transferLimit returns how many of length bytes a call may transfer.
+func transferLimit(c Call, length int) int {
 	injector.Lock()
 	defer injector.Unlock()
-	if injector.shut != nil {
-		return min(length, max(1, injector.shut(c, length)))
+	if injector.limitHook != nil {
+		return min(length, max(1, injector.limitHook(c, length)))
 	}
 	p := &injector.plan
 	if length < 2 || !p.Calls[c] || !p.active(time.Since(injector.start)) || injector.rng.Float64() >= p.Rate {
@@ -176,4 +178,5 @@
 	return 1 + injector.rng.IntN(length)
 }
 
-func skew() time.Duration { return injector.plan.Skew }
+// wallClockSkew returns the offset of the wall clock.
+func wallClockSkew() time.Duration { return injector.plan.Skew }
--- a/internal/system/faults_test.go
+++ b/internal/system/faults_test.go
@@ -12,12 +12,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// A write that fails anywhere leaves the old file whole.
-func TestAFailedWriteLeavesTheOldFile(t *testing.T) {
+// A write that fails at any step leaves the old file unchanged.
+func TestFailedWriteLeavesTheOldFile(t *testing.T) {
 	defer InjectFailures(nil)
 	dir := t.TempDir()
-	path, beside := filepath.Join(dir, "state"), filepath.Join(dir, "state.new")
-	if err := WriteFileAtomic(path, beside, []byte("whole"), 0o600, true); err != nil {
+	path, tempPath := filepath.Join(dir, "state"), filepath.Join(dir, "state.new")
+	if err := WriteFileAtomic(path, tempPath, []byte("whole"), 0o600, true); err != nil {
 		t.Fatal(err)
 	}
 	for _, call := range []Call{CallOpen, CallWrite, CallSync, CallRename} {
@@ -28,7 +28,7 @@
 				}
 				return nil
 			})
-			if err := WriteFileAtomic(path, beside, []byte("another text"), 0o600, true); !errors.Is(err, errno) {
+			if err := WriteFileAtomic(path, tempPath, []byte("another text"), 0o600, true); !errors.Is(err, errno) {
 				t.Errorf("%s: %v", call, err)
 			}
 			if got, err := os.ReadFile(path); err != nil || string(got) != "whole" {
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestParse(t *testing.T) {
+func TestParseFaultPlan(t *testing.T) {
 	p, err := ParseFaultPlan("seed=7,rate=0.5,after=1s,every=3s,for=500ms,skew=-1h,calls=accept+fsync")
 	if err != nil || p.Seed != 7 || p.Rate != 0.5 || p.Skew != -time.Hour || !p.Calls[CallAccept] || !p.Calls[CallSync] || p.Calls[CallSend] {
 		t.Errorf("%+v, %v", p, err)
@@ -50,7 +50,7 @@
 	}
 	for _, bad := range []string{"x=1", "rate=much", "calls=fork"} {
 		if _, err := ParseFaultPlan(bad); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 }
--- a/internal/system/release.go
+++ b/internal/system/release.go
@@ -4,9 +4,9 @@
 
 import "time"
 
-// FaultsEnabled reports whether this build can make system calls fail.
+// FaultsEnabled reports whether this build can inject failures into system calls.
 const FaultsEnabled = false
 
-func failure(Call) error           { return nil }
-func limit(_ Call, length int) int { return length }
-func skew() time.Duration          { return 0 }
+func injectedFailure(Call) error           { return nil }
+func transferLimit(_ Call, length int) int { return length }
+func wallClockSkew() time.Duration         { return 0 }
--- a/internal/system/system.go
+++ b/internal/system/system.go
@@ -1,8 +1,9 @@
-// Package system is the one seam between the node and the operating system: the wall clock, sockets, epoll and the files of a
-// state directory. Each function makes one system call, as its manual page tells, and adds nothing to it.
+// Package system wraps the operating system's services that the node uses: the wall clock, sockets, epoll and the files of a
+// state directory. Each wrapper makes one system call, as documented in its manual page, and adds nothing to it.
 //
-// Built with the tag "faults" the same functions fail as Linux documents that they may, by a seeded plan (faults.go). The
-// release build holds none of that: its failure and limit are constants that the compiler takes away (release.go).
+// Built with the tag "faults", the same functions fail with errors that Linux documents, according to a seeded plan (faults.go). The
+// release build contains none of that: its injectedFailure and transferLimit are trivial functions that the compiler inlines away
+// (release.go).
 package system
 
 import (
@@ -13,10 +14,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Call names a system call that may be made to fail.
+// Call names a system call into which failures can be injected.
 type Call string
 
-// The calls.
+// The system calls with fault injection.
 const (
 	CallSocket    Call = "socket"
 	CallConnect   Call = "connect"
@@ -34,92 +35,92 @@
 	CallRename    Call = "rename"
 )
 
-// WallClock is the wall clock, in Unix time. It may step; nothing but a process's start is told from it.
-func WallClock() time.Duration { return time.Duration(time.Now().UnixNano()) + skew() }
+// WallClock is the wall clock, in Unix time. It may jump; it is only used to set a process's clock when it starts.
+func WallClock() time.Duration { return time.Duration(time.Now().UnixNano()) + wallClockSkew() }
 
-// Socket opens a TCP socket that does not block.
+// Socket opens a non-blocking TCP socket.
 func Socket(family int) (int, error) {
-	if err := failure(CallSocket); err != nil {
+	if err := injectedFailure(CallSocket); err != nil {
 		return -1, err
 	}
 	return unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 }
 
-// Connect begins a connection.
-func Connect(fd int, to unix.Sockaddr) error {
-	err := failure(CallConnect)
+// Connect starts to connect. As on Linux, the connection is established in the background if the call is interrupted.
+func Connect(fd int, address unix.Sockaddr) error {
+	err := injectedFailure(CallConnect)
 	if err != nil && err != unix.EINTR {
 		return err
 	}
-	if real := unix.Connect(fd, to); real != nil {
-		return real
+	if result := unix.Connect(fd, address); result != nil {
+		return result
 	}
 	return err
 }
 
-// Accept takes a connection that waits at a listener.
+// Accept accepts a waiting connection as a non-blocking socket.
 func Accept(fd int) (int, error) {
-	if err := failure(CallAccept); err != nil {
+	if err := injectedFailure(CallAccept); err != nil {
 		return -1, err
 	}
 	accepted, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	return accepted, err
 }
 
-// EpollWait waits for events for so many milliseconds at most; below 0: for good.
+// EpollWait waits for events for at most so many milliseconds; without limit if it is negative.
 func EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error) {
-	if err := failure(CallEpollWait); err != nil {
+	if err := injectedFailure(CallEpollWait); err != nil {
 		return 0, err
 	}
 	return unix.EpollWait(epoll, events, milliseconds)
 }
 
-// EpollAdd begins to watch a descriptor, EpollMod changes what is watched for.
+// EpollAdd starts to watch a descriptor.
 func EpollAdd(epoll, fd int, event *unix.EpollEvent) error {
-	if err := failure(CallEpollAdd); err != nil {
+	if err := injectedFailure(CallEpollAdd); err != nil {
 		return err
 	}
 	return unix.EpollCtl(epoll, unix.EPOLL_CTL_ADD, fd, event)
 }
 
-// EpollMod changes what a descriptor is watched for.
+// EpollMod changes the events that are wanted of a descriptor.
 func EpollMod(epoll, fd int, event *unix.EpollEvent) error {
-	if err := failure(CallEpollMod); err != nil {
+	if err := injectedFailure(CallEpollMod); err != nil {
 		return err
 	}
 	return unix.EpollCtl(epoll, unix.EPOLL_CTL_MOD, fd, event)
 }
 
-// Send hands bytes to a connection; fewer than all may be taken.
+// Send writes to a connection; it may write only a part of the data.
 func Send(fd int, data []byte) (int, error) {
-	if err := failure(CallSend); err != nil {
-		breakIf(fd, err)
+	if err := injectedFailure(CallSend); err != nil {
+		shutDownIfBroken(fd, err)
 		return 0, err
 	}
-	return unix.SendmsgN(fd, data[:limit(CallSend, len(data))], nil, nil, unix.MSG_NOSIGNAL)
+	return unix.SendmsgN(fd, data[:transferLimit(CallSend, len(data))], nil, nil, unix.MSG_NOSIGNAL)
 }
 
-// Receive takes bytes off a connection; 0 without an error: its other end has finished.
+// Receive reads from a connection; 0 without an error means that the peer has closed it.
 func Receive(fd int, buffer []byte) (int, error) {
-	if err := failure(CallReceive); err != nil {
-		breakIf(fd, err)
+	if err := injectedFailure(CallReceive); err != nil {
+		shutDownIfBroken(fd, err)
 		return 0, err
 	}
-	n, _, err := unix.Recvfrom(fd, buffer[:limit(CallReceive, len(buffer))], unix.MSG_DONTWAIT)
+	n, _, err := unix.Recvfrom(fd, buffer[:transferLimit(CallReceive, len(buffer))], unix.MSG_DONTWAIT)
 	return n, err
 }
 
-// Peek looks at what may be received and leaves it there.
+// Peek reads received data without removing it from the receive buffer.
 func Peek(fd int, buffer []byte) (int, error) {
-	if err := failure(CallPeek); err != nil {
+	if err := injectedFailure(CallPeek); err != nil {
 		return 0, err
 	}
 	n, _, err := unix.Recvfrom(fd, buffer, unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return n, err
 }
 
-// breakIf ends a connection that is to have failed for good.
-func breakIf(fd int, err error) {
+// shutDownIfBroken shuts down a connection for which an error of a broken connection was injected.
+func shutDownIfBroken(fd int, err error) {
 	if err == unix.ETIMEDOUT || err == unix.EHOSTUNREACH {
 		unix.Shutdown(fd, unix.SHUT_RDWR)
 	}
@@ -127,15 +128,15 @@
 
 // OpenFile is os.OpenFile.
 func OpenFile(path string, flag int, mode fs.FileMode) (*os.File, error) {
-	if err := failure(CallOpen); err != nil {
+	if err := injectedFailure(CallOpen); err != nil {
 		return nil, &fs.PathError{Op: "open", Path: path, Err: err}
 	}
 	return os.OpenFile(path, flag, mode)
 }
 
-// ReadDirNames gives the names in a directory, in no order.
+// ReadDirNames returns the names in a directory, unsorted.
 func ReadDirNames(path string) ([]string, error) {
-	if err := failure(CallRead); err != nil {
+	if err := injectedFailure(CallRead); err != nil {
 		return nil, &fs.PathError{Op: "read", Path: path, Err: err}
 	}
 	dir, err := os.Open(path)
@@ -146,32 +147,33 @@
 	return dir.Readdirnames(-1)
 }
 
-// WriteFileAtomic replaces a file: it is written beside, synced if that is asked for, and renamed over the old one, so that whoever
-// reads finds the old or the new one whole, also after a kill in between. With an error the old one stands.
-func WriteFileAtomic(path, beside string, data []byte, mode fs.FileMode, sync bool) error {
-	f, err := OpenFile(beside, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, mode)
+// WriteFileAtomic replaces a file atomically: it writes a temporary file, syncs it if requested, and renames it over the old one, so
+// that readers see either the old or the new content in full, even if the process is killed in between. On an error the old file
+// remains.
+func WriteFileAtomic(path, tempPath string, data []byte, mode fs.FileMode, sync bool) error {
+	f, err := OpenFile(tempPath, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, mode)
 	if err != nil {
 		return err
 	}
-	err = write(f, data)
+	err = writeData(f, data)
 	if err == nil && sync {
 		err = syncFile(f)
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return err
 	}
-	if err := failure(CallRename); err != nil {
+	if err := injectedFailure(CallRename); err != nil {
 		return &fs.PathError{Op: "rename", Path: path, Err: err}
 	}
-	return os.Rename(beside, path)
+	return os.Rename(tempPath, path)
 }
 
-func write(f *os.File, data []byte) error {
-	if err := failure(CallWrite); err != nil {
-		f.Write(data[:len(data)/2]) // what was written before the failure stays
+func writeData(f *os.File, data []byte) error {
+	if err := injectedFailure(CallWrite); err != nil {
+		f.Write(data[:len(data)/2]) // a failing write may leave a part of the data in the file
 		return &fs.PathError{Op: "write", Path: f.Name(), Err: err}
 	}
 	_, err := f.Write(data)
@@ -179,7 +181,7 @@
 }
 
 func syncFile(f *os.File) error {
-	if err := failure(CallSync); err != nil {
+	if err := injectedFailure(CallSync); err != nil {
 		return &fs.PathError{Op: "sync", Path: f.Name(), Err: err}
 	}
 	return f.Sync()
--- a/internal/system/system_test.go
+++ b/internal/system/system_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// What is built without the tag holds nothing that makes calls fail; what is built with it does.
+// A binary built without the tag contains no fault injection; one built with it does.
 func TestTheReleaseBuildHoldsNoFaults(t *testing.T) {
 	for _, faulty := range []bool{false, true} {
 		out := filepath.Join(t.TempDir(), "node")
@@ -27,15 +27,15 @@
 			t.Fatal(err)
 		}
 		if got := bytes.Contains(binary, []byte("LAPISSHELF_FAULTS")); got != faulty {
-			t.Errorf("built with faults %t: it knows the plan's variable: %t", faulty, got)
+			t.Errorf("built with faults %t: the binary contains the plan's variable: %t", faulty, got)
 		}
 	}
 }
 
-// What is forced by system calls that fail passes, built with the tag.
-func TestWithFaults(t *testing.T) {
+// The tests of the packages with fault injection pass when built with the tag.
+func TestFaultsBuild(t *testing.T) {
 	if FaultsEnabled {
-		t.Skip("this is that build")
+		t.Skip("already built with the tag")
 	}
 	out, err := exec.Command("go", "test", "-count=1", "-tags", "faults", "lapisshelf/internal/system", "lapisshelf/internal/loop", "lapisshelf/internal/handover").CombinedOutput()
 	if err != nil {
@@ -43,12 +43,12 @@
 	}
 }
 
-// A file is replaced whole or stays as it was, and what is written beside it leaves nothing else in its place.
-func TestWriteWhole(t *testing.T) {
+// A file is replaced as a whole or stays as it was, and no temporary file remains.
+func TestWriteFileAtomic(t *testing.T) {
 	dir := t.TempDir()
-	path, beside := filepath.Join(dir, "state"), filepath.Join(dir, "state.new")
+	path, tempPath := filepath.Join(dir, "state"), filepath.Join(dir, "state.new")
 	for _, text := range []string{"first", "second, longer", "3"} {
-		if err := WriteFileAtomic(path, beside, []byte(text), 0o600, true); err != nil {
+		if err := WriteFileAtomic(path, tempPath, []byte(text), 0o600, true); err != nil {
 			t.Fatal(err)
 		}
 		if got, err := os.ReadFile(path); err != nil || string(got) != text {
@@ -59,6 +59,6 @@
 		t.Errorf("%v, %v", names, err)
 	}
 	if err := WriteFileAtomic(filepath.Join(dir, "none", "state"), filepath.Join(dir, "none", "new"), nil, 0o600, false); !errors.Is(err, unix.ENOENT) {
-		t.Errorf("in no directory: %v", err)
+		t.Errorf("in a missing directory: %v", err)
 	}
 }
