--- a/cmd/lapislab/planted_test.go
+++ b/cmd/lapislab/planted_test.go
@@ -35,7 +35,7 @@
 	{name: "servers get more time told than is left", seeds: 2, edits: []replacement{
 		{"internal/node/caches.go", "return max(1, wait.Milliseconds())", "return max(1, wait.Milliseconds()+1000)"}}},
 	{name: "what stood unread counts from when it is read", seeds: 20, edits: []replacement{
-		{"internal/loop/loop.go", "func (l *Loop) EarliestArrival() time.Duration { return l.came }", "func (l *Loop) EarliestArrival() time.Duration { return l.Now() }"}}},
+		{"internal/loop/loop.go", "func (l *Loop) EarliestArrival() time.Duration { return l.earliestArrival }", "func (l *Loop) EarliestArrival() time.Duration { return l.Now() }"}}},
 	{name: "bans are not taken over", seeds: 12, edits: []replacement{
 		{"internal/node/succession.go", "n.guard(\"hand\", func() { n.policy.Hand(now, h) })", "_ = now"}}},
 	{name: "requests are not failed as their time ends", seeds: 20, edits: []replacement{
@@ -43,12 +43,12 @@
 	{name: "a planned end closes over open requests", seeds: 6, edits: []replacement{
 		{"internal/node/drain.go", "if len(c.calls) > 0 || c.conn.Pending() > 0 {", "if n.leaving && len(c.calls) > 0 {\n\t\t\tc.cut(closedAtEnd)\n\t\t\tcontinue\n\t\t}\n\t\tif len(c.calls) > 0 || c.conn.Pending() > 0 {"}}},
 	{name: "clients that leave are not seen", seeds: 6, edits: []replacement{
-		{"internal/loop/conn.go", "func (c *Conn) WatchPeerClose() {\n\tc.source.leaves = true", "func (c *Conn) WatchPeerClose() {\n\tc.source.leaves = false"},
-		{"internal/loop/conn.go", "case n == 0:\n\t\tc.end(io.EOF)", "case n == 0 && c.source.leaves:\n\t\tc.end(io.EOF)"}}},
+		{"internal/loop/conn.go", "func (c *Conn) WatchPeerClose() {\n\tc.source.watchPeerClose = true", "func (c *Conn) WatchPeerClose() {\n\tc.source.watchPeerClose = false"},
+		{"internal/loop/conn.go", "case n == 0:\n\t\tc.end(io.EOF)", "case n == 0 && c.source.watchPeerClose:\n\t\tc.end(io.EOF)"}}},
 	{name: "an answer may be another request's", seeds: 8, edits: []replacement{
 		{"internal/node/caches.go", "case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID): // another request's answer\n\t\t\treturn answer{}, 0, meta.ErrResponse", "case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID) && false:\n\t\t\treturn answer{}, 0, meta.ErrResponse"}}},
 	{name: "a listener does not go on after a shortage", seeds: 12, edits: []replacement{
-		{"internal/loop/conn.go", "ln.short = false", "ln.short = true"}}},
+		{"internal/loop/conn.go", "ln.resourceShortage = false", "ln.resourceShortage = true"}}},
 	{name: "a lost process is never replaced by one that is ready", seeds: 4, edits: []replacement{
 		{"internal/node/members.go", "readyWithin = 2 * time.Second", "readyWithin = 200 * time.Second"},
 		{"internal/node/members.go", "n.registry.Heard = n.listHeard", "n.registry.Heard = nil"}}},
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -12,56 +12,56 @@
 	"lapisshelf/internal/system"
 )
 
-// mostPassed is how many bytes are passed over of a connection that only waits for the other end to finish.
-const mostPassed = 256 << 10
+// maxDiscardedBytes limits what is read and discarded from a connection that only waits for the peer to close.
+const maxDiscardedBytes = 256 << 10
 
-// shortOf is how long accepting rests when the system has no descriptor or memory for a connection.
-const shortOf = 50 * time.Millisecond
+// acceptRetryDelay is how long accepting is suspended when the system has no descriptor or memory for a connection.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// mostAccepted is how many connections are accepted in a turn, so that they don't keep others waiting.
-const mostAccepted = 64
+// maxAcceptsPerTurn limits the connections accepted in one turn of the loop, so that other events are not delayed.
+const maxAcceptsPerTurn = 64
 
-// mostQueue is how many connections the system may hold for a listener.
-const mostQueue = 1024
+// listenBacklog is the length of a listener's queue of connections that the system has accepted.
+const listenBacklog = 1024
 
-// Handler is a connection's owner. The calls come from the loop, never from inside one of the Conn's own methods.
+// Handler receives the events of a connection. Its methods are called by the loop, never from inside one of the Conn's own methods.
 type Handler interface {
-	Connected()       // the connection stands
-	Data(data []byte) // bytes have come; data is the loop's and good only during the call
-	Flushed()         // all that was written has been handed to the system
-	End(err error)    // the connection is over and given back; io.EOF when the other end has finished
+	Connected()       // the connection is established
+	Data(data []byte) // bytes were received; data belongs to the loop and is valid only during the call
+	Flushed()         // everything written has been passed to the kernel
+	End(err error)    // the connection has ended and its descriptor is closed; err is io.EOF if the peer closed it
 }
 
-// Conn is a TCP connection that never blocks.
+// Conn is a non-blocking TCP connection.
 type Conn struct {
-	loop    *Loop
-	source  *source
-	handler Handler
-	out     []byte // not yet handed to the system
-	written int64  // bytes handed to the system
-	up      bool
-	paused  bool
-	closed  bool
-	failed  bool   // its end has been put off until the owner can be told
-	linger  *Timer // set once it only waits for the other end to finish
-	passed  int    // bytes passed over since
-	last    bool   // it closes when out is empty
-	freed   func() // called when the descriptor is given back
-}
-
-// Prioritize has its events come before all others of a turn.
+	loop        *Loop
+	source      *source
+	handler     Handler
+	writeBuffer []byte // written but not yet passed to the kernel
+	written     int64  // bytes passed to the kernel
+	connected   bool
+	paused      bool
+	closed      bool
+	endPending  bool   // an error has occurred; the handler is notified once the running callback returns
+	lingerTimer *Timer // set once the connection only waits for the peer to close
+	discarded   int    // bytes discarded since then
+	closing     bool   // CloseGracefully was called: no more writes; the sending side is shut down once writeBuffer is empty
+	onRelease   func() // called when the descriptor is closed
+}
+
+// Prioritize makes the loop handle the events of this connection before all others of a turn.
 func (c *Conn) Prioritize() { c.source.urgent = true }
 
-// OnRelease calls f when the descriptor is given back, however that comes about; at once if it has been.
+// OnRelease calls f when the descriptor is closed, for whatever reason; at once if it is closed already.
 func (c *Conn) OnRelease(f func()) {
 	if c.closed {
 		f()
 		return
 	}
-	c.freed = f
+	c.onRelease = f
 }
 
-// Dial begins a connection; its outcome is told by Up or End. An error means that nothing was begun.
+// Dial starts to connect; the outcome is reported by Connected or End. An error means that nothing was started.
 func (l *Loop) Dial(addr netip.AddrPort, h Handler) (*Conn, error) {
 	family, to := sockaddr(addr)
 	fd, err := system.Socket(family)
@@ -69,26 +69,27 @@
 		return nil, err
 	}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	if err := system.Connect(fd, to); err != nil && !errors.Is(err, unix.EINPROGRESS) && !errors.Is(err, unix.EINTR) { // an interrupted one goes on too
+	if err := system.Connect(fd, to); err != nil && !errors.Is(err, unix.EINPROGRESS) && !errors.Is(err, unix.EINTR) { // an interrupted connect continues in the background, too
 		unix.Close(fd)
 		return nil, err
 	}
 	return l.adopt(fd, unix.EPOLLOUT, h)
 }
 
-// adopt makes a Conn the owner of a descriptor.
+// adopt creates the Conn that owns a descriptor.
 func (l *Loop) adopt(fd int, events uint32, h Handler) (*Conn, error) {
 	c := &Conn{loop: l, handler: h}
-	s, err := l.watch(fd, events, c.ready)
+	s, err := l.watch(fd, events, c.handleEvents)
 	if err != nil {
 		unix.Close(fd)
 		return nil, err
 	}
 	c.source = s
-	l.open++
+	l.openSockets++
 	return c, nil
 }
 
+// sockaddr returns the address family and the socket address for the system calls.
 func sockaddr(addr netip.AddrPort) (int, unix.Sockaddr) {
 	if ip := addr.Addr().Unmap(); ip.Is4() {
 		return unix.AF_INET, &unix.SockaddrInet4{Port: int(addr.Port()), Addr: ip.As4()}
@@ -96,48 +97,48 @@
 	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(addr.Port()), Addr: addr.Addr().As16()}
 }
 
-// Written is the number of bytes handed to the system so far.
+// Written returns the number of bytes passed to the kernel so far.
 func (c *Conn) Written() int64 { return c.written }
 
-// Acknowledged is the number of bytes that the other end has acknowledged.
+// Acknowledged returns the number of bytes that the peer has acknowledged.
 func (c *Conn) Acknowledged() int64 {
 	if c.closed {
 		return c.written
 	}
-	waits, err := unix.IoctlGetInt(c.source.fd, unix.SIOCOUTQ)
+	unacknowledged, err := unix.IoctlGetInt(c.source.fd, unix.SIOCOUTQ)
 	if err != nil {
 		return c.written
 	}
-	return c.written - int64(waits)
+	return c.written - int64(unacknowledged)
 }
 
-// WriteOffset is the number of bytes written or waiting to be: where the next byte will stand.
-func (c *Conn) WriteOffset() int64 { return c.written + int64(len(c.out)) }
+// WriteOffset returns the number of bytes written so far, buffered ones included: the stream offset of the next byte.
+func (c *Conn) WriteOffset() int64 { return c.written + int64(len(c.writeBuffer)) }
 
-// GrowSendBuffer asks the system for room for so many bytes more than it holds for the other end to take. It gives what its own
-// bounds allow, and never less than before.
+// GrowSendBuffer asks the kernel for a send buffer that holds so many bytes beyond those that the peer has not yet acknowledged.
+// The kernel applies its own limits; the buffer never shrinks.
 func (c *Conn) GrowSendBuffer(bytes int) {
-	if c.closed || c.last {
+	if c.closed || c.closing {
 		return
 	}
-	was, err := unix.GetsockoptInt(c.source.fd, unix.SOL_SOCKET, unix.SO_SNDBUF)
-	// The system doubles what it is told, for its own bookkeeping; so does what it tells.
-	if want := int(c.written-c.Acknowledged()) + bytes; err == nil && 2*want > was {
+	current, err := unix.GetsockoptInt(c.source.fd, unix.SOL_SOCKET, unix.SO_SNDBUF)
+	// The kernel doubles the size that is set, to allow for bookkeeping, and returns the doubled value.
+	if want := int(c.written-c.Acknowledged()) + bytes; err == nil && 2*want > current {
 		unix.SetsockoptInt(c.source.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, want)
 	}
 }
 
-// Pending is the number of bytes that wait to be handed to the system.
-func (c *Conn) Pending() int { return len(c.out) }
+// Pending returns the number of buffered bytes that have not been passed to the kernel.
+func (c *Conn) Pending() int { return len(c.writeBuffer) }
 
-// Write hands bytes to the system, or keeps a copy until it takes them.
+// Write passes bytes to the kernel, and buffers a copy of those that it does not take yet.
 func (c *Conn) Write(data []byte) {
-	if c.closed || c.failed || c.last {
+	if c.closed || c.endPending || c.closing {
 		return
 	}
-	if len(c.out) > 0 || !c.up {
-		c.out = append(c.out, data...)
-		c.interest()
+	if len(c.writeBuffer) > 0 || !c.connected {
+		c.writeBuffer = append(c.writeBuffer, data...)
+		c.updateEvents()
 		return
 	}
 	n, err := send(c.source.fd, data)
@@ -147,29 +148,29 @@
 		return
 	}
 	if n < len(data) {
-		c.out = append(c.out, data[n:]...)
-		c.interest()
+		c.writeBuffer = append(c.writeBuffer, data[n:]...)
+		c.updateEvents()
 	}
 }
 
-// CancelWrite takes back what was written between two places, as Queued told them, unless a byte of that has been handed to
-// the system. It reports whether it did; what was written behind it moves up.
+// CancelWrite removes what was written between two offsets, as returned by WriteOffset, unless any of it has been passed to the
+// kernel. It reports whether it did; the offsets of what was written after it decrease accordingly.
 func (c *Conn) CancelWrite(from, to int64) bool {
-	if from < c.written || to < from || to > c.WriteOffset() || c.closed || c.last {
+	if from < c.written || to < from || to > c.WriteOffset() || c.closed || c.closing {
 		return false
 	}
-	c.out = slices.Delete(c.out, int(from-c.written), int(to-c.written))
-	c.interest()
+	c.writeBuffer = slices.Delete(c.writeBuffer, int(from-c.written), int(to-c.written))
+	c.updateEvents()
 	return true
 }
 
-// send writes what the system takes.
+// send writes as much as the kernel takes.
 func send(fd int, data []byte) (sent int, err error) {
 	for sent < len(data) {
 		n, err := system.Send(fd, data[sent:])
 		switch {
 		case errors.Is(err, unix.EAGAIN), errors.Is(err, unix.ENOBUFS), errors.Is(err, unix.ENOMEM):
-			return sent, nil // the rest goes when the system says that there is room
+			return sent, nil // the rest is sent when epoll reports that the socket is writable
 		case errors.Is(err, unix.EINTR):
 		case err != nil:
 			return sent, err
@@ -180,63 +181,63 @@
 	return sent, nil
 }
 
-// SetPaused stops reading, and goes on with it.
-func (c *Conn) SetPaused(on bool) {
-	if c.paused != on && !c.closed {
-		c.paused = on
-		c.interest()
+// SetPaused stops or resumes reading.
+func (c *Conn) SetPaused(pause bool) {
+	if c.paused != pause && !c.closed {
+		c.paused = pause
+		c.updateEvents()
 	}
 }
 
-// WatchPeerClose has the connection end as soon as the other end has finished or reset it, also while reading is paused, whatever
-// it sent before and nobody has read: for clients, who have left then. Such ends come before all other events of a turn
-// that are not urgent.
+// WatchPeerClose makes the connection end as soon as the peer has closed or reset it, even while reading is paused, and discards
+// what was received before and has not been read. It is meant for clients, which have left when they close. These ends are handled
+// before all other events of a turn that are not prioritized.
 func (c *Conn) WatchPeerClose() {
-	c.source.leaves = true
-	c.interest()
+	c.source.watchPeerClose = true
+	c.updateEvents()
 }
 
-// PeerClosed reports whether the other end of a connection that heeds its end has left, whether or not the owner has been told
-// yet. What it says is lookAgain old at most, however long the loop has been busy.
+// PeerClosed reports whether the peer of a connection with WatchPeerClose has closed it, even if the handler has not been notified
+// yet. The answer is at most maxPollAge old, however long the loop has been busy.
 func (c *Conn) PeerClosed() bool {
 	if !c.closed {
-		c.loop.again()
+		c.loop.pollIfStale()
 	}
-	return c.closed || c.failed || c.source.left
+	return c.closed || c.endPending || c.source.peerClosed
 }
 
-// interest tells epoll what is waited for.
-func (c *Conn) interest() {
+// updateEvents registers the wanted events with epoll.
+func (c *Conn) updateEvents() {
 	if c.closed {
 		return
 	}
 	var events uint32
-	if c.up && !c.paused {
+	if c.connected && !c.paused {
 		events |= unix.EPOLLIN
 	}
-	if c.up && c.source.leaves {
+	if c.connected && c.source.watchPeerClose {
 		events |= unix.EPOLLRDHUP
 	}
-	if !c.up || len(c.out) > 0 {
+	if !c.connected || len(c.writeBuffer) > 0 {
 		events |= unix.EPOLLOUT
 	}
-	c.loop.expect(c.source, events)
+	c.loop.setEvents(c.source, events)
 }
 
-// Stale reports whether an idle connection has ended or holds bytes that nobody asked for.
+// Stale reports whether an idle connection has ended or holds unsolicited bytes.
 func (c *Conn) Stale() bool {
-	if c.closed || c.failed || !c.up {
+	if c.closed || c.endPending || !c.connected {
 		return true
 	}
 	var b [1]byte
 	_, err := system.Peek(c.source.fd, b[:])
-	for tries := 0; errors.Is(err, unix.EINTR) && tries < mostInterrupted; tries++ {
+	for tries := 0; errors.Is(err, unix.EINTR) && tries < maxInterruptRetries; tries++ {
 		_, err = system.Peek(c.source.fd, b[:])
 	}
-	return !errors.Is(err, unix.EAGAIN) // what can't be looked at is not known to be idle
+	return !errors.Is(err, unix.EAGAIN) // a connection that cannot be checked is not known to be idle
 }
 
-// SinceLastData is how long ago bytes last came from the other end, read or not, as far as the system knows.
+// SinceLastData returns the time since bytes were last received from the peer, read or not, if the kernel can tell.
 func (c *Conn) SinceLastData() (ago time.Duration, known bool) {
 	if c.closed {
 		return 0, false
@@ -248,46 +249,47 @@
 	return time.Duration(info.Last_data_recv) * time.Millisecond, true
 }
 
-// Close gives the connection back at once, without a call to End.
+// Close closes the connection immediately, without a call to End.
 func (c *Conn) Close() { c.release() }
 
-// CloseGracefully closes the connection when all that was written is with the other end: it ends the sending, then passes
-// over what still comes until the other end has finished too, or the time is over. Closing at once with bytes
-// unread would make the system throw away answers on their way. The owner is not called any more.
-func (c *Conn) CloseGracefully(within time.Duration) {
-	if c.closed || c.last {
+// CloseGracefully closes the connection once the peer has everything that was written: it flushes the write buffer, shuts down the
+// sending side, then discards received bytes until the peer closes too or the timeout expires. Closing immediately with unread bytes
+// would make the kernel reset the connection and drop data in transit. The handler is not called any more.
+func (c *Conn) CloseGracefully(timeout time.Duration) {
+	if c.closed || c.closing {
 		return
 	}
-	c.last, c.handler = true, nobody{}
-	c.source.leaves = false // what still comes is passed over, up to the end
-	c.linger = c.loop.After(within, c.release)
+	c.closing, c.handler = true, discardHandler{}
+	c.source.watchPeerClose = false // received bytes are discarded up to the end of the stream
+	c.lingerTimer = c.loop.After(timeout, c.release)
 	c.SetPaused(false)
-	if len(c.out) == 0 && c.up {
+	if len(c.writeBuffer) == 0 && c.connected {
 		unix.Shutdown(c.source.fd, unix.SHUT_WR)
 	}
 }
 
-type nobody struct{}
+// discardHandler ignores all events.
+type discardHandler struct{}
 
-func (nobody) Connected()  {}
-func (nobody) Data([]byte) {}
-func (nobody) Flushed()    {}
-func (nobody) End(error)   {}
+func (discardHandler) Connected()  {}
+func (discardHandler) Data([]byte) {}
+func (discardHandler) Flushed()    {}
+func (discardHandler) End(error)   {}
 
-// release gives back the descriptor, the buffer and the timer; a second call does nothing.
+// release closes the descriptor and drops the buffer and the timer; a second call has no effect.
 func (c *Conn) release() {
 	if c.closed {
 		return
 	}
-	c.closed, c.out = true, nil
-	c.linger.Stop()
+	c.closed, c.writeBuffer = true, nil
+	c.lingerTimer.Stop()
 	c.loop.release(c.source)
-	if c.freed != nil {
-		c.freed()
+	if c.onRelease != nil {
+		c.onRelease()
 	}
 }
 
-// end gives the connection back and tells the owner.
+// end closes the connection and notifies the handler.
 func (c *Conn) end(err error) {
 	if !c.closed {
 		c.release()
@@ -297,15 +299,15 @@
 
 // fail ends the connection as soon as the running callback has returned.
 func (c *Conn) fail(err error) {
-	if !c.failed {
-		c.failed = true
+	if !c.endPending {
+		c.endPending = true
 		c.loop.Defer(func() { c.end(err) })
 	}
 }
 
-// ready handles what epoll tells.
-func (c *Conn) ready(events uint32) {
-	if !c.up {
+// handleEvents handles the events that epoll reported.
+func (c *Conn) handleEvents(events uint32) {
+	if !c.connected {
 		if code, err := unix.GetsockoptInt(c.source.fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || code != 0 {
 			c.end(unix.Errno(code))
 			return
@@ -313,53 +315,55 @@
 		if events&unix.EPOLLOUT == 0 {
 			return
 		}
-		c.up = true
-		c.interest()
+		c.connected = true
+		c.updateEvents()
 		c.handler.Connected()
 	}
-	if c.source.leaves && events&ended != 0 {
-		// Guards against taking what a client had asked for before it left, which may be long ago: it would be sent on.
+	if c.source.watchPeerClose && events&peerCloseEvents != 0 {
+		// Data that a client sent before it closed may be old, and nobody waits for the result any more: it must not be processed.
 		c.end(io.EOF)
 		return
 	}
-	if !c.closed && len(c.out) > 0 && events&(unix.EPOLLOUT|unix.EPOLLERR) != 0 {
+	if !c.closed && len(c.writeBuffer) > 0 && events&(unix.EPOLLOUT|unix.EPOLLERR) != 0 {
 		c.flush()
 	}
-	if !c.closed && !c.failed && (events&unix.EPOLLIN != 0 && !c.paused || events&(unix.EPOLLERR|unix.EPOLLHUP) != 0) {
+	if !c.closed && !c.endPending && (events&unix.EPOLLIN != 0 && !c.paused || events&(unix.EPOLLERR|unix.EPOLLHUP) != 0) {
 		c.read()
 	}
 }
 
+// flush passes the write buffer to the kernel.
 func (c *Conn) flush() {
-	n, err := send(c.source.fd, c.out)
+	n, err := send(c.source.fd, c.writeBuffer)
 	c.written += int64(n)
 	if err != nil {
 		c.end(err)
 		return
 	}
-	if n < len(c.out) {
-		c.out = c.out[:copy(c.out, c.out[n:])]
+	if n < len(c.writeBuffer) {
+		c.writeBuffer = c.writeBuffer[:copy(c.writeBuffer, c.writeBuffer[n:])]
 		return
 	}
-	c.out = nil // a large answer's buffer is not kept for the connection's life
-	c.interest()
-	if c.last {
+	c.writeBuffer = nil // a large buffer is not kept for the lifetime of the connection
+	c.updateEvents()
+	if c.closing {
 		unix.Shutdown(c.source.fd, unix.SHUT_WR)
 	}
 	c.handler.Flushed()
 }
 
+// read receives what is available and passes it to the handler.
 func (c *Conn) read() {
 	n, err := system.Receive(c.source.fd, c.loop.buffer)
 	switch {
-	case errors.Is(err, unix.EAGAIN), errors.Is(err, unix.EINTR), errors.Is(err, unix.ENOMEM): // it is told of again
+	case errors.Is(err, unix.EAGAIN), errors.Is(err, unix.EINTR), errors.Is(err, unix.ENOMEM): // epoll reports it again
 	case err != nil:
 		c.end(err)
 	case n == 0:
 		c.end(io.EOF)
-	case c.last:
-		// Guards against one who goes on sending at full speed to a connection that is over.
-		if c.passed += n; c.passed > mostPassed {
+	case c.closing:
+		// Guards against a peer that keeps sending at full speed on a connection that is being closed.
+		if c.discarded += n; c.discarded > maxDiscardedBytes {
 			c.release()
 		}
 	default:
@@ -369,22 +373,22 @@
 
 // Listener accepts connections.
 type Listener struct {
-	loop   *Loop
-	source *source
-	accept func(fd int)
-	steers bool // new connections come to it alone
-	paused bool // by its owner
-	short  bool // the system has no descriptor or memory for a connection
-	waits  bool // connections may have waited for it since came
-	came   time.Duration
-	ending bool // it will be closed once what the system has accepted is taken
-	closed bool
-}
-
-// SteersConnections reports whether new connections come to this one alone of those that share its address.
-func (ln *Listener) SteersConnections() bool { return ln.steers }
-
-// Addr is the address that it listens on.
+	loop              *Loop
+	source            *source
+	accept            func(fd int)
+	steersConnections bool // all new connections of the shared address go to this listener
+	paused            bool // by its owner
+	resourceShortage  bool // the system has no descriptor or memory for a connection
+	mayHaveBacklog    bool // connections may have been waiting since earliestArrival
+	earliestArrival   time.Duration
+	closePending      bool // it is closed once the connections that the system has accepted are taken
+	closed            bool
+}
+
+// SteersConnections reports whether, of all listeners that share its address, only this one receives new connections.
+func (ln *Listener) SteersConnections() bool { return ln.steersConnections }
+
+// Addr returns the address that it listens on.
 func (ln *Listener) Addr() netip.AddrPort {
 	at, err := unix.Getsockname(ln.source.fd)
 	if err != nil {
@@ -399,37 +403,37 @@
 	return netip.AddrPort{}
 }
 
-// SetShared lets other processes of the same user listen on the same address, or no more of them. While it is not shared
-// the system refuses them: two by mistake would divide the connections between them unnoticed.
-func (ln *Listener) SetShared(on bool) {
+// SetShared allows other processes of the same user to listen on the same address, or forbids it. While the address is not shared,
+// the kernel refuses them: two processes started by mistake would divide the connections between them unnoticed.
+func (ln *Listener) SetShared(shared bool) {
 	if ln == nil || ln.closed {
 		return
 	}
 	value := 0
-	if on {
+	if shared {
 		value = 1
 	}
 	unix.SetsockoptInt(ln.source.fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, value)
 }
 
-// Listen listens on exactly this address. Each connection's descriptor is given to accept, which passes it to Accept
-// or, if it has no room, is not called until Pause(false).
+// Listen listens on exactly this address. Each connection's descriptor is passed to accept, which passes it on to Loop.Accept.
+// A caller without capacity uses SetPaused, which keeps accept from being called.
 func (l *Loop) Listen(addr netip.AddrPort, accept func(fd int)) (*Listener, error) {
 	return l.listen(addr, accept, false)
 }
 
-// ListenShared listens on an address beside another process whose listener is shared, see Share. With others so many before it,
-// new connections come to this one alone from then on, where the system can do that: the others' queues run empty, and
-// nothing is lost when they close.
-func (l *Loop) ListenShared(addr netip.AddrPort, others int, accept func(fd int)) (*Listener, error) {
+// ListenShared listens on an address together with other processes whose listeners are shared, see SetShared. With the right number
+// of earlier listeners, all new connections go to this one from then on, where the kernel supports it: the queues of the others
+// run empty, and nothing is lost when they close.
+func (l *Loop) ListenShared(addr netip.AddrPort, earlierListeners int, accept func(fd int)) (*Listener, error) {
 	ln, err := l.listen(addr, accept, true)
 	if err != nil {
 		return nil, err
 	}
-	// One instruction: return the number of the socket in the group, which they enter in the order of listening. One
-	// that is too high, as it is when the others have closed, leaves the choice to the system.
-	program := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: uint32(others)}}
-	ln.steers = unix.SetsockoptSockFprog(ln.source.fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
+	// A single instruction returns the index of the socket in the reuseport group; sockets join it in the order of listening. An index
+	// that is out of range, as it is once the others have closed, leaves the choice to the kernel.
+	program := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: uint32(earlierListeners)}}
+	ln.steersConnections = unix.SetsockoptSockFprog(ln.source.fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
 		&unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]}) == nil
 	return ln, nil
 }
@@ -440,7 +444,7 @@
 	if err != nil {
 		return nil, err
 	}
-	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // a restart comes back to the same address
+	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // a restart binds the same address again
 	if shared {
 		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	}
@@ -448,23 +452,23 @@
 		unix.Close(fd)
 		return nil, err
 	}
-	if err := unix.Listen(fd, mostQueue); err != nil {
+	if err := unix.Listen(fd, listenBacklog); err != nil {
 		unix.Close(fd)
 		return nil, err
 	}
 	ln := &Listener{loop: l, accept: accept}
-	if ln.source, err = l.watch(fd, unix.EPOLLIN, func(uint32) { ln.take() }); err != nil {
+	if ln.source, err = l.watch(fd, unix.EPOLLIN, func(uint32) { ln.acceptReady() }); err != nil {
 		unix.Close(fd)
 		return nil, err
 	}
-	l.open++
+	l.openSockets++
 	return ln, nil
 }
 
-// take accepts what waits, a bounded number at a time.
-func (ln *Listener) take() {
-	ln.settle()
-	for range mostAccepted {
+// acceptReady accepts the waiting connections, up to a limit per turn.
+func (ln *Listener) acceptReady() {
+	ln.updateEarliestArrival()
+	for range maxAcceptsPerTurn {
 		if ln.closed || ln.source.events == 0 {
 			return
 		}
@@ -474,58 +478,59 @@
 			ln.accept(fd)
 		case IsResourceShortage(err):
 			// Guards against a loop that spins on a connection for which there is no descriptor.
-			ln.rest()
+			ln.pauseOnShortage()
 			return
 		default:
-			return // nothing waits, or what waited has gone
+			return // nothing waits, or the waiting connection was aborted
 		}
 	}
-	ln.waits = true // guards against those beyond the bound that count from the next turn
+	ln.mayHaveBacklog = true // connections beyond the limit keep their arrival time in the next turn
 }
 
-// EarliestArrival is since when a connection that is accepted now may have waited.
-func (ln *Listener) EarliestArrival() time.Duration { return ln.came }
+// EarliestArrival returns the earliest time at which a connection that is accepted now may have arrived.
+func (ln *Listener) EarliestArrival() time.Duration { return ln.earliestArrival }
 
-// settle settles Came for what is accepted in this turn.
-func (ln *Listener) settle() {
-	if !ln.waits {
-		ln.came = ln.loop.came
+// updateEarliestArrival sets EarliestArrival for the connections accepted in this turn.
+func (ln *Listener) updateEarliestArrival() {
+	if !ln.mayHaveBacklog {
+		ln.earliestArrival = ln.loop.earliestArrival
 	}
-	ln.waits = false
+	ln.mayHaveBacklog = false
 }
 
-// rest stops accepting for a moment, whatever its owner says meanwhile.
-func (ln *Listener) rest() {
-	ln.short = true
-	ln.interest()
-	ln.loop.After(shortOf, func() {
-		ln.short = false
-		ln.interest()
+// pauseOnShortage suspends accepting for acceptRetryDelay, independently of SetPaused.
+func (ln *Listener) pauseOnShortage() {
+	ln.resourceShortage = true
+	ln.updateEvents()
+	ln.loop.After(acceptRetryDelay, func() {
+		ln.resourceShortage = false
+		ln.updateEvents()
 	})
 }
 
-// interest tells epoll whether connections are accepted. Guards against the end of one of two pauses that ends the other.
-func (ln *Listener) interest() {
+// updateEvents registers with epoll whether connections are accepted. The owner's pause and a pause on a shortage are separate
+// flags, so that the end of one does not end the other.
+func (ln *Listener) updateEvents() {
 	if ln.closed {
 		return
 	}
 	var events uint32
-	if !ln.paused && !ln.short {
+	if !ln.paused && !ln.resourceShortage {
 		events = unix.EPOLLIN
-	} else if !ln.waits && ln.source.events != 0 { // what comes from now on waits
-		ln.waits, ln.came = true, ln.loop.Now()
+	} else if !ln.mayHaveBacklog && ln.source.events != 0 { // connections that arrive from now on wait
+		ln.mayHaveBacklog, ln.earliestArrival = true, ln.loop.Now()
 	}
-	ln.loop.expect(ln.source, events)
+	ln.loop.setEvents(ln.source, events)
 }
 
-// Prioritize has new connections accepted before all else of a turn.
+// Prioritize makes the loop accept new connections before all other events of a turn.
 func (ln *Listener) Prioritize() { ln.source.urgent = true }
 
-// drainQueue takes all that waits, whether accepting rests or not: what the system has accepted would be reset. It reports
-// whether nothing is left, as far as can be known.
-func (ln *Listener) drainQueue() bool {
-	ln.settle()
-	for range 2 * mostQueue {
+// acceptBacklog accepts everything that waits, even if accepting is paused: closing the listener would reset these connections.
+// It reports whether nothing is left, as far as can be determined.
+func (ln *Listener) acceptBacklog() bool {
+	ln.updateEarliestArrival()
+	for range 2 * listenBacklog {
 		fd, err := system.Accept(ln.source.fd)
 		switch {
 		case err == nil:
@@ -535,44 +540,44 @@
 		case IsResourceShortage(err):
 			return false
 		case errors.Is(err, unix.EBADF), errors.Is(err, unix.EINVAL), errors.Is(err, unix.ENOTSOCK):
-			return true // there is no such listener
-		default: // this one has gone, or the call was interrupted
+			return true // not a listening socket
+		default: // the connection was aborted, or the call was interrupted
 		}
 	}
 	return true
 }
 
-// Accept makes a Conn of an accepted descriptor.
+// Accept creates the Conn for an accepted descriptor.
 func (l *Loop) Accept(fd int, h Handler) (*Conn, error) {
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	c, err := l.adopt(fd, unix.EPOLLIN, h)
 	if err == nil {
-		c.up = true
+		c.connected = true
 	}
 	return c, err
 }
 
-// SetPaused stops accepting, and goes on with it.
-func (ln *Listener) SetPaused(on bool) {
+// SetPaused stops or resumes accepting.
+func (ln *Listener) SetPaused(pause bool) {
 	if ln == nil || ln.closed {
 		return
 	}
-	ln.paused = on
-	ln.interest()
+	ln.paused = pause
+	ln.updateEvents()
 }
 
-// Close takes what has been accepted by the system already and gives the listener back. Where the system has no descriptor or
-// memory for what waits there, that happens once it has; Closed tells.
+// Close accepts the connections that the system has queued and closes the listener. If the system has no descriptor or memory for
+// them, it retries until it has; Closed reports when it is done.
 func (ln *Listener) Close() {
 	if ln == nil || ln.closed {
 		return
 	}
-	if !ln.drainQueue() {
-		// Guards against requests that are reset because a descriptor was short for a moment.
-		if !ln.ending {
-			ln.ending = true
-			ln.loop.After(watchAgain, func() {
-				ln.ending = false
+	if !ln.acceptBacklog() {
+		// Guards against requests that are reset because descriptors were short for a moment.
+		if !ln.closePending {
+			ln.closePending = true
+			ln.loop.After(shortageRetryDelay, func() {
+				ln.closePending = false
 				ln.Close()
 			})
 		}
@@ -582,5 +587,5 @@
 	ln.loop.release(ln.source)
 }
 
-// Closed reports whether the listener has been given back; a nil one has.
+// Closed reports whether the listener is closed; a nil listener is.
 func (ln *Listener) Closed() bool { return ln == nil || ln.closed }
--- a/internal/loop/faults_test.go
+++ b/internal/loop/faults_test.go
@@ -14,8 +14,8 @@
 	"lapisshelf/internal/system"
 )
 
-// failFirst has the first so many calls of a kind fail with an error, after so many that don't.
-func failFirst(t *testing.T, call system.Call, skip, count int, errno unix.Errno) {
+// failCalls makes calls of one kind fail with an error: the first skip calls succeed, the next count calls fail.
+func failCalls(t *testing.T, call system.Call, skip, count int, errno unix.Errno) {
 	t.Helper()
 	system.InjectFailures(func(c system.Call) error {
 		if c != call {
@@ -32,14 +32,14 @@
 	t.Cleanup(func() { system.InjectFailures(nil) })
 }
 
-// listening opens a listener that gives what it accepts to owners of its own.
-func listening(t *testing.T, l *Loop) (ln *Listener, accepted *[]*record) {
+// startListener opens a listener whose accepted connections each get a recordingHandler.
+func startListener(t *testing.T, l *Loop) (ln *Listener, accepted *[]*recordingHandler) {
 	t.Helper()
-	accepted = &[]*record{}
+	accepted = &[]*recordingHandler{}
 	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(fd int) {
-		r := &record{}
+		r := &recordingHandler{}
 		if _, err := l.Accept(fd, r); err != nil {
-			t.Errorf("not accepted: %v", err)
+			t.Errorf("Accept failed: %v", err)
 		}
 		*accepted = append(*accepted, r)
 	})
@@ -49,8 +49,8 @@
 	return ln, accepted
 }
 
-// connected opens a connection to a listener and sends a request on it.
-func connected(t *testing.T, ln *Listener) net.Conn {
+// dialAndSend opens a connection to a listener and sends a request on it.
+func dialAndSend(t *testing.T, ln *Listener) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -63,8 +63,8 @@
 	return conn
 }
 
-// passes runs the loop for a while.
-func passes(t *testing.T, l *Loop, d time.Duration) {
+// runFor runs the loop for a while.
+func runFor(t *testing.T, l *Loop, d time.Duration) {
 	t.Helper()
 	l.After(d, l.Stop)
 	if err := l.Run(); err != nil {
@@ -72,86 +72,86 @@
 	}
 }
 
-// A listener that rests for want of descriptors, and that its owner has paused meanwhile, rests until the owner goes on.
+// A listener that its owner pauses during a shortage of descriptors stays paused when the shortage is over.
 func TestAnOwnersPauseOutlastsAShortage(t *testing.T) {
 	l := newLoop(t)
-	ln, accepted := listening(t, l)
-	failFirst(t, system.CallAccept, 0, 1, unix.ENFILE)
-	connected(t, ln)
-	passes(t, l, shortOf/2) // it rests
+	ln, accepted := startListener(t, l)
+	failCalls(t, system.CallAccept, 0, 1, unix.ENFILE)
+	dialAndSend(t, ln)
+	runFor(t, l, acceptRetryDelay/2) // accepting is suspended
 	ln.SetPaused(true)
-	passes(t, l, 2*shortOf)
+	runFor(t, l, 2*acceptRetryDelay)
 	if len(*accepted) != 0 {
-		t.Fatalf("%d accepted while its owner has it paused", len(*accepted))
+		t.Fatalf("%d connections accepted while the owner has paused the listener", len(*accepted))
 	}
 	ln.SetPaused(false)
-	until(t, l, "it goes on", func() bool { return len(*accepted) == 1 })
+	runUntil(t, l, "accepting resumes", func() bool { return len(*accepted) == 1 })
 }
 
-// The other way round: an owner that goes on does not end the rest for want of descriptors.
+// The other way round: an owner that resumes a listener does not end the suspension on a shortage of descriptors.
 func TestAShortageOutlastsAnOwnersPause(t *testing.T) {
 	l := newLoop(t)
-	ln, accepted := listening(t, l)
-	failFirst(t, system.CallAccept, 0, 1, unix.EMFILE)
-	connected(t, ln)
-	passes(t, l, shortOf/4)
+	ln, accepted := startListener(t, l)
+	failCalls(t, system.CallAccept, 0, 1, unix.EMFILE)
+	dialAndSend(t, ln)
+	runFor(t, l, acceptRetryDelay/4)
 	ln.SetPaused(true)
 	ln.SetPaused(false)
-	passes(t, l, shortOf/4)
+	runFor(t, l, acceptRetryDelay/4)
 	if len(*accepted) != 0 {
-		t.Error("accepted while it rests for want of descriptors")
+		t.Error("accepted while descriptors are short")
 	}
-	until(t, l, "it goes on by itself", func() bool { return len(*accepted) == 1 })
+	runUntil(t, l, "accepting resumes by itself", func() bool { return len(*accepted) == 1 })
 }
 
-// A listener that closes takes all that the system has accepted, though descriptors are short for a moment.
-func TestAClosingListenerTakesItsQueue(t *testing.T) {
+// A listener that closes accepts all queued connections, although descriptors are short for a moment.
+func TestClosingListenerAcceptsItsBacklog(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINTR, unix.ECONNABORTED, unix.EPROTO} {
 		l := newLoop(t)
-		ln, accepted := listening(t, l)
+		ln, accepted := startListener(t, l)
 		for range 4 {
-			connected(t, ln)
+			dialAndSend(t, ln)
 		}
-		failFirst(t, system.CallAccept, 1, 2, errno)
+		failCalls(t, system.CallAccept, 1, 2, errno)
 		ln.Close()
-		until(t, l, "all are taken after "+errno.Error(), func() bool {
-			return len(*accepted) == 4 && !slices.ContainsFunc(*accepted, func(r *record) bool { return string(r.data) != "request" })
+		runUntil(t, l, "all connections are accepted after "+errno.Error(), func() bool {
+			return len(*accepted) == 4 && !slices.ContainsFunc(*accepted, func(r *recordingHandler) bool { return string(r.data) != "request" })
 		})
 		if !ln.Closed() {
-			t.Errorf("%v: it is open", errno)
+			t.Errorf("%v: the listener is still open", errno)
 		}
 	}
 }
 
-// Who has left is known though the wait that tells is interrupted.
-func TestAnInterruptedLookIsMadeAgain(t *testing.T) {
+// A peer's close is detected although the poll that reports it is interrupted.
+func TestInterruptedPollIsRetried(t *testing.T) {
 	l := newLoop(t)
-	ln, accepted := listening(t, l)
-	conn := connected(t, ln)
-	until(t, l, "it is accepted", func() bool { return len(*accepted) == 1 })
-	var near *Conn
+	ln, accepted := startListener(t, l)
+	clientConn := dialAndSend(t, ln)
+	runUntil(t, l, "the connection is accepted", func() bool { return len(*accepted) == 1 })
+	var serverConn *Conn
 	for _, s := range l.sources {
 		s := s
-		if s.fd != ln.source.fd && s.fd != l.wake {
-			near = &Conn{loop: l, source: s, up: true}
+		if s.fd != ln.source.fd && s.fd != l.wakeFD {
+			serverConn = &Conn{loop: l, source: s, connected: true}
 		}
 	}
-	near.WatchPeerClose()
-	conn.Close()
-	time.Sleep(2 * lookAgain)
-	failFirst(t, system.CallEpollWait, 0, 3, unix.EINTR)
-	if !near.PeerClosed() {
-		t.Error("its client has left, which is not told")
+	serverConn.WatchPeerClose()
+	clientConn.Close()
+	time.Sleep(2 * maxPollAge)
+	failCalls(t, system.CallEpollWait, 0, 3, unix.EINTR)
+	if !serverConn.PeerClosed() {
+		t.Error("the peer has closed, but PeerClosed is false")
 	}
 }
 
-// What epoll has no memory for is watched a moment later.
-func TestWatchingIsTriedAgain(t *testing.T) {
+// A registration that fails because epoll is out of memory is retried after a short delay.
+func TestEpollRegistrationIsRetried(t *testing.T) {
 	for _, call := range []system.Call{system.CallEpollAdd, system.CallEpollMod} {
 		l := newLoop(t)
-		r := &record{}
+		r := &recordingHandler{}
 		ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(fd int) {
-			failFirst(t, call, 0, 2, unix.ENOMEM)
+			failCalls(t, call, 0, 2, unix.ENOMEM)
 			c, err := l.Accept(fd, r)
 			if err != nil {
 				t.Fatal(err)
@@ -162,33 +162,33 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		connected(t, ln)
-		until(t, l, string(call)+": what was sent is read", func() bool { return string(r.data) == "request" })
+		dialAndSend(t, ln)
+		runUntil(t, l, string(call)+": the sent bytes are read", func() bool { return string(r.data) == "request" })
 	}
 }
 
-// A connection with something unread is no idle one, though the look at it is interrupted.
-func TestAnInterruptedPeekIsMadeAgain(t *testing.T) {
+// A connection with unread data is not idle, although the check is interrupted.
+func TestInterruptedPeekIsRetried(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EINTR, unix.ENOMEM} {
 		l := newLoop(t)
-		r := &record{}
-		c, far := dial(t, l, r)
+		r := &recordingHandler{}
+		c, peer := dial(t, l, r)
 		if c.Stale() {
-			t.Fatal("stale with nothing unread")
+			t.Fatal("stale without unread data")
 		}
-		if _, err := far.Write([]byte("x")); err != nil {
+		if _, err := peer.Write([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Millisecond)
-		failFirst(t, system.CallPeek, 0, 1, errno)
+		failCalls(t, system.CallPeek, 0, 1, errno)
 		if !c.Stale() {
-			t.Errorf("%v: idle, with a byte unread", errno)
+			t.Errorf("%v: not stale with an unread byte", errno)
 		}
 	}
 }
 
-// Connecting, sending and receiving go on after what is no end of the connection, in whatever pieces.
-func TestMomentaryFailuresEndNoConnection(t *testing.T) {
+// Connecting, sending and receiving continue after a transient error, whatever the sizes of partial transfers.
+func TestTransientFailuresKeepTheConnection(t *testing.T) {
 	system.LimitTransfers(func(_ system.Call, length int) int { return length/3 + 1 })
 	defer system.LimitTransfers(nil)
 	for _, c := range []struct {
@@ -197,20 +197,20 @@
 	}{{system.CallConnect, unix.EINTR}, {system.CallSend, unix.EINTR}, {system.CallSend, unix.ENOBUFS}, {system.CallSend, unix.ENOMEM},
 		{system.CallSend, unix.EAGAIN}, {system.CallReceive, unix.EINTR}, {system.CallReceive, unix.ENOMEM}} {
 		l := newLoop(t)
-		failFirst(t, c.call, 0, 2, c.errno)
-		r := &record{}
-		near, far := dial(t, l, r)
-		near.Write([]byte("there"))
-		if _, err := far.Write([]byte("and back")); err != nil {
+		failCalls(t, c.call, 0, 2, c.errno)
+		r := &recordingHandler{}
+		conn, peer := dial(t, l, r)
+		conn.Write([]byte("there"))
+		if _, err := peer.Write([]byte("and back")); err != nil {
 			t.Fatal(err)
 		}
-		until(t, l, "the answer comes", func() bool { return string(r.data) == "and back" })
-		until(t, l, "all is sent", func() bool { return near.Pending() == 0 })
+		runUntil(t, l, "the response arrives", func() bool { return string(r.data) == "and back" })
+		runUntil(t, l, "all is sent", func() bool { return conn.Pending() == 0 })
 		buffer := make([]byte, 16)
-		far.SetReadDeadline(time.Now().Add(5 * time.Second))
+		peer.SetReadDeadline(time.Now().Add(5 * time.Second))
 		got := ""
 		for len(got) < len("there") {
-			n, err := far.Read(buffer)
+			n, err := peer.Read(buffer)
 			if err != nil {
 				t.Fatalf("%s, %v: %q, %v", c.call, c.errno, got, err)
 			}
@@ -222,14 +222,14 @@
 	}
 }
 
-// A broken connection ends, whatever the system calls the break.
+// A broken connection ends, whichever error the system reports.
 func TestBrokenConnectionsEnd(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET, unix.EPIPE} {
 		l := newLoop(t)
-		r := &record{}
-		near, _ := dial(t, l, r)
-		failFirst(t, system.CallSend, 0, 1, errno)
-		near.Write([]byte("x"))
-		until(t, l, "the end is told", func() bool { return r.end != nil })
+		r := &recordingHandler{}
+		conn, _ := dial(t, l, r)
+		failCalls(t, system.CallSend, 0, 1, errno)
+		conn.Write([]byte("x"))
+		runUntil(t, l, "End is called", func() bool { return r.end != nil })
 	}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,7 +1,7 @@
-// Package loop is the node's event loop: one epoll descriptor, one heap of timers, connections as objects with
-// callbacks. Everything runs on the goroutine that calls Run; nothing here is safe for any other.
+// Package loop is the node's event loop: one epoll descriptor, one heap of timers, and connections that call back their handlers.
+// Everything runs on the goroutine that calls Run; except for Post, nothing here may be called from another goroutine.
 //
-// A descriptor has one owner, its Conn or Listener, and is given back in one place, their release.
+// A descriptor has one owner, its Conn, Listener or File, and is closed in one place, Loop.release.
 package loop
 
 import (
@@ -15,132 +15,133 @@
 )
 
 const (
-	readSize  = 64 << 10 // bytes taken from a connection at a time, so that none keeps the others waiting
-	maxEvents = 256      // taken from epoll at a time; more where more is watched
-	// lookAgain is how old what epoll has told may be when something is done upon it. Guards against acting for one who
-	// has left while this process stood still or was busy.
-	lookAgain = 20 * time.Millisecond
-	// startTries is how often a loop is made at a start that finds the system short of something, startGap the time between.
-	startTries = 20
-	startGap   = 50 * time.Millisecond
-	// mostInterrupted is how often a call that does not wait is made again when it is interrupted.
-	mostInterrupted = 100
-	// watchAgain is how long after epoll had no memory for something it is asked again.
-	watchAgain = 10 * time.Millisecond
-	// ended is what epoll tells of a connection whose other end has finished or reset it.
-	ended = unix.EPOLLRDHUP | unix.EPOLLHUP | unix.EPOLLERR
+	readSize  = 64 << 10 // bytes read from a connection at a time, so that none delays the others
+	maxEvents = 256      // initial size of the buffer for epoll events; it grows with the number of sources
+	// maxPollAge is the maximum age of epoll's last report when an action is based on it. Guards against acting for a peer that
+	// has closed while this process was suspended or busy.
+	maxPollAge = 20 * time.Millisecond
+	// openAttempts is how often New tries to create a loop while the system is short of resources, openRetryDelay the time in between.
+	openAttempts   = 20
+	openRetryDelay = 50 * time.Millisecond
+	// maxInterruptRetries is how often a non-blocking call is repeated when it is interrupted.
+	maxInterruptRetries = 100
+	// shortageRetryDelay is the delay before an operation is retried that failed for want of a system resource.
+	shortageRetryDelay = 10 * time.Millisecond
+	// peerCloseEvents are the epoll events of a connection that the peer has closed or reset.
+	peerCloseEvents = unix.EPOLLRDHUP | unix.EPOLLHUP | unix.EPOLLERR
 )
 
-// rank is a source's place in a turn.
-type rank int
+// priority is the order of a source's events within a turn.
+type priority int
 
 const (
-	first  rank = iota // what is urgent
-	ending             // those whose other end has left
-	others
+	priorityUrgent     priority = iota // sources with Prioritize
+	priorityPeerClosed                 // connections that the peer has closed
+	priorityNormal
 )
 
-// Loop owns the epoll descriptor, the timers and the one read buffer.
+// Loop owns the epoll descriptor, the timers and the shared read buffer.
 type Loop struct {
-	epoll   int
-	wake    int           // an eventfd, for Post
-	epoch   time.Duration // Unix time at the start, by the wall clock, which is not asked again
-	start   time.Time
-	sources map[int32]*source
-	serial  int32
-	timers  timers
-	later   []func()
-	posts   chan func()
-	buffer  []byte
-	stopped bool
-	open    int           // descriptors of connections and listeners now held
-	looked  time.Duration // when epoll was last asked
-	told    time.Duration // when it last answered for a turn
-	came    time.Duration // since when what a turn handles may have been there
-
-	// MaxTimerDelay is the longest that a timer has been overdue since it was last set to zero.
+	epollFD         int
+	wakeFD          int           // an eventfd, written by Post
+	startWallClock  time.Duration // Unix time at the start by the wall clock, which is read only once
+	start           time.Time
+	sources         map[int32]*source
+	serial          int32
+	timers          timers
+	deferred        []func()
+	posts           chan func()
+	buffer          []byte
+	stopped         bool
+	openSockets     int           // open connections, listeners and files
+	lastPoll        time.Duration // when the last poll began
+	polledAt        time.Duration // when epoll returned the events of the current turn
+	earliestArrival time.Duration // the earliest time at which an event of the current turn may have occurred
+
+	// MaxTimerDelay is the longest delay of a timer beyond its due time; the reader resets it to zero.
 	MaxTimerDelay time.Duration
 }
 
-// source is what epoll watches on behalf of an owner. The serial tells a descriptor's present owner from one whose
-// event was still in the batch when the number was given out again.
+// source is a descriptor that epoll watches on behalf of an owner. The serial number distinguishes a descriptor's present owner
+// from an earlier one whose event was still in the batch when the descriptor number was reused.
 type source struct {
-	fd     int
-	serial int32
-	events uint32
-	urgent bool // its events come first in each turn
-	added  bool // epoll knows of it
-	again  bool // what epoll had no memory for will be tried again
-	leaves bool // once the other end has finished it has left, see Conn.WatchPeerClose
-	left   bool // it has
-	ready  func(events uint32)
-}
-
-func (s *source) rank() rank {
+	fd             int
+	serial         int32
+	events         uint32
+	urgent         bool // its events are handled first in each turn
+	registered     bool // it was added to epoll
+	retryPending   bool // a registration that failed for want of memory will be retried
+	watchPeerClose bool // see Conn.WatchPeerClose
+	peerClosed     bool // the peer has closed the connection; noted only with watchPeerClose
+	onEvents       func(events uint32)
+}
+
+func (s *source) priority() priority {
 	switch {
 	case s.urgent:
-		return first
-	case s.left:
-		return ending
+		return priorityUrgent
+	case s.peerClosed:
+		return priorityPeerClosed
 	}
-	return others
+	return priorityNormal
 }
 
-// New returns a loop that watches nothing yet. Where the system is short of descriptors or memory it is tried again for a second.
+// New returns a loop without sources. While the system is short of descriptors or memory, it retries for about a second.
 func New() (l *Loop, err error) {
-	for range startTries {
+	for range openAttempts {
 		if l, err = open(); !IsResourceShortage(err) {
 			break
 		}
-		time.Sleep(startGap)
+		time.Sleep(openRetryDelay)
 	}
 	return l, err
 }
 
 func open() (*Loop, error) {
-	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, err
 	}
-	wake, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
+	wakeFD, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
-		unix.Close(epoll)
+		unix.Close(epollFD)
 		return nil, err
 	}
-	l := &Loop{epoll: epoll, wake: wake, epoch: system.WallClock(), start: time.Now(), sources: map[int32]*source{},
+	l := &Loop{epollFD: epollFD, wakeFD: wakeFD, startWallClock: system.WallClock(), start: time.Now(), sources: map[int32]*source{},
 		posts: make(chan func(), 16), buffer: make([]byte, readSize)}
-	l.told = l.Now()
-	l.came = l.told
-	if _, err := l.watch(wake, unix.EPOLLIN, func(uint32) { l.posted() }); err != nil {
-		unix.Close(wake)
-		unix.Close(epoll)
+	l.polledAt = l.Now()
+	l.earliestArrival = l.polledAt
+	if _, err := l.watch(wakeFD, unix.EPOLLIN, func(uint32) { l.runPosted() }); err != nil {
+		unix.Close(wakeFD)
+		unix.Close(epollFD)
 		return nil, err
 	}
 	return l, nil
 }
 
-// Now is the event clock: Unix time at the loop's start, going on with the monotonic clock, so that it never jumps
-// and the server list's Unix times stand on it as they are.
+// Now is the loop's consistent clock: Unix time at the loop's start, advanced by the monotonic clock. It never jumps, and it can be
+// compared with the Unix times of the server list.
 func (l *Loop) Now() time.Duration {
-	return l.epoch + time.Since(l.start)
+	return l.startWallClock + time.Since(l.start)
 }
 
-// OpenSockets is the number of sockets held.
-func (l *Loop) OpenSockets() int { return l.open }
+// OpenSockets returns the number of open connections, listeners and files.
+func (l *Loop) OpenSockets() int { return l.openSockets }
 
-// Defer runs f when the callback that is running has returned. What a callback brings about goes this way, so that
-// no owner is called while it is calling.
-func (l *Loop) Defer(f func()) { l.later = append(l.later, f) }
+// Defer runs f when the running callback has returned. Consequences of a callback are deferred, so that no handler is called
+// from within its own call.
+func (l *Loop) Defer(f func()) { l.deferred = append(l.deferred, f) }
 
-// Post runs f on the loop. It is the one call that other goroutines (the one for signals) may make.
+// Post runs f on the loop. It is the only method that other goroutines (such as the signal handler's) may call.
 func (l *Loop) Post(f func()) {
 	l.posts <- f
-	unix.Write(l.wake, []byte{1, 0, 0, 0, 0, 0, 0, 0}) // full means that it is awake
+	unix.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0}) // an error means that the counter is full: the loop is woken anyway
 }
 
-func (l *Loop) posted() {
+// runPosted runs the functions passed to Post.
+func (l *Loop) runPosted() {
 	var count [8]byte
-	unix.Read(l.wake, count[:])
+	unix.Read(l.wakeFD, count[:])
 	for {
 		select {
 		case f := <-l.posts:
@@ -151,7 +152,7 @@
 	}
 }
 
-// Stop makes Run return. What is open stays so, and Run may be called again.
+// Stop makes Run return. Open descriptors stay open, and Run may be called again.
 func (l *Loop) Stop() { l.stopped = true }
 
 // Run handles events until Stop.
@@ -164,72 +165,73 @@
 		}
 		batch, err := l.wait(events)
 		if len(batch) == 0 && (err == nil || errors.Is(err, unix.EINTR)) {
-			// Guards against timers that run ahead of what has come before they were due: the process may have been stopped
-			// in its wait, which then ends as interrupted, or behind it. See ring for one that was stopped later.
-			batch, err = l.look(events, 0)
-			l.came, l.told = min(l.came, l.told), l.Now()
+			// Events that occurred before a timer was due must be handled before the timer. The process may have been suspended during
+			// its wait, which then ends as interrupted, or just after it, so it polls again. See runTimers for a later suspension.
+			batch, err = l.poll(events, 0)
+			l.earliestArrival, l.polledAt = min(l.earliestArrival, l.polledAt), l.Now()
 		}
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return err
 		}
-		looked := l.looked
-		for _, r := range []rank{first, ending, others} {
-			l.turn(batch, r)
+		lastPoll := l.lastPoll
+		for _, p := range []priority{priorityUrgent, priorityPeerClosed, priorityNormal} {
+			l.dispatch(batch, p)
 		}
-		l.ring(looked)
+		l.runTimers(lastPoll)
 	}
 	return nil
 }
 
-// wait waits for a turn's events, and settles since when they may have been there, to within lookAgain or two. What is there as the
-// wait begins may have come any time since the turn before asked, which tells only where that took long; what comes in it ends
-// it, unless the process is stopped meanwhile. A wait that is over soon may have been a call that took long on a busy machine: how
-// long it took does not tell whether something was there at its beginning.
+// wait waits for the events of a turn and determines the earliest time at which they may have occurred, with an error of about
+// maxPollAge. Events that are pending when the wait begins may have occurred any time since the poll of the previous turn; this
+// matters only if that turn took long. An event during the wait ends it, unless the process is suspended meanwhile. A short wait
+// may also be a call that took long on a busy machine: its duration does not tell whether events were pending when it began.
 func (l *Loop) wait(events []unix.EpollEvent) ([]unix.EpollEvent, error) {
-	patience := l.patience()
+	pollTimeout := l.pollTimeout()
 	began := l.Now()
-	batch, err := l.look(events, patience)
-	ended := l.Now()
-	waited, busy := ended-began, began-l.told
+	batch, err := l.poll(events, pollTimeout)
+	returned := l.Now()
+	waited, busy := returned-began, began-l.polledAt
 	switch {
-	case waited < lookAgain && busy > lookAgain:
-		l.came = l.told
-	case patience >= 0 && waited > time.Duration(patience)*time.Millisecond+lookAgain:
-		l.came = began
+	case waited < maxPollAge && busy > maxPollAge:
+		l.earliestArrival = l.polledAt
+	case pollTimeout >= 0 && waited > time.Duration(pollTimeout)*time.Millisecond+maxPollAge:
+		l.earliestArrival = began
 	default:
-		l.came = ended
+		l.earliestArrival = returned
 	}
-	l.told = ended
+	l.polledAt = returned
 	return batch, err
 }
 
-// EarliestArrival is since when what the running turn handles may have been there. It is before Now where the process was stopped or busy.
-func (l *Loop) EarliestArrival() time.Duration { return l.came }
+// EarliestArrival returns the earliest time at which an event of the running turn may have occurred. It is clearly before Now if the
+// process was suspended or busy.
+func (l *Loop) EarliestArrival() time.Duration { return l.earliestArrival }
 
-// PolledAt is when epoll told what the running turn handles.
-func (l *Loop) PolledAt() time.Duration { return l.told }
+// PolledAt returns when epoll returned the events of the running turn.
+func (l *Loop) PolledAt() time.Duration { return l.polledAt }
 
-// look asks epoll what has come, waiting so many milliseconds at most, and notes who has left.
-func (l *Loop) look(events []unix.EpollEvent, patience int) ([]unix.EpollEvent, error) {
+// poll asks epoll for events, waits at most so many milliseconds for them, and notes which peers have closed.
+func (l *Loop) poll(events []unix.EpollEvent, timeoutMS int) ([]unix.EpollEvent, error) {
 	began := l.Now()
-	n, err := system.EpollWait(l.epoll, events, patience)
-	for tries := 0; patience == 0 && errors.Is(err, unix.EINTR) && tries < mostInterrupted; tries++ {
-		// Guards against a look that counts as one that told nothing: an attempt would begin for a client that has left.
-		n, err = system.EpollWait(l.epoll, events, patience)
+	n, err := system.EpollWait(l.epollFD, events, timeoutMS)
+	for tries := 0; timeoutMS == 0 && errors.Is(err, unix.EINTR) && tries < maxInterruptRetries; tries++ {
+		// Guards against an interrupted poll that counts as one without events: an attempt would start for a client that has left.
+		n, err = system.EpollWait(l.epollFD, events, timeoutMS)
 	}
 	if err != nil {
 		return nil, err
 	}
-	l.looked = began
+	l.lastPoll = began
 	for _, e := range events[:n] {
-		if s := l.sourceOf(e); s != nil && s.leaves && e.Events&ended != 0 {
-			s.left = true
+		if s := l.sourceOf(e); s != nil && s.watchPeerClose && e.Events&peerCloseEvents != 0 {
+			s.peerClosed = true
 		}
 	}
 	return events[:n], nil
 }
 
-// sourceOf is the source that an event is of; nil when an earlier event of the batch has closed it.
+// sourceOf returns the source of an event, or nil if an earlier event of the batch has closed it.
 func (l *Loop) sourceOf(e unix.EpollEvent) *source {
 	if s := l.sources[e.Fd]; s != nil && s.serial == e.Pad {
 		return s
@@ -237,80 +239,80 @@
 	return nil
 }
 
-// again looks once more if the last look is old, and returns what that told.
-func (l *Loop) again() []unix.EpollEvent {
-	if l.Now()-l.looked <= lookAgain {
+// pollIfStale polls again if the last poll is older than maxPollAge, and returns the events.
+func (l *Loop) pollIfStale() []unix.EpollEvent {
+	if l.Now()-l.lastPoll <= maxPollAge {
 		return nil
 	}
-	batch, _ := l.look(make([]unix.EpollEvent, max(1, len(l.sources))), 0) // an interrupted one is made up for next time
+	batch, _ := l.poll(make([]unix.EpollEvent, max(1, len(l.sources))), 0) // after an error the next call polls again
 	return batch
 }
 
-// heed ends the connections of those who have left since the last look, if that is old.
-func (l *Loop) heed() { l.turn(l.again(), ending) }
+// handlePeerCloses ends the connections that peers have closed since the last poll, if that poll is stale.
+func (l *Loop) handlePeerCloses() { l.dispatch(l.pollIfStale(), priorityPeerClosed) }
 
-// turn handles the events of a batch that are of one rank.
-func (l *Loop) turn(batch []unix.EpollEvent, r rank) {
+// dispatch handles the events of a batch that have one priority.
+func (l *Loop) dispatch(batch []unix.EpollEvent, p priority) {
 	for _, e := range batch {
-		if r == others {
-			l.heed()
+		if p == priorityNormal {
+			l.handlePeerCloses()
 		}
-		if s := l.sourceOf(e); s != nil && s.rank() == r {
-			s.ready(e.Events)
-			l.settle()
+		if s := l.sourceOf(e); s != nil && s.priority() == p {
+			s.onEvents(e.Events)
+			l.runDeferred()
 		}
 	}
 }
 
-// settle runs what callbacks have put off.
-func (l *Loop) settle() {
-	for len(l.later) > 0 {
-		list := l.later
-		l.later = nil
+// runDeferred runs the functions that callbacks have deferred.
+func (l *Loop) runDeferred() {
+	for len(l.deferred) > 0 {
+		list := l.deferred
+		l.deferred = nil
 		for _, f := range list {
 			f()
 		}
 	}
 }
 
-// watch starts to watch a descriptor.
-func (l *Loop) watch(fd int, events uint32, ready func(uint32)) (*source, error) {
+// watch adds a descriptor to epoll.
+func (l *Loop) watch(fd int, events uint32, onEvents func(uint32)) (*source, error) {
 	l.serial++
-	s := &source{fd: fd, serial: l.serial, events: events, ready: ready}
-	if err := l.tell(s); err != nil {
+	s := &source{fd: fd, serial: l.serial, events: events, onEvents: onEvents}
+	if err := l.updateEpoll(s); err != nil {
 		return nil, err
 	}
 	l.sources[int32(fd)] = s
 	return s, nil
 }
 
-// tell has epoll watch a source for what it waits for. Where the system has no memory for that it is tried again a moment
-// later: guards against a connection that is reset over a request, or never heard of again.
-func (l *Loop) tell(s *source) error {
+// updateEpoll registers the wanted events of a source with epoll. If the kernel has no memory for that, it is retried after
+// shortageRetryDelay. Guards against a connection that is reset with a request on it, or whose events are never reported again.
+func (l *Loop) updateEpoll(s *source) error {
 	e := unix.EpollEvent{Events: s.events, Fd: int32(s.fd), Pad: s.serial}
 	var err error
-	if s.added {
-		err = system.EpollMod(l.epoll, s.fd, &e)
+	if s.registered {
+		err = system.EpollMod(l.epollFD, s.fd, &e)
 	} else {
-		err = system.EpollAdd(l.epoll, s.fd, &e)
+		err = system.EpollAdd(l.epollFD, s.fd, &e)
 	}
 	if !IsResourceShortage(err) {
-		s.added = s.added || err == nil
+		s.registered = s.registered || err == nil
 		return err
 	}
-	if !s.again {
-		s.again = true
-		l.After(watchAgain, func() {
-			s.again = false
+	if !s.retryPending {
+		s.retryPending = true
+		l.After(shortageRetryDelay, func() {
+			s.retryPending = false
 			if l.sources[int32(s.fd)] == s {
-				l.tell(s)
+				l.updateEpoll(s)
 			}
 		})
 	}
 	return nil
 }
 
-// IsResourceShortage reports whether an error of a system call tells of a shortage that passes by itself.
+// IsResourceShortage reports whether the error of a system call is due to a shortage of descriptors or memory, which is temporary.
 func IsResourceShortage(err error) bool {
 	for _, shortage := range []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC} {
 		if errors.Is(err, shortage) {
@@ -320,25 +322,25 @@
 	return false
 }
 
-// File is a descriptor that is no connection and is watched for what can be read from it.
+// File is a descriptor other than a connection that is watched for input.
 type File struct {
 	loop   *Loop
 	source *source
 	closed bool
 }
 
-// Watch calls ready whenever something can be read from a descriptor, which it owns from then on.
+// Watch calls ready whenever a descriptor is readable. The File owns the descriptor from then on.
 func (l *Loop) Watch(fd int, ready func()) (*File, error) {
 	s, err := l.watch(fd, unix.EPOLLIN, func(uint32) { ready() })
 	if err != nil {
 		unix.Close(fd)
 		return nil, err
 	}
-	l.open++
+	l.openSockets++
 	return &File{loop: l, source: s}, nil
 }
 
-// Close gives the descriptor back.
+// Close closes the descriptor.
 func (f *File) Close() {
 	if !f.closed {
 		f.closed = true
@@ -346,75 +348,75 @@
 	}
 }
 
-// expect changes what is watched for.
-func (l *Loop) expect(s *source, events uint32) {
+// setEvents changes the events that are wanted of a source.
+func (l *Loop) setEvents(s *source, events uint32) {
 	if s.events == events {
 		return
 	}
 	s.events = events
-	l.tell(s) // fails, but for want of memory, only for a descriptor that is not watched
+	l.updateEpoll(s) // apart from a shortage, it fails only for a descriptor that is not watched
 }
 
 // release stops watching a descriptor and closes it.
 func (l *Loop) release(s *source) {
 	delete(l.sources, int32(s.fd))
-	unix.Close(s.fd) // which takes it off epoll too
-	l.open--
+	unix.Close(s.fd) // closing also removes it from epoll
+	l.openSockets--
 }
 
-// Timer is a call to come.
+// Timer is a scheduled call.
 type Timer struct {
-	loop  *Loop
-	at    time.Duration
-	order uint64
-	place int // in the heap; -1 when it is not there
-	f     func()
+	loop     *Loop
+	at       time.Duration
+	sequence uint64
+	index    int // position in the heap; -1 if it is not scheduled
+	f        func()
 }
 
 type timers struct {
-	list  []*Timer
-	count uint64
+	list         []*Timer
+	lastSequence uint64
 }
 
 func (t *timers) Len() int { return len(t.list) }
 func (t *timers) Less(i, j int) bool {
 	x, y := t.list[i], t.list[j]
-	return x.at < y.at || x.at == y.at && x.order < y.order
+	return x.at < y.at || x.at == y.at && x.sequence < y.sequence
 }
 func (t *timers) Swap(i, j int) {
 	t.list[i], t.list[j] = t.list[j], t.list[i]
-	t.list[i].place, t.list[j].place = i, j
+	t.list[i].index, t.list[j].index = i, j
 }
 func (t *timers) Push(x any) {
-	x.(*Timer).place = len(t.list)
+	x.(*Timer).index = len(t.list)
 	t.list = append(t.list, x.(*Timer))
 }
 func (t *timers) Pop() any {
 	last := t.list[len(t.list)-1]
 	t.list[len(t.list)-1] = nil
 	t.list = t.list[:len(t.list)-1]
-	last.place = -1
+	last.index = -1
 	return last
 }
 
-// After calls f once the time has passed.
+// After calls f once the duration has passed.
 func (l *Loop) After(d time.Duration, f func()) *Timer {
-	l.timers.count++
-	t := &Timer{loop: l, at: l.Now() + max(0, d), order: l.timers.count, f: f}
+	l.timers.lastSequence++
+	t := &Timer{loop: l, at: l.Now() + max(0, d), sequence: l.timers.lastSequence, f: f}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// Stop takes the timer back; one that has run, or a nil one, stays as it is.
+// Stop cancels the timer. It has no effect on a timer that has run, or on nil.
 func (t *Timer) Stop() {
-	if t != nil && t.place >= 0 {
-		heap.Remove(&t.loop.timers, t.place)
+	if t != nil && t.index >= 0 {
+		heap.Remove(&t.loop.timers, t.index)
 	}
 }
 
-// patience is how long epoll may wait, in milliseconds, rounded up so that the timer is due afterwards.
-func (l *Loop) patience() int {
-	if len(l.later) > 0 {
+// pollTimeout returns how long epoll may wait, in milliseconds, rounded up so that the next timer is due afterwards.
+func (l *Loop) pollTimeout() int {
+	if len(l.deferred) > 0 {
 		return 0
 	}
 	if len(l.timers.list) == 0 {
@@ -424,14 +426,15 @@
 	return int(min(max(0, (left+time.Millisecond-1)/time.Millisecond), time.Hour/time.Millisecond))
 }
 
-// ring runs the timers that were due when epoll was asked, each once, and what they put off. Those that have come due since
-// wait for the next look: what came before them goes first, also where the process was stopped or busy in its turn.
-func (l *Loop) ring(looked time.Duration) {
-	for l.heed(); len(l.timers.list) > 0 && l.timers.list[0].at <= looked; l.heed() {
+// runTimers runs each timer that was due at the last poll, and the functions that they defer. Timers that have become due since
+// wait for the next poll: events that occurred before them are handled first, also if the process was suspended or busy
+// during the turn.
+func (l *Loop) runTimers(lastPoll time.Duration) {
+	for l.handlePeerCloses(); len(l.timers.list) > 0 && l.timers.list[0].at <= lastPoll; l.handlePeerCloses() {
 		t := heap.Pop(&l.timers).(*Timer)
 		l.MaxTimerDelay = max(l.MaxTimerDelay, l.Now()-t.at)
 		t.f()
-		l.settle()
+		l.runDeferred()
 	}
-	l.settle()
+	l.runDeferred()
 }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -12,17 +12,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// record is an owner that notes what it is told.
-type record struct {
-	up, drained int
-	data        []byte
-	end         error
+// recordingHandler records its calls.
+type recordingHandler struct {
+	connects, flushes int
+	data              []byte
+	end               error
 }
 
-func (r *record) Connected()    { r.up++ }
-func (r *record) Data(b []byte) { r.data = append(r.data, b...) }
-func (r *record) Flushed()      { r.drained++ }
-func (r *record) End(err error) { r.end = err }
+func (r *recordingHandler) Connected()    { r.connects++ }
+func (r *recordingHandler) Data(b []byte) { r.data = append(r.data, b...) }
+func (r *recordingHandler) Flushed()      { r.flushes++ }
+func (r *recordingHandler) End(err error) { r.end = err }
 
 func newLoop(t *testing.T) *Loop {
 	t.Helper()
@@ -33,8 +33,8 @@
 	return l
 }
 
-// until runs the loop until a condition holds.
-func until(t *testing.T, l *Loop, what string, holds func() bool) {
+// runUntil runs the loop until a condition holds, for at most 10 seconds.
+func runUntil(t *testing.T, l *Loop, what string, holds func() bool) {
 	t.Helper()
 	var look func()
 	end := l.Now() + 10*time.Second
@@ -43,7 +43,7 @@
 		case holds():
 			l.Stop()
 		case l.Now() > end:
-			t.Errorf("never: %s", what)
+			t.Errorf("not reached: %s", what)
 			l.Stop()
 		default:
 			l.After(time.Millisecond, look)
@@ -55,8 +55,8 @@
 	}
 }
 
-// dial opens a connection of the loop to a stand-in and gives both ends.
-func dial(t *testing.T, l *Loop, r *record) (*Conn, *net.TCPConn) {
+// dial opens a connection from the loop to a test server and returns both ends.
+func dial(t *testing.T, l *Loop, r *recordingHandler) (*Conn, *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,13 +67,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := ln.Accept()
+	peer, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { far.Close() })
-	until(t, l, "the connection stands", func() bool { return r.up == 1 })
-	return c, far.(*net.TCPConn)
+	t.Cleanup(func() { peer.Close() })
+	runUntil(t, l, "the connection is established", func() bool { return r.connects == 1 })
+	return c, peer.(*net.TCPConn)
 }
 
 func TestTimersRunInOrder(t *testing.T) {
@@ -89,105 +89,105 @@
 	gone.Stop()
 	var never *Timer
 	never.Stop()
-	until(t, l, "all timers", func() bool { return len(got) == 4 })
+	runUntil(t, l, "all timers", func() bool { return len(got) == 4 })
 	if want := []string{"first", "a", "b", "c"}; !slices.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
 }
 
 func TestConnPassesBytesAndEnds(t *testing.T) {
-	l, r := newLoop(t), &record{}
+	l, r := newLoop(t), &recordingHandler{}
 	before := l.OpenSockets()
-	c, far := dial(t, l, r)
+	c, peer := dial(t, l, r)
 	c.Write([]byte("hello"))
 	buf := make([]byte, 5)
-	if _, err := io.ReadFull(far, buf); err != nil || string(buf) != "hello" {
+	if _, err := io.ReadFull(peer, buf); err != nil || string(buf) != "hello" {
 		t.Fatalf("%q, %v", buf, err)
 	}
 	if c.Written() != 5 || c.WriteOffset() != 5 || c.Stale() {
 		t.Errorf("written %d, queued %d, stale %v", c.Written(), c.WriteOffset(), c.Stale())
 	}
-	far.Write([]byte("there"))
-	until(t, l, "the answer", func() bool { return string(r.data) == "there" })
-	far.Close()
-	until(t, l, "the end", func() bool { return r.end != nil })
+	peer.Write([]byte("there"))
+	runUntil(t, l, "the response", func() bool { return string(r.data) == "there" })
+	peer.Close()
+	runUntil(t, l, "the end", func() bool { return r.end != nil })
 	if !errors.Is(r.end, io.EOF) || l.OpenSockets() != before {
 		t.Errorf("ended with %v, %d sockets held", r.end, l.OpenSockets())
 	}
-	c.Close() // harmless
+	c.Close() // a second close has no effect
 }
 
-// An attempt is told by the moment its last byte was written: the count must tell what the system has taken from what
-// waits here.
-func TestWrittenAndQueued(t *testing.T) {
-	l, r := newLoop(t), &record{}
-	c, far := dial(t, l, r)
+// The state of an attempt depends on whether its last byte has been written: bytes passed to the kernel and bytes that are still
+// buffered must be counted separately.
+func TestWrittenAndWriteOffset(t *testing.T) {
+	l, r := newLoop(t), &recordingHandler{}
+	c, peer := dial(t, l, r)
 	big := make([]byte, 16<<20)
 	c.Write(big)
 	if c.Written() <= 0 || c.Written() >= int64(len(big)) || c.WriteOffset() != int64(len(big)) ||
 		c.Pending() != int(c.WriteOffset()-c.Written()) {
 		t.Fatalf("written %d, queued %d, pending %d", c.Written(), c.WriteOffset(), c.Pending())
 	}
-	// Guards against taking a slow reader for a dead one: what it takes shows before the system asks for more.
-	written, taken := c.Written(), c.Acknowledged()
+	// Guards against taking a slow reader for a dead one: its progress shows in Acknowledged before the socket is writable again.
+	written, acknowledged := c.Written(), c.Acknowledged()
 	buf := make([]byte, 64<<10)
 	for range 10 {
-		io.ReadFull(far, buf)
+		io.ReadFull(peer, buf)
 	}
-	until(t, l, "what was read shows", func() bool { return c.Acknowledged() > taken || c.Written() > written })
-	go io.Copy(io.Discard, far)
-	until(t, l, "all is handed over", func() bool { return r.drained == 1 && c.Pending() == 0 })
+	runUntil(t, l, "the read bytes are acknowledged", func() bool { return c.Acknowledged() > acknowledged || c.Written() > written })
+	go io.Copy(io.Discard, peer)
+	runUntil(t, l, "everything is passed to the kernel", func() bool { return r.flushes == 1 && c.Pending() == 0 })
 	if c.Written() != int64(len(big)) {
 		t.Errorf("written %d", c.Written())
 	}
 }
 
 func TestPausedConnReadsLater(t *testing.T) {
-	l, r := newLoop(t), &record{}
-	c, far := dial(t, l, r)
+	l, r := newLoop(t), &recordingHandler{}
+	c, peer := dial(t, l, r)
 	c.SetPaused(true)
-	far.Write([]byte("x"))
+	peer.Write([]byte("x"))
 	time.Sleep(20 * time.Millisecond)
-	until(t, l, "a look", func() bool { return true })
+	runUntil(t, l, "a poll", func() bool { return true })
 	if len(r.data) > 0 {
 		t.Error("read while paused")
 	}
 	if !c.Stale() {
-		t.Error("unasked bytes do not show")
+		t.Error("not stale with unsolicited bytes")
 	}
 	c.SetPaused(false)
-	until(t, l, "the byte", func() bool { return string(r.data) == "x" })
+	runUntil(t, l, "the byte", func() bool { return string(r.data) == "x" })
 }
 
-// Guards against a client that leaves unseen while nothing is read from it: however it leaves, whatever it had sent. Where
-// that was not asked for, what came before the end is read first.
-func TestAnEndWhilePaused(t *testing.T) {
+// Guards against a client whose close goes unnoticed while reading is paused, however it closes and whatever it sent before. Without
+// WatchPeerClose, data received before the end is read first.
+func TestPeerCloseWhilePaused(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"close":      func(c *net.TCPConn) { c.Close() },
 		"half-close": func(c *net.TCPConn) { c.CloseWrite() },
 		"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
-		for _, heeds := range []bool{true, false} {
+		for _, watches := range []bool{true, false} {
 			t.Run(name, func(t *testing.T) {
-				l, r := newLoop(t), &record{}
-				c, far := dial(t, l, r)
+				l, r := newLoop(t), &recordingHandler{}
+				c, peer := dial(t, l, r)
 				c.SetPaused(true)
-				if heeds {
+				if watches {
 					c.WatchPeerClose()
 				}
-				far.Write([]byte("asked before"))
-				leave(far)
-				if heeds || name == "reset" {
-					until(t, l, "the end", func() bool { return r.end != nil })
-					if heeds && len(r.data) > 0 || l.OpenSockets() != 0 {
+				peer.Write([]byte("sent before"))
+				leave(peer)
+				if watches || name == "reset" {
+					runUntil(t, l, "the end", func() bool { return r.end != nil })
+					if watches && len(r.data) > 0 || l.OpenSockets() != 0 {
 						t.Errorf("read %q, %d open", r.data, l.OpenSockets())
 					}
 					return
 				}
-				until(t, l, "the end shows", c.Stale)
+				runUntil(t, l, "the end is detected", c.Stale)
 				c.SetPaused(false)
-				until(t, l, "the end", func() bool { return r.end != nil })
-				if string(r.data) != "asked before" {
+				runUntil(t, l, "the end", func() bool { return r.end != nil })
+				if string(r.data) != "sent before" {
 					t.Errorf("read %q", r.data)
 				}
 			})
@@ -195,10 +195,10 @@
 	}
 }
 
-// What stands between two places is taken back and nothing else, and nothing of which a byte has gone.
-func TestTakeBackBetween(t *testing.T) {
-	l, r := newLoop(t), &record{}
-	c, far := dial(t, l, r)
+// CancelWrite removes exactly the bytes between two offsets, and nothing if any of them has been passed to the kernel.
+func TestCancelWrite(t *testing.T) {
+	l, r := newLoop(t), &recordingHandler{}
+	c, peer := dial(t, l, r)
 	big := make([]byte, 32<<20)
 	c.Write(big)
 	at := c.WriteOffset()
@@ -206,68 +206,68 @@
 	c.Write([]byte("two,"))
 	c.Write([]byte("three"))
 	if c.CancelWrite(0, at) || c.CancelWrite(at+8, at+14) || c.CancelWrite(at+4, at) {
-		t.Error("took back what has gone, or never was")
+		t.Error("cancelled bytes that were passed to the kernel or never written")
 	}
 	if !c.CancelWrite(at+4, at+8) || c.WriteOffset() != at+9 {
-		t.Error("did not take back what has not gone")
+		t.Error("did not cancel buffered bytes")
 	}
 	got := make(chan string, 1)
 	go func() {
-		io.CopyN(io.Discard, far, int64(len(big)))
+		io.CopyN(io.Discard, peer, int64(len(big)))
 		rest := make([]byte, 9)
-		io.ReadFull(far, rest)
+		io.ReadFull(peer, rest)
 		got <- string(rest)
 	}()
-	until(t, l, "all has gone", func() bool { return c.Pending() == 0 })
+	runUntil(t, l, "everything is sent", func() bool { return c.Pending() == 0 })
 	if rest := <-got; rest != "one,three" {
-		t.Errorf("%q came", rest)
+		t.Errorf("received %q", rest)
 	}
 }
 
-// Guards against a loop that turns without end: with all taken back that had not gone, the system says in each turn that there
-// is room for more, as soon as the other end reads.
-func TestNothingIsWaitedForWithAllTakenBack(t *testing.T) {
-	l, r := newLoop(t), &record{}
-	c, far := dial(t, l, r)
+// Guards against a loop that spins: when all buffered data has been cancelled and EPOLLOUT stays registered, epoll reports in each
+// turn that the socket is writable, as soon as the peer reads.
+func TestNoWriteEventsAfterCancelWrite(t *testing.T) {
+	l, r := newLoop(t), &recordingHandler{}
+	c, peer := dial(t, l, r)
 	c.Write(make([]byte, 32<<20))
 	if c.Pending() == 0 || !c.CancelWrite(c.WriteOffset()-int64(c.Pending()), c.WriteOffset()) {
-		t.Fatal("nothing is taken back")
+		t.Fatal("no buffered bytes were cancelled")
 	}
-	go io.Copy(io.Discard, far)
-	until(t, l, "all has come", func() bool { return c.Acknowledged() == c.WriteOffset() })
-	told, ready := 0, c.source.ready
-	c.source.ready = func(events uint32) { told++; ready(events) }
+	go io.Copy(io.Discard, peer)
+	runUntil(t, l, "everything is acknowledged", func() bool { return c.Acknowledged() == c.WriteOffset() })
+	writeEvents, onEvents := 0, c.source.onEvents
+	c.source.onEvents = func(events uint32) { writeEvents++; onEvents(events) }
 	for range 3 {
-		until(t, l, "a look", func() bool { return true })
+		runUntil(t, l, "a poll", func() bool { return true })
 	}
-	if told > 0 {
-		t.Errorf("told %d times that there is room", told)
+	if writeEvents > 0 {
+		t.Errorf("%d write events without buffered data", writeEvents)
 	}
 	c.Write([]byte("more"))
-	until(t, l, "it goes on", func() bool { return c.Pending() == 0 && c.Acknowledged() == c.WriteOffset() })
+	runUntil(t, l, "writing continues", func() bool { return c.Pending() == 0 && c.Acknowledged() == c.WriteOffset() })
 }
 
-// Finish must not throw away an answer on its way because of bytes that came meanwhile.
-func TestFinishDeliversWhatWasWritten(t *testing.T) {
-	l, r := newLoop(t), &record{}
+// CloseGracefully must not drop a response in transit because of bytes that arrive meanwhile.
+func TestCloseGracefullyDeliversBufferedData(t *testing.T) {
+	l, r := newLoop(t), &recordingHandler{}
 	before := l.OpenSockets()
-	c, far := dial(t, l, r)
-	far.Write([]byte("one request too many"))
+	c, peer := dial(t, l, r)
+	peer.Write([]byte("one request too many"))
 	big := make([]byte, 4<<20)
 	c.Write(big)
 	c.CloseGracefully(5 * time.Second)
 	done := make(chan int64, 1)
 	go func() {
-		n, _ := io.Copy(io.Discard, far)
-		far.Close()
+		n, _ := io.Copy(io.Discard, peer)
+		peer.Close()
 		done <- n
 	}()
-	until(t, l, "the connection is given back", func() bool { return l.OpenSockets() == before })
+	runUntil(t, l, "the connection is closed", func() bool { return l.OpenSockets() == before })
 	if n := <-done; n != int64(len(big)) {
 		t.Errorf("%d bytes arrived of %d", n, len(big))
 	}
 	if r.end != nil || len(r.data) > 0 {
-		t.Error("the owner was called after Finish")
+		t.Error("the handler was called after CloseGracefully")
 	}
 }
 
@@ -278,21 +278,21 @@
 	}
 	addr := netip.MustParseAddrPort(ln.Addr().String())
 	ln.Close()
-	l, r := newLoop(t), &record{}
+	l, r := newLoop(t), &recordingHandler{}
 	if _, err := l.Dial(addr, r); err != nil {
-		return // told at once
+		return // the refusal was returned by Dial
 	}
-	until(t, l, "the refusal", func() bool { return r.end != nil })
-	if r.up != 0 {
-		t.Error("up though refused")
+	runUntil(t, l, "the refusal", func() bool { return r.end != nil })
+	if r.connects != 0 {
+		t.Error("Connected was called for a refused connection")
 	}
 }
 
-func TestListenerPausesAndTakesWhatWaits(t *testing.T) {
+func TestPausedListenerAcceptsLater(t *testing.T) {
 	l := newLoop(t)
 	var conns []*Conn
 	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(fd int) {
-		c, err := l.Accept(fd, &record{})
+		c, err := l.Accept(fd, &recordingHandler{})
 		if err != nil {
 			t.Error(err)
 		}
@@ -308,18 +308,18 @@
 	addr := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(at.(*unix.SockaddrInet4).Port)).String()
 	ln.SetPaused(true)
 	for range 3 {
-		far, err := net.Dial("tcp", addr)
+		peer, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer far.Close()
+		defer peer.Close()
 	}
-	until(t, l, "a look", func() bool { return true })
+	runUntil(t, l, "a poll", func() bool { return true })
 	if len(conns) != 0 {
 		t.Error("accepted while paused")
 	}
 	ln.SetPaused(false)
-	until(t, l, "the connections", func() bool { return len(conns) == 3 })
+	runUntil(t, l, "the connections", func() bool { return len(conns) == 3 })
 	ln.Close()
 	ln.Close()
 	if l.OpenSockets() != 3 {
@@ -328,7 +328,7 @@
 }
 
 // Guards against a loop that spins on a connection for which there is no descriptor.
-func TestAcceptRestsWithoutDescriptors(t *testing.T) {
+func TestAcceptPausesWithoutDescriptors(t *testing.T) {
 	l := newLoop(t)
 	accepted := 0
 	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(fd int) {
@@ -343,12 +343,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := net.Dial("tcp", netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"),
+	peer, err := net.Dial("tcp", netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"),
 		uint16(at.(*unix.SockaddrInet4).Port)).String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
+	defer peer.Close()
 	var old unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
@@ -362,9 +362,9 @@
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &none); err != nil {
 		t.Fatal(err)
 	}
-	until(t, l, "accepting rests", func() bool { return ln.source.events == 0 })
+	runUntil(t, l, "accepting is suspended", func() bool { return ln.source.events == 0 })
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
-	until(t, l, "the connection is taken after all", func() bool { return accepted == 1 })
+	runUntil(t, l, "the connection is accepted later", func() bool { return accepted == 1 })
 }
--- a/internal/loop/share_test.go
+++ b/internal/loop/share_test.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// An address is shared only while its holder lets it: two processes by mistake would divide the clients unnoticed. One that
-// joins gets all new connections, and nothing is lost when the earlier one closes.
+// An address can be shared only while its holder allows it: two processes started by mistake would divide the clients unnoticed.
+// A listener that joins gets all new connections, and nothing is lost when the earlier one closes.
 func TestSharedAddress(t *testing.T) {
 	l := newLoop(t)
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -19,10 +19,10 @@
 	}
 	addr := netip.MustParseAddrPort(free.Addr().String())
 	free.Close()
-	taken := map[string]int{}
-	accept := func(who string) func(int) {
+	accepted := map[string]int{}
+	accept := func(name string) func(int) {
 		return func(fd int) {
-			taken[who]++
+			accepted[name]++
 			unix.Close(fd)
 		}
 	}
@@ -38,7 +38,7 @@
 	}
 	refused("at first")
 	if _, err := l.ListenShared(addr, 1, nil); !errors.Is(err, unix.EADDRINUSE) {
-		t.Errorf("joined one that does not share: %v", err)
+		t.Errorf("joined a listener that is not shared: %v", err)
 	}
 	old.SetShared(true)
 	refused("while shared")
@@ -53,31 +53,31 @@
 		}
 	}
 	old.SetPaused(true)
-	dial(5) // they wait in the old one's queue
+	dial(5) // they wait in the backlog of the old listener
 	fresh, err := l.ListenShared(addr, 1, accept("fresh"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !fresh.SteersConnections() {
-		t.Skip("the system does not steer connections")
+		t.Skip("the kernel does not steer connections")
 	}
 	old.SetShared(false)
 	dial(20)
-	until(t, l, "the new one has them all", func() bool { return taken["fresh"] == 20 })
-	if old.Close(); taken["old"] != 5 {
-		t.Errorf("%d of 5 connections taken at the close", taken["old"])
+	runUntil(t, l, "the new listener has them all", func() bool { return accepted["fresh"] == 20 })
+	if old.Close(); accepted["old"] != 5 {
+		t.Errorf("%d of 5 connections taken at the close", accepted["old"])
 	}
 	dial(20)
-	until(t, l, "the new one has them all", func() bool { return taken["fresh"] == 40 })
-	refused("after the old one's end")
-	fresh.SetShared(true) // and once more
+	runUntil(t, l, "the new listener has them all", func() bool { return accepted["fresh"] == 40 })
+	refused("after the old one is closed")
+	fresh.SetShared(true) // a second takeover
 	newest, err := l.ListenShared(addr, 1, accept("newest"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dial(20)
-	until(t, l, "the newest has them", func() bool { return taken["newest"] == 20 })
-	newest.Close() // it fails: the one before goes on
+	runUntil(t, l, "the newest listener has them", func() bool { return accepted["newest"] == 20 })
+	newest.Close() // the newest process fails: the previous one takes over again
 	dial(20)
-	until(t, l, "the one before has them again", func() bool { return taken["fresh"] == 60 })
+	runUntil(t, l, "the previous listener has them again", func() bool { return accepted["fresh"] == 60 })
 }
--- a/internal/loop/tls.go
+++ b/internal/loop/tls.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	mostQueued = 64      // writes that may wait for a TLS connection to stand, or to take them
-	tlsRead    = 4 << 10 // bytes taken from a TLS connection at a time; each has such a buffer of its own
+	maxQueuedWrites = 64      // writes that may wait until a TLS connection is established or accepts more data
+	tlsReadSize     = 4 << 10 // size of the read buffer that each TLS connection has of its own
 )
 
-// TLSConn is a connection with TLS, for what is no part of serving requests: its handshake and its bytes go through
-// goroutines of its own, its owner is called from the loop as ever.
+// TLSConn is a TLS connection for traffic outside of request serving. Its handshake and its I/O run on goroutines of their own; its
+// handler is called from the loop like that of a Conn.
 type TLSConn struct {
-	loop   *Loop
-	h      Handler
-	queue  chan []byte
-	cancel context.CancelFunc
-	closed bool // known to the loop
-	mu     sync.Mutex
-	conn   net.Conn
-	in     atomic.Int64
-	out    atomic.Int64
+	loop     *Loop
+	handler  Handler
+	queue    chan []byte
+	cancel   context.CancelFunc
+	closed   bool // used only on the loop's goroutine
+	mu       sync.Mutex
+	conn     net.Conn
+	bytesIn  atomic.Int64
+	bytesOut atomic.Int64
 }
 
-// DialTLS begins a connection; its outcome is told by Up, once the handshake is through, or End.
-func (l *Loop) DialTLS(addr netip.AddrPort, cfg *tls.Config, h Handler) *TLSConn {
+// DialTLS starts to connect; the outcome is reported by Connected, once the handshake is complete, or by End.
+func (l *Loop) DialTLS(addr netip.AddrPort, cfg *tls.Config, handler Handler) *TLSConn {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &TLSConn{loop: l, h: h, queue: make(chan []byte, mostQueued), cancel: cancel}
-	l.open++
+	c := &TLSConn{loop: l, handler: handler, queue: make(chan []byte, maxQueuedWrites), cancel: cancel}
+	l.openSockets++
 	go c.run(ctx, addr, cfg)
 	return c
 }
@@ -41,18 +41,18 @@
 func (c *TLSConn) run(ctx context.Context, addr netip.AddrPort, cfg *tls.Config) {
 	conn, err := c.dial(ctx, addr, cfg)
 	if err != nil {
-		c.tell(func() { c.end(err) })
+		c.post(func() { c.end(err) })
 		return
 	}
 	c.mu.Lock()
 	c.conn = conn
-	over := ctx.Err() != nil
+	cancelled := ctx.Err() != nil
 	c.mu.Unlock()
-	if over {
+	if cancelled {
 		conn.Close()
 		return
 	}
-	c.tell(func() { c.h.Connected() })
+	c.post(func() { c.handler.Connected() })
 	go func() {
 		for {
 			select {
@@ -60,35 +60,35 @@
 				return
 			case data := <-c.queue:
 				if _, err := conn.Write(data); err != nil {
-					conn.Close() // which ends the reading
+					conn.Close() // ends the blocked Read, too
 					return
 				}
 			}
 		}
 	}()
-	buffer := make([]byte, tlsRead)
+	buffer := make([]byte, tlsReadSize)
 	for {
 		n, err := conn.Read(buffer)
 		if n > 0 {
 			done := make(chan struct{})
-			c.tell(func() {
+			c.post(func() {
 				defer close(done)
-				c.h.Data(buffer[:n])
+				c.handler.Data(buffer[:n])
 			}, done)
-			select { // the buffer is the owner's until it has returned
+			select { // the handler owns the buffer until it has returned
 			case <-done:
 			case <-ctx.Done():
 				return
 			}
 		}
 		if err != nil {
-			c.tell(func() { c.end(err) })
+			c.post(func() { c.end(err) })
 			return
 		}
 	}
 }
 
-// dial connects and shakes hands. What goes over the socket is counted.
+// dial connects and does the TLS handshake. The bytes on the socket are counted.
 func (c *TLSConn) dial(ctx context.Context, addr netip.AddrPort, cfg *tls.Config) (net.Conn, error) {
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp", addr.String())
@@ -99,7 +99,7 @@
 		cfg = cfg.Clone()
 		cfg.ServerName = addr.Addr().String()
 	}
-	conn := tls.Client(CountBytes(raw, &c.in, &c.out), cfg)
+	conn := tls.Client(CountBytes(raw, &c.bytesIn, &c.bytesOut), cfg)
 	if err := conn.HandshakeContext(ctx); err != nil {
 		raw.Close()
 		return nil, err
@@ -107,31 +107,31 @@
 	return conn, nil
 }
 
-// Bytes is what has come and gone over the socket so far, with all that TLS adds.
-func (c *TLSConn) Bytes() (in, out int64) { return c.in.Load(), c.out.Load() }
+// Bytes returns the number of bytes received and sent on the socket so far, including the overhead of TLS.
+func (c *TLSConn) Bytes() (bytesIn, bytesOut int64) { return c.bytesIn.Load(), c.bytesOut.Load() }
 
-// CountBytes is a connection of which the bytes that come and go are added to in and out.
-func CountBytes(conn net.Conn, in, out *atomic.Int64) net.Conn { return &counted{conn, in, out} }
+// CountBytes wraps a connection and adds the bytes that it reads and writes to in and out.
+func CountBytes(conn net.Conn, in, out *atomic.Int64) net.Conn { return &countingConn{conn, in, out} }
 
-type counted struct {
+type countingConn struct {
 	net.Conn
 	in, out *atomic.Int64
 }
 
-func (c *counted) Read(data []byte) (int, error) {
+func (c *countingConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	c.in.Add(int64(n))
 	return n, err
 }
 
-func (c *counted) Write(data []byte) (int, error) {
+func (c *countingConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.out.Add(int64(n))
 	return n, err
 }
 
-// tell runs f on the loop unless the connection is closed by then; done is closed in any case.
-func (c *TLSConn) tell(f func(), done ...chan struct{}) {
+// post runs f on the loop unless the connection is closed by then; in that case it closes done.
+func (c *TLSConn) post(f func(), done ...chan struct{}) {
 	c.loop.Post(func() {
 		if !c.closed {
 			f()
@@ -143,13 +143,13 @@
 	})
 }
 
-// end gives the connection back and tells the owner.
+// end closes the connection and notifies the handler.
 func (c *TLSConn) end(err error) {
 	c.Close()
-	c.h.End(err)
+	c.handler.End(err)
 }
 
-// Write sends bytes, once the connection stands. One that takes none for long is closed.
+// Write queues bytes to be sent once the connection is established. A connection whose queue is full is closed.
 func (c *TLSConn) Write(data []byte) {
 	if c.closed {
 		return
@@ -165,17 +165,17 @@
 	}
 }
 
-// Close gives the connection back at once, without a call to End.
+// Close closes the connection immediately, without a call to End.
 func (c *TLSConn) Close() {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	c.loop.open--
+	c.loop.openSockets--
 	c.cancel()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != nil {
-		go c.conn.Close() // it may wait to say so to the other end
+		go c.conn.Close() // it may block while it sends close_notify to the peer
 	}
 }
