--- a/internal/meta/meta.go
+++ b/internal/meta/meta.go
@@ -1,5 +1,5 @@
-// Package meta parses and writes the meta commands of the memcache text protocol, as far as a balancer needs them.
-// It does no I/O: it is given the bytes that have come and says how many it has used.
+// Package meta parses and writes the meta commands of the memcached text protocol, as far as a balancer needs them.
+// It does no I/O: it is given received bytes and returns how many of them it has used.
 package meta
 
 import (
@@ -9,27 +9,27 @@
 	"strconv"
 )
 
-// Limits of what is taken in.
+// Limits of received messages.
 const (
 	MaxLine       = 4096     // bytes of a line, without its end
 	MaxKey        = 250      // bytes of a key
-	MaxValue      = 64 << 10 // bytes of a value, usually; the caller says how many it has room for
-	MaxLongValue  = 4 << 20  // bytes of a value that goes through in pieces
-	MaxSkipFactor = 4        // times that room: a larger value is not passed over
-	MaxID         = 64       // bytes of a request's id
+	MaxValue      = 64 << 10 // usual limit of a value held in memory, in bytes; callers pass the limit that they have room for
+	MaxLongValue  = 4 << 20  // bytes of a value that is streamed
+	MaxSkipFactor = 4        // multiple of the size limit up to which a value that is too large is skipped
+	MaxID         = 64       // bytes of a request ID
 )
 
-// What can be wrong with a command.
+// Errors of the parsers.
 var (
 	ErrLine     = errors.New("bad command line format") // the next command follows
-	ErrFraming  = errors.New("line too long")           // where the next command begins is not known
+	ErrFraming  = errors.New("line too long")           // the start of the next command is unknown
 	ErrLarge    = errors.New("object too large for cache")
-	ErrHuge     = errors.New("object far too large") // not worth reading to its end
-	ErrChunk    = errors.New("bad data chunk")       // the value did not end where it should
+	ErrHuge     = errors.New("object far too large") // too large to be skipped
+	ErrChunk    = errors.New("bad data chunk")       // the value does not end after its stated length
 	ErrResponse = errors.New("malformed answer")
 )
 
-// Kind is a command's name.
+// Kind is the type of a command.
 type Kind int
 
 // The commands that clients send.
@@ -39,63 +39,64 @@
 	Noop                 // mn
 )
 
-// Command is one command. Its slices are parts of the bytes that were parsed.
+// Command is a parsed command. Its slices refer to the parsed bytes.
 type Command struct {
 	Kind       Kind
-	Line       []byte // as it came, without its end
+	Line       []byte // as received, without its end
 	Key        []byte
-	ID         []byte // what O holds
-	Info       []byte // what P holds: names and values
+	ID         []byte // value of flag O
+	Info       []byte // value of flag P: comma-separated name=value pairs
 	Value      []byte // of a Set
-	InfoOffset int    // where Info stands in Line
-	LongSize   int    // bytes of a Set's long value, which is not in Value: it follows, and a line end behind it
-	// SkipBytes is the number of further bytes that belong to a bad command and are to be passed over.
+	InfoOffset int    // position of Info in Line
+	LongSize   int    // length of a Set's long value, which is not in Value: it follows, and a line end after it
+	// SkipBytes is the number of further bytes that belong to a bad command and must be skipped.
 	SkipBytes int
 }
 
-// ParseCommand parses the first command. It returns how many bytes that took: 0 when more must come first. A value of more than
-// whole bytes is not waited for: only the line is used, and Long says how many follow; there may be most. With an error the bytes hold a bad command, which has been used up; where used is 0 nobody
-// knows where the next one begins, or it is too far off.
-func ParseCommand(data []byte, whole, most int) (c Command, used int, err error) {
+// ParseCommand parses the first command. It returns the number of bytes used, which is 0 if the command is incomplete. A value of
+// more than maxInline bytes is not waited for: only the line is used, and LongSize is the number of bytes that follow, at most
+// maxValue. With an error, the bytes used are those of a bad command; if there are none, the start of the next command is unknown or
+// too far away.
+func ParseCommand(data []byte, maxInline, maxValue int) (c Command, used int, err error) {
 	line, used, err := cutLine(data)
 	if used == 0 || err != nil {
 		return Command{}, 0, err
 	}
 	c.Line = line
-	if !plain(line) { // a stray carriage return could end a header line towards the origin
+	if !isPrintable(line) { // a stray carriage return could end a header line of a request to the origin
 		return c, used, ErrLine
 	}
 	var size int
-	var twice bool
-	switch name, rest := word(line); string(name) {
+	var duplicate bool
+	switch name, rest := cutWord(line); string(name) {
 	case "mn":
 		c.Kind = Noop
 		return c, used, nil
 	case "mg":
 		c.Kind = Get
-		c.Key, rest = word(rest)
-		twice = c.flags(rest)
+		c.Key, rest = cutWord(rest)
+		duplicate = c.parseFlags(rest)
 	case "ms":
 		c.Kind = Set
-		c.Key, rest = word(rest)
+		c.Key, rest = cutWord(rest)
 		var length []byte
-		length, rest = word(rest)
-		n, ok := number(length)
+		length, rest = cutWord(rest)
+		n, ok := parseLength(length)
 		if !ok {
-			return c, used, ErrLine // no length: what follows is taken for a line
+			return c, used, ErrLine // without a length, what follows is parsed as a line
 		}
 		size = n
-		twice = c.flags(rest)
+		duplicate = c.parseFlags(rest)
 	default:
 		return c, used, ErrLine
 	}
-	if len(c.Key) == 0 || len(c.Key) > MaxKey || len(c.ID) == 0 || len(c.ID) > MaxID || twice {
+	if len(c.Key) == 0 || len(c.Key) > MaxKey || len(c.ID) == 0 || len(c.ID) > MaxID || duplicate {
 		err = ErrLine
 	}
-	if size > most {
+	if size > maxValue {
 		err = ErrLarge
 	}
-	if size > MaxSkipFactor*most {
+	if size > MaxSkipFactor*maxValue {
 		return c, 0, ErrHuge
 	}
 	if c.Kind != Set {
@@ -105,7 +106,7 @@
 		c.SkipBytes = size + 2
 		return c, used, err
 	}
-	if size > whole {
+	if size > maxInline {
 		c.LongSize = size
 		return c, used, nil
 	}
@@ -119,26 +120,26 @@
 	return c, used + size + 2, nil
 }
 
-// flags takes the flags that the balancer reads and reports whether one of them stands twice: a server could take the
-// other for the one that is meant.
-func (c *Command) flags(rest []byte) (twice bool) {
+// parseFlags reads the flags that the balancer uses and reports whether one of them occurs twice: a server could use the other
+// occurrence.
+func (c *Command) parseFlags(rest []byte) (duplicate bool) {
 	for f := range words(rest) {
 		switch {
 		case f[0] == 'O':
-			twice = twice || c.ID != nil
+			duplicate = duplicate || c.ID != nil
 			c.ID = f[1:]
 		case f[0] == 'P':
-			twice = twice || c.Info != nil
+			duplicate = duplicate || c.Info != nil
 			c.Info = f[1:]
-			// Parts of one line end where its buffer ends. Guards against counting back from the rest of the line, which
-			// was off by the spaces behind P when a flag follows it: d then went on as another number.
+			// All slices of a line share the end of its buffer, so the difference of their capacities is the offset. Counting back from the
+			// rest of the line was off by the spaces after P when a flag followed it, and d was forwarded as another number.
 			c.InfoOffset = cap(c.Line) - cap(c.Info)
 		}
 	}
-	return twice
+	return duplicate
 }
 
-// cutLine takes the first line; used is 0 when it has not come whole.
+// cutLine returns the first line; used is 0 if it is incomplete.
 func cutLine(data []byte) (line []byte, used int, err error) {
 	end := bytes.IndexByte(data, '\n')
 	if end < 0 {
@@ -157,8 +158,8 @@
 	return line, end + 1, nil
 }
 
-// word takes the first word off a line; the rest begins with the next word.
-func word(line []byte) (first, rest []byte) {
+// cutWord splits off the first word of a line; the rest begins with the next word.
+func cutWord(line []byte) (first, rest []byte) {
 	for len(line) > 0 && line[0] == ' ' {
 		line = line[1:]
 	}
@@ -173,20 +174,20 @@
 	return first, rest
 }
 
-// words gives the words of the rest of a line one by one; none is empty.
+// words iterates over the words of a line; none is empty.
 func words(rest []byte) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for len(rest) > 0 {
 			var f []byte
-			if f, rest = word(rest); len(f) > 0 && !yield(f) {
+			if f, rest = cutWord(rest); len(f) > 0 && !yield(f) {
 				return
 			}
 		}
 	}
 }
 
-// plain reports whether a line is printable ASCII: servers close on what they can't read, whatever else waits there.
-func plain(line []byte) bool {
+// isPrintable reports whether a line is printable ASCII: servers close the connection on other bytes, whatever is outstanding on it.
+func isPrintable(line []byte) bool {
 	for _, b := range line {
 		if b < ' ' || b >= 0x7f {
 			return false
@@ -195,8 +196,8 @@
 	return true
 }
 
-// number reads a length; no sign, and nothing that a value could not be skipped by.
-func number(text []byte) (int, bool) {
+// parseLength parses a length: digits only, without a sign, and few enough that the value could be skipped.
+func parseLength(text []byte) (int, bool) {
 	if len(text) == 0 || len(text) > 9 {
 		return 0, false
 	}
@@ -210,7 +211,7 @@
 	return n, true
 }
 
-// FindField finds a name among names and values and tells where its value stands in info: -1 where it is not there.
+// FindField finds a name in a list of name=value pairs and returns the position of its value, -1 if it is missing.
 func FindField(info []byte, name string) (from, to int) {
 	for at := 0; at < len(info); {
 		end := len(info)
@@ -225,7 +226,7 @@
 	return -1, -1
 }
 
-// FieldValue is a field's value, empty where it is not there.
+// FieldValue returns the value of a field, empty if it is missing.
 func FieldValue(info []byte, name string) string {
 	from, to := FindField(info, name)
 	if from < 0 {
@@ -234,11 +235,11 @@
 	return string(info[from:to])
 }
 
-// AppendForwarded writes a command as it came, but for the value of the field d, which becomes wait. A long value is the
-// caller's to write, and the line end behind it.
-func AppendForwarded(buf []byte, c *Command, wait int64) []byte {
+// AppendForwarded appends a command as received, except that the value of the field d becomes remaining. The caller writes a long
+// value, and the line end after it.
+func AppendForwarded(buf []byte, c *Command, remaining int64) []byte {
 	buf = append(buf, c.Line[:c.InfoOffset]...)
-	buf = AppendInfo(buf, c.Info, wait)
+	buf = AppendInfo(buf, c.Info, remaining)
 	buf = append(append(buf, c.Line[c.InfoOffset+len(c.Info):]...), "\r\n"...)
 	if c.Kind == Set && c.LongSize == 0 {
 		buf = append(append(buf, c.Value...), "\r\n"...)
@@ -246,20 +247,20 @@
 	return buf
 }
 
-// AppendInfo writes a list of names and values as it came, but for the value of the field d, which becomes wait.
-func AppendInfo(buf, info []byte, wait int64) []byte {
+// AppendInfo appends a list of name=value pairs as received, except that the value of the field d becomes remaining.
+func AppendInfo(buf, info []byte, remaining int64) []byte {
 	from, to := FindField(info, "d")
 	if from < 0 {
 		return append(buf, info...)
 	}
-	buf = strconv.AppendInt(append(buf, info[:from]...), wait, 10)
+	buf = strconv.AppendInt(append(buf, info[:from]...), remaining, 10)
 	return append(buf, info[to:]...)
 }
 
-// Status is what a cache's answer says.
+// Status is the result that a response reports.
 type Status int
 
-// The answers.
+// The results.
 const (
 	Value  Status = iota + 1 // VA
 	Stored                   // HD
@@ -268,20 +269,21 @@
 	Failed                   // any other error line
 )
 
-// Response is one answer. Its slices are parts of the bytes that were parsed.
+// Response is a parsed response. Its slices refer to the parsed bytes.
 type Response struct {
 	Status        Status
-	ID            []byte
+	ID            []byte // value of flag O
 	Value         []byte
-	Receipt       []byte
-	Hit           byte // '1' or '0' where the cache tells, else 0
-	FetchInFlight bool // Z: another fetch of the key is out
-	LongSize      int  // bytes of a long value, which is not in Value: it follows, and a line end behind it
+	Receipt       []byte // value of flag c
+	Hit           byte   // '1' or '0' if the cache reports it, else 0
+	FetchInFlight bool   // flag Z: another client already fetches the key
+	LongSize      int    // length of a long value, which is not in Value: it follows, and a line end after it
 }
 
-// ParseResponse parses the first answer. It returns how many bytes that took: 0 when more must come first. A value of more
-// than whole bytes is not waited for: only the line is used, and Long says how many follow; there may be most.
-func ParseResponse(data []byte, whole, most int) (a Response, used int, err error) {
+// ParseResponse parses the first response. It returns the number of bytes used, which is 0 if the response is incomplete. A value of
+// more than maxInline bytes is not waited for: only the line is used, and LongSize is the number of bytes that follow, at most
+// maxValue.
+func ParseResponse(data []byte, maxInline, maxValue int) (a Response, used int, err error) {
 	line, used, err := cutLine(data)
 	if err != nil {
 		return a, 0, ErrResponse
@@ -289,14 +291,14 @@
 	if used == 0 {
 		return a, 0, nil
 	}
-	name, rest := word(line)
+	name, rest := cutWord(line)
 	size := -1
 	switch string(name) {
 	case "VA":
 		var length []byte
-		length, rest = word(rest)
-		n, ok := number(length)
-		if !ok || n > most {
+		length, rest = cutWord(rest)
+		n, ok := parseLength(length)
+		if !ok || n > maxValue {
 			return a, 0, ErrResponse
 		}
 		a.Status, size = Value, n
@@ -307,7 +309,7 @@
 	case "SERVER_ERROR":
 		a.Status = Failed
 		var reason []byte
-		if reason, rest = word(rest); string(reason) == "busy" {
+		if reason, rest = cutWord(rest); string(reason) == "busy" {
 			a.Status = Busy
 		}
 	case "ERROR", "CLIENT_ERROR":
@@ -316,13 +318,13 @@
 	default:
 		return a, 0, ErrResponse
 	}
-	if !a.flags(rest) {
+	if !a.parseFlags(rest) {
 		return a, 0, ErrResponse
 	}
 	if (a.Status == Value || a.Status == Stored || a.Status == Absent) && len(a.ID) == 0 {
-		return a, 0, ErrResponse // which request it answers must be told
+		return a, 0, ErrResponse // without an ID, its request is unknown
 	}
-	if size > whole {
+	if size > maxInline {
 		a.LongSize = size
 		return a, used, nil
 	}
@@ -339,9 +341,9 @@
 	return a, used, nil
 }
 
-// flags takes the flags up to the load report, which ends the line and may hold anything. It reports whether they make
-// sense: none of those read here stands twice.
-func (a *Response) flags(rest []byte) bool {
+// parseFlags reads the flags up to the load report, which ends the line and may contain anything. It reports whether they are valid:
+// none of those read here may occur twice.
+func (a *Response) parseFlags(rest []byte) bool {
 	for f := range words(rest) {
 		switch {
 		case f[0] == 'L':
@@ -365,29 +367,29 @@
 	return true
 }
 
-// AppendValue writes the answer that serves a read.
+// AppendValue appends the successful response to a read.
 func AppendValue(buf, id, value []byte) []byte {
 	return append(append(AppendValueLine(buf, id, len(value)), value...), "\r\n"...)
 }
 
-// AppendValueLine writes the line of such an answer, behind which the value follows and a line end.
+// AppendValueLine appends the first line of such a response; the value and a line end follow.
 func AppendValueLine(buf, id []byte, size int) []byte {
 	buf = strconv.AppendInt(append(buf, "VA "...), int64(size), 10)
 	return append(append(append(buf, " O"...), id...), "\r\n"...)
 }
 
-// AppendStored writes the answer that serves a write.
+// AppendStored appends the successful response to a write.
 func AppendStored(buf, id, receipt []byte) []byte {
 	buf = append(append(buf, "HD O"...), id...)
 	buf = append(append(buf, " c"...), receipt...)
 	return append(buf, "\r\n"...)
 }
 
-// AppendBusy writes a refusal, with the milliseconds after which the client should come again if there are any.
-func AppendBusy(buf []byte, comeBack int64) []byte {
+// AppendBusy appends a refusal, with the number of milliseconds after which the client should retry if it is positive.
+func AppendBusy(buf []byte, retryAfterMS int64) []byte {
 	buf = append(buf, "SERVER_ERROR busy"...)
-	if comeBack > 0 {
-		buf = strconv.AppendInt(append(buf, ' '), comeBack, 10)
+	if retryAfterMS > 0 {
+		buf = strconv.AppendInt(append(buf, ' '), retryAfterMS, 10)
 	}
 	return append(buf, "\r\n"...)
 }
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestNext(t *testing.T) {
+func TestParseCommand(t *testing.T) {
 	long := strings.Repeat("k", MaxKey+1)
 	for _, c := range []struct {
 		name, in string
@@ -23,8 +23,8 @@
 		{"line ends inside a value", "ms k 4 Oa1\r\n\r\n\r\n\r\n", Set, -1, 0, nil},
 		{"probe", "mn\r\n", Noop, -1, 0, nil},
 		{"bare line feed", "mn\n", Noop, -1, 0, nil},
-		{"line not whole", "mg k v Oa1", 0, 0, 0, nil},
-		{"value not whole", "ms k 5 Oa1\r\nhel", 0, 0, 0, nil},
+		{"incomplete line", "mg k v Oa1", 0, 0, 0, nil},
+		{"incomplete value", "ms k 5 Oa1\r\nhel", 0, 0, 0, nil},
 		{"value without its end", "ms k 5 Oa1\r\nhello\r", 0, 0, 0, nil},
 		{"value too long for its length", "ms k 5 Oa1\r\nhello!\r\n", Set, 0, 0, ErrChunk},
 		{"unknown", "get k\r\n", 0, -1, 0, ErrLine},
@@ -36,12 +36,12 @@
 		{"stray carriage return", "mg k v Oa1\rX: 1\r\n", 0, -1, 0, ErrLine},
 		{"no length", "ms k Oa1\r\n", Set, -1, 0, ErrLine},
 		{"negative length", "ms k -1 Oa1\r\n", Set, -1, 0, ErrLine},
-		{"length beyond counting", "ms k 99999999999999999999 Oa1\r\n", Set, -1, 0, ErrLine},
+		{"length out of range", "ms k 99999999999999999999 Oa1\r\n", Set, -1, 0, ErrLine},
 		{"long value, which follows", "ms k 65537 Oa1\r\n", Set, -1, 0, nil},
 		{"too large", "ms k 4194305 Oa1\r\n", Set, -1, 4194307, ErrLarge},
 		{"write without id", "ms k 5 v\r\n", Set, -1, 7, ErrLine},
 		{"line too long", strings.Repeat("x", MaxLine+2), 0, 0, 0, ErrFraming},
-		{"ended line too long", strings.Repeat("x", MaxLine+1) + "\r\n", 0, 0, 0, ErrFraming},
+		{"complete line too long", strings.Repeat("x", MaxLine+1) + "\r\n", 0, 0, 0, ErrFraming},
 	} {
 		m, used, err := ParseCommand([]byte(c.in), MaxValue, MaxLongValue)
 		want := c.used
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestNextTakesTheFields(t *testing.T) {
+func TestParseCommandReadsTheFields(t *testing.T) {
 	m, _, err := ParseCommand([]byte("ms k1 5 O9b1f Pc=put,t=acme,d=480,k=5c0f\r\nhello\r\n"), MaxValue, MaxLongValue)
 	if err != nil || string(m.Key) != "k1" || string(m.ID) != "9b1f" || string(m.Value) != "hello" {
 		t.Fatalf("%+v, %v", m, err)
@@ -67,8 +67,8 @@
 	}
 }
 
-// What goes on unchanged stays the bytes that came; only d tells the node's own wait.
-func TestAppendForward(t *testing.T) {
+// A forwarded command consists of the received bytes; only d becomes the remaining time.
+func TestAppendForwarded(t *testing.T) {
 	for _, c := range []struct{ in, want string }{
 		{"mg k v O1 Pc=read,t=acme,d=480\r\n", "mg k v O1 Pc=read,t=acme,d=77\r\n"},
 		{"mg k  v O1 Pd=480,c=read q\r\n", "mg k  v O1 Pd=77,c=read q\r\n"},
@@ -77,12 +77,12 @@
 	} {
 		m, _, err := ParseCommand([]byte(c.in), MaxValue, MaxLongValue)
 		if got := string(AppendForwarded(nil, &m, 77)); err != nil || got != c.want {
-			t.Errorf("%q goes on as %q, want %q (%v)", c.in, got, c.want, err)
+			t.Errorf("%q is forwarded as %q, want %q (%v)", c.in, got, c.want, err)
 		}
 	}
 }
 
-func TestNextAnswer(t *testing.T) {
+func TestParseResponse(t *testing.T) {
 	for _, c := range []struct {
 		name, in string
 		status   Status
@@ -104,7 +104,7 @@
 		{"failed", "SERVER_ERROR failed h0\r\n", Failed, "", "", "", '0', false, -1, nil},
 		{"refused line", "CLIENT_ERROR what\r\n", Failed, "", "", "", 0, false, -1, nil},
 		{"two", "EN Oa1\r\nEN Oa2\r\n", Absent, "a1", "", "", 0, false, 8, nil},
-		{"not whole", "VA 5 Oa1\r\nhel", 0, "", "", "", 0, false, 0, nil},
+		{"incomplete", "VA 5 Oa1\r\nhel", 0, "", "", "", 0, false, 0, nil},
 		{"nothing yet", "", 0, "", "", "", 0, false, 0, nil},
 		{"no id", "VA 5\r\nhello\r\n", Value, "", "", "", 0, false, 0, ErrResponse},
 		{"receipt without id", "HD cR7\r\n", Stored, "", "", "R7", 0, false, 0, ErrResponse},
@@ -113,7 +113,7 @@
 		{"too long", "VA 4194305 Oa1\r\n", 0, "", "", "", 0, false, 0, ErrResponse},
 		{"long, without id", "VA 65537\r\n", Value, "", "", "", 0, false, 0, ErrResponse},
 		{"no length", "VA x Oa1\r\n", 0, "", "", "", 0, false, 0, ErrResponse},
-		{"not an answer", "hello\r\n", 0, "", "", "", 0, false, 0, ErrResponse},
+		{"not a response", "hello\r\n", 0, "", "", "", 0, false, 0, ErrResponse},
 		{"endless line", strings.Repeat("x", MaxLine+2), 0, "", "", "", 0, false, 0, ErrResponse},
 	} {
 		a, used, err := ParseResponse([]byte(c.in), MaxValue, MaxLongValue)
@@ -131,9 +131,9 @@
 	}
 }
 
-// However the bytes are cut, the same commands come out, no more is used than there is, and what goes on unchanged
+// However the bytes are split, the same commands are parsed, no more bytes are used than there are, and a forwarded command
 // parses as the same command again.
-func FuzzNext(f *testing.F) {
+func FuzzParseCommand(f *testing.F) {
 	f.Add([]byte("mg k v Oa1 Pc=read,d=10\r\nms k 5 Oa1 Pc=put\r\nhello\r\nmn\r\n"), 7)
 	f.Add([]byte("ms k 65537 Oa1\r\n\r\n"), 3)
 	f.Add([]byte("ms k 5 O\r\nhello\r\n"), 1)
@@ -153,12 +153,12 @@
 		again, n, err := ParseCommand(AppendForwarded(nil, &m, 123), MaxValue, MaxLongValue)
 		if err != nil || n == 0 || !bytes.Equal(again.Key, m.Key) || !bytes.Equal(again.ID, m.ID) ||
 			!bytes.Equal(again.Value, m.Value) {
-			t.Fatalf("%q goes on as something else: %v", in[:used], err)
+			t.Fatalf("%q is forwarded as a different command: %v", in[:used], err)
 		}
 	})
 }
 
-func FuzzNextAnswer(f *testing.F) {
+func FuzzParseResponse(f *testing.F) {
 	f.Add([]byte("VA 5 Oa1 h1 Lq=1\r\nhello\r\n"))
 	f.Add([]byte("HD Oa1 cR7\r\n"))
 	f.Add([]byte("SERVER_ERROR busy\r\n"))
