--- a/internal/httpc/request_test.go
+++ b/internal/httpc/request_test.go
@@ -14,7 +14,7 @@
 		used         int // -1: all of it
 		err          error
 	}{
-		{"a call", "GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n", "GET", "/_vars", -1, nil},
+		{"a request", "GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n", "GET", "/_vars", -1, nil},
 		{"bare line feeds", "GET / HTTP/1.1\nHost: x\n\n", "GET", "/", -1, nil},
 		{"old", "GET / HTTP/1.0\r\n\r\n", "GET", "/", -1, nil},
 		{"leading empty lines", "\r\n\r\nGET / HTTP/1.1\r\n\r\n", "GET", "/", -1, nil},
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,6 +1,8 @@
 // Package loop is the node's event loop: one epoll descriptor, one heap of timers, and connections that call back their handlers.
 // Everything runs on the goroutine that calls Run; except for Post, nothing here may be called from another goroutine.
 //
+// A turn of the loop polls epoll, handles the events by priority, and then runs the timers that are due.
+//
 // A descriptor has one owner, its Conn, Listener or File, and is closed in one place, Loop.release.
 package loop
 
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -36,9 +36,9 @@
 // runUntil runs the loop until a condition holds, for at most 10 seconds.
 func runUntil(t *testing.T, l *Loop, what string, holds func() bool) {
 	t.Helper()
-	var look func()
+	var check func()
 	end := l.Now() + 10*time.Second
-	look = func() {
+	check = func() {
 		switch {
 		case holds():
 			l.Stop()
@@ -46,10 +46,10 @@
 			t.Errorf("not reached: %s", what)
 			l.Stop()
 		default:
-			l.After(time.Millisecond, look)
+			l.After(time.Millisecond, check)
 		}
 	}
-	l.Defer(look)
+	l.Defer(check)
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
 	}
@@ -82,13 +82,13 @@
 	add := func(d time.Duration, name string) *Timer { return l.After(d, func() { got = append(got, name) }) }
 	add(3*time.Millisecond, "c")
 	add(time.Millisecond, "a")
-	gone := add(2*time.Millisecond, "x")
+	cancelled := add(2*time.Millisecond, "x")
 	add(2*time.Millisecond, "b")
 	add(-time.Second, "first")
-	gone.Stop()
-	gone.Stop()
-	var never *Timer
-	never.Stop()
+	cancelled.Stop()
+	cancelled.Stop()
+	var unset *Timer
+	unset.Stop()
 	runUntil(t, l, "all timers", func() bool { return len(got) == 4 })
 	if want := []string{"first", "a", "b", "c"}; !slices.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
@@ -105,14 +105,14 @@
 		t.Fatalf("%q, %v", buf, err)
 	}
 	if c.Written() != 5 || c.WriteOffset() != 5 || c.Stale() {
-		t.Errorf("written %d, queued %d, stale %v", c.Written(), c.WriteOffset(), c.Stale())
+		t.Errorf("written %d, offset %d, stale %v", c.Written(), c.WriteOffset(), c.Stale())
 	}
 	peer.Write([]byte("there"))
 	runUntil(t, l, "the response", func() bool { return string(r.data) == "there" })
 	peer.Close()
 	runUntil(t, l, "the end", func() bool { return r.end != nil })
 	if !errors.Is(r.end, io.EOF) || l.OpenSockets() != before {
-		t.Errorf("ended with %v, %d sockets held", r.end, l.OpenSockets())
+		t.Errorf("ended with %v, %d sockets open", r.end, l.OpenSockets())
 	}
 	c.Close() // a second close has no effect
 }
@@ -126,7 +126,7 @@
 	c.Write(big)
 	if c.Written() <= 0 || c.Written() >= int64(len(big)) || c.WriteOffset() != int64(len(big)) ||
 		c.Pending() != int(c.WriteOffset()-c.Written()) {
-		t.Fatalf("written %d, queued %d, pending %d", c.Written(), c.WriteOffset(), c.Pending())
+		t.Fatalf("written %d, offset %d, pending %d", c.Written(), c.WriteOffset(), c.Pending())
 	}
 	// Guards against taking a slow reader for a dead one: its progress shows in Acknowledged before the socket is writable again.
 	written, acknowledged := c.Written(), c.Acknowledged()
@@ -162,7 +162,7 @@
 // Guards against a client whose close goes unnoticed while reading is paused, however it closes and whatever it sent before. Without
 // WatchPeerClose, data received before the end is read first.
 func TestPeerCloseWhilePaused(t *testing.T) {
-	for name, leave := range map[string]func(*net.TCPConn){
+	for name, closeConn := range map[string]func(*net.TCPConn){
 		"close":      func(c *net.TCPConn) { c.Close() },
 		"half-close": func(c *net.TCPConn) { c.CloseWrite() },
 		"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
@@ -176,7 +176,7 @@
 					c.WatchPeerClose()
 				}
 				peer.Write([]byte("sent before"))
-				leave(peer)
+				closeConn(peer)
 				if watches || name == "reset" {
 					runUntil(t, l, "the end", func() bool { return r.end != nil })
 					if watches && len(r.data) > 0 || l.OpenSockets() != 0 {
@@ -323,7 +323,7 @@
 	ln.Close()
 	ln.Close()
 	if l.OpenSockets() != 3 {
-		t.Errorf("%d sockets held", l.OpenSockets())
+		t.Errorf("%d sockets open", l.OpenSockets())
 	}
 }
 
--- a/internal/loop/share_test.go
+++ b/internal/loop/share_test.go
@@ -65,7 +65,7 @@
 	dial(20)
 	runUntil(t, l, "the new listener has them all", func() bool { return accepted["fresh"] == 20 })
 	if old.Close(); accepted["old"] != 5 {
-		t.Errorf("%d of 5 connections taken at the close", accepted["old"])
+		t.Errorf("%d of 5 connections accepted at the close", accepted["old"])
 	}
 	dial(20)
 	runUntil(t, l, "the new listener has them all", func() bool { return accepted["fresh"] == 40 })
