--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -110,14 +110,14 @@
 	if !stop {
 		b.heard = b.link.pool.node.loop.Now()
 	}
-	b.link.conn.Pause(stop)
+	b.link.conn.SetPaused(stop)
 	b.link.paused = stop
 }
 
 // begin gives the client the beginning, at the answer's turn on its connection.
 func (b *body) begin(c *client) {
 	b.begun = true
-	head := meta.AppendValueHead(make([]byte, 0, len(b.kept)+64), b.try.call.command.ID, b.size)
+	head := meta.AppendValueLine(make([]byte, 0, len(b.kept)+64), b.try.call.command.ID, b.size)
 	c.conn.Write(append(head, b.kept...))
 	b.kept = nil
 	b.link.account()
@@ -163,7 +163,7 @@
 	id := c.command.ID
 	switch {
 	case whole && !b.begun:
-		n.reply(c, append(append(meta.AppendValueHead(nil, id, b.size), b.kept...), "\r\n"...), served)
+		n.reply(c, append(append(meta.AppendValueLine(nil, id, b.size), b.kept...), "\r\n"...), served)
 	case whole:
 		n.reply(c, []byte("\r\n"), served)
 	case !b.begun:
@@ -181,7 +181,7 @@
 // breakOff ends a connection in the midst of an answer: with its end the client knows that it is not whole.
 func (c *client) breakOff() {
 	c.node.noteClosed(c, closedBroken)
-	c.conn.Finish(lingerFor)
+	c.conn.CloseGracefully(lingerFor)
 	c.ended()
 }
 
@@ -198,5 +198,5 @@
 	}
 	c.deep = rest
 	n.deep += rest
-	c.conn.Deepen(rest)
+	c.conn.GrowSendBuffer(rest)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -197,7 +197,7 @@
 	n.calls[c.id] = c
 	n.note(requestTaken, c)
 	if n.forwarder != nil {
-		n.forwarder.Request(string(c.command.Key), meta.Text(info, "t"))
+		n.forwarder.Request(string(c.command.Key), meta.FieldValue(info, "t"))
 	}
 	if c.upload == nil {
 		n.clock(c, now, c.deadline-now)
@@ -205,7 +205,7 @@
 		c.end = now + c.upload.wait
 	}
 	n.guard("request", func() {
-		n.policy.Request(now, policy.Request{ID: c.id, Class: c.class.name, Tenant: meta.Text(info, "t"),
+		n.policy.Request(now, policy.Request{ID: c.id, Class: c.class.name, Tenant: meta.FieldValue(info, "t"),
 			Key: string(c.command.Key), Left: c.end - now, Write: c.command.Kind == meta.Set,
 			Coming: c.upload != nil})
 	})
@@ -316,7 +316,7 @@
 func (n *Node) withdraw(c *call) {
 	for _, t := range c.tries {
 		if !t.done {
-			n.loop.Later(func() { t.pool.withdraw(t) })
+			n.loop.Defer(func() { t.pool.withdraw(t) })
 		}
 	}
 }
@@ -391,14 +391,14 @@
 	x := c.client
 	// Guards against an attempt for a client that has gone, whose end stands in the system behind what had this one begin: an
 	// answer that gave it room, a time-out, another that was to fetch for it.
-	gone := x == nil || x.conn.Left()
+	gone := x == nil || x.conn.PeerClosed()
 	why := n.maySend(t, left, gone)
 	if why == safety.Allowed && left <= 0 {
 		why = safety.TimeOver
 	}
 	if why != safety.Allowed {
 		if gone && x != nil {
-			n.loop.Later(x.away)
+			n.loop.Defer(x.away)
 		}
 		n.refuseSend(t, why)
 		return
@@ -437,7 +437,7 @@
 		return // its value has begun to flow
 	}
 	t := c.tries[k]
-	a.n.loop.Later(func() { t.pool.cancel(t) })
+	a.n.loop.Defer(func() { t.pool.cancel(t) })
 }
 
 // Timer implements policy.Actions.
--- a/internal/registry/announce.go
+++ b/internal/registry/announce.go
@@ -95,7 +95,7 @@
 	o := &once{announcer: a, call: c}
 	conn, err := (&Client{loop: a.loop, cfg: a.cfg}).dial(addr, o)
 	if err != nil {
-		a.loop.Later(func() { a.failed(c.ID, err.Error(), false) })
+		a.loop.Defer(func() { a.failed(c.ID, err.Error(), false) })
 		return
 	}
 	o.conn, a.out = conn, o
@@ -145,7 +145,7 @@
 var errGone = errors.New("no such lease")
 
 // answer reads an operation's answer.
-func (a *Announcer) answer(c lease.Call, head *httpc.Answer, body []byte) (id string, ttl time.Duration, err error) {
+func (a *Announcer) answer(c lease.Call, head *httpc.Response, body []byte) (id string, ttl time.Duration, err error) {
 	if a.cfg.Kind == Consul {
 		switch {
 		case head.Status == 404 && c.Op == lease.Renew:
@@ -201,16 +201,16 @@
 	announcer *Announcer
 	call      lease.Call
 	conn      wire
-	stream    httpc.Stream
+	stream    httpc.StreamParser
 	body      []byte
 	gone      bool
 }
 
-// Up implements loop.Handler.
-func (o *once) Up() {}
+// Connected implements loop.Handler.
+func (o *once) Connected() {}
 
-// Drained implements loop.Handler.
-func (o *once) Drained() {}
+// Flushed implements loop.Handler.
+func (o *once) Flushed() {}
 
 // End implements loop.Handler.
 func (o *once) End(err error) {
@@ -244,7 +244,7 @@
 
 func (o *once) finish() {
 	a := o.announcer
-	id, ttl, err := a.answer(o.call, &o.stream.Head, o.body)
+	id, ttl, err := a.answer(o.call, &o.stream.ResponseHead, o.body)
 	if err != nil {
 		o.fail(err.Error(), errors.Is(err, errGone))
 		return
--- a/internal/system/faults.go
+++ b/internal/system/faults.go
@@ -14,14 +14,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Faulty reports whether this build can make system calls fail.
-const Faulty = true
+// FaultsEnabled reports whether this build can inject failures into system calls.
+const FaultsEnabled = true
 
-// Variable names the environment variable with a process's plan, see Parse.
-const Variable = "LAPISSHELF_FAULTS"
+// PlanVariable is the environment variable that holds a process's fault plan, see ParseFaultPlan.
+const PlanVariable = "LAPISSHELF_FAULTS"
 
-// documented are the errors that a call is made to fail with, each of which its manual page names.
-var documented = map[Call][]unix.Errno{
+// documentedErrors are the errors that are injected into each call; its manual page documents them.
+var documentedErrors = map[Call][]unix.Errno{
 	CallSocket:    {unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM},
 	CallConnect:   {unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EINTR, unix.ETIMEDOUT},
 	CallAccept:    {unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINTR, unix.EPROTO},
@@ -38,25 +38,25 @@
 	CallRename:    {unix.ENOSPC, unix.EIO},
 }
 
-// Plan says which calls fail, how often and when.
-type Plan struct {
-	Seed  uint64
-	Rate  float64       // the part of the calls that fail while failures last, 0 to 1
-	After time.Duration // when they begin, from the process's start
-	Every time.Duration // and begin again; 0: never
-	For   time.Duration // how long they last each time
-	Skew  time.Duration // of the wall clock
-	Drift time.Duration // drawn by each process: its wall clock is off by as much at most, either way
-	Calls map[Call]bool
-	// Breaks has send and receive fail as broken connections do too. Off by default: who is at the other end of a connection that
-	// breaks so is not answered, which nobody can tell from a request that was lost.
-	Breaks bool
+// FaultPlan describes which calls fail, how often and when.
+type FaultPlan struct {
+	Seed     uint64
+	Rate     float64       // share of the calls that fail during a fault period, 0 to 1
+	After    time.Duration // start of the first fault period, from the process's start
+	Interval time.Duration // time between the starts of fault periods; 0: there is only one
+	Length   time.Duration // length of each fault period
+	Skew     time.Duration // offset of the wall clock
+	Drift    time.Duration // bound of a further wall clock offset, in either direction, that each process draws at random
+	Calls    map[Call]bool
+	// BreakConnections also injects errors of broken connections into send and receive. Off by default: the peer of such a connection
+	// gets no response, which cannot be distinguished from a lost request.
+	BreakConnections bool
 }
 
-// Parse reads a plan: name=value pairs between commas, seed, rate, after, every, for, skew, drift, breaks, and calls with names between plus
-// signs. An unknown name, call or value is an error.
-func Parse(text string) (Plan, error) {
-	p := Plan{Rate: 1, Calls: map[Call]bool{}}
+// ParseFaultPlan parses a plan of comma-separated name=value pairs: seed, rate, after, every, for, skew, drift, breaks, and calls with
+// names separated by plus signs. An unknown name, call or value is an error.
+func ParseFaultPlan(text string) (FaultPlan, error) {
+	p := FaultPlan{Rate: 1, Calls: map[Call]bool{}}
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		var err error
@@ -68,59 +68,59 @@
 		case "after":
 			p.After, err = time.ParseDuration(value)
 		case "every":
-			p.Every, err = time.ParseDuration(value)
+			p.Interval, err = time.ParseDuration(value)
 		case "for":
-			p.For, err = time.ParseDuration(value)
+			p.Length, err = time.ParseDuration(value)
 		case "skew":
 			p.Skew, err = time.ParseDuration(value)
 		case "drift":
 			p.Drift, err = time.ParseDuration(value)
 		case "breaks":
-			p.Breaks, err = strconv.ParseBool(value)
+			p.BreakConnections, err = strconv.ParseBool(value)
 		case "calls":
 			for _, c := range strings.Split(value, "+") {
-				if documented[Call(c)] == nil {
-					return p, fmt.Errorf("%s: no call %q", Variable, c)
+				if documentedErrors[Call(c)] == nil {
+					return p, fmt.Errorf("%s: no call %q", PlanVariable, c)
 				}
 				p.Calls[Call(c)] = true
 			}
 		default:
-			return p, fmt.Errorf("%s: no setting %q", Variable, name)
+			return p, fmt.Errorf("%s: no setting %q", PlanVariable, name)
 		}
 		if err != nil {
-			return p, fmt.Errorf("%s: %s: %w", Variable, name, err)
+			return p, fmt.Errorf("%s: %s: %w", PlanVariable, name, err)
 		}
 	}
 	return p, nil
 }
 
-// active reports whether failures last so long after the start.
-func (p *Plan) active(since time.Duration) bool {
+// active reports whether a fault period is in progress at a time since the process's start.
+func (p *FaultPlan) active(since time.Duration) bool {
 	since -= p.After
 	if since < 0 {
 		return false
 	}
-	if p.Every > 0 {
-		since %= p.Every
+	if p.Interval > 0 {
+		since %= p.Interval
 	}
-	return since < p.For
+	return since < p.Length
 }
 
 var injector = struct {
 	sync.Mutex
-	plan  Plan
-	rng   *rand.Rand
-	start time.Time
-	hook  func(Call) error
-	shut  func(Call, int) int
+	plan      FaultPlan
+	rng       *rand.Rand
+	start     time.Time
+	failHook  func(Call) error
+	limitHook func(Call, int) int
 }{start: time.Now()}
 
 func init() {
-	text := os.Getenv(Variable)
+	text := os.Getenv(PlanVariable)
 	if text == "" {
 		return
 	}
-	plan, err := Parse(text)
+	plan, err := ParseFaultPlan(text)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
@@ -131,43 +131,45 @@
 	}
 }
 
-// Inject has calls fail as fail says, and none for a nil one, in place of the process's plan.
-func Inject(fail func(Call) error) {
+// InjectFailures replaces the process's plan by a function that returns the error of each call; nil restores the plan.
+func InjectFailures(hook func(Call) error) {
 	injector.Lock()
 	defer injector.Unlock()
-	injector.hook = fail
+	injector.failHook = hook
 }
 
-// Shorten has Send and Receive take so many bytes at most as cut says; a nil one: all.
-func Shorten(cut func(Call, int) int) {
+// LimitTransfers limits the bytes that Send and Receive transfer per call to what the function returns; nil restores the plan.
+func LimitTransfers(limit func(Call, int) int) {
 	injector.Lock()
 	defer injector.Unlock()
-	injector.shut = cut
+	injector.limitHook = limit
 }
 
-func failure(c Call) error {
+// injectedFailure returns the error that a call is to fail with, or nil.
+func injectedFailure(c Call) error {
 	injector.Lock()
 	defer injector.Unlock()
-	if injector.hook != nil {
-		return injector.hook(c)
+	if injector.failHook != nil {
+		return injector.failHook(c)
 	}
 	p := &injector.plan
 	if !p.Calls[c] || !p.active(time.Since(injector.start)) || injector.rng.Float64() >= p.Rate {
 		return nil
 	}
-	list := documented[c]
+	list := documentedErrors[c]
 	errno := list[injector.rng.IntN(len(list))]
-	if !p.Breaks && (c == CallSend || c == CallReceive) && (errno == unix.ETIMEDOUT || errno == unix.EHOSTUNREACH) {
+	if !p.BreakConnections && (c == CallSend || c == CallReceive) && (errno == unix.ETIMEDOUT || errno == unix.EHOSTUNREACH) {
 		return nil
 	}
 	return errno
 }
 
-func limit(c Call, length int) int {
+// transferLimit returns how many of length bytes a call may transfer.
+func transferLimit(c Call, length int) int {
 	injector.Lock()
 	defer injector.Unlock()
-	if injector.shut != nil {
-		return min(length, max(1, injector.shut(c, length)))
+	if injector.limitHook != nil {
+		return min(length, max(1, injector.limitHook(c, length)))
 	}
 	p := &injector.plan
 	if length < 2 || !p.Calls[c] || !p.active(time.Since(injector.start)) || injector.rng.Float64() >= p.Rate {
@@ -176,4 +178,5 @@
 	return 1 + injector.rng.IntN(length)
 }
 
-func skew() time.Duration { return injector.plan.Skew }
+// wallClockSkew returns the offset of the wall clock.
+func wallClockSkew() time.Duration { return injector.plan.Skew }
