--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -476,7 +476,7 @@
 		r.reg.Down(0, false)
 		eventually(t, "it is back", there)
 		r.reg.Down(1, false)
-		r.reg.Do(func(now time.Duration, s *world.Store) { s.Lapse(now + time.Hour) }) // the leases are lost
+		r.reg.Do(func(now time.Duration, s *world.Store) { s.ExpireLeases(now + time.Hour) }) // the leases are lost
 		eventually(t, "the loss is known", gone)
 		eventually(t, "it is back under a new lease", there)
 		done := make(chan bool)
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -406,8 +406,8 @@
 		return err
 	}
 	x.Source = world.ClientSpec{Rate: c.Rate, Keys: c.Keys, Zipf: c.Zipf, Offset: c.Offset, Drift: c.Drift,
-		Patience: [2]float64{c.Patience[0], c.Patience[1]}, Retries: c.Retries, Pause: c.Pause.D(), MarksRetry: c.MarksRetry,
-		Leaves: c.Leaves, Nodes: n.Count, Skew: c.Skew}
+		TimeoutRange: [2]float64{c.Patience[0], c.Patience[1]}, MaxRetries: c.Retries, RetryDelay: c.Pause.D(), MarksRetry: c.MarksRetry,
+		LeaveShare: c.Leaves, Nodes: n.Count, NodeShares: c.Skew}
 	return x.faults(f)
 }
 
@@ -533,15 +533,15 @@
 func (x *Experiment) OriginID() string { return x.id("origin") }
 
 func (x *Experiment) id(name string) string {
-	return fmt.Sprintf("s-%08x", world.Stream(x.Seed, "server", name).Uint32())
+	return fmt.Sprintf("s-%08x", world.RandomStream(x.Seed, "server", name).Uint32())
 }
 
 func (x *Experiment) addServer(name string, g Group, later bool) *Server {
 	s := &x.Service
-	spec := world.CacheSpec{Name: name, Cores: g.Cores, Speed: g.Speed, Slots: g.Slots, Room: g.Room, Memory: int64(g.MemoryMB * (1 << 20)),
+	spec := world.CacheSpec{Name: name, Cores: g.Cores, Speed: g.Speed, Slots: g.Slots, QueueLimit: g.Room, MemoryBytes: int64(g.MemoryMB * (1 << 20)),
 		WarmUp: s.WarmUp.D(), ColdFrom: s.ColdFrom, FallMultiple: s.FallMultiple, FallWindow: s.FallWindow.D(),
-		ReportEvery: g.ReportEvery.D(), ReportNoise: g.ReportNoise, Handshake: g.Handshake.D(), Through: s.Mode == "through",
-		Coalesce: g.Coalesce, Lease: g.Lease.D(), KeepsWork: g.KeepsWork}
+		ReportInterval: g.ReportEvery.D(), ReportNoise: g.ReportNoise, HandshakeWork: g.Handshake.D(), Through: s.Mode == "through",
+		Coalesce: g.Coalesce, Lease: g.Lease.D(), IgnoresCancel: g.KeepsWork}
 	x.Servers = append(x.Servers, Server{Name: name, ID: x.id(name), Spec: spec, Group: g, Later: later,
 		Member: world.Member{ID: x.id(name), Zone: g.Zone, Kind: g.Kind, Cell: g.Cell, Weight: g.Weight}})
 	return &x.Servers[len(x.Servers)-1]
@@ -745,8 +745,8 @@
 	for _, c := range x.Classes {
 		window = max(window, c.Window)
 	}
-	return world.OriginSpec{Cores: o.Cores, Slots: o.Slots, Room: o.Room, Work: o.Work.D(), Sigma: o.Sigma, WriteFactor: o.WriteFactor,
-		FallMultiple: o.FallMultiple, FallFor: o.FallFor.D(), Down: o.Down.D(), Window: window, KeepsWork: o.KeepsWork}
+	return world.OriginSpec{Cores: o.Cores, Slots: o.Slots, QueueLimit: o.Room, Work: o.Work.D(), Sigma: o.Sigma, WriteFactor: o.WriteFactor,
+		FallMultiple: o.FallMultiple, FallWindow: o.FallFor.D(), Downtime: o.Down.D(), DedupWindow: window, IgnoresCancel: o.KeepsWork}
 }
 
 // Settings is the object that a node is told, with the names and units of the platform.
--- a/lab/fault/fault.go
+++ b/lab/fault/fault.go
@@ -313,7 +313,7 @@
 	for i, s := range specs {
 		k, ok := kinds[s.Kind]
 		bad := func(key, format string, args ...any) error { return &Error{i, key, fmt.Sprintf(format, args...)} }
-		x := &expansion{Spec: s, number: i, stage: &stage, line: t, rng: world.Stream(seed, "fault", strconv.Itoa(i), s.Kind),
+		x := &expansion{Spec: s, number: i, stage: &stage, line: t, rng: world.RandomStream(seed, "fault", strconv.Itoa(i), s.Kind),
 			at: s.At.In(stage.Length), end: stage.Length}
 		if s.For.Set {
 			x.end = x.at + s.For.In(stage.Length)
@@ -614,12 +614,12 @@
 
 // shape turns a trouble of the load into a shape of the arrivals.
 func (x *expansion) shape(k world.ShapeKind) {
-	s := world.Shape{Kind: k, From: x.at, To: x.end, Size: x.Part, Count: max(1, x.Count)}
+	s := world.Shape{Kind: k, From: x.at, To: x.end, Magnitude: x.Part, Count: max(1, x.Count)}
 	switch k {
 	case world.Surge:
-		s.Size = x.Factor
+		s.Magnitude = x.Factor
 	case world.HotTenant:
-		if s.Who = slices.Index(x.stage.Tenants, x.Tenant); s.Who < 0 {
+		if s.Index = slices.Index(x.stage.Tenants, x.Tenant); s.Index < 0 {
 			x.fail("tenant", fmt.Sprintf("unknown tenant %q", x.Tenant))
 		}
 	case world.HotNode:
@@ -627,7 +627,7 @@
 			x.fail("nodes", "hot_node wants one node")
 			return
 		}
-		s.Who = x.Nodes[0] - 1
+		s.Index = x.Nodes[0] - 1
 	}
 	x.line.Shapes = append(x.line.Shapes, s)
 }
--- a/lab/fault/fault_test.go
+++ b/lab/fault/fault_test.go
@@ -73,7 +73,7 @@
 		}
 	}
 	line, err := Expand([]Spec{{Kind: "surge", At: at("1s"), For: at("2s"), Factor: 3}, {Kind: "hot_tenant", Tenant: "x", Part: 0.3}}, stage(), 1)
-	if err != nil || len(line.Shapes) != 2 || line.Shapes[0].Size != 3 || line.Shapes[0].To != 3*time.Second || line.Shapes[1].Who != 0 {
+	if err != nil || len(line.Shapes) != 2 || line.Shapes[0].Magnitude != 3 || line.Shapes[0].To != 3*time.Second || line.Shapes[1].Index != 0 {
 		t.Errorf("%+v %v", line, err)
 	}
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -64,7 +64,7 @@
 	byID   map[string]*cache // by the id that it has now
 	names  map[string]string // a joining server's place
 	origin *origin
-	roster *world.Roster
+	roster *world.ServerList
 	lists  listState
 	nodes  []*node
 	logs   []string
@@ -130,7 +130,7 @@
 			members = append(members, world.Member{ID: x.OriginID(), Kind: "origin", Zone: "a", Weight: 1})
 		}
 	}
-	s.roster = world.NewRoster(1<<20, members...)
+	s.roster = world.NewServerList(1<<20, members...)
 	for i := range x.Nodes.Count {
 		text, err := json.Marshal(x.Settings(i))
 		if err != nil {
@@ -164,12 +164,12 @@
 	room := map[string]int64{}
 	for _, v := range x.Servers {
 		if !v.Group.Cold {
-			room[v.ID] = int64(x.Clients.Warm * float64(v.Spec.Memory))
+			room[v.ID] = int64(x.Clients.Warm * float64(v.Spec.MemoryBytes))
 		}
 	}
 	full := 0
-	for _, key := range src.Popular(x.Clients.Keys) {
-		i := world.Top(key, members)
+	for _, key := range src.PopularKeys(x.Clients.Keys) {
+		i := world.TopRanked(key, members)
 		if i < 0 || full >= len(members) {
 			return
 		}
@@ -227,7 +227,7 @@
 // wish begins a try of a client.
 func (s *sim) wish(a *world.Arrival, begin time.Duration, n, at int) {
 	class := &s.x.Classes[a.Class]
-	until := min(s.now+a.Patience, begin+class.Deadline)
+	until := min(s.now+a.Timeout, begin+class.Deadline)
 	if until-s.now < time.Millisecond {
 		s.open_--
 		return
@@ -246,8 +246,8 @@
 	}
 	s.rec.Tries = append(s.rec.Tries, t)
 	x := &try{a: a, wish: begin, t: t, class: class}
-	if a.Leave > 0 && n == 0 {
-		s.after(a.Leave, func() {
+	if a.LeaveAfter > 0 && n == 0 {
+		s.after(a.LeaveAfter, func() {
 			s.end(x, func() { t.Left = s.now })
 			s.hop(func() { nd.abandoned(t.ID) })
 		})
@@ -272,8 +272,8 @@
 	x.over = true
 	change()
 	t := x.t
-	wait := max(s.x.Source.Pause, t.ComeBack)
-	again := t.Answer != seen.Served && t.Left == 0 && t.N+1 < x.a.Tries && s.now+wait+20*time.Millisecond < x.wish+x.class.Deadline
+	wait := max(s.x.Source.RetryDelay, t.ComeBack)
+	again := t.Answer != seen.Served && t.Left == 0 && t.N+1 < x.a.MaxTries && s.now+wait+20*time.Millisecond < x.wish+x.class.Deadline
 	if harmless := t.Answer == seen.Refused || t.Nowhere; again && !harmless {
 		again = x.class.Effect == world.Safe || x.class.Effect == world.Keyed && x.class.Scope == world.ScopeAll && s.now+wait < x.wish+x.class.Window
 	}
@@ -331,12 +331,12 @@
 // start begins a process.
 func (n *node) start() {
 	s := n.sim
-	rev, members := s.roster.Whole(s.now)
+	rev, members := s.roster.Snapshot(s.now)
 	n.life = &seen.Life{Node: n.number, Life: n.lives, Start: s.now, Ready: s.now, Known: members}
 	s.rec.Lives = append(s.rec.Lives, n.life)
 	n.lives++
 	n.up, n.frozen, n.calls, n.rev = true, false, map[string]*call{}, rev
-	n.seed = world.Stream(s.x.Seed, "node", strconv.Itoa(n.number), strconv.Itoa(n.lives)).Uint64()
+	n.seed = world.RandomStream(s.x.Seed, "node", strconv.Itoa(n.number), strconv.Itoa(n.lives)).Uint64()
 	n.members = map[string]world.Member{}
 	for _, m := range members {
 		n.members[m.ID] = m
@@ -560,7 +560,7 @@
 	if !n.up || n.cut || n.frozen || s.lists.down {
 		return
 	}
-	at, changes, known := s.roster.Since(s.now, n.rev)
+	at, changes, known := s.roster.ChangesSince(s.now, n.rev)
 	if !known || at == n.rev {
 		return
 	}
--- a/lab/fleet/planners.go
+++ b/lab/fleet/planners.go
@@ -61,7 +61,7 @@
 	}
 	p.plan, p.up, p.frozen, p.members = plan.New(c), true, false, map[string]world.Member{}
 	p.holds, p.sent, p.heard = map[*node]plan.Hold{}, map[*node]time.Duration{}, map[*node]heard{}
-	rev, members := p.sim.roster.Whole(p.sim.now)
+	rev, members := p.sim.roster.Snapshot(p.sim.now)
 	p.rev = rev
 	p.take(members)
 	life := p.life
@@ -93,7 +93,7 @@
 	if p.frozen {
 		return
 	}
-	if at, changes, known := s.roster.Since(s.now, p.rev); known && at != p.rev {
+	if at, changes, known := s.roster.ChangesSince(s.now, p.rev); known && at != p.rev {
 		p.rev = at
 		p.take(changes)
 	}
@@ -148,7 +148,7 @@
 	}
 	n.forwarder = &forwarder{gather: plan.NewGather(n.clock(), n.name()), follower: follow.New(follow.Config{Fade: s.x.Planners.Fade.D()})}
 	life, every := n.lives, s.x.Planners.Every.D()
-	rng := world.Stream(s.x.Seed, "digest", n.name())
+	rng := world.RandomStream(s.x.Seed, "digest", n.name())
 	var tell, fade func()
 	tell = func() {
 		if !n.up || n.lives != life {
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -84,7 +84,7 @@
 	c.serial++
 	token := c.serial
 	switch c.model.Offer(s.now, world.Job{Token: token, Key: t.Key, Work: r.Work, Write: t.Write, Size: s.valueOf(t, class), Idem: t.Idem}) {
-	case world.Taken:
+	case world.Accepted:
 		c.jobs[token] = &job{n, a}
 		a.stop = func() {
 			if c.jobs[token] != nil {
@@ -122,11 +122,11 @@
 		}
 		delete(c.jobs, d.Token)
 		r := j.a.rec
-		switch d.Ending {
+		switch d.Outcome {
 		case world.Hit, world.Fetched:
 			r.Version = d.Version
 			note := policy.NoteHit
-			if d.Ending == world.Fetched {
+			if d.Outcome == world.Fetched {
 				note = policy.NoteMiss
 			}
 			c.reply(j.node, j.a, policy.OK, c.tells(note), seen.Value)
@@ -137,7 +137,7 @@
 			c.reply(j.node, j.a, policy.Errored, c.tells(policy.NoteMiss), seen.Error)
 		default:
 			note := policy.NoteMiss
-			if d.Ending == world.Fetching {
+			if d.Outcome == world.Fetching {
 				note = policy.NoteFetching
 			}
 			j.a.call.missed = append(j.a.call.missed, c)
@@ -149,7 +149,7 @@
 			s.origin.ask(c, a, j)
 		}
 	}
-	if c.model.Fell() && !c.fell {
+	if c.model.FellOver() && !c.fell {
 		c.fell = true
 		s.rec.Falls = append(s.rec.Falls, seen.Mark{At: s.now, Text: c.id})
 		s.rec.Marks = append(s.rec.Marks, seen.Mark{At: s.now, Text: c.name + " falls over"})
@@ -260,7 +260,7 @@
 func (s *sim) entry(c *cache, v *experiment.Server, phase world.Phase) {
 	m := v.Member
 	m.ID, m.Phase = c.id, phase
-	if began, cold := c.model.Began(); cold {
+	if began, cold := c.model.Started(); cold {
 		m.Started = began
 	}
 	s.set(m)
@@ -274,27 +274,27 @@
 	due    time.Duration
 	jobs   map[uint64]*job
 	byWho  map[uint64]string
-	asks   map[uint64]func(world.Done, bool)
+	asks   map[uint64]func(world.Completion, bool)
 }
 
 func newOrigin(s *sim) *origin {
 	return &origin{sim: s, model: world.NewOrigin(s.x.OriginSpec(), s.x.Seed), jobs: map[uint64]*job{}, byWho: map[uint64]string{},
-		asks: map[uint64]func(world.Done, bool){}}
+		asks: map[uint64]func(world.Completion, bool){}}
 }
 
 // offer brings a job; what becomes of one that is taken is told to end.
-func (o *origin) offer(t *seen.Attempt, size int) (uint64, world.Verdict) {
+func (o *origin) offer(t *seen.Attempt, size int) (uint64, world.Admission) {
 	s := o.sim
 	o.serial++
 	o.byWho[o.serial] = t.Request
-	stops := o.model.Stops()
+	stops := o.model.StopCount()
 	v, work := o.model.Offer(s.now, world.Job{Token: o.serial, Key: t.Key, Write: t.Write, Size: size, Idem: t.Idem})
 	t.Work, t.Capacity = work, o.model.Capacity()
-	if o.model.Stops() > stops {
+	if o.model.StopCount() > stops {
 		s.rec.Stops = append(s.rec.Stops, seen.Mark{At: s.now, Text: "origin"})
 		s.rec.Marks = append(s.rec.Marks, seen.Mark{At: s.now, Text: "the origin stops: too much was asked"})
 	}
-	if v != world.Taken {
+	if v != world.Accepted {
 		delete(o.byWho, o.serial)
 	}
 	return o.serial, v
@@ -311,7 +311,7 @@
 	s.rec.Attempts = append(s.rec.Attempts, r)
 	token, v := o.offer(r, 0)
 	switch v {
-	case world.Taken:
+	case world.Accepted:
 		o.jobs[token] = &job{n, a}
 		a.stop = func() {
 			if o.jobs[token] != nil {
@@ -331,26 +331,26 @@
 }
 
 // ask is a cache's own request, in through mode.
-func (o *origin) ask(c *cache, a world.Ask, j *job) {
+func (o *origin) ask(c *cache, a world.OriginRequest, j *job) {
 	s := o.sim
 	t := &seen.Attempt{Server: s.x.OriginID(), Origin: true, Request: j.a.rec.Request, Key: a.Key, Write: a.Write, Idem: a.Idem}
 	model := c.model
-	end := func(d world.Done, ok bool) {
+	end := func(d world.Completion, ok bool) {
 		if !ok {
-			d = world.Done{Ending: world.Failed}
+			d = world.Completion{Outcome: world.Failed}
 		}
 		s.hop(func() {
 			if !c.dead && c.model == model {
-				c.model.Answer(s.now, a.Token, d)
+				c.model.OriginAnswered(s.now, a.Token, d)
 				c.look()
 			}
 		})
 	}
 	token, v := o.offer(t, 0)
-	if v == world.Taken {
+	if v == world.Accepted {
 		o.asks[token] = end
 	} else {
-		end(world.Done{}, false)
+		end(world.Completion{}, false)
 	}
 	o.look()
 }
@@ -358,11 +358,11 @@
 func (o *origin) look() {
 	s := o.sim
 	for _, d := range o.model.Advance(s.now) {
-		if d.Fresh {
+		if d.Applied {
 			s.rec.Effects = append(s.rec.Effects, seen.Effect{At: s.now, Request: o.byWho[d.Token], Key: d.Key, Idem: d.Idem, Receipt: d.Receipt})
 			for _, v := range s.x.Servers {
 				if c := s.caches[v.Name]; c != nil {
-					c.model.Void(d.Key)
+					c.model.Invalidate(d.Key)
 				}
 			}
 		}
@@ -388,11 +388,11 @@
 		}
 		s.hop(func() { j.node.finished(j.a, policy.OK, 0) })
 	}
-	for _, token := range o.model.Lost() {
+	for _, token := range o.model.TakeLost() {
 		delete(o.byWho, token)
 		if end := o.asks[token]; end != nil {
 			delete(o.asks, token)
-			end(world.Done{}, false)
+			end(world.Completion{}, false)
 		}
 		if j := o.jobs[token]; j != nil {
 			delete(o.jobs, token)
--- a/lab/judge/judge_test.go
+++ b/lab/judge/judge_test.go
@@ -345,7 +345,7 @@
 	add(0, time.Second, 400*ms, nil) // late: half of its worth
 	add(1, 2*time.Second, 100*ms, func(x *seen.Try) { x.Answer = seen.Refused })
 	add(1, 3*time.Second, 100*ms, func(x *seen.Try) { x.Answer = seen.Failed })
-	plan = append(plan, world.Arrival{N: 99, At: 4 * time.Second, Tenant: 1, Over: true}) // never sent, and worth little
+	plan = append(plan, world.Arrival{N: 99, At: 4 * time.Second, Tenant: 1, OverQuota: true}) // never sent, and worth little
 	// A refusal, and a retry that is in time from the first.
 	add(0, 5*time.Second, 100*ms, func(x *seen.Try) { x.Answer = seen.Refused })
 	again, a := r.read("read")
--- a/lab/judge/rules.go
+++ b/lab/judge/rules.go
@@ -366,7 +366,7 @@
 		list := slices.DeleteFunc(slices.Clone(byServer[s.Server]), func(a *seen.Attempt) bool { return a.Last < s.At || a.Last >= until })
 		slices.SortFunc(list, func(a, b *seen.Attempt) int { return cmp.Compare(a.Last, b.Last) })
 		told := map[[2]int]time.Duration{}
-		b := world.Budget{Multiple: r.FallMultiple, Span: r.FallWindow}
+		b := world.WorkBudget{Multiple: r.FallMultiple, Window: r.FallWindow}
 		for _, a := range list {
 			t := c.tries[a.Request]
 			knows := false
--- a/lab/judge/service.go
+++ b/lab/judge/service.go
@@ -87,12 +87,12 @@
 		a := &arrivals[i]
 		class := &r.Classes[a.Class]
 		worth := class.Worth
-		if a.Over {
+		if a.OverQuota {
 			worth *= r.OverWorth
 		}
 		list := c.wishes[a.N]
 		tries += len(list)
-		if a.Leave > 0 && (len(list) == 0 || list[0].Answer == seen.None) {
+		if a.LeaveAfter > 0 && (len(list) == 0 || list[0].Answer == seen.None) {
 			continue // who goes away has asked for nothing
 		}
 		took, got, last := time.Duration(0), 0.0, seen.None
@@ -110,7 +110,7 @@
 			}
 		}
 		parts := []*Service{&total, &classes[a.Class]}
-		if a.Tenant >= 0 && !a.Over {
+		if a.Tenant >= 0 && !a.OverQuota {
 			parts = append(parts, &tenants[a.Tenant])
 		}
 		for _, s := range parts {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -148,7 +148,7 @@
 func (l *Load) begin(a *world.Arrival, wish, due time.Duration, n, node int) {
 	class := &l.opt.Classes[a.Class]
 	now := l.opt.Log.Now()
-	until := min(max(now, due)+a.Patience, wish+class.Deadline)
+	until := min(max(now, due)+a.Timeout, wish+class.Deadline)
 	ms := (until - max(now, due)) / time.Millisecond
 	if ms < 1 {
 		l.open.Done()
@@ -185,8 +185,8 @@
 		l.mu.Unlock()
 	}
 	x.timer = time.AfterFunc(until+tellFor-now, x.giveUp)
-	if a.Leave > 0 && n == 0 {
-		x.leave = time.AfterFunc(due+a.Leave-now, x.goAway)
+	if a.LeaveAfter > 0 && n == 0 {
+		x.leave = time.AfterFunc(due+a.LeaveAfter-now, x.goAway)
 	}
 	f := l.nodes[node]
 	if c := f.take(); c != nil {
@@ -548,10 +548,10 @@
 // all servers drop within their window, others only if the last try provably never ran.
 func (x *try) next() (bool, time.Duration) {
 	t, class := x.t, &x.load.opt.Classes[x.a.Class]
-	if t.Answer == seen.Served || t.Left > 0 || t.N+1 >= x.a.Tries {
+	if t.Answer == seen.Served || t.Left > 0 || t.N+1 >= x.a.MaxTries {
 		return false, 0
 	}
-	wait := max(x.load.opt.Spec.Pause, t.ComeBack)
+	wait := max(x.load.opt.Spec.RetryDelay, t.ComeBack)
 	now := x.load.opt.Log.Now()
 	harmless := t.Answer == seen.Refused || t.Nowhere
 	switch class.Effect {
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -83,7 +83,7 @@
 	t.Helper()
 	log := seen.NewLog()
 	l := New(Options{Log: log, Seed: 1, Spec: spec, Classes: classes, Nodes: []string{addr}, Life: func(int) int { return 0 }})
-	a := world.Arrival{Class: class, Tenant: -1, Key: "k", Patience: 250 * ms, Tries: 3, Idem: "i", Size: 20}
+	a := world.Arrival{Class: class, Tenant: -1, Key: "k", Timeout: 250 * ms, MaxTries: 3, Idem: "i", Size: 20}
 	if change != nil {
 		change(&a)
 	}
@@ -110,7 +110,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			addr, lines := server(t, func(int, string) string { return c.answer })
-			tries := play(t, addr, c.class, world.ClientSpec{Pause: 20 * ms, MarksRetry: true}, nil)
+			tries := play(t, addr, c.class, world.ClientSpec{RetryDelay: 20 * ms, MarksRetry: true}, nil)
 			if len(tries) != c.tries || len(lines()) != c.tries {
 				t.Fatalf("%d tries, %d requests", len(tries), len(lines()))
 			}
@@ -145,7 +145,7 @@
 	})
 	log := seen.NewLog()
 	l := New(Options{Log: log, Seed: 1, Classes: classes, Nodes: []string{addr}, Life: func(int) int { return 0 }})
-	plan := []world.Arrival{{N: 0, Key: "k", Tenant: -1, Patience: 500 * ms, Tries: 1}, {N: 1, At: 100 * ms, Key: "k", Tenant: -1, Patience: 500 * ms, Tries: 1}}
+	plan := []world.Arrival{{N: 0, Key: "k", Tenant: -1, Timeout: 500 * ms, MaxTries: 1}, {N: 1, At: 100 * ms, Key: "k", Tenant: -1, Timeout: 500 * ms, MaxTries: 1}}
 	l.Run(context.Background(), log.Now(), plan)
 	log.Do(func(r *seen.Record) {
 		if x := r.Tries[1]; !x.Unread || x.Answer != seen.Served || !x.Right {
@@ -156,7 +156,7 @@
 		t.Errorf("%q", got)
 	}
 	addr, _ = server(t, func(int, string) string { return "" })
-	if tries := play(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.Tries = 1 }); tries[0].Ended == 0 || tries[0].Unread {
+	if tries := play(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.MaxTries = 1 }); tries[0].Ended == 0 || tries[0].Unread {
 		t.Errorf("%+v", tries[0])
 	}
 }
@@ -189,15 +189,15 @@
 		{"nonsense", func(string) string { return "\r\n" }, func(x *seen.Try) bool { return x.Answer == seen.Failed }},
 	} {
 		addr, _ := server(t, func(_ int, line string) string { return c.answer(id(line)) })
-		if tries := play(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.Tries = 1 }); !c.holds(tries[0]) {
+		if tries := play(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.MaxTries = 1 }); !c.holds(tries[0]) {
 			t.Errorf("%s: %+v", c.name, tries[0])
 		}
 	}
-	if tries := play(t, "127.0.0.1:1", 2, world.ClientSpec{Pause: ms}, nil); len(tries) != 3 || !tries[0].Nowhere {
+	if tries := play(t, "127.0.0.1:1", 2, world.ClientSpec{RetryDelay: ms}, nil); len(tries) != 3 || !tries[0].Nowhere {
 		t.Errorf("a node that is not there: %d tries", len(tries))
 	}
 	addr, _ := server(t, func(int, string) string { return "-" })
-	if tries := play(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.Leave = 50 * ms }); len(tries) != 1 || tries[0].Left == 0 {
+	if tries := play(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.LeaveAfter = 50 * ms }); len(tries) != 1 || tries[0].Left == 0 {
 		t.Errorf("a client that goes away: %+v", tries[0])
 	}
 }
@@ -209,7 +209,7 @@
 	l := New(Options{Log: log, Seed: 1, Classes: classes, Nodes: []string{addr}, Life: func(int) int { return 0 }})
 	var plan []world.Arrival
 	for i := range 100 {
-		plan = append(plan, world.Arrival{N: i, At: time.Duration(i) * ms, Key: "k", Tenant: -1, Patience: 300 * ms, Tries: 1})
+		plan = append(plan, world.Arrival{N: i, At: time.Duration(i) * ms, Key: "k", Tenant: -1, Timeout: 300 * ms, MaxTries: 1})
 	}
 	l.Run(context.Background(), log.Now(), plan)
 	if n := len(lines()); n != 100 {
--- a/lab/load/rude.go
+++ b/lab/load/rude.go
@@ -53,7 +53,7 @@
 
 // run is one of them: it connects, sends, reads what comes for a while, and begins again.
 func (r *rudeClients) run(n int, stop chan struct{}) {
-	rng := world.Stream(r.load.opt.Seed, "rude", string(rune('a'+n%26)))
+	rng := world.RandomStream(r.load.opt.Seed, "rude", string(rune('a'+n%26)))
 	for {
 		select {
 		case <-stop:
--- a/lab/stage/stage.go
+++ b/lab/stage/stage.go
@@ -173,7 +173,7 @@
 		PerConn: x.Service.PerConn, MaxConns: v.Group.MaxConns, ConnIdle: x.Service.ConnIdle.D(), Tells: *x.Service.Hits,
 		Reports: *x.Service.Reports, Missed: s.noteMiss}
 	if spec.Through {
-		opt.Ask = func(a world.Ask, request, class string, answer func(world.Done)) {
+		opt.Ask = func(a world.OriginRequest, request, class string, answer func(world.Completion)) {
 			s.origin.Ask(a, request, class, answer)
 		}
 	}
@@ -198,7 +198,7 @@
 	room := map[string]int64{}
 	left := len(members)
 	for _, v := range x.Servers {
-		room[v.ID] = int64(part * float64(v.Spec.Memory))
+		room[v.ID] = int64(part * float64(v.Spec.MemoryBytes))
 		if v.Group.Cold {
 			room[v.ID] = 0
 		}
@@ -220,7 +220,7 @@
 		room[m.ID] -= size
 		s.caches[names[m.ID]].Do(func(now time.Duration, c *world.Cache) { c.Store(now, key, 0, size) })
 	}
-	keys := src.Popular(x.Clients.Keys)
+	keys := src.PopularKeys(x.Clients.Keys)
 	slices.Reverse(keys) // what is used last is kept longest
 	if x.Nodes.Direct {
 		for _, m := range members {
@@ -235,7 +235,7 @@
 		if left <= 0 {
 			break
 		}
-		if i := world.Top(k, members); i >= 0 {
+		if i := world.TopRanked(k, members); i >= 0 {
 			put(members[i], k)
 		}
 	}
@@ -264,7 +264,7 @@
 			}
 		}
 		opt := NodeOptions{Log: s.Log, Number: i, Command: s.opt.Command, Dir: s.opt.Dir, Listen: addr, List: s.list.Where(i)[0],
-			MemoryMB: x.Nodes.MemoryMB, Sockets: x.Nodes.Sockets, Seed: world.Stream(x.Seed, "node", fmt.Sprint(i)).Uint64(),
+			MemoryMB: x.Nodes.MemoryMB, Sockets: x.Nodes.Sockets, Seed: world.RandomStream(x.Seed, "node", fmt.Sprint(i)).Uint64(),
 			Settings: x.Settings(i), Longest: longest, Operated: true, Lasts: s.opt.Lasts}
 		if x.Nodes.Config != "" {
 			path := x.Nodes.Config
@@ -332,7 +332,7 @@
 	s.mu.Unlock()
 	go func() { // the origin holds its lock
 		for _, c := range all {
-			c.Do(func(_ time.Duration, m *world.Cache) { m.Void(key) })
+			c.Do(func(_ time.Duration, m *world.Cache) { m.Invalidate(key) })
 		}
 	}()
 }
@@ -694,7 +694,7 @@
 // startedOf is when a server's process started, as the list tells it.
 func (s *Stage) startedOf(c *standin.Cache) (at time.Duration) {
 	c.Do(func(_ time.Duration, m *world.Cache) {
-		if began, cold := m.Began(); cold {
+		if began, cold := m.Started(); cold {
 			at = began
 		}
 	})
--- a/lab/standin/cache.go
+++ b/lab/standin/cache.go
@@ -45,7 +45,7 @@
 	// Missed is told of each read that the cache lacked, with what stores the value there; nil: nobody is.
 	Missed func(request string, store func(version, size int64))
 	// Ask passes a request on to the origin, in through mode; answer may be called from any goroutine.
-	Ask func(a world.Ask, request string, class string, answer func(world.Done))
+	Ask func(a world.OriginRequest, request string, class string, answer func(world.Completion))
 }
 
 // Cache is a cache server on a socket.
@@ -103,7 +103,7 @@
 // NewCache starts a cache server.
 func NewCache(common *Common, opt CacheOptions) (*Cache, error) {
 	c := &Cache{Common: common, opt: opt, id: opt.ID, jobs: map[uint64]*slot{}, conns: map[*cacheConn]bool{},
-		rng: world.Stream(common.Seed, "standin", opt.Name), spoil: map[string]float64{}}
+		rng: world.RandomStream(common.Seed, "standin", opt.Name), spoil: map[string]float64{}}
 	c.timer = time.AfterFunc(time.Hour, c.ring)
 	if opt.Spec != nil {
 		c.model = world.NewCache(*opt.Spec, common.Seed)
@@ -305,16 +305,16 @@
 			continue
 		}
 		model := c.model
-		go c.opt.Ask(a, s.try.Request, s.try.Class, func(d world.Done) {
+		go c.opt.Ask(a, s.try.Request, s.try.Class, func(d world.Completion) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if c.model == model && !c.stopped {
-				model.Answer(c.Log.Now(), a.Token, d)
+				model.OriginAnswered(c.Log.Now(), a.Token, d)
 				c.look()
 			}
 		})
 	}
-	if c.model.Fell() {
+	if c.model.FellOver() {
 		c.fall(now)
 	}
 	at, ok := c.model.Next()
@@ -342,23 +342,23 @@
 }
 
 // done makes the answer to a job that has ended.
-func (c *Cache) done(s *slot, d world.Done) {
+func (c *Cache) done(s *slot, d world.Completion) {
 	t := s.try
 	tail := "\r\n"
 	if c.opt.Reports {
-		r := c.model.Report(c.Log.Now())
-		tail = fmt.Sprintf(" Lutil=%g,queue=%d\r\n", r.Util, r.Queue)
+		r := c.model.LoadReport(c.Log.Now())
+		tail = fmt.Sprintf(" Lutil=%g,queue=%d\r\n", r.Utilization, r.Queue)
 	}
 	hit := ""
 	if c.opt.Tells {
 		hit = " h0"
-		if d.Ending == world.Hit {
+		if d.Outcome == world.Hit {
 			hit = " h1"
-		} else if d.Ending == world.Fetching {
+		} else if d.Outcome == world.Fetching {
 			hit = " h0 Z"
 		}
 	}
-	switch d.Ending {
+	switch d.Outcome {
 	case world.Hit, world.Fetched:
 		v := Value(t.Key, d.Version, t.Request, t.Server, world.SizeOf(c.Seed, s.class, t.Key))
 		t.Version = d.Version
@@ -662,7 +662,7 @@
 	}
 	j := world.Job{Token: c.tokens, Key: t.Key, Work: work, Write: t.Write, Size: size, Idem: t.Idem}
 	switch c.model.Offer(now, j) {
-	case world.Taken:
+	case world.Accepted:
 		c.jobs[j.Token] = s
 	case world.Busy:
 		s.fill([]byte("SERVER_ERROR busy\r\n"), seen.Busy)
--- a/lab/standin/list.go
+++ b/lab/standin/list.go
@@ -37,7 +37,7 @@
 	servers []*http.Server
 
 	mu     sync.Mutex
-	roster *world.Roster
+	roster *world.ServerList
 	delay  time.Duration
 	down   bool
 	garble bool
@@ -87,7 +87,7 @@
 	if opt.Keep == 0 {
 		opt.Keep = 1000
 	}
-	l := &List{Common: common, opt: opt, roster: world.NewRoster(opt.Keep, members...), delay: opt.Delay,
+	l := &List{Common: common, opt: opt, roster: world.NewServerList(opt.Keep, members...), delay: opt.Delay,
 		cut: make([]chan struct{}, opt.Nodes), lives: make([]int, opt.Nodes), news: make(chan struct{}),
 		asks: make([][]string, opt.Nodes), shut: make(chan struct{})}
 	l.timer = time.AfterFunc(time.Hour, l.Changed)
@@ -124,7 +124,7 @@
 		named[m.ID] = true
 		l.roster.Set(now, 0, m)
 	}
-	_, old := l.roster.Whole(now)
+	_, old := l.roster.Snapshot(now)
 	for _, m := range old {
 		if !named[m.ID] {
 			m.Phase = world.Deleted
@@ -138,7 +138,7 @@
 func (l *List) Members() (revision int64, members []world.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.roster.Whole(l.Log.Now())
+	return l.roster.Snapshot(l.Log.Now())
 }
 
 // Down takes the service down, or up again.
@@ -214,7 +214,7 @@
 func (l *List) tell() {
 	close(l.news)
 	l.news = make(chan struct{})
-	if at, ok := l.roster.Next(); ok {
+	if at, ok := l.roster.NextVisible(); ok {
 		l.timer.Reset(max(0, at-l.Log.Now()))
 	}
 }
@@ -308,11 +308,11 @@
 // answer is what a call is told now.
 func (l *List) answer(now time.Duration, since int64, watch bool) ([]world.Member, listAnswer) {
 	if watch && !l.opt.Whole {
-		if at, changes, known := l.roster.Since(now, since); known {
+		if at, changes, known := l.roster.ChangesSince(now, since); known {
 			return changes, Wire(l.Log.Zero(), at, false, changes).(listAnswer)
 		}
 	}
-	at, all := l.roster.Whole(now)
+	at, all := l.roster.Snapshot(now)
 	if watch && l.opt.Whole && at == since {
 		return nil, listAnswer{Revision: at, Members: []listMember{}}
 	}
--- a/lab/standin/origin.go
+++ b/lab/standin/origin.go
@@ -39,8 +39,8 @@
 	timer   *time.Timer
 	due     time.Duration
 	tokens  uint64
-	waits   map[uint64]chan world.Done // closed without one: lost
-	by      map[uint64]string          // requests, by token
+	waits   map[uint64]chan world.Completion // closed without one: lost
+	by      map[uint64]string                // requests, by token
 	rng     *rand.Rand
 	spoil   float64
 	lines   []string // with a script: method, path, Request-Id, Request-Info, body
@@ -91,8 +91,8 @@
 
 // NewOrigin starts the origin.
 func NewOrigin(common *Common, opt OriginOptions) (*Origin, error) {
-	o := &Origin{Common: common, opt: opt, waits: map[uint64]chan world.Done{}, by: map[uint64]string{},
-		rng: world.Stream(common.Seed, "standin", "origin")}
+	o := &Origin{Common: common, opt: opt, waits: map[uint64]chan world.Completion{}, by: map[uint64]string{},
+		rng: world.RandomStream(common.Seed, "standin", "origin")}
 	o.timer = time.AfterFunc(time.Hour, o.ring)
 	if opt.Spec != nil {
 		o.model = world.NewOrigin(*opt.Spec, common.Seed)
@@ -166,7 +166,7 @@
 func (o *Origin) look() {
 	now := o.Log.Now()
 	for _, d := range o.model.Advance(now) {
-		if d.Fresh {
+		if d.Applied {
 			e := seen.Effect{At: now, Request: o.by[d.Token], Key: d.Key, Idem: d.Idem, Receipt: d.Receipt}
 			o.Log.Do(func(r *seen.Record) { r.Effects = append(r.Effects, e) })
 			if o.opt.Wrote != nil {
@@ -175,7 +175,7 @@
 		}
 		o.end(d.Token, &d)
 	}
-	for _, t := range o.model.Lost() {
+	for _, t := range o.model.TakeLost() {
 		o.end(t, nil)
 	}
 	at, ok := o.model.Next()
@@ -189,7 +189,7 @@
 }
 
 // end tells who waits for a job.
-func (o *Origin) end(token uint64, d *world.Done) {
+func (o *Origin) end(token uint64, d *world.Completion) {
 	w := o.waits[token]
 	delete(o.waits, token)
 	delete(o.by, token)
@@ -204,35 +204,35 @@
 
 // offer brings a job; the channel gives its end, or is closed without one. A nil channel: it was turned away, with
 // gone telling that nobody is there.
-func (o *Origin) offer(t *seen.Attempt, size int) (token uint64, end chan world.Done, gone bool) {
+func (o *Origin) offer(t *seen.Attempt, size int) (token uint64, end chan world.Completion, gone bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.Log.Now()
 	o.tokens++
 	token = o.tokens
-	stops := o.model.Stops()
+	stops := o.model.StopCount()
 	// The effect must be told by the request even if its client has gone by then.
 	o.by[token] = t.Request
 	v, work := o.model.Offer(now, world.Job{Token: token, Key: t.Key, Write: t.Write, Size: size, Idem: t.Idem})
 	o.Log.Do(func(r *seen.Record) {
 		t.Work, t.Capacity = work, o.model.Capacity()
-		if o.model.Stops() > stops {
+		if o.model.StopCount() > stops {
 			r.Stops = append(r.Stops, seen.Mark{At: now, Text: "origin"})
 			r.Marks = append(r.Marks, seen.Mark{At: now, Text: "the origin stops: too much was asked"})
 		}
 	})
-	if v == world.Taken {
-		end = make(chan world.Done, 1)
+	if v == world.Accepted {
+		end = make(chan world.Completion, 1)
 		o.waits[token] = end
 	} else {
 		delete(o.by, token)
 	}
 	o.look()
-	return token, end, v == world.Dead
+	return token, end, v == world.Down
 }
 
 // Ask is a cache's own request, in through mode.
-func (o *Origin) Ask(a world.Ask, request, class string, answer func(world.Done)) {
+func (o *Origin) Ask(a world.OriginRequest, request, class string, answer func(world.Completion)) {
 	t := &seen.Attempt{Server: o.opt.ID, Origin: true, Request: request, Class: class, Key: a.Key, Write: a.Write, Idem: a.Idem}
 	_, end, _ := o.offer(t, 0)
 	if end != nil {
@@ -241,7 +241,7 @@
 			return
 		}
 	}
-	answer(world.Done{Ending: world.Failed})
+	answer(world.Completion{Outcome: world.Failed})
 }
 
 // handle is one request.
@@ -311,7 +311,7 @@
 }
 
 // say answers a request that was carried out.
-func (o *Origin) say(w http.ResponseWriter, t *seen.Attempt, class *world.Class, d world.Done) {
+func (o *Origin) say(w http.ResponseWriter, t *seen.Attempt, class *world.Class, d world.Completion) {
 	o.mu.Lock()
 	spoils := o.rng.Float64() < o.spoil
 	o.mu.Unlock()
--- a/lab/standin/registry.go
+++ b/lab/standin/registry.go
@@ -106,7 +106,7 @@
 // NewRegistry starts one, with an empty store.
 func NewRegistry(common *Common, opt RegistryOptions) (*Registry, error) {
 	r := &Registry{Common: common, opt: opt, store: world.NewStore(), lags: make([]int64, opt.Endpoints), ends: make([]endState, opt.Endpoints),
-		cut: make([]chan struct{}, opt.Nodes), lives: make([]int, opt.Nodes), news: make(chan struct{}), shut: make(chan struct{}), rng: world.Stream(common.Seed, "registry")}
+		cut: make([]chan struct{}, opt.Nodes), lives: make([]int, opt.Nodes), news: make(chan struct{}), shut: make(chan struct{}), rng: world.RandomStream(common.Seed, "registry")}
 	r.timer = time.AfterFunc(time.Hour, r.lapse)
 	for end := range opt.Endpoints {
 		for node := range opt.Nodes {
@@ -141,13 +141,13 @@
 func (r *Registry) tell() {
 	close(r.news)
 	r.news = make(chan struct{})
-	if at, ok := r.store.NextLapse(); ok {
+	if at, ok := r.store.NextExpiry(); ok {
 		r.timer.Reset(max(0, at-r.Log.Now()) + time.Millisecond)
 	}
 }
 
 func (r *Registry) lapse() {
-	r.Do(func(now time.Duration, s *world.Store) { s.Lapse(now) })
+	r.Do(func(now time.Duration, s *world.Store) { s.ExpireLeases(now) })
 }
 
 // Set puts a server's entry, or takes it out.
@@ -456,7 +456,7 @@
 			return
 		}
 		var id int64
-		r.Do(func(now time.Duration, s *world.Store) { id = s.Grant(now, time.Duration(in.TTL)*time.Second) })
+		r.Do(func(now time.Duration, s *world.Store) { id = s.GrantLease(now, time.Duration(in.TTL)*time.Second) })
 		x.done(map[string]any{"ID": strconv.FormatInt(id, 10), "TTL": strconv.FormatInt(in.TTL, 10)}, nil)
 	case "/v3/lease/keepalive":
 		id := leaseID(body)
@@ -521,7 +521,7 @@
 		}
 		return strconv.FormatInt(n, 10)
 	}
-	return wireKV{[]byte(kv.Key), num(kv.Create), num(kv.Mod), num(kv.Version), kv.Value, num(kv.Lease)}
+	return wireKV{[]byte(kv.Key), num(kv.CreateRevision), num(kv.ModRevision), num(kv.Version), kv.Value, num(kv.Lease)}
 }
 
 func (x *exchange) etcdRange(body []byte) {
@@ -606,7 +606,7 @@
 	for {
 		r.mu.Lock()
 		rev, news, twice := x.visible(), r.news, r.twice
-		events, err := r.store.Since(next, rev, string(in.Create.Key))
+		events, err := r.store.ChangesSince(next, rev, string(in.Create.Key))
 		compacted := r.store.Compacted()
 		broken := x.broken()
 		r.mu.Unlock()
@@ -625,7 +625,7 @@
 			var members []world.Member
 			for _, e := range events {
 				w := wireEvent{KV: wireOf(e.KV)}
-				if e.Gone {
+				if e.Deleted {
 					w.Type = "DELETE"
 					members = append(members, world.Member{ID: strings.TrimPrefix(e.KV.Key, r.opt.Prefix), Phase: world.Deleted})
 				} else if m, ok := memberOf(r.Log.Zero(), e.KV.Value); ok {
@@ -677,7 +677,7 @@
 			return
 		}
 		var id int64
-		r.Do(func(now time.Duration, s *world.Store) { id = s.Grant(now, ttl) })
+		r.Do(func(now time.Duration, s *world.Store) { id = s.GrantLease(now, ttl) })
 		fmt.Fprintf(x.w, `{"ID":"%d"}`, id)
 	case x.q.Method == "PUT" && strings.HasPrefix(path, "session/"):
 		verb, text, _ := strings.Cut(strings.TrimPrefix(path, "session/"), "/")
@@ -743,7 +743,7 @@
 			}
 			var list []item
 			for _, kv := range kvs {
-				list = append(list, item{Key: kv.Key, Value: kv.Value, CreateIndex: kv.Create, ModifyIndex: kv.Mod})
+				list = append(list, item{Key: kv.Key, Value: kv.Value, CreateIndex: kv.CreateRevision, ModifyIndex: kv.ModRevision})
 			}
 			text, _ := json.Marshal(list)
 			if x.send(text) == nil {
--- a/lab/standin/standin_test.go
+++ b/lab/standin/standin_test.go
@@ -37,8 +37,8 @@
 }
 
 func spec() *world.CacheSpec {
-	return &world.CacheSpec{Name: "c1", Cores: 2, Speed: 1, Slots: 4, Room: 4, Memory: 1 << 20, WarmUp: 10 * time.Second, ColdFrom: 0.2,
-		FallMultiple: 3, FallWindow: 500 * ms, ReportEvery: 10 * ms}
+	return &world.CacheSpec{Name: "c1", Cores: 2, Speed: 1, Slots: 4, QueueLimit: 4, MemoryBytes: 1 << 20, WarmUp: 10 * time.Second, ColdFrom: 0.2,
+		FallMultiple: 3, FallWindow: 500 * ms, ReportInterval: 10 * ms}
 }
 
 func cache(t *testing.T, c *Common, change func(*CacheOptions)) *Cache {
@@ -148,7 +148,7 @@
 	}
 	eventually(t, "the value is stored", func() bool {
 		has := false
-		s.Do(func(_ time.Duration, m *world.Cache) { _, has = m.Has("k1") })
+		s.Do(func(_ time.Duration, m *world.Cache) { _, has = m.CachedVersion("k1") })
 		return has
 	})
 	s.Do(func(now time.Duration, m *world.Cache) { m.Slow(now, 20) })
@@ -369,8 +369,8 @@
 
 func originOf(t *testing.T, c *Common, change func(*OriginOptions)) *Origin {
 	t.Helper()
-	opt := OriginOptions{ID: "s-0", Name: "origin", Addr: "127.0.0.1:0", Spec: &world.OriginSpec{Cores: 2, Slots: 2, Room: 1, Work: 5 * ms,
-		WriteFactor: 1, Window: time.Second}}
+	opt := OriginOptions{ID: "s-0", Name: "origin", Addr: "127.0.0.1:0", Spec: &world.OriginSpec{Cores: 2, Slots: 2, QueueLimit: 1, Work: 5 * ms,
+		WriteFactor: 1, DedupWindow: time.Second}}
 	if change != nil {
 		change(&opt)
 	}
--- a/lab/world/budget.go
+++ b/lab/world/budget.go
@@ -5,9 +5,9 @@
 // Budget counts the work that reaches a server against a multiple of what it can do: over any span of the stated length,
 // all that was sent, turned away or not, must stay under multiple x capacity x span. It is how a cold server falls over
 // and how an origin stops.
-type Budget struct {
+type WorkBudget struct {
 	Multiple float64
-	Span     time.Duration
+	Window   time.Duration
 	// Slack is work that may come beyond it by chance.
 	Slack time.Duration
 
@@ -23,18 +23,18 @@
 
 // Add counts work that comes while the server can do capacity seconds of work a second. It reports whether the budget is
 // spent, and which part of the work that spent it was marked by the caller.
-func (b *Budget) Add(now, work time.Duration, capacity float64, mark bool) (spent bool, marked float64) {
-	if b.Multiple <= 0 || b.Span <= 0 {
+func (b *WorkBudget) Add(now, work time.Duration, capacity float64, mark bool) (spent bool, marked float64) {
+	if b.Multiple <= 0 || b.Window <= 0 {
 		return false, 0
 	}
 	b.entries = append(b.entries, entry{now, work.Seconds(), mark})
 	b.work += work.Seconds()
 	first := 0
-	for first < len(b.entries) && b.entries[first].at <= now-b.Span {
+	for first < len(b.entries) && b.entries[first].at <= now-b.Window {
 		b.work -= b.entries[first].work
 		first++
 	}
-	if b.entries = b.entries[first:]; b.work <= b.Multiple*capacity*b.Span.Seconds()+b.Slack.Seconds()+1e-9 {
+	if b.entries = b.entries[first:]; b.work <= b.Multiple*capacity*b.Window.Seconds()+b.Slack.Seconds()+1e-9 {
 		return false, 0
 	}
 	for _, e := range b.entries {
@@ -46,4 +46,4 @@
 }
 
 // Reset forgets what was counted.
-func (b *Budget) Reset() { b.entries, b.work = nil, 0 }
+func (b *WorkBudget) Reset() { b.entries, b.work = nil, 0 }
--- a/lab/world/cache.go
+++ b/lab/world/cache.go
@@ -13,52 +13,52 @@
 
 // CacheSpec is what a cache server is.
 type CacheSpec struct {
-	Name         string
-	Cores        int
-	Speed        float64 // of a core, in work a second
-	Slots        int     // requests in work at once
-	Room         int     // requests that wait beyond those
-	Memory       int64   // bytes of values kept; what was used longest ago goes first
-	WarmUp       time.Duration
-	ColdFrom     float64 // part of its capacity that it starts with
-	FallMultiple float64 // of its present capacity, which while cold makes it fall over; 0: never
-	FallWindow   time.Duration
-	ReportEvery  time.Duration // how often its load report is made anew
-	ReportNoise  float64       // relative
-	Handshake    time.Duration // work of a new connection
-	Through      bool          // it fetches what it lacks, and passes on writes, itself
-	Coalesce     bool          // fetches of one key are shared, in through mode
-	Lease        time.Duration // for so long a miss is told as another's fetch; 0: that is not told
-	KeepsWork    bool          // work goes on after a cancel
+	Name           string
+	Cores          int
+	Speed          float64 // of a core, in work a second
+	Slots          int     // requests in work at once
+	QueueLimit     int     // requests that wait beyond those
+	MemoryBytes    int64   // bytes of values kept; what was used longest ago goes first
+	WarmUp         time.Duration
+	ColdFrom       float64 // part of its capacity that it starts with
+	FallMultiple   float64 // of its present capacity, which while cold makes it fall over; 0: never
+	FallWindow     time.Duration
+	ReportInterval time.Duration // how often its load report is made anew
+	ReportNoise    float64       // relative
+	HandshakeWork  time.Duration // work of a new connection
+	Through        bool          // it fetches what it lacks, and passes on writes, itself
+	Coalesce       bool          // fetches of one key are shared, in through mode
+	Lease          time.Duration // for so long a miss is told as another's fetch; 0: that is not told
+	IgnoresCancel  bool          // work goes on after a cancel
 }
 
 // Ending is how a job ended at a server.
-type Ending int
+type Outcome int
 
 // The endings.
 const (
-	Hit     Ending = iota // a value that was kept
-	Fetched               // a value that was fetched for it, in through mode
-	Miss                  // there is none
+	Hit     Outcome = iota // a value that was kept
+	Fetched                // a value that was fetched for it, in through mode
+	Miss                   // there is none
 	Fetching
 	Stored // a write was carried out
 	Failed // it may have run
 )
 
 // Done is the end of a job.
-type Done struct {
+type Completion struct {
 	Token   uint64
 	At      time.Duration
-	Ending  Ending
+	Outcome Outcome
 	Version int64  // of the value
 	Receipt string // of a write
-	Fresh   bool   // a write that took effect now, no repeat of one
+	Applied bool   // a write that took effect now, no repeat of one
 	Key     string
 	Idem    string
 }
 
 // Ask is what a cache in through mode wants of the origin.
-type Ask struct {
+type OriginRequest struct {
 	Token uint64 // the job it is for
 	At    time.Duration
 	Key   string
@@ -67,9 +67,9 @@
 }
 
 // Report is a load report.
-type Report struct {
-	Util  float64 // part of the cores in use
-	Queue int     // jobs that wait
+type LoadReport struct {
+	Utilization float64 // part of the cores in use
+	Queue       int     // jobs that wait
 }
 
 // Cache is one cache server's process.
@@ -91,12 +91,12 @@
 	gone    map[uint64]bool     // jobs that nobody waits for
 	fetches map[string][]uint64 // through: jobs that wait for a key
 	held    map[uint64]*Job     // through: jobs that hold their slot while the origin works
-	budget  Budget
+	budget  WorkBudget
 	fell    bool
-	report  Report
+	report  LoadReport
 	told    time.Duration
-	done    []Done
-	asks    []Ask
+	done    []Completion
+	asks    []OriginRequest
 }
 
 type object struct {
@@ -107,9 +107,9 @@
 
 // NewCache makes a cache that runs and is warm, with nothing kept.
 func NewCache(spec CacheSpec, seed uint64) *Cache {
-	c := &Cache{spec: spec, rng: Stream(seed, "cache", spec.Name), factor: 1}
-	c.budget = Budget{Multiple: spec.FallMultiple, Span: spec.FallWindow}
-	c.station = station{cores: float64(spec.Cores), slots: spec.Slots, room: spec.Room}
+	c := &Cache{spec: spec, rng: RandomStream(seed, "cache", spec.Name), factor: 1}
+	c.budget = WorkBudget{Multiple: spec.FallMultiple, Window: spec.FallWindow}
+	c.station = station{cores: float64(spec.Cores), slots: spec.Slots, room: spec.QueueLimit}
 	c.empty()
 	c.up = true
 	c.setSpeed(0)
@@ -123,7 +123,7 @@
 }
 
 // Warmth is the part of its capacity that the process has reached by now, between 0 and 1.
-func (c *Cache) Warmth(now time.Duration) float64 {
+func (c *Cache) WarmFraction(now time.Duration) float64 {
 	if !c.cold || c.spec.WarmUp <= 0 || now-c.began >= c.spec.WarmUp {
 		return 1
 	}
@@ -133,14 +133,14 @@
 
 // Capacity is the work that it can do in a second now.
 func (c *Cache) Capacity(now time.Duration) float64 {
-	return c.station.cores * c.spec.Speed * c.Warmth(now)
+	return c.station.cores * c.spec.Speed * c.WarmFraction(now)
 }
 
 // Cold reports whether it is still warming up.
-func (c *Cache) Cold(now time.Duration) bool { return c.Warmth(now) < 1 }
+func (c *Cache) Cold(now time.Duration) bool { return c.WarmFraction(now) < 1 }
 
 // Fell reports whether it was pushed over while cold; it stays down until Start.
-func (c *Cache) Fell() bool { return c.fell }
+func (c *Cache) FellOver() bool { return c.fell }
 
 // Up reports whether the process runs.
 func (c *Cache) Up() bool { return c.up && !c.fell }
@@ -148,42 +148,42 @@
 func (c *Cache) setSpeed(now time.Duration) {
 	c.station.speed = 0
 	if c.up && !c.fell && !c.paused {
-		c.station.speed = c.spec.Speed * c.Warmth(now) / c.factor * (1 - c.stolen)
+		c.station.speed = c.spec.Speed * c.WarmFraction(now) / c.factor * (1 - c.stolen)
 	}
 }
 
 // Offer brings a job.
-func (c *Cache) Offer(now time.Duration, j Job) Verdict {
+func (c *Cache) Offer(now time.Duration, j Job) Admission {
 	c.advance(now)
 	if !c.Up() {
-		return Dead
+		return Down
 	}
 	if c.Cold(now) {
 		c.budget.Slack = max(c.budget.Slack, 2*j.Work)
 		if spent, _ := c.budget.Add(now, j.Work, c.Capacity(now), false); spent {
 			c.fell = true
 			c.end()
-			return Dead
+			return Down
 		}
 	}
 	if c.drains || !c.station.offer(&j) {
 		return Busy
 	}
-	return Taken
+	return Accepted
 }
 
 // Connect counts a new connection, which is work.
 func (c *Cache) Connect(now time.Duration) {
 	c.advance(now)
-	if c.spec.Handshake > 0 && c.Up() {
-		c.station.offer(&Job{Work: c.spec.Handshake})
+	if c.spec.HandshakeWork > 0 && c.Up() {
+		c.station.offer(&Job{Work: c.spec.HandshakeWork})
 	}
 }
 
 // Cancel notes that nobody waits for a job any more. It may go on; nothing is told of it.
 func (c *Cache) Cancel(now time.Duration, token uint64) {
 	c.advance(now)
-	if !c.station.drop(token, true, !c.spec.KeepsWork) {
+	if !c.station.drop(token, true, !c.spec.IgnoresCancel) {
 		c.gone[token] = true
 	}
 }
@@ -198,7 +198,7 @@
 }
 
 // Advance lets time pass and gives what has ended and what is wanted of the origin.
-func (c *Cache) Advance(now time.Duration) ([]Done, []Ask) {
+func (c *Cache) Advance(now time.Duration) ([]Completion, []OriginRequest) {
 	c.advance(now)
 	done, asks := c.done, c.asks
 	c.done, c.asks = nil, nil
@@ -231,10 +231,10 @@
 	case j.Write && c.spec.Through:
 		c.hold(at, j, true)
 	case j.Write: // only the origin takes writes
-		c.tell(Done{Token: j.Token, At: at, Ending: Miss, Key: j.Key})
+		c.tell(Completion{Token: j.Token, At: at, Outcome: Miss, Key: j.Key})
 	case kept:
 		c.used.MoveToFront(e)
-		c.tell(Done{Token: j.Token, At: at, Ending: Hit, Version: e.Value.(*object).version, Key: j.Key})
+		c.tell(Completion{Token: j.Token, At: at, Outcome: Hit, Version: e.Value.(*object).version, Key: j.Key})
 	case c.spec.Through:
 		c.hold(at, j, false)
 	default:
@@ -244,7 +244,7 @@
 		} else if c.spec.Lease > 0 {
 			c.leases[j.Key] = at + c.spec.Lease
 		}
-		c.tell(Done{Token: j.Token, At: at, Ending: ending, Key: j.Key})
+		c.tell(Completion{Token: j.Token, At: at, Outcome: ending, Key: j.Key})
 	}
 }
 
@@ -258,11 +258,11 @@
 			return
 		}
 	}
-	c.asks = append(c.asks, Ask{Token: j.Token, At: at, Key: j.Key, Write: write, Idem: j.Idem})
+	c.asks = append(c.asks, OriginRequest{Token: j.Token, At: at, Key: j.Key, Write: write, Idem: j.Idem})
 }
 
 // Answer brings what the origin said to an Ask, in through mode.
-func (c *Cache) Answer(now time.Duration, token uint64, d Done) {
+func (c *Cache) OriginAnswered(now time.Duration, token uint64, d Completion) {
 	c.advance(now)
 	j := c.held[token]
 	if j == nil {
@@ -273,18 +273,18 @@
 		tokens = c.fetches[j.Key]
 		delete(c.fetches, j.Key)
 	}
-	if !j.Write && d.Ending != Failed {
+	if !j.Write && d.Outcome != Failed {
 		c.Store(now, j.Key, d.Version, int64(j.Size))
 	}
 	for _, t := range tokens {
 		delete(c.held, t)
 		c.station.held--
-		c.tell(Done{Token: t, At: now, Ending: d.Ending, Version: d.Version, Receipt: d.Receipt, Key: j.Key})
+		c.tell(Completion{Token: t, At: now, Outcome: d.Outcome, Version: d.Version, Receipt: d.Receipt, Key: j.Key})
 	}
 	c.station.refill()
 }
 
-func (c *Cache) tell(d Done) {
+func (c *Cache) tell(d Completion) {
 	if c.gone[d.Token] {
 		delete(c.gone, d.Token)
 		return
@@ -294,7 +294,7 @@
 
 // Store keeps a value.
 func (c *Cache) Store(now time.Duration, key string, version, size int64) {
-	if !c.Up() || size > c.spec.Memory {
+	if !c.Up() || size > c.spec.MemoryBytes {
 		return
 	}
 	delete(c.leases, key)
@@ -310,7 +310,7 @@
 		c.kept[key] = c.used.PushFront(&object{key, version, size})
 		c.bytes += size
 	}
-	for c.bytes > c.spec.Memory {
+	for c.bytes > c.spec.MemoryBytes {
 		c.forget(c.used.Back().Value.(*object).key)
 	}
 }
@@ -324,7 +324,7 @@
 }
 
 // Void drops the copy of a key.
-func (c *Cache) Void(key string) { c.forget(key) }
+func (c *Cache) Invalidate(key string) { c.forget(key) }
 
 // Flush drops that share of the copies, by chance.
 func (c *Cache) Flush(share float64) {
@@ -341,10 +341,10 @@
 }
 
 // Kept is the number of values kept and their bytes.
-func (c *Cache) Kept() (values int, bytes int64) { return len(c.kept), c.bytes }
+func (c *Cache) Size() (values int, bytes int64) { return len(c.kept), c.bytes }
 
 // Has reports whether a value is kept, and its version.
-func (c *Cache) Has(key string) (int64, bool) {
+func (c *Cache) CachedVersion(key string) (int64, bool) {
 	if e := c.kept[key]; e != nil {
 		return e.Value.(*object).version, true
 	}
@@ -381,7 +381,7 @@
 }
 
 // Began is when the process started, and whether it did so cold.
-func (c *Cache) Began() (at time.Duration, cold bool) { return c.began, c.cold }
+func (c *Cache) Started() (at time.Duration, cold bool) { return c.began, c.cold }
 
 // Drain makes it finish what it has and turn away what is new.
 func (c *Cache) Drain(now time.Duration, on bool) {
@@ -411,11 +411,11 @@
 }
 
 // Report is the load report that it gives now: as old as its refreshing allows, and a little wrong.
-func (c *Cache) Report(now time.Duration) Report {
+func (c *Cache) LoadReport(now time.Duration) LoadReport {
 	c.advance(now)
-	if c.told == 0 || now-c.told >= c.spec.ReportEvery {
+	if c.told == 0 || now-c.told >= c.spec.ReportInterval {
 		noise := func() float64 { return 1 + c.spec.ReportNoise*c.rng.NormFloat64() }
-		c.report = Report{Util: math.Round(100*min(1, max(0, c.station.load()*noise()))) / 100,
+		c.report = LoadReport{Utilization: math.Round(100*min(1, max(0, c.station.load()*noise()))) / 100,
 			Queue: max(0, int(math.Round(float64(len(c.station.waiting))*noise())))}
 		c.told = now
 	}
@@ -423,6 +423,6 @@
 }
 
 // Holds is the number of jobs in work, holding a slot, and waiting.
-func (c *Cache) Holds() (working, waiting int) {
+func (c *Cache) JobCounts() (working, waiting int) {
 	return len(c.station.work) + c.station.held, len(c.station.waiting)
 }
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -12,18 +12,18 @@
 
 // ClientSpec is what the clients are.
 type ClientSpec struct {
-	Rate       float64 // first tries a second
-	Keys       int     // how many there are
-	Zipf       float64 // popularity of the key of rank n is 1/(n+Offset)^Zipf
-	Offset     float64
-	Drift      float64 // part of the keys that is replaced by new ones each second
-	Patience   [2]float64
-	Retries    int           // further tries of a client, at most
-	Pause      time.Duration // before a further try
-	MarksRetry bool
-	Leaves     float64 // part of the tries whose client goes away before its time is up
-	Nodes      int
-	Skew       []float64 // traffic of each node; empty: all alike
+	Rate         float64 // first tries a second
+	Keys         int     // how many there are
+	Zipf         float64 // popularity of the key of rank n is 1/(n+Offset)^Zipf
+	Offset       float64
+	Drift        float64 // part of the keys that is replaced by new ones each second
+	TimeoutRange [2]float64
+	MaxRetries   int           // further tries of a client, at most
+	RetryDelay   time.Duration // before a further try
+	MarksRetry   bool
+	LeaveShare   float64 // part of the tries whose client goes away before its time is up
+	Nodes        int
+	NodeShares   []float64 // traffic of each node; empty: all alike
 }
 
 // ShapeKind is a departure from even traffic.
@@ -39,11 +39,11 @@
 
 // Shape is such a departure and when it acts.
 type Shape struct {
-	Kind     ShapeKind
-	From, To time.Duration
-	Size     float64
-	Count    int
-	Who      int
+	Kind      ShapeKind
+	From, To  time.Duration
+	Magnitude float64
+	Count     int
+	Index     int
 }
 
 func (s Shape) acts(at time.Duration) bool { return at >= s.From && at < s.To }
@@ -51,18 +51,18 @@
 // Arrival is a client's wish, drawn ahead: its first try and what it will do if that fails. Nothing that happens in a run
 // changes it.
 type Arrival struct {
-	N        int
-	At       time.Duration
-	Class    int
-	Tenant   int // -1: none
-	Node     int
-	Key      string
-	Size     int    // bytes of the value, for a write
-	Idem     string // idempotency key, of a keyed class
-	Patience time.Duration
-	Tries    int           // at most, the first included
-	Leave    time.Duration // after which the client goes away; 0: it stays
-	Over     bool          // beyond its tenant's quota
+	N          int
+	At         time.Duration
+	Class      int
+	Tenant     int // -1: none
+	Node       int
+	Key        string
+	Size       int    // bytes of the value, for a write
+	Idem       string // idempotency key, of a keyed class
+	Timeout    time.Duration
+	MaxTries   int           // at most, the first included
+	LeaveAfter time.Duration // after which the client goes away; 0: it stays
+	OverQuota  bool          // beyond its tenant's quota
 }
 
 // ID is the id of one of its tries, from 0.
@@ -73,7 +73,7 @@
 // String is the arrival as a line of a plan.
 func (a *Arrival) String() string {
 	return fmt.Sprintf("%d at=%s class=%d tenant=%d node=%d key=%s size=%d idem=%s patience=%s tries=%d leave=%s over=%t",
-		a.N, a.At, a.Class, a.Tenant, a.Node, a.Key, a.Size, a.Idem, a.Patience, a.Tries, a.Leave, a.Over)
+		a.N, a.At, a.Class, a.Tenant, a.Node, a.Key, a.Size, a.Idem, a.Timeout, a.MaxTries, a.LeaveAfter, a.OverQuota)
 }
 
 // Source draws arrivals, in order. The same seed and figures give the same ones.
@@ -103,10 +103,10 @@
 // NewSource makes a source that runs until end.
 func NewSource(spec ClientSpec, classes []Class, tenants []Tenant, shapes []Shape, seed uint64, end time.Duration) *Source {
 	s := &Source{spec: spec, classes: classes, tenants: tenants, shapes: shapes, seed: seed, end: end, most: spec.Rate,
-		gaps: Stream(seed, "gaps"), picks: Stream(seed, "picks"), quota: make([]tally, len(tenants))}
+		gaps: RandomStream(seed, "gaps"), picks: RandomStream(seed, "picks"), quota: make([]tally, len(tenants))}
 	for _, x := range shapes {
-		if x.Kind == Surge && x.Size > 1 {
-			s.most *= x.Size // shapes may overlap
+		if x.Kind == Surge && x.Magnitude > 1 {
+			s.most *= x.Magnitude // shapes may overlap
 		}
 	}
 	s.zipf = make([]float64, max(1, spec.Keys))
@@ -123,8 +123,8 @@
 	}
 	for i := range max(1, spec.Nodes) {
 		share := 1.0
-		if i < len(spec.Skew) {
-			share = spec.Skew[i]
+		if i < len(spec.NodeShares) {
+			share = spec.NodeShares[i]
 		}
 		s.shares[2] = append(s.shares[2], share)
 	}
@@ -141,7 +141,7 @@
 	r := s.spec.Rate
 	for _, x := range s.shapes {
 		if x.Kind == Surge && x.acts(at) {
-			r *= x.Size
+			r *= x.Magnitude
 		}
 	}
 	return r
@@ -175,16 +175,16 @@
 	rank := sort.SearchFloat64s(s.zipf, s.picks.Float64()*s.zipf[len(s.zipf)-1])
 	key := s.key(min(rank, len(s.zipf)-1))
 	for i, x := range s.shapes {
-		if x.Kind == Surge || !x.acts(s.now) || s.picks.Float64() >= x.Size {
+		if x.Kind == Surge || !x.acts(s.now) || s.picks.Float64() >= x.Magnitude {
 			continue
 		}
 		switch x.Kind {
 		case HotKeys:
 			key = fmt.Sprintf("hot%d-%d", i, s.picks.IntN(max(1, x.Count)))
 		case HotTenant:
-			a.Tenant = x.Who
+			a.Tenant = x.Index
 		case HotNode:
-			a.Node = x.Who
+			a.Node = x.Index
 		}
 	}
 	c := &s.classes[a.Class]
@@ -195,14 +195,14 @@
 	if c.Effect == Keyed {
 		a.Idem = fmt.Sprintf("%016x", digest(s.seed, "idem", strconv.Itoa(a.N)))
 	}
-	lo, hi := s.spec.Patience[0], s.spec.Patience[1]
-	a.Patience = max(time.Millisecond, time.Duration((lo+(hi-lo)*s.picks.Float64())*float64(c.Deadline)).Truncate(time.Millisecond))
-	a.Tries = 1 + s.spec.Retries
-	if leave, part := s.picks.Float64(), s.picks.Float64(); leave < s.spec.Leaves {
-		a.Leave = time.Duration(part * float64(a.Patience))
+	lo, hi := s.spec.TimeoutRange[0], s.spec.TimeoutRange[1]
+	a.Timeout = max(time.Millisecond, time.Duration((lo+(hi-lo)*s.picks.Float64())*float64(c.Deadline)).Truncate(time.Millisecond))
+	a.MaxTries = 1 + s.spec.MaxRetries
+	if leave, part := s.picks.Float64(), s.picks.Float64(); leave < s.spec.LeaveShare {
+		a.LeaveAfter = time.Duration(part * float64(a.Timeout))
 	}
 	if a.Tenant >= 0 {
-		a.Over = s.over(a.Tenant)
+		a.OverQuota = s.over(a.Tenant)
 	}
 	return a, true
 }
@@ -213,7 +213,7 @@
 }
 
 // Popular gives the keys that are asked for when the run begins, the most popular first, at most so many.
-func (s *Source) Popular(most int) []string {
+func (s *Source) PopularKeys(most int) []string {
 	keys := make([]string, 0, min(most, len(s.zipf)))
 	for rank := range min(most, len(s.zipf)) {
 		keys = append(keys, s.spell(s.key(rank)))
--- a/lab/world/origin.go
+++ b/lab/world/origin.go
@@ -8,16 +8,16 @@
 
 // OriginSpec is what the origin is.
 type OriginSpec struct {
-	Cores        int
-	Slots, Room  int
-	Work         time.Duration // of a fetch, mean
-	Sigma        float64       // of its logarithm
-	WriteFactor  float64       // a write's work over a fetch's
-	FallMultiple float64       // of its capacity, which asked for over FallFor stops it; 0: never
-	FallFor      time.Duration
-	Down         time.Duration // how long it stops then
-	Window       time.Duration // how long it drops repeats of a keyed write
-	KeepsWork    bool          // work goes on when nobody waits for it any more
+	Cores             int
+	Slots, QueueLimit int
+	Work              time.Duration // of a fetch, mean
+	Sigma             float64       // of its logarithm
+	WriteFactor       float64       // a write's work over a fetch's
+	FallMultiple      float64       // of its capacity, which asked for over FallFor stops it; 0: never
+	FallWindow        time.Duration
+	Downtime          time.Duration // how long it stops then
+	DedupWindow       time.Duration // how long it drops repeats of a keyed write
+	IgnoresCancel     bool          // work goes on when nobody waits for it any more
 }
 
 // Origin is what holds all values. It carries out writes, each idempotency key once within its window.
@@ -34,8 +34,8 @@
 	until    time.Duration // stopped until then
 	paused   bool
 	stops    int
-	budget   Budget
-	done     []Done
+	budget   WorkBudget
+	done     []Completion
 	lost     []uint64
 }
 
@@ -53,10 +53,10 @@
 
 // NewOrigin makes an origin that runs.
 func NewOrigin(spec OriginSpec, seed uint64) *Origin {
-	o := &Origin{spec: spec, rng: Stream(seed, "origin"), versions: map[string]int64{}, seen: map[string]*effect{},
+	o := &Origin{spec: spec, rng: RandomStream(seed, "origin"), versions: map[string]int64{}, seen: map[string]*effect{},
 		jobs: map[uint64]*originJob{}, factor: 1}
-	o.station = station{cores: float64(spec.Cores), slots: spec.Slots, room: spec.Room}
-	o.budget = Budget{Multiple: spec.FallMultiple, Span: spec.FallFor}
+	o.station = station{cores: float64(spec.Cores), slots: spec.Slots, room: spec.QueueLimit}
+	o.budget = WorkBudget{Multiple: spec.FallMultiple, Window: spec.FallWindow}
 	o.setSpeed(0)
 	return o
 }
@@ -75,14 +75,14 @@
 func (o *Origin) Version(key string) int64 { return o.versions[key] }
 
 // Stops is how often it has stopped because too much was asked.
-func (o *Origin) Stops() int { return o.stops }
+func (o *Origin) StopCount() int { return o.stops }
 
 // Stopped reports whether it is stopped now.
 func (o *Origin) Stopped(now time.Duration) bool { return now < o.until }
 
 // Offer brings a job, whose work it draws itself; it gives that work too. Where the verdict is Dead it has stopped: the
 // jobs that it had are lost, see Lost.
-func (o *Origin) Offer(now time.Duration, j Job) (Verdict, time.Duration) {
+func (o *Origin) Offer(now time.Duration, j Job) (Admission, time.Duration) {
 	o.advance(now)
 	j.Work = time.Duration(float64(o.spec.Work) * logNormal(o.rng.Uint64(), o.spec.Sigma))
 	if j.Write {
@@ -90,20 +90,20 @@
 	}
 	j.Work = max(j.Work, time.Microsecond)
 	if o.Stopped(now) {
-		return Dead, j.Work
+		return Down, j.Work
 	}
 	o.budget.Slack = 4 * o.spec.Work
 	if spent, _ := o.budget.Add(now, j.Work, o.Capacity(), false); spent {
-		o.Stop(now, o.spec.Down)
+		o.Stop(now, o.spec.Downtime)
 		o.stops++
-		return Dead, j.Work
+		return Down, j.Work
 	}
 	job := &originJob{Job: j, came: now}
 	if !o.station.offer(&job.Job) {
 		return Busy, j.Work
 	}
 	o.jobs[j.Token] = job
-	return Taken, j.Work
+	return Accepted, j.Work
 }
 
 // Stop makes it lose what it has and answer nothing for a while.
@@ -119,7 +119,7 @@
 }
 
 // Lost gives the jobs that a stop has cost since it was last asked.
-func (o *Origin) Lost() []uint64 {
+func (o *Origin) TakeLost() []uint64 {
 	l := o.lost
 	o.lost = nil
 	return l
@@ -132,7 +132,7 @@
 	if j == nil {
 		return
 	}
-	if j.gone = true; o.station.drop(token, true, !o.spec.KeepsWork && !j.Write) {
+	if j.gone = true; o.station.drop(token, true, !o.spec.IgnoresCancel && !j.Write) {
 		delete(o.jobs, token)
 	}
 }
@@ -156,7 +156,7 @@
 
 // Advance lets time pass and gives what has ended. What nobody waits for is given too, if it was a write that took
 // effect: its copies are void.
-func (o *Origin) Advance(now time.Duration) []Done {
+func (o *Origin) Advance(now time.Duration) []Completion {
 	o.advance(now)
 	d := o.done
 	o.done = nil
@@ -181,26 +181,26 @@
 	if job == nil {
 		return
 	}
-	d := Done{Token: j.Token, At: at, Key: j.Key, Idem: j.Idem}
+	d := Completion{Token: j.Token, At: at, Key: j.Key, Idem: j.Idem}
 	if !j.Write {
-		if d.Ending, d.Version = Fetched, o.versions[j.Key]; !job.gone {
+		if d.Outcome, d.Version = Fetched, o.versions[j.Key]; !job.gone {
 			o.done = append(o.done, d)
 		}
 		return
 	}
-	d.Ending = Stored
+	d.Outcome = Stored
 	e := o.seen[j.Idem]
-	if j.Idem == "" || e == nil || job.came-e.began > o.spec.Window {
+	if j.Idem == "" || e == nil || job.came-e.began > o.spec.DedupWindow {
 		o.receipts++
 		o.versions[j.Key]++
 		e = &effect{began: job.came, receipt: fmt.Sprintf("R%d", o.receipts), version: o.versions[j.Key]}
 		if j.Idem != "" {
 			o.remember(j.Idem, e)
 		}
-		d.Fresh = true
+		d.Applied = true
 	}
 	d.Receipt, d.Version = e.receipt, e.version
-	if d.Fresh || !job.gone {
+	if d.Applied || !job.gone {
 		o.done = append(o.done, d)
 	}
 }
@@ -208,7 +208,7 @@
 // remember keeps an effect for its window, and no longer than needed.
 func (o *Origin) remember(idem string, e *effect) {
 	for len(o.order) > 0 {
-		if old := o.seen[o.order[0]]; old != nil && o.station.now-old.began <= 2*o.spec.Window {
+		if old := o.seen[o.order[0]]; old != nil && o.station.now-old.began <= 2*o.spec.DedupWindow {
 			break
 		}
 		delete(o.seen, o.order[0])
--- a/lab/world/rank.go
+++ b/lab/world/rank.go
@@ -10,7 +10,7 @@
 // Top is the member that the shared ranking puts first for a key: the highest weighted score over id, a zero byte and
 // key, of those that serve. It is the design's formula written a second time, so that what a fleet holds at a run's start
 // does not hang on the code that is tried. It returns -1 where nobody serves.
-func Top(key string, members []Member) int {
+func TopRanked(key string, members []Member) int {
 	best, top := 0.0, -1
 	for i, m := range members {
 		if m.Phase != Serving || m.Weight <= 0 {
--- a/lab/world/roster.go
+++ b/lab/world/roster.go
@@ -29,7 +29,7 @@
 }
 
 // Roster is the list of servers as its service tells it: late, by revisions, whole or as changes.
-type Roster struct {
+type ServerList struct {
 	log     []change // by revision, the oldest forgotten
 	members map[string]Member
 	rev     int64
@@ -45,8 +45,8 @@
 }
 
 // NewRoster makes a list that remembers so many changes.
-func NewRoster(keep int, members ...Member) *Roster {
-	r := &Roster{members: map[string]Member{}, keep: keep, rev: 1, first: 1}
+func NewServerList(keep int, members ...Member) *ServerList {
+	r := &ServerList{members: map[string]Member{}, keep: keep, rev: 1, first: 1}
 	for _, m := range members {
 		r.members[m.ID] = m
 	}
@@ -54,14 +54,14 @@
 }
 
 // Set changes an entry; the list shows it after the delay.
-func (r *Roster) Set(now, delay time.Duration, m Member) {
+func (r *ServerList) Set(now, delay time.Duration, m Member) {
 	r.advance(now)
 	r.hidden = append(r.hidden, change{member: m, visible: now + delay})
 	slices.SortStableFunc(r.hidden, func(a, b change) int { return cmp.Compare(a.visible, b.visible) })
 	r.advance(now)
 }
 
-func (r *Roster) advance(now time.Duration) {
+func (r *ServerList) advance(now time.Duration) {
 	for len(r.hidden) > 0 && r.hidden[0].visible <= now {
 		c := r.hidden[0]
 		r.hidden = r.hidden[1:]
@@ -81,13 +81,13 @@
 }
 
 // Revision is the list's version now.
-func (r *Roster) Revision(now time.Duration) int64 {
+func (r *ServerList) Revision(now time.Duration) int64 {
 	r.advance(now)
 	return r.rev
 }
 
 // Whole is the list as it shows now, by id.
-func (r *Roster) Whole(now time.Duration) (rev int64, members []Member) {
+func (r *ServerList) Snapshot(now time.Duration) (rev int64, members []Member) {
 	r.advance(now)
 	for _, m := range r.members {
 		members = append(members, m)
@@ -98,7 +98,7 @@
 
 // Since gives what has changed after a revision, each server once as it is now. With known unset the changes are
 // forgotten, or the revision was never one of this list: only the whole list tells.
-func (r *Roster) Since(now time.Duration, rev int64) (at int64, changes []Member, known bool) {
+func (r *ServerList) ChangesSince(now time.Duration, rev int64) (at int64, changes []Member, known bool) {
 	r.advance(now)
 	if rev < r.first || rev > r.rev {
 		return r.rev, nil, false
@@ -118,7 +118,7 @@
 }
 
 // Next is when the next change shows.
-func (r *Roster) Next() (time.Duration, bool) {
+func (r *ServerList) NextVisible() (time.Duration, bool) {
 	if len(r.hidden) == 0 {
 		return 0, false
 	}
--- a/lab/world/station.go
+++ b/lab/world/station.go
@@ -17,13 +17,13 @@
 }
 
 // Verdict says what becomes of a job that has come.
-type Verdict int
+type Admission int
 
 // The verdicts.
 const (
-	Taken Verdict = iota
-	Busy          // turned away unseen: no room, or draining
-	Dead          // nobody is there
+	Accepted Admission = iota
+	Busy               // turned away unseen: no room, or draining
+	Down               // nobody is there
 )
 
 // station shares cores evenly among the jobs in work; so many may be in work, so many may wait, the rest is turned away.
--- a/lab/world/store.go
+++ b/lab/world/store.go
@@ -12,18 +12,18 @@
 
 // KV is a key's value in a store.
 type KV struct {
-	Key     string
-	Value   []byte
-	Create  int64 // revisions
-	Mod     int64
-	Version int64 // changes of it since it was made
-	Lease   int64 // 0: none
+	Key            string
+	Value          []byte
+	CreateRevision int64 // revisions
+	ModRevision    int64
+	Version        int64 // changes of it since it was made
+	Lease          int64 // 0: none
 }
 
 // StoreEvent is a change of a store.
 type StoreEvent struct {
-	KV   KV
-	Gone bool
+	KV      KV
+	Deleted bool
 }
 
 // Store is a key-value store with revisions, history, compaction and leases.
@@ -68,7 +68,7 @@
 
 func (s *Store) last(key string) (StoreEvent, bool) {
 	list := s.keys[key]
-	if len(list) == 0 || list[len(list)-1].Gone {
+	if len(list) == 0 || list[len(list)-1].Deleted {
 		return StoreEvent{}, false
 	}
 	return list[len(list)-1], true
@@ -80,9 +80,9 @@
 		return 0, ErrNoLease
 	}
 	s.rev++
-	kv := KV{Key: key, Value: slices.Clone(value), Create: s.rev, Mod: s.rev, Version: 1, Lease: lease}
+	kv := KV{Key: key, Value: slices.Clone(value), CreateRevision: s.rev, ModRevision: s.rev, Version: 1, Lease: lease}
 	if old, ok := s.last(key); ok {
-		kv.Create, kv.Version = old.KV.Create, old.KV.Version+1
+		kv.CreateRevision, kv.Version = old.KV.CreateRevision, old.KV.Version+1
 		if l := s.leases[old.KV.Lease]; l != nil {
 			delete(l.keys, key)
 		}
@@ -117,7 +117,7 @@
 			if l := s.leases[old.KV.Lease]; l != nil {
 				delete(l.keys, key)
 			}
-			s.add(StoreEvent{KV: KV{Key: key, Mod: s.rev}, Gone: true})
+			s.add(StoreEvent{KV: KV{Key: key, ModRevision: s.rev}, Deleted: true})
 		}
 	}
 }
@@ -137,8 +137,8 @@
 			continue
 		}
 		list := s.keys[key]
-		i := sort.Search(len(list), func(i int) bool { return list[i].KV.Mod > rev })
-		if i == 0 || list[i-1].Gone {
+		i := sort.Search(len(list), func(i int) bool { return list[i].KV.ModRevision > rev })
+		if i == 0 || list[i-1].Deleted {
 			continue
 		}
 		if limit > 0 && len(kvs) == limit {
@@ -150,14 +150,14 @@
 }
 
 // Since gives the changes from a revision on, that one included, up to another, of keys with a prefix.
-func (s *Store) Since(from, to int64, prefix string) ([]StoreEvent, error) {
+func (s *Store) ChangesSince(from, to int64, prefix string) ([]StoreEvent, error) {
 	if from <= s.compacted && s.compacted > 0 {
 		return nil, ErrCompacted
 	}
-	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].KV.Mod >= from })
+	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].KV.ModRevision >= from })
 	var out []StoreEvent
 	for _, e := range s.log[i:] {
-		if e.KV.Mod > to {
+		if e.KV.ModRevision > to {
 			break
 		}
 		if strings.HasPrefix(e.KV.Key, prefix) {
@@ -170,8 +170,8 @@
 // LastChange is the revision of the last change, up to one, of keys with a prefix; 0 where none is known.
 func (s *Store) LastChange(to int64, prefix string) int64 {
 	for i := len(s.log) - 1; i >= 0; i-- {
-		if e := s.log[i]; e.KV.Mod <= to && strings.HasPrefix(e.KV.Key, prefix) {
-			return e.KV.Mod
+		if e := s.log[i]; e.KV.ModRevision <= to && strings.HasPrefix(e.KV.Key, prefix) {
+			return e.KV.ModRevision
 		}
 	}
 	return 0
@@ -185,8 +185,8 @@
 	}
 	s.compacted = rev
 	for key, list := range s.keys {
-		i := sort.Search(len(list), func(i int) bool { return list[i].KV.Mod > rev })
-		if i > 0 && !list[i-1].Gone {
+		i := sort.Search(len(list), func(i int) bool { return list[i].KV.ModRevision > rev })
+		if i > 0 && !list[i-1].Deleted {
 			i-- // what it was at that revision
 		}
 		if list = slices.Clone(list[i:]); len(list) == 0 {
@@ -195,12 +195,12 @@
 			s.keys[key] = list
 		}
 	}
-	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].KV.Mod > rev })
+	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].KV.ModRevision > rev })
 	s.log = slices.Clone(s.log[i:])
 }
 
 // Grant makes a lease.
-func (s *Store) Grant(now, ttl time.Duration) int64 {
+func (s *Store) GrantLease(now, ttl time.Duration) int64 {
 	s.serial++
 	s.leases[s.serial] = &lease{ttl: ttl, end: now + ttl, keys: map[string]bool{}}
 	return s.serial
@@ -208,7 +208,7 @@
 
 // KeepAlive renews a lease and gives its time to live.
 func (s *Store) KeepAlive(now time.Duration, id int64) (time.Duration, error) {
-	s.Lapse(now)
+	s.ExpireLeases(now)
 	l := s.leases[id]
 	if l == nil {
 		return 0, ErrNoLease
@@ -229,7 +229,7 @@
 }
 
 // Lapse ends the leases that are over, in order; it reports whether there were any.
-func (s *Store) Lapse(now time.Duration) bool {
+func (s *Store) ExpireLeases(now time.Duration) bool {
 	var over []int64
 	for id, l := range s.leases {
 		if now >= l.end {
@@ -244,7 +244,7 @@
 }
 
 // NextLapse is when the next lease ends if it is not kept alive.
-func (s *Store) NextLapse() (at time.Duration, ok bool) {
+func (s *Store) NextExpiry() (at time.Duration, ok bool) {
 	for _, l := range s.leases {
 		if !ok || l.end < at {
 			at, ok = l.end, true
--- a/lab/world/store_test.go
+++ b/lab/world/store_test.go
@@ -17,7 +17,7 @@
 		var leases []int64
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3).Draw(t, "gap")) * time.Second
-			s.Lapse(now)
+			s.ExpireLeases(now)
 			key := fmt.Sprint("p/", rapid.IntRange(0, 5).Draw(t, "key"))
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0:
@@ -25,7 +25,7 @@
 			case 1:
 				s.Compact(s.rev - int64(rapid.IntRange(0, 5).Draw(t, "keep")))
 			case 2:
-				leases = append(leases, s.Grant(now, 2*time.Second))
+				leases = append(leases, s.GrantLease(now, 2*time.Second))
 			case 3:
 				if len(leases) > 0 {
 					id := leases[rapid.IntRange(0, len(leases)-1).Draw(t, "lease")]
@@ -47,12 +47,12 @@
 			for _, kv := range list {
 				state[kv.Key] = string(kv.Value)
 			}
-			events, err := s.Since(rev+1, s.rev, "p/")
+			events, err := s.ChangesSince(rev+1, s.rev, "p/")
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, e := range events {
-				if e.Gone {
+				if e.Deleted {
 					delete(state, e.KV.Key)
 				} else {
 					state[e.KV.Key] = string(e.KV.Value)
@@ -71,7 +71,7 @@
 			if _, _, err := s.Range("p/", "p0", s.compacted-1, 0); s.compacted > 1 && !errors.Is(err, ErrCompacted) {
 				t.Fatal("a compacted revision can be read")
 			}
-			if _, err := s.Since(s.compacted, s.rev, ""); !errors.Is(err, ErrCompacted) {
+			if _, err := s.ChangesSince(s.compacted, s.rev, ""); !errors.Is(err, ErrCompacted) {
 				t.Fatal("changes that are compacted are told")
 			}
 		}
@@ -80,21 +80,21 @@
 
 func TestLeases(t *testing.T) {
 	s := NewStore()
-	one, two := s.Grant(0, 2*time.Second), s.Grant(0, 2*time.Second)
+	one, two := s.GrantLease(0, 2*time.Second), s.GrantLease(0, 2*time.Second)
 	s.Put("a", nil, one)
 	s.Put("b", nil, two)
 	s.Put("c", nil, 0)
 	s.KeepAlive(time.Second, one)
-	if at, _ := s.NextLapse(); at != 2*time.Second {
+	if at, _ := s.NextExpiry(); at != 2*time.Second {
 		t.Errorf("the next lapses at %v", at)
 	}
-	s.Lapse(2 * time.Second)
+	s.ExpireLeases(2 * time.Second)
 	if list, more, _ := s.Range("", "", 0, 1); len(list) != 1 || !more || list[0].Key != "a" {
 		t.Errorf("%v %v", list, more)
 	}
 	backup := s.Backup()
 	s.Put("a", nil, 0) // no longer under its lease
-	s.Lapse(time.Minute)
+	s.ExpireLeases(time.Minute)
 	if list, _, _ := s.Range("", "", 0, 0); len(list) != 2 {
 		t.Errorf("%v", list)
 	}
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -61,7 +61,7 @@
 }
 
 // Stream gives the random numbers of one purpose: draws for one never shift those for another.
-func Stream(seed uint64, purpose ...string) *rand.Rand {
+func RandomStream(seed uint64, purpose ...string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, digest(0, purpose...)))
 }
 
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -13,37 +13,37 @@
 const ms = time.Millisecond
 
 func spec() CacheSpec {
-	return CacheSpec{Name: "c", Cores: 2, Speed: 1, Slots: 4, Room: 2, Memory: 1000, WarmUp: 10 * time.Second, ColdFrom: 0.2,
-		FallMultiple: 3, FallWindow: time.Second, ReportEvery: 50 * ms}
+	return CacheSpec{Name: "c", Cores: 2, Speed: 1, Slots: 4, QueueLimit: 2, MemoryBytes: 1000, WarmUp: 10 * time.Second, ColdFrom: 0.2,
+		FallMultiple: 3, FallWindow: time.Second, ReportInterval: 50 * ms}
 }
 
 // Two cores share four jobs evenly: each gets half a core.
 func TestCoresAreShared(t *testing.T) {
 	c := NewCache(spec(), 1)
 	for i := range 4 {
-		if v := c.Offer(0, Job{Token: uint64(i + 1), Key: "k", Work: 10 * ms}); v != Taken {
+		if v := c.Offer(0, Job{Token: uint64(i + 1), Key: "k", Work: 10 * ms}); v != Accepted {
 			t.Fatal(v)
 		}
 	}
 	if done, _ := c.Advance(19 * ms); len(done) != 0 {
 		t.Errorf("done early: %v", done)
 	}
-	if done, _ := c.Advance(21 * ms); len(done) != 4 || done[0].Ending != Miss {
+	if done, _ := c.Advance(21 * ms); len(done) != 4 || done[0].Outcome != Miss {
 		t.Errorf("%v", done)
 	}
 }
 
 func TestWhatHasNoRoomIsTurnedAway(t *testing.T) {
 	c := NewCache(spec(), 1)
-	var got []Verdict
+	var got []Admission
 	for i := range 8 {
 		got = append(got, c.Offer(0, Job{Token: uint64(i + 1), Work: 10 * ms}))
 	}
-	if fmt.Sprint(got) != fmt.Sprint([]Verdict{Taken, Taken, Taken, Taken, Taken, Taken, Busy, Busy}) {
+	if fmt.Sprint(got) != fmt.Sprint([]Admission{Accepted, Accepted, Accepted, Accepted, Accepted, Accepted, Busy, Busy}) {
 		t.Error(got)
 	}
 	c.Cancel(0, 6) // one that waits
-	if v := c.Offer(0, Job{Token: 9, Work: 10 * ms}); v != Taken {
+	if v := c.Offer(0, Job{Token: 9, Work: 10 * ms}); v != Accepted {
 		t.Error("the place of a cancelled job stays taken")
 	}
 	c.Drain(0, true)
@@ -61,7 +61,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		sp := spec()
 		sp.FallMultiple = 0
-		sp.KeepsWork = rapid.Bool().Draw(t, "keeps")
+		sp.IgnoresCancel = rapid.Bool().Draw(t, "keeps")
 		c := NewCache(sp, 1)
 		open, worked := map[uint64]time.Duration{}, time.Duration(0)
 		now, token := time.Duration(0), uint64(0)
@@ -96,7 +96,7 @@
 			default:
 				token++
 				work := time.Duration(rapid.IntRange(1, 40).Draw(t, "work")) * ms
-				if c.Offer(now, Job{Token: token, Key: "k", Work: work}) == Taken {
+				if c.Offer(now, Job{Token: token, Key: "k", Work: work}) == Accepted {
 					open[token] = work
 				}
 			}
@@ -132,16 +132,16 @@
 		c.Start(0, cold)
 		fell := -1
 		for i := range 200 {
-			if c.Offer(time.Duration(i)*5*ms, Job{Token: uint64(i + 1), Work: 10 * ms}) == Dead {
+			if c.Offer(time.Duration(i)*5*ms, Job{Token: uint64(i + 1), Work: 10 * ms}) == Down {
 				fell = i
 				break
 			}
 		}
 		// 3 x 0.4 x 1 s of work is 120 jobs, a little more as it warms, and two by chance.
-		if cold && (fell < 120 || fell > 180 || !c.Fell()) || !cold && fell >= 0 {
+		if cold && (fell < 120 || fell > 180 || !c.FellOver()) || !cold && fell >= 0 {
 			t.Errorf("cold %v: fell at job %d", cold, fell)
 		}
-		if cold && c.Offer(time.Hour, Job{Token: 999, Work: ms}) != Dead {
+		if cold && c.Offer(time.Hour, Job{Token: 999, Work: ms}) != Down {
 			t.Error("it is up again by itself")
 		}
 	}
@@ -152,33 +152,33 @@
 	for i := range 10 {
 		c.Store(0, fmt.Sprint("k", i), 0, 200)
 	}
-	if n, bytes := c.Kept(); n != 5 || bytes != 1000 {
+	if n, bytes := c.Size(); n != 5 || bytes != 1000 {
 		t.Errorf("%d values, %d bytes", n, bytes)
 	}
 	c.Offer(0, Job{Token: 1, Key: "k5", Work: ms})
 	c.Advance(10 * ms) // k5 is used
 	c.Store(0, "new", 0, 200)
-	if _, ok := c.Has("k5"); !ok {
+	if _, ok := c.CachedVersion("k5"); !ok {
 		t.Error("what was used last is gone")
 	}
-	if _, ok := c.Has("k6"); ok {
+	if _, ok := c.CachedVersion("k6"); ok {
 		t.Error("what was used longest ago is kept")
 	}
 	c.Store(0, "new", 3, 200)
 	c.Store(0, "new", 2, 200) // a fetch that was overtaken by a write
-	if v, _ := c.Has("new"); v != 3 {
+	if v, _ := c.CachedVersion("new"); v != 3 {
 		t.Errorf("version %d", v)
 	}
-	c.Void("new")
-	if _, ok := c.Has("new"); ok {
+	c.Invalidate("new")
+	if _, ok := c.CachedVersion("new"); ok {
 		t.Error("a void copy is kept")
 	}
 	c.Store(0, "huge", 0, 1001)
-	if _, ok := c.Has("huge"); ok {
+	if _, ok := c.CachedVersion("huge"); ok {
 		t.Error("more is kept than there is room for")
 	}
 	c.Flush(1)
-	if n, bytes := c.Kept(); n != 0 || bytes != 0 {
+	if n, bytes := c.Size(); n != 0 || bytes != 0 {
 		t.Errorf("%d values, %d bytes after a flush", n, bytes)
 	}
 }
@@ -195,21 +195,21 @@
 	if len(done) != 0 || len(asks) != 2 {
 		t.Fatalf("%v %v", done, asks)
 	}
-	if c.Offer(20*ms, Job{Token: 5, Work: ms}) != Taken || c.Offer(20*ms, Job{Token: 6, Work: ms}) != Taken ||
+	if c.Offer(20*ms, Job{Token: 5, Work: ms}) != Accepted || c.Offer(20*ms, Job{Token: 6, Work: ms}) != Accepted ||
 		c.Offer(20*ms, Job{Token: 7, Work: ms}) != Busy {
 		t.Error("what waits for the origin does not hold its slot")
 	}
 	for _, a := range asks {
 		if a.Write {
-			c.Answer(30*ms, a.Token, Done{Ending: Stored, Receipt: "R1"})
+			c.OriginAnswered(30*ms, a.Token, Completion{Outcome: Stored, Receipt: "R1"})
 		} else {
-			c.Answer(30*ms, a.Token, Done{Ending: Fetched, Version: 7})
+			c.OriginAnswered(30*ms, a.Token, Completion{Outcome: Fetched, Version: 7})
 		}
 	}
 	if done, _ = c.Advance(30 * ms); len(done) != 4 {
 		t.Errorf("%v", done)
 	}
-	if v, ok := c.Has("k"); !ok || v != 7 {
+	if v, ok := c.CachedVersion("k"); !ok || v != 7 {
 		t.Error("the value was not kept")
 	}
 }
@@ -218,27 +218,27 @@
 	sp := spec()
 	sp.Lease = 100 * ms
 	c := NewCache(sp, 1)
-	var got []Ending
+	var got []Outcome
 	for i, at := range []time.Duration{0, 50 * ms, 150 * ms} {
 		c.Offer(at, Job{Token: uint64(i + 1), Key: "k", Work: ms})
 		done, _ := c.Advance(at + 5*ms)
-		got = append(got, done[0].Ending)
+		got = append(got, done[0].Outcome)
 	}
-	if fmt.Sprint(got) != fmt.Sprint([]Ending{Miss, Fetching, Miss}) {
+	if fmt.Sprint(got) != fmt.Sprint([]Outcome{Miss, Fetching, Miss}) {
 		t.Error(got)
 	}
 }
 
 func originSpec() OriginSpec {
-	return OriginSpec{Cores: 2, Slots: 4, Room: 100, Work: 10 * ms, WriteFactor: 2, FallMultiple: 2, FallFor: time.Second,
-		Down: 3 * time.Second, Window: time.Second}
+	return OriginSpec{Cores: 2, Slots: 4, QueueLimit: 100, Work: 10 * ms, WriteFactor: 2, FallMultiple: 2, FallWindow: time.Second,
+		Downtime: 3 * time.Second, DedupWindow: time.Second}
 }
 
 // A keyed write takes effect once within its window, however often it comes, and again beyond it.
 func TestKeyedWritesTakeEffectOnce(t *testing.T) {
 	o := NewOrigin(originSpec(), 1)
 	offer := func(token uint64, at time.Duration) {
-		if v, _ := o.Offer(at, Job{Token: token, Key: "k", Write: true, Idem: "i"}); v != Taken {
+		if v, _ := o.Offer(at, Job{Token: token, Key: "k", Write: true, Idem: "i"}); v != Accepted {
 			t.Fatal(v)
 		}
 	}
@@ -249,7 +249,7 @@
 	o.Cancel(1501*ms, 4) // in work: it takes effect all the same
 	fresh, receipts := 0, map[string]int{}
 	for _, d := range o.Advance(time.Minute) {
-		if d.Fresh {
+		if d.Applied {
 			fresh++
 		}
 		receipts[d.Receipt]++
@@ -270,51 +270,51 @@
 	taken, dead := 0, 0
 	for i := range 2000 {
 		switch v, _ := o.Offer(time.Duration(i)*ms, Job{Token: uint64(i + 1)}); v {
-		case Taken:
+		case Accepted:
 			taken++
-		case Dead:
+		case Down:
 			dead++
 		}
 		o.Advance(time.Duration(i) * ms)
 	}
-	if o.Stops() != 1 || dead == 0 || taken == 0 || !o.Stopped(2*time.Second) || o.Stopped(10*time.Second) {
-		t.Errorf("%d stops, %d taken, %d dead", o.Stops(), taken, dead)
+	if o.StopCount() != 1 || dead == 0 || taken == 0 || !o.Stopped(2*time.Second) || o.Stopped(10*time.Second) {
+		t.Errorf("%d stops, %d taken, %d dead", o.StopCount(), taken, dead)
 	}
-	if len(o.Lost()) == 0 {
+	if len(o.TakeLost()) == 0 {
 		t.Error("what it had is not lost")
 	}
-	if v, _ := o.Offer(10*time.Second, Job{Token: 9999}); v != Taken {
+	if v, _ := o.Offer(10*time.Second, Job{Token: 9999}); v != Accepted {
 		t.Error("it never comes back")
 	}
 }
 
 func TestTheListIsLateAndForgets(t *testing.T) {
-	r := NewRoster(3, Member{ID: "a"}, Member{ID: "b"})
-	rev, all := r.Whole(0)
+	r := NewServerList(3, Member{ID: "a"}, Member{ID: "b"})
+	rev, all := r.Snapshot(0)
 	if rev != 1 || len(all) != 2 {
 		t.Fatal(rev, all)
 	}
 	r.Set(0, time.Second, Member{ID: "b", Phase: Draining})
 	r.Set(0, 500*ms, Member{ID: "c"})
-	if at, _ := r.Next(); at != 500*ms {
+	if at, _ := r.NextVisible(); at != 500*ms {
 		t.Errorf("next news at %v", at)
 	}
 	if r.Revision(499*ms) != 1 || r.Revision(500*ms) != 2 || r.Revision(time.Second) != 3 {
 		t.Error("changes show at the wrong time")
 	}
 	r.Set(time.Second, 0, Member{ID: "b", Phase: Deleted})
-	at, changes, known := r.Since(time.Second, 1)
+	at, changes, known := r.ChangesSince(time.Second, 1)
 	if at != 4 || !known || len(changes) != 2 || changes[0].ID != "c" || changes[1].Phase != Deleted {
 		t.Error(at, changes, known)
 	}
 	r.Set(time.Second, 0, Member{ID: "d"})
-	if _, _, known := r.Since(time.Second, 1); known {
+	if _, _, known := r.ChangesSince(time.Second, 1); known {
 		t.Error("a revision whose changes are forgotten is still told from")
 	}
-	if _, _, known := r.Since(time.Second, 99); known {
+	if _, _, known := r.ChangesSince(time.Second, 99); known {
 		t.Error("a revision that never was is told from")
 	}
-	if _, changes, known := r.Since(time.Second, 2); !known || len(changes) != 2 {
+	if _, changes, known := r.ChangesSince(time.Second, 2); !known || len(changes) != 2 {
 		t.Error(changes, known)
 	}
 }
@@ -322,8 +322,8 @@
 func source(seed uint64, shapes ...Shape) *Source {
 	classes := []Class{{Name: "read", Share: 0.9, Work: 10 * ms, Sigma: 0.3, Size: 100, Deadline: time.Second},
 		{Name: "put", Share: 0.1, Effect: Keyed, Write: true, Size: 50, SizeSigma: 0.5, Deadline: 500 * ms}}
-	return NewSource(ClientSpec{Rate: 500, Keys: 1000, Zipf: 0.9, Offset: 2, Drift: 0.01, Patience: [2]float64{0.7, 1}, Retries: 1,
-		Leaves: 0.05, Nodes: 3, Skew: []float64{2, 1, 1}}, classes, []Tenant{{"a", 3, 200}, {"b", 1, 0}}, shapes, seed, 20*time.Second)
+	return NewSource(ClientSpec{Rate: 500, Keys: 1000, Zipf: 0.9, Offset: 2, Drift: 0.01, TimeoutRange: [2]float64{0.7, 1}, MaxRetries: 1,
+		LeaveShare: 0.05, Nodes: 3, NodeShares: []float64{2, 1, 1}}, classes, []Tenant{{"a", 3, 200}, {"b", 1, 0}}, shapes, seed, 20*time.Second)
 }
 
 func text(all []Arrival) string {
@@ -343,7 +343,7 @@
 	if one == text(source(8).Plan()) {
 		t.Error("another seed gives the same plan")
 	}
-	hot := text(source(7, Shape{Kind: HotKeys, From: 10 * time.Second, To: 15 * time.Second, Size: 0.2, Count: 2}).Plan())
+	hot := text(source(7, Shape{Kind: HotKeys, From: 10 * time.Second, To: 15 * time.Second, Magnitude: 0.2, Count: 2}).Plan())
 	same := 0
 	for same < len(hot) && hot[same] == one[same] {
 		same++
@@ -354,8 +354,8 @@
 }
 
 func TestArrivalsAreWhatIsAskedFor(t *testing.T) {
-	all := source(3, Shape{Kind: Surge, From: 10 * time.Second, To: 15 * time.Second, Size: 3},
-		Shape{Kind: HotKeys, From: 5 * time.Second, To: 8 * time.Second, Size: 0.3, Count: 1}).Plan()
+	all := source(3, Shape{Kind: Surge, From: 10 * time.Second, To: 15 * time.Second, Magnitude: 3},
+		Shape{Kind: HotKeys, From: 5 * time.Second, To: 8 * time.Second, Magnitude: 0.3, Count: 1}).Plan()
 	seconds, keys, nodes, puts, leave, over := [20]int{}, map[string]int{}, [3]int{}, 0, 0, 0
 	hot := map[string]int{}
 	for _, a := range all {
@@ -367,10 +367,10 @@
 				t.Fatalf("%s", a.String())
 			}
 		}
-		if a.Leave > 0 {
+		if a.LeaveAfter > 0 {
 			leave++
 		}
-		if a.Over {
+		if a.OverQuota {
 			over++
 		}
 		if a.At > 5*time.Second && a.At < 8*time.Second {
@@ -378,8 +378,8 @@
 		} else {
 			keys[a.Key]++
 		}
-		if a.Patience < 350*ms || a.Patience > time.Second {
-			t.Fatalf("patience %v", a.Patience)
+		if a.Timeout < 350*ms || a.Timeout > time.Second {
+			t.Fatalf("patience %v", a.Timeout)
 		}
 	}
 	near := func(what string, got, want float64) {
@@ -430,20 +430,20 @@
 
 func TestReportsAreLate(t *testing.T) {
 	c := NewCache(spec(), 1)
-	first := c.Report(10 * ms)
+	first := c.LoadReport(10 * ms)
 	for i := range 6 {
 		c.Offer(10*ms, Job{Token: uint64(i + 1), Work: time.Second})
 	}
-	if got := c.Report(30 * ms); got != first {
+	if got := c.LoadReport(30 * ms); got != first {
 		t.Errorf("%v before it was due", got)
 	}
-	if got := c.Report(100 * ms); got.Queue != 2 || got.Util < 0.9 {
+	if got := c.LoadReport(100 * ms); got.Queue != 2 || got.Utilization < 0.9 {
 		t.Errorf("%v", got)
 	}
 }
 
 func TestTheBudgetCountsAnySpan(t *testing.T) {
-	b := Budget{Multiple: 2, Span: time.Second}
+	b := WorkBudget{Multiple: 2, Window: time.Second}
 	for i := range 20 { // 20 s of work a second would be too much, 2 are not
 		if spent, _ := b.Add(time.Duration(i)*50*ms, 100*ms, 1, i%2 == 0); spent {
 			t.Fatalf("spent at %d", i)
