--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -418,7 +418,7 @@
 			r := run(t, cfg, 0, nil)
 			r.reg = reg
 			eventually(t, "all are known, and changes are waited for", func() bool { return r.is() && reg.Waits() > 0 })
-			reg.Log.Do(func(rec *seen.Record) { rec.Told = nil }) // it has each list that was told
+			reg.Log.Update(func(rec *seen.Record) { rec.ListUpdates = nil }) // it has each list that was told
 			used := heap() - before
 			if n, _ := reg.Calls(); n != calls {
 				t.Errorf("%d calls, not %d", n, calls)
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -193,7 +193,7 @@
 	for _, a := range s.x.Timeline.Actions {
 		s.at(a.At, func() {
 			s.do(a)
-			s.rec.Marks = append(s.rec.Marks, seen.Mark{At: s.now, Text: a.String()})
+			s.rec.Events = append(s.rec.Events, seen.Event{At: s.now, Text: a.String()})
 		})
 	}
 	for i := range plan {
@@ -208,7 +208,7 @@
 		e.do()
 	}
 	for _, n := range s.nodes {
-		n.life.End, n.life.Term, n.life.Status = s.now, s.now, "exit status 0"
+		n.life.EndedAt, n.life.TerminatedAt, n.life.ExitStatus = s.now, s.now, "exit status 0"
 	}
 	rules := s.x.Rules()
 	rules.Tolerance = 5 * time.Millisecond // nothing is late here but what travels
@@ -234,13 +234,13 @@
 	}
 	nd := s.nodes[at]
 	for i := range s.nodes { // the front knows which nodes serve, after a while
-		if x := s.nodes[(at+i)%len(s.nodes)]; x.up || s.now-x.life.End < 2*time.Second {
+		if x := s.nodes[(at+i)%len(s.nodes)]; x.up || s.now-x.life.EndedAt < 2*time.Second {
 			nd = x
 			break
 		}
 	}
-	t := &seen.Try{ID: a.ID(s.x.Seed, n), Arrival: a.N, N: n, Class: class.Name, Key: a.Key, Idem: a.Idem, Write: class.Write, Node: nd.number,
-		Life: nd.lives - 1, Planned: s.now, Sent: s.now, Until: until}
+	t := &seen.Try{ID: a.ID(s.x.Seed, n), ArrivalNumber: a.N, Number: n, Class: class.Name, Key: a.Key, Idem: a.Idem, Write: class.Write, Node: nd.number,
+		Generation: nd.lives - 1, DueAt: s.now, SentAt: s.now, WaitsUntil: until}
 	if a.Tenant >= 0 {
 		t.Tenant = s.x.Tenants[a.Tenant].Name
 	}
@@ -248,7 +248,7 @@
 	x := &try{a: a, wish: begin, t: t, class: class}
 	if a.LeaveAfter > 0 && n == 0 {
 		s.after(a.LeaveAfter, func() {
-			s.end(x, func() { t.Left = s.now })
+			s.end(x, func() { t.LeftAt = s.now })
 			s.hop(func() { nd.abandoned(t.ID) })
 		})
 	}
@@ -256,7 +256,7 @@
 	s.hop(func() {
 		if !nd.up || nd.frozen {
 			if !nd.up {
-				s.end(x, func() { t.Nowhere = true })
+				s.end(x, func() { t.ConnectFailed = true })
 			}
 			return
 		}
@@ -272,9 +272,9 @@
 	x.over = true
 	change()
 	t := x.t
-	wait := max(s.x.Source.RetryDelay, t.ComeBack)
-	again := t.Answer != seen.Served && t.Left == 0 && t.N+1 < x.a.MaxTries && s.now+wait+20*time.Millisecond < x.wish+x.class.Deadline
-	if harmless := t.Answer == seen.Refused || t.Nowhere; again && !harmless {
+	wait := max(s.x.Source.RetryDelay, t.RetryAfter)
+	again := t.Answer != seen.Served && t.LeftAt == 0 && t.Number+1 < x.a.MaxTries && s.now+wait+20*time.Millisecond < x.wish+x.class.Deadline
+	if harmless := t.Answer == seen.Refused || t.ConnectFailed; again && !harmless {
 		again = x.class.Effect == world.Safe || x.class.Effect == world.Keyed && x.class.Scope == world.ScopeAll && s.now+wait < x.wish+x.class.Window
 	}
 	if !again {
@@ -282,10 +282,10 @@
 		return
 	}
 	at := t.Node
-	if t.Nowhere {
+	if t.ConnectFailed {
 		at = (at + 1) % len(s.nodes)
 	}
-	s.after(wait, func() { s.wish(x.a, x.wish, t.N+1, at) })
+	s.after(wait, func() { s.wish(x.a, x.wish, t.Number+1, at) })
 }
 
 // node is one balancer.
@@ -295,7 +295,7 @@
 	set       policy.Settings
 	deadlines map[string]time.Duration
 	policy    *policy.Balancer
-	life      *seen.Life
+	life      *seen.NodeProcess
 	lives     int
 	up        bool
 	frozen    bool
@@ -332,8 +332,8 @@
 func (n *node) start() {
 	s := n.sim
 	rev, members := s.roster.Snapshot(s.now)
-	n.life = &seen.Life{Node: n.number, Life: n.lives, Start: s.now, Ready: s.now, Known: members}
-	s.rec.Lives = append(s.rec.Lives, n.life)
+	n.life = &seen.NodeProcess{Node: n.number, Generation: n.lives, StartedAt: s.now, ReadyAt: s.now, InitialList: members}
+	s.rec.NodeProcesses = append(s.rec.NodeProcesses, n.life)
 	n.lives++
 	n.up, n.frozen, n.calls, n.rev = true, false, map[string]*call{}, rev
 	n.seed = world.RandomStream(s.x.Seed, "node", strconv.Itoa(n.number), strconv.Itoa(n.lives)).Uint64()
@@ -374,10 +374,10 @@
 // take hands a request to the module.
 func (n *node) take(x *try) {
 	s, t := n.sim, x.t
-	left := t.Until - s.now
+	left := t.WaitsUntil - s.now
 	c := &call{try: x, node: n, life: n.lives, end: s.now + left - min(margin, left/2)}
 	n.calls[t.ID] = c
-	s.at(t.Until-min(lastCall, (t.Until-c.end)/3), func() {
+	s.at(t.WaitsUntil-min(lastCall, (t.WaitsUntil-c.end)/3), func() {
 		if n.calls[t.ID] == c && !c.answered && n.lives == c.life && n.up {
 			s.logs = append(s.logs, fmt.Sprintf("%v node %d: overdue %s", s.now, n.number+1, t.ID))
 			n.answer(c, seen.Failed, 0, nil)
@@ -424,9 +424,9 @@
 	s.hop(func() {
 		s.end(x, func() {
 			t := x.t
-			t.Answer, t.At, t.ComeBack = kind, s.now, comeBack
+			t.Answer, t.AnsweredAt, t.RetryAfter = kind, s.now, comeBack
 			if by != nil {
-				t.Server, t.Version, t.Receipt, t.Right = by.Server, by.Version, by.Receipt, true
+				t.Server, t.Version, t.Receipt, t.Correct = by.Server, by.Version, by.Receipt, true
 			}
 		})
 	})
@@ -482,8 +482,8 @@
 		return
 	}
 	n.sim.hop(func() {
-		if a.rec.Closed == 0 && a.rec.Answered == 0 {
-			a.rec.Closed = n.sim.now
+		if a.rec.ClosedAt == 0 && a.rec.AnsweredAt == 0 {
+			a.rec.ClosedAt = n.sim.now
 		}
 		a.stop()
 	})
@@ -565,7 +565,7 @@
 		return
 	}
 	n.rev = at
-	s.rec.Told = append(s.rec.Told, seen.Told{Node: n.number, Life: n.lives - 1, At: s.now, Revision: at, Members: changes})
+	s.rec.ListUpdates = append(s.rec.ListUpdates, seen.ListUpdate{Node: n.number, Generation: n.lives - 1, At: s.now, Revision: at, Members: changes})
 	for _, m := range changes {
 		n.members[m.ID] = m
 	}
@@ -623,15 +623,15 @@
 		return
 	}
 	s := n.sim
-	n.up, n.life.End, n.life.Killed, n.life.Status = false, s.now, true, "signal: killed"
+	n.up, n.life.EndedAt, n.life.Killed, n.life.ExitStatus = false, s.now, true, "signal: killed"
 	for _, c := range n.calls {
 		x := c.try
-		s.hop(func() { s.end(x, func() { x.t.Ended = s.now }) })
+		s.hop(func() { s.end(x, func() { x.t.ConnEndedAt = s.now }) })
 		for _, a := range c.tries {
 			if !a.done {
 				s.hop(func() {
-					if a.rec.Closed == 0 && a.rec.Answered == 0 {
-						a.rec.Closed = s.now
+					if a.rec.ClosedAt == 0 && a.rec.AnsweredAt == 0 {
+						a.rec.ClosedAt = s.now
 					}
 					a.stop()
 				})
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -44,11 +44,11 @@
 }
 
 func (c *cache) noteStart(v *experiment.Server, cold bool) {
-	st := seen.Start{Server: c.id, Name: c.name, Cold: cold, Capacity: float64(v.Spec.Cores) * v.Spec.Speed}
+	st := seen.ServerStart{Server: c.id, Name: c.name, Cold: cold, Capacity: float64(v.Spec.Cores) * v.Spec.Speed}
 	if cold {
 		st.At = c.sim.now
 	}
-	c.sim.rec.Starts = append(c.sim.rec.Starts, st)
+	c.sim.rec.ServerStarts = append(c.sim.rec.ServerStarts, st)
 }
 
 // arrive is an attempt at a server.
@@ -69,7 +69,7 @@
 		return
 	}
 	t, r := a.call.try.t, a.rec
-	r.First, r.Last = s.now, s.now
+	r.FirstByteAt, r.LastByteAt = s.now, s.now
 	class := a.call.try.class
 	r.Work = world.WorkOf(s.x.Seed, class, t.ID)
 	r.Capacity, r.Cold = c.model.Capacity(s.now), c.model.Cold(s.now)
@@ -100,13 +100,13 @@
 }
 
 // reply sends an attempt's answer back.
-func (c *cache) reply(n *node, a *attempt, o policy.Outcome, note policy.Note, said seen.Said) {
+func (c *cache) reply(n *node, a *attempt, o policy.Outcome, note policy.Note, said seen.ServerAnswer) {
 	s := c.sim
 	if c.silent {
 		return
 	}
-	if a.rec.Closed == 0 {
-		a.rec.Said, a.rec.Answered = said, s.now
+	if a.rec.ClosedAt == 0 {
+		a.rec.Answer, a.rec.AnsweredAt = said, s.now
 	}
 	s.hop(func() { n.finished(a, o, note) })
 }
@@ -141,7 +141,7 @@
 				note = policy.NoteFetching
 			}
 			j.a.call.missed = append(j.a.call.missed, c)
-			c.reply(j.node, j.a, policy.Miss, c.tells(note), seen.Absent)
+			c.reply(j.node, j.a, policy.Miss, c.tells(note), seen.NoValue)
 		}
 	}
 	for _, a := range asks {
@@ -151,8 +151,8 @@
 	}
 	if c.model.FellOver() && !c.fell {
 		c.fell = true
-		s.rec.Falls = append(s.rec.Falls, seen.Mark{At: s.now, Text: c.id})
-		s.rec.Marks = append(s.rec.Marks, seen.Mark{At: s.now, Text: c.name + " falls over"})
+		s.rec.FallOvers = append(s.rec.FallOvers, seen.Event{At: s.now, Text: c.id})
+		s.rec.Events = append(s.rec.Events, seen.Event{At: s.now, Text: c.name + " falls over"})
 		c.die()
 	}
 	c.plan()
@@ -186,8 +186,8 @@
 	c.dead = true
 	c.model.Stop(s.now)
 	for _, j := range c.jobs {
-		if j.a.rec.Closed == 0 {
-			j.a.rec.Closed = s.now
+		if j.a.rec.ClosedAt == 0 {
+			j.a.rec.ClosedAt = s.now
 		}
 		s.hop(func() { j.node.finished(j.a, policy.Reset, 0) })
 	}
@@ -224,7 +224,7 @@
 		c.silent = on
 		if on {
 			for _, j := range c.jobs {
-				j.a.rec.Blind = true
+				j.a.rec.ConnStateUnknown = true
 			}
 			return
 		}
@@ -291,8 +291,8 @@
 	v, work := o.model.Offer(s.now, world.Job{Token: o.serial, Key: t.Key, Write: t.Write, Size: size, Idem: t.Idem})
 	t.Work, t.Capacity = work, o.model.Capacity()
 	if o.model.StopCount() > stops {
-		s.rec.Stops = append(s.rec.Stops, seen.Mark{At: s.now, Text: "origin"})
-		s.rec.Marks = append(s.rec.Marks, seen.Mark{At: s.now, Text: "the origin stops: too much was asked"})
+		s.rec.OriginStops = append(s.rec.OriginStops, seen.Event{At: s.now, Text: "origin"})
+		s.rec.Events = append(s.rec.Events, seen.Event{At: s.now, Text: "the origin stops: too much was asked"})
 	}
 	if v != world.Accepted {
 		delete(o.byWho, o.serial)
@@ -307,7 +307,7 @@
 		return
 	}
 	r := a.rec
-	r.Origin, r.First, r.Last = true, s.now, s.now
+	r.Origin, r.FirstByteAt, r.LastByteAt = true, s.now, s.now
 	s.rec.Attempts = append(s.rec.Attempts, r)
 	token, v := o.offer(r, 0)
 	switch v {
@@ -321,10 +321,10 @@
 			}
 		}
 	case world.Busy:
-		r.Said, r.Answered = seen.Busy, s.now
+		r.Answer, r.AnsweredAt = seen.Busy, s.now
 		s.hop(func() { n.finished(a, policy.Full, 0) })
 	default:
-		r.Closed = s.now
+		r.ClosedAt = s.now
 		s.hop(func() { n.finished(a, policy.ConnectFailed, 0) })
 	}
 	o.look()
@@ -377,10 +377,10 @@
 		}
 		delete(o.jobs, d.Token)
 		r := j.a.rec
-		if r.Answered = s.now; r.Write {
-			r.Said, r.Receipt = seen.Receipt, d.Receipt
+		if r.AnsweredAt = s.now; r.Write {
+			r.Answer, r.Receipt = seen.Receipt, d.Receipt
 		} else {
-			r.Said, r.Version = seen.Value, d.Version
+			r.Answer, r.Version = seen.Value, d.Version
 			list := j.a.call.missed
 			for _, c := range list[:min(2, len(list))] {
 				c.model.Store(s.now, r.Key, d.Version, int64(s.valueOf(j.a.call.try.t, j.a.call.try.class)))
@@ -396,7 +396,7 @@
 		}
 		if j := o.jobs[token]; j != nil {
 			delete(o.jobs, token)
-			j.a.rec.Closed = s.now
+			j.a.rec.ClosedAt = s.now
 			s.hop(func() { j.node.finished(j.a, policy.Reset, 0) })
 		}
 	}
@@ -426,7 +426,7 @@
 	if !n.up {
 		return
 	}
-	s.rec.Said(number, id, on, s.now)
+	s.rec.SetBan(number, id, on, s.now)
 	n.policy.Ban(n.clock(), id, on)
 	n.settle()
 }
--- a/lab/judge/judge.go
+++ b/lab/judge/judge.go
@@ -128,13 +128,13 @@
 	}
 	for _, t := range rec.Tries {
 		c.tries[t.ID] = t
-		c.wishes[t.Arrival] = append(c.wishes[t.Arrival], t)
+		c.wishes[t.ArrivalNumber] = append(c.wishes[t.ArrivalNumber], t)
 	}
 	for _, a := range rec.Attempts {
 		c.attempts[a.Request] = append(c.attempts[a.Request], a)
 	}
 	for _, list := range c.attempts {
-		slices.SortStableFunc(list, func(a, b *seen.Attempt) int { return cmp.Compare(a.First, b.First) })
+		slices.SortStableFunc(list, func(a, b *seen.Attempt) int { return cmp.Compare(a.FirstByteAt, b.FirstByteAt) })
 	}
 	for _, t := range rec.Tries {
 		c.oneAnswer(t)
@@ -161,17 +161,17 @@
 	b := Breach{Rule: rule, What: what, Why: fmt.Sprintf(format, args...), At: at, Server: server}
 	if t != nil {
 		b.Request, b.Node = t.ID, t.Node+1
-		b.Story = c.story(t.Arrival, server)
+		b.Story = c.story(t.ArrivalNumber, server)
 	}
 	c.v.Breaches = append(c.v.Breaches, b)
 }
 
 // life finds a node's process.
-func (c *court) life(node, life int) *seen.Life {
-	for _, l := range c.rec.Lives {
-		if l.Node == node && l.Life == life {
+func (c *court) life(node, life int) *seen.NodeProcess {
+	for _, l := range c.rec.NodeProcesses {
+		if l.Node == node && l.Generation == life {
 			return l
 		}
 	}
-	return &seen.Life{Node: node, Life: life}
+	return &seen.NodeProcess{Node: node, Generation: life}
 }
--- a/lab/judge/rules.go
+++ b/lab/judge/rules.go
@@ -14,57 +14,57 @@
 func end(t *seen.Try) time.Duration {
 	switch {
 	case t.Answer != seen.None:
-		return t.At
-	case t.Left > 0:
-		return t.Left
+		return t.AnsweredAt
+	case t.LeftAt > 0:
+		return t.LeftAt
 	}
-	return t.Ended
+	return t.ConnEndedAt
 }
 
 // taken reports whether the node had the request: its last byte was written to a connection that a live node accepted.
-func taken(t *seen.Try) bool { return t.Sent > 0 && !t.Nowhere }
+func taken(t *seen.Try) bool { return t.SentAt > 0 && !t.ConnectFailed }
 
 // excused reports whether a try without an answer is the client's own doing or died with a node that was killed.
 func (c *court) excused(t *seen.Try) bool {
-	if t.Left > 0 {
+	if t.LeftAt > 0 {
 		return true
 	}
-	l := c.life(t.Node, t.Life)
-	return l.Killed && l.End > 0 && t.Sent <= l.End+c.rules.Tolerance || c.frozen(l, t)
+	l := c.life(t.Node, t.Generation)
+	return l.Killed && l.EndedAt > 0 && t.SentAt <= l.EndedAt+c.rules.Tolerance || c.frozen(l, t)
 }
 
 // frozen reports whether a try's node was stopped by the plan while it should have answered.
-func (c *court) frozen(l *seen.Life, t *seen.Try) bool {
+func (c *court) frozen(l *seen.NodeProcess, t *seen.Try) bool {
 	return slices.ContainsFunc(l.Frozen, func(f [2]time.Duration) bool {
-		return t.Until > f[0] && (f[1] == 0 || t.Sent < f[1]+c.rules.Tolerance)
+		return t.WaitsUntil > f[0] && (f[1] == 0 || t.SentAt < f[1]+c.rules.Tolerance)
 	})
 }
 
 // oneAnswer is rule 1.
 func (c *court) oneAnswer(t *seen.Try) {
 	r := &c.rules
-	if t.Extra != "" {
-		c.breach(OneAnswer, Twice, t.At, t, "", "beyond its answer came %q", t.Extra)
+	if t.ExtraLine != "" {
+		c.breach(OneAnswer, Twice, t.AnsweredAt, t, "", "beyond its answer came %q", t.ExtraLine)
 	}
-	limit := t.Until + r.AnswerSlack + r.Tolerance
+	limit := t.WaitsUntil + r.AnswerSlack + r.Tolerance
 	switch {
 	case !taken(t):
-	case t.Answer == seen.None && t.Cut && c.servedBy(t):
+	case t.Answer == seen.None && t.Truncated && c.servedBy(t):
 		// What the node has begun to pass on and can't finish has failed, and its client can tell.
-	case t.Answer == seen.None && !c.excused(t) && t.Ended > 0:
-		c.breach(OneAnswer, Lost, t.Ended, t, "", "its connection ended without a whole answer")
+	case t.Answer == seen.None && !c.excused(t) && t.ConnEndedAt > 0:
+		c.breach(OneAnswer, Lost, t.ConnEndedAt, t, "", "its connection ended without a whole answer")
 	case t.Answer == seen.None && !c.excused(t):
-		c.breach(OneAnswer, Lost, limit, t, "", "no answer until %v after its deadline", limit-t.Until)
-	case t.Answer != seen.None && t.At > limit && !c.frozen(c.life(t.Node, t.Life), t):
-		c.breach(OneAnswer, Late, t.At, t, "", "answered %v after its deadline", t.At-t.Until)
+		c.breach(OneAnswer, Lost, limit, t, "", "no answer until %v after its deadline", limit-t.WaitsUntil)
+	case t.Answer != seen.None && t.AnsweredAt > limit && !c.frozen(c.life(t.Node, t.Generation), t):
+		c.breach(OneAnswer, Late, t.AnsweredAt, t, "", "answered %v after its deadline", t.AnsweredAt-t.WaitsUntil)
 	}
 	if t.Answer == seen.Served && !c.made(t) {
-		c.breach(OneAnswer, WrongValue, t.At, t, t.Server, "served with what no server had made for this request: %q", t.Line)
+		c.breach(OneAnswer, WrongValue, t.AnsweredAt, t, t.Server, "served with what no server had made for this request: %q", t.AnswerLine)
 	}
 	if over := end(t); over > 0 {
 		for _, a := range c.attempts[t.ID] {
-			if a.First > over+r.Tolerance {
-				c.breach(OneAnswer, SentAfterEnd, a.First, t, a.Server, "an attempt began %v after the request was over", a.First-over)
+			if a.FirstByteAt > over+r.Tolerance {
+				c.breach(OneAnswer, SentAfterEnd, a.FirstByteAt, t, a.Server, "an attempt began %v after the request was over", a.FirstByteAt-over)
 			}
 		}
 	}
@@ -77,8 +77,8 @@
 // toldTimes is the part of rule 1 on what attempts tell their servers.
 func (c *court) toldTimes(t *seen.Try) {
 	for _, a := range c.attempts[t.ID] {
-		if over := a.Wait - (t.Until - a.First); a.First > 0 && t.Sent > 0 && over > toldSlack+c.rules.Tolerance {
-			c.breach(OneAnswer, ToldTooMuch, a.First, t, a.Server, "an attempt told %v more than was left", over)
+		if over := a.RemainingTime - (t.WaitsUntil - a.FirstByteAt); a.FirstByteAt > 0 && t.SentAt > 0 && over > toldSlack+c.rules.Tolerance {
+			c.breach(OneAnswer, ToldTooMuch, a.FirstByteAt, t, a.Server, "an attempt told %v more than was left", over)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 // servedBy reports whether a server had answered the request with a value or a receipt.
 func (c *court) servedBy(t *seen.Try) bool {
 	return slices.ContainsFunc(c.attempts[t.ID], func(a *seen.Attempt) bool {
-		return a.Said == seen.Value || a.Said == seen.Receipt || a.Said == seen.Spoilt
+		return a.Answer == seen.Value || a.Answer == seen.Receipt || a.Answer == seen.Corrupt
 	})
 }
 
@@ -94,24 +94,24 @@
 func (c *court) made(t *seen.Try) bool {
 	return slices.ContainsFunc(c.attempts[t.ID], func(a *seen.Attempt) bool {
 		if t.Write {
-			return a.Said == seen.Receipt && a.Receipt == t.Receipt
+			return a.Answer == seen.Receipt && a.Receipt == t.Receipt
 		}
-		return a.Said == seen.Value && t.Right && a.Server == t.Server && a.Version == t.Version
+		return a.Answer == seen.Value && t.Correct && a.Server == t.Server && a.Version == t.Version
 	})
 }
 
 // strangers finds what servers were sent that no client had asked for in this form.
 func (c *court) strangers() {
-	for _, m := range c.rec.Strange {
+	for _, m := range c.rec.ProtocolErrors {
 		c.breach(OneAnswer, Altered, m.At, nil, "", "%s", m.Text)
 	}
 	for _, a := range c.rec.Attempts {
 		t := c.tries[a.Request]
 		switch {
 		case t == nil:
-			c.breach(OneAnswer, Altered, a.First, nil, a.Server, "a server was sent the request %q, which no client had asked", a.Request)
-		case a.Last > 0 && (a.Key != t.Key || a.Class != t.Class || a.Idem != t.Idem || a.Write != t.Write || a.Value != t.Value):
-			c.breach(OneAnswer, Altered, a.First, t, a.Server, "key, class, idempotency key or value are not the client's")
+			c.breach(OneAnswer, Altered, a.FirstByteAt, nil, a.Server, "a server was sent the request %q, which no client had asked", a.Request)
+		case a.LastByteAt > 0 && (a.Key != t.Key || a.Class != t.Class || a.Idem != t.Idem || a.Write != t.Write || a.Value != t.Value):
+			c.breach(OneAnswer, Altered, a.FirstByteAt, t, a.Server, "key, class, idempotency key or value are not the client's")
 		}
 	}
 }
@@ -132,8 +132,8 @@
 		return
 	}
 	for _, a := range list {
-		if a.MayHaveRun() && a.Last <= t.At+r.Tolerance {
-			c.breach(NoDouble, FalseRefusal, t.At, t, a.Server, "refused, which promises that trying again is harmless, though an attempt may have run")
+		if a.MayHaveRun() && a.LastByteAt <= t.AnsweredAt+r.Tolerance {
+			c.breach(NoDouble, FalseRefusal, t.AnsweredAt, t, a.Server, "refused, which promises that trying again is harmless, though an attempt may have run")
 			return
 		}
 	}
@@ -142,24 +142,24 @@
 // pair looks at a further attempt b behind an earlier one, a, of one request.
 func (c *court) pair(t *seen.Try, class *world.Class, a, b *seen.Attempt) {
 	r := &c.rules
-	if over := a.Ended(); a.Last > 0 && b.Last > 0 && !a.Blind && !r.Parallel && (over == 0 || over > b.Last+r.Tolerance) {
-		c.breach(NoDouble, AtOnce, b.Last, t, b.Server, "an attempt came while that at %s was out on an open connection", a.Server)
+	if over := a.EndedAt(); a.LastByteAt > 0 && b.LastByteAt > 0 && !a.ConnStateUnknown && !r.Parallel && (over == 0 || over > b.LastByteAt+r.Tolerance) {
+		c.breach(NoDouble, AtOnce, b.LastByteAt, t, b.Server, "an attempt came while that at %s was out on an open connection", a.Server)
 	}
 	// What had not been answered when b began may have run, as far as the node could know.
-	unsure := a.Last > 0 && (a.MayHaveRun() || a.Answered > b.First+r.Tolerance)
-	if !unsure || b.Last == 0 {
+	unsure := a.LastByteAt > 0 && (a.MayHaveRun() || a.AnsweredAt > b.FirstByteAt+r.Tolerance)
+	if !unsure || b.LastByteAt == 0 {
 		return
 	}
 	switch class.Effect {
 	case world.Unsafe:
-		c.breach(NoDouble, MayRepeat, b.Last, t, b.Server, "sent again though the attempt at %s, which ended with %v, may have run", a.Server, a.Said)
+		c.breach(NoDouble, MayRepeat, b.LastByteAt, t, b.Server, "sent again though the attempt at %s, which ended with %v, may have run", a.Server, a.Answer)
 	case world.Keyed:
-		if b.First > a.First+class.Window+r.Tolerance {
-			c.breach(NoDouble, PastWindow, b.First, t, b.Server, "a keyed repeat %v after the first attempt that may have run; the window is %v",
-				b.First-a.First, class.Window)
+		if b.FirstByteAt > a.FirstByteAt+class.Window+r.Tolerance {
+			c.breach(NoDouble, PastWindow, b.FirstByteAt, t, b.Server, "a keyed repeat %v after the first attempt that may have run; the window is %v",
+				b.FirstByteAt-a.FirstByteAt, class.Window)
 		}
 		if x, y := r.Members[a.Server], r.Members[b.Server]; class.Scope != world.ScopeAll && (x.Zone != y.Zone || class.Scope == world.ScopeCell && x.Cell != y.Cell) {
-			c.breach(NoDouble, PastWindow, b.First, t, b.Server, "a keyed repeat at a server that does not share %s's memory of repeats", a.Server)
+			c.breach(NoDouble, PastWindow, b.FirstByteAt, t, b.Server, "a keyed repeat at a server that does not share %s's memory of repeats", a.Server)
 		}
 	}
 }
@@ -174,11 +174,11 @@
 		if t == nil {
 			continue // told by strangers
 		}
-		if f, again := first[t.Arrival]; again && !c.resentAfterKill(f, e) {
+		if f, again := first[t.ArrivalNumber]; again && !c.resentAfterKill(f, e) {
 			c.breach(NoDouble, Doubled, e.At, t, "", "took effect with receipt %s and again with %s, %v later", f.Receipt, e.Receipt, e.At-f.At)
 			continue
 		}
-		first[t.Arrival] = e
+		first[t.ArrivalNumber] = e
 	}
 }
 
@@ -186,8 +186,8 @@
 // had, when its node was killed: the first effect before that and the second behind it.
 func (c *court) resentAfterKill(first, second seen.Effect) bool {
 	t := c.tries[first.Request]
-	l := c.life(t.Node, t.Life)
-	return t.Unread && l.Killed && l.End > 0 && first.At <= l.End+c.rules.Tolerance && second.At > l.End
+	l := c.life(t.Node, t.Generation)
+	return t.Resent && l.Killed && l.EndedAt > 0 && first.At <= l.EndedAt+c.rules.Tolerance && second.At > l.EndedAt
 }
 
 // phases is what a node has been told of one server: when it learned that nothing new may go there, and when that ended.
@@ -199,19 +199,19 @@
 // drains is rule 3.
 func (c *court) drains() {
 	barred := map[[2]int]map[string][]phases{}
-	for _, l := range c.rec.Lives {
-		barred[[2]int{l.Node, l.Life}] = c.learned(l)
+	for _, l := range c.rec.NodeProcesses {
+		barred[[2]int{l.Node, l.Generation}] = c.learned(l)
 	}
 	for _, a := range c.rec.Attempts {
 		t := c.tries[a.Request]
 		if t == nil || a.Origin {
 			continue
 		}
-		for _, p := range barred[[2]int{t.Node, t.Life}][a.Server] {
+		for _, p := range barred[[2]int{t.Node, t.Generation}][a.Server] {
 			limit := p.from + c.rules.DrainGrace + c.rules.Tolerance
-			if a.First > limit && (p.to == 0 || a.First < p.to) {
-				c.breach(Drains, ToDraining, a.First, t, a.Server, "a new attempt %v after the node was told that the server drains or is gone",
-					a.First-p.from)
+			if a.FirstByteAt > limit && (p.to == 0 || a.FirstByteAt < p.to) {
+				c.breach(Drains, ToDraining, a.FirstByteAt, t, a.Server, "a new attempt %v after the node was told that the server drains or is gone",
+					a.FirstByteAt-p.from)
 			}
 		}
 	}
@@ -220,27 +220,27 @@
 // hands is rule 3 for servers that were banned by hand, the origin among them, and rule 1 for nodes that were drained so:
 // clients that are kept on by one that is about to go are lost with it.
 func (c *court) hands() {
-	for _, h := range c.rec.Hands {
+	for _, h := range c.rec.Bans {
 		limit := h.From + c.rules.DrainGrace + c.rules.Tolerance
 		for _, a := range c.rec.Attempts {
-			if t := c.tries[a.Request]; t != nil && t.Node == h.Node && a.Server == h.Server && a.First > limit && (h.To == 0 || a.First < h.To) {
-				c.breach(Drains, ToBanned, a.First, t, a.Server, "a new attempt %v after the server was banned by hand", a.First-h.From)
+			if t := c.tries[a.Request]; t != nil && t.Node == h.Node && a.Server == h.Server && a.FirstByteAt > limit && (h.To == 0 || a.FirstByteAt < h.To) {
+				c.breach(Drains, ToBanned, a.FirstByteAt, t, a.Server, "a new attempt %v after the server was banned by hand", a.FirstByteAt-h.From)
 			}
 		}
 	}
-	for _, l := range c.rec.Lames {
+	for _, l := range c.rec.LameDuckChecks {
 		switch {
-		case l.Looked == 0:
+		case l.CheckedAt == 0:
 		case l.Ready:
-			c.breach(OneAnswer, NotDrained, l.Looked, nil, "", "node %d still says that it takes clients %v after it was drained", l.Node+1, l.Looked-l.From)
-		case l.Idle > 0:
-			c.breach(OneAnswer, NotDrained, l.Looked, nil, "", "node %d still holds %d idle connections %v after it was drained", l.Node+1, l.Idle, l.Looked-l.From)
+			c.breach(OneAnswer, NotDrained, l.CheckedAt, nil, "", "node %d still says that it takes clients %v after it was drained", l.Node+1, l.CheckedAt-l.From)
+		case l.IdleConns > 0:
+			c.breach(OneAnswer, NotDrained, l.CheckedAt, nil, "", "node %d still holds %d idle connections %v after it was drained", l.Node+1, l.IdleConns, l.CheckedAt-l.From)
 		}
 	}
 }
 
 // learned follows what a node's process was told, by server.
-func (c *court) learned(l *seen.Life) map[string][]phases {
+func (c *court) learned(l *seen.NodeProcess) map[string][]phases {
 	out := map[string][]phases{}
 	phase := map[string]world.Phase{}
 	vanished := []time.Duration{} // of serving servers, when
@@ -259,11 +259,11 @@
 			list[len(list)-1].to = at
 		}
 	}
-	for _, m := range l.Known {
-		set(m.ID, m.Phase, l.Start)
+	for _, m := range l.InitialList {
+		set(m.ID, m.Phase, l.StartedAt)
 	}
-	for _, n := range c.rec.Told {
-		if n.Node != l.Node || n.Life != l.Life {
+	for _, n := range c.rec.ListUpdates {
+		if n.Node != l.Node || n.Generation != l.Generation {
 			continue
 		}
 		named := map[string]bool{}
@@ -271,7 +271,7 @@
 			named[m.ID] = true
 			set(m.ID, m.Phase, n.At)
 		}
-		if !n.Whole {
+		if !n.Snapshot {
 			continue
 		}
 		for _, id := range sorted(phase) {
@@ -321,14 +321,14 @@
 const startRounding = 2 * time.Millisecond
 
 // started is when a node's process was told of a server's start, and whether it was.
-func (c *court) started(l *seen.Life, id string, start time.Duration) (time.Duration, bool) {
-	for _, m := range l.Known {
+func (c *court) started(l *seen.NodeProcess, id string, start time.Duration) (time.Duration, bool) {
+	for _, m := range l.InitialList {
 		if m.ID == id && m.Started != 0 && m.Started >= start-startRounding {
-			return l.Start, true
+			return l.StartedAt, true
 		}
 	}
-	for _, n := range c.rec.Told {
-		if n.Node != l.Node || n.Life != l.Life {
+	for _, n := range c.rec.ListUpdates {
+		if n.Node != l.Node || n.Generation != l.Generation {
 			continue
 		}
 		for _, m := range n.Members {
@@ -349,44 +349,44 @@
 	}
 	byServer := map[string][]*seen.Attempt{}
 	for _, a := range c.rec.Attempts {
-		if a.Last > 0 && !a.Origin {
+		if a.LastByteAt > 0 && !a.Origin {
 			byServer[a.Server] = append(byServer[a.Server], a)
 		}
 	}
-	for i, s := range c.rec.Starts {
+	for i, s := range c.rec.ServerStarts {
 		if !s.Cold {
 			continue
 		}
 		until := s.At + r.WarmUp
-		for _, later := range c.rec.Starts[i+1:] {
+		for _, later := range c.rec.ServerStarts[i+1:] {
 			if later.Server == s.Server {
 				until = min(until, later.At)
 			}
 		}
-		list := slices.DeleteFunc(slices.Clone(byServer[s.Server]), func(a *seen.Attempt) bool { return a.Last < s.At || a.Last >= until })
-		slices.SortFunc(list, func(a, b *seen.Attempt) int { return cmp.Compare(a.Last, b.Last) })
+		list := slices.DeleteFunc(slices.Clone(byServer[s.Server]), func(a *seen.Attempt) bool { return a.LastByteAt < s.At || a.LastByteAt >= until })
+		slices.SortFunc(list, func(a, b *seen.Attempt) int { return cmp.Compare(a.LastByteAt, b.LastByteAt) })
 		told := map[[2]int]time.Duration{}
 		b := world.WorkBudget{Multiple: r.FallMultiple, Window: r.FallWindow}
 		for _, a := range list {
 			t := c.tries[a.Request]
 			knows := false
 			if t != nil {
-				k := [2]int{t.Node, t.Life}
+				k := [2]int{t.Node, t.Generation}
 				at, ok := told[k]
 				if !ok {
 					at = 1 << 62
-					if x, was := c.started(c.life(t.Node, t.Life), s.Server, s.At); was {
+					if x, was := c.started(c.life(t.Node, t.Generation), s.Server, s.At); was {
 						at = x
 					}
 					told[k] = at
 				}
-				knows = a.First >= at
+				knows = a.FirstByteAt >= at
 			}
 			b.Slack = max(b.Slack, 2*a.Work)
-			if spent, marked := b.Add(a.Last, a.Work, a.Capacity, knows); spent && marked >= 2.0/3 {
-				c.breach(Cold, PushedOver, a.Last, t, s.Server,
+			if spent, marked := b.Add(a.LastByteAt, a.Work, a.Capacity, knows); spent && marked >= 2.0/3 {
+				c.breach(Cold, PushedOver, a.LastByteAt, t, s.Server,
 					"a server that started %v before, at %.2f of %.2f seconds of work a second, got over %g times that for %v, %.0f%% of it from nodes that had been told",
-					a.Last-s.At, a.Capacity, s.Capacity, r.FallMultiple, r.FallWindow, 100*marked)
+					a.LastByteAt-s.At, a.Capacity, s.Capacity, r.FallMultiple, r.FallWindow, 100*marked)
 				break
 			}
 		}
@@ -397,10 +397,10 @@
 // been sent, and over 1.25 times the reads that were due to those servers with their weights cut by the warm-up.
 func (c *court) originStops() {
 	r := &c.rules
-	for _, stop := range c.rec.Stops {
+	for _, stop := range c.rec.OriginStops {
 		sent, cold, reads, due := 0, 0, 0, 0.0
 		for _, a := range c.rec.Attempts {
-			if a.Last <= 0 || a.Last > stop.At || a.Last <= stop.At-r.OriginFor {
+			if a.LastByteAt <= 0 || a.LastByteAt > stop.At || a.LastByteAt <= stop.At-r.OriginFor {
 				continue
 			}
 			if !a.Origin {
@@ -410,7 +410,7 @@
 				continue
 			}
 			sent++
-			if slices.ContainsFunc(c.attempts[a.Request], func(x *seen.Attempt) bool { return x.Cold && x.Said == seen.Absent && x.First < a.First }) {
+			if slices.ContainsFunc(c.attempts[a.Request], func(x *seen.Attempt) bool { return x.Cold && x.Answer == seen.NoValue && x.FirstByteAt < a.FirstByteAt }) {
 				cold++
 			}
 		}
@@ -425,8 +425,8 @@
 // dueToCold is the part of the reads that is due to the servers that are cold at a time, by weights cut by the warm-up.
 func (c *court) dueToCold(at time.Duration) float64 {
 	r := &c.rules
-	last := map[string]seen.Start{}
-	for _, s := range c.rec.Starts {
+	last := map[string]seen.ServerStart{}
+	for _, s := range c.rec.ServerStarts {
 		if s.At <= at {
 			last[s.Server] = s
 		}
--- a/lab/judge/service.go
+++ b/lab/judge/service.go
@@ -99,7 +99,7 @@
 		for _, t := range list {
 			last = t.Answer
 			if t.Answer == seen.Served && c.made(t) {
-				took = t.At - a.At
+				took = t.AnsweredAt - a.At
 				switch {
 				case took <= class.Aim:
 					got = worth
@@ -143,7 +143,7 @@
 	}
 	origin := 0
 	for _, x := range c.rec.Attempts {
-		s := at(x.First)
+		s := at(x.FirstByteAt)
 		s.Attempts++
 		if x.Origin {
 			s.Origin++
@@ -185,7 +185,7 @@
 	for _, list := range c.attempts {
 		f["attempts_most"] = math.Max(f["attempts_most"], float64(len(list)))
 	}
-	f["cold_fallen"], f["origin_stops"] = float64(len(c.rec.Falls)), float64(len(c.rec.Stops))
+	f["cold_fallen"], f["origin_stops"] = float64(len(c.rec.FallOvers)), float64(len(c.rec.OriginStops))
 	f["effects"] = float64(len(c.rec.Effects))
 	breaches := 0
 	for _, name := range RuleNames {
@@ -222,10 +222,10 @@
 	both := NewHistogram()
 	for _, t := range c.rec.Tries {
 		list := c.attempts[t.ID]
-		if t.Answer != seen.Served || t.Unread || len(list) != 1 || list[0].Answered == 0 {
+		if t.Answer != seen.Served || t.Resent || len(list) != 1 || list[0].AnsweredAt == 0 {
 			continue
 		}
-		to, fro := list[0].Last-t.Sent, t.At-list[0].Answered
+		to, fro := list[0].LastByteAt-t.SentAt, t.AnsweredAt-list[0].AnsweredAt
 		there.RecordValue(max(0, int64(to/time.Microsecond)))
 		back.RecordValue(max(0, int64(fro/time.Microsecond)))
 		both.RecordValue(max(0, int64((to+fro)/time.Microsecond)))
@@ -241,11 +241,11 @@
 func (c *court) lives() {
 	f := c.v.Figures
 	var cpu time.Duration
-	for _, l := range c.rec.Lives {
+	for _, l := range c.rec.NodeProcesses {
 		cpu += l.CPU
-		f["node_memory_mb"] = math.Max(f["node_memory_mb"], float64(l.Peak)/(1<<20))
-		f["node_descriptors"] = math.Max(f["node_descriptors"], float64(l.Descs))
-		if l.End > 0 && !l.Killed && !l.Replaced && (l.Term == 0 || l.Status != "exit status 0") {
+		f["node_memory_mb"] = math.Max(f["node_memory_mb"], float64(l.PeakMemory)/(1<<20))
+		f["node_descriptors"] = math.Max(f["node_descriptors"], float64(l.PeakDescriptors))
+		if l.EndedAt > 0 && !l.Killed && !l.Replaced && (l.TerminatedAt == 0 || l.ExitStatus != "exit status 0") {
 			f["node_crashes"]++
 		}
 	}
--- a/lab/judge/story.go
+++ b/lab/judge/story.go
@@ -22,43 +22,43 @@
 	}
 	nodes := map[[2]int]bool{}
 	for _, t := range c.wishes[arrival] {
-		nodes[[2]int{t.Node, t.Life}] = true
+		nodes[[2]int{t.Node, t.Generation}] = true
 		what := "read"
 		if t.Write {
 			what = "write"
 		}
-		add(t.Planned, "client: try %d, %s of %s, class %s, as %s, due at node %d", t.N+1, what, t.Key, t.Class, t.ID, t.Node+1)
-		if t.Sent > 0 {
-			add(t.Sent, "client: %s sent; it waits until %v", t.ID, round(t.Until))
+		add(t.DueAt, "client: try %d, %s of %s, class %s, as %s, due at node %d", t.Number+1, what, t.Key, t.Class, t.ID, t.Node+1)
+		if t.SentAt > 0 {
+			add(t.SentAt, "client: %s sent; it waits until %v", t.ID, round(t.WaitsUntil))
 		}
-		if t.Nowhere {
-			add(t.Sent, "client: %s could not reach the node", t.ID)
+		if t.ConnectFailed {
+			add(t.SentAt, "client: %s could not reach the node", t.ID)
 		}
-		if t.Unread {
-			add(t.Sent, "client: %s went out once more, as its first connection ended with nothing said", t.ID)
+		if t.Resent {
+			add(t.SentAt, "client: %s went out once more, as its first connection ended with nothing said", t.ID)
 		}
 		if t.Answer != seen.None {
-			add(t.At, "client: %s is answered %q (%v)", t.ID, t.Line, t.Answer)
+			add(t.AnsweredAt, "client: %s is answered %q (%v)", t.ID, t.AnswerLine, t.Answer)
 		}
-		if t.Ended > 0 {
-			add(t.Ended, "client: the connection of %s ended without a whole answer", t.ID)
+		if t.ConnEndedAt > 0 {
+			add(t.ConnEndedAt, "client: the connection of %s ended without a whole answer", t.ID)
 		}
-		if t.Left > 0 {
-			add(t.Left, "client: goes away from %s", t.ID)
+		if t.LeftAt > 0 {
+			add(t.LeftAt, "client: goes away from %s", t.ID)
 		}
-		if t.Extra != "" {
-			add(max(t.At, t.Ended), "client: beyond the answer of %s came %q", t.ID, t.Extra)
+		if t.ExtraLine != "" {
+			add(max(t.AnsweredAt, t.ConnEndedAt), "client: beyond the answer of %s came %q", t.ID, t.ExtraLine)
 		}
 		for _, a := range c.attempts[t.ID] {
-			add(a.First, "%s: the first byte of %s comes, connection %d, cold %t", a.Server, a.Request, a.Conn, a.Cold)
-			if a.Last > 0 {
-				add(a.Last, "%s: %s is there whole; the node waits %v; work %v", a.Server, a.Request, a.Wait, round(a.Work))
+			add(a.FirstByteAt, "%s: the first byte of %s comes, connection %d, cold %t", a.Server, a.Request, a.Conn, a.Cold)
+			if a.LastByteAt > 0 {
+				add(a.LastByteAt, "%s: %s is there whole; the node waits %v; work %v", a.Server, a.Request, a.RemainingTime, round(a.Work))
 			}
-			if a.Answered > 0 {
-				add(a.Answered, "%s: answers %s with %v %s", a.Server, a.Request, a.Said, a.Receipt)
+			if a.AnsweredAt > 0 {
+				add(a.AnsweredAt, "%s: answers %s with %v %s", a.Server, a.Request, a.Answer, a.Receipt)
 			}
-			if a.Closed > 0 {
-				add(a.Closed, "%s: the node gives up %s", a.Server, a.Request)
+			if a.ClosedAt > 0 {
+				add(a.ClosedAt, "%s: the node gives up %s", a.Server, a.Request)
 			}
 		}
 		for _, e := range c.rec.Effects {
@@ -68,8 +68,8 @@
 		}
 	}
 	if server != "" {
-		for _, n := range c.rec.Told {
-			if !nodes[[2]int{n.Node, n.Life}] {
+		for _, n := range c.rec.ListUpdates {
+			if !nodes[[2]int{n.Node, n.Generation}] {
 				continue
 			}
 			for _, m := range n.Members {
@@ -79,7 +79,7 @@
 				}
 			}
 		}
-		for _, s := range c.rec.Starts {
+		for _, s := range c.rec.ServerStarts {
 			if s.Server == server {
 				add(s.At, "%s (%s): starts, cold %t", s.Server, s.Name, s.Cold)
 			}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -155,8 +155,8 @@
 		return
 	}
 	node = l.deal(node)
-	t := &seen.Try{ID: a.ID(l.opt.Seed, n), Arrival: a.N, N: n, Class: class.Name, Key: a.Key, Idem: a.Idem, Write: class.Write,
-		Node: node, Life: l.opt.Life(node), Planned: due, Until: until}
+	t := &seen.Try{ID: a.ID(l.opt.Seed, n), ArrivalNumber: a.N, Number: n, Class: class.Name, Key: a.Key, Idem: a.Idem, Write: class.Write,
+		Node: node, Generation: l.opt.Life(node), DueAt: due, WaitsUntil: until}
 	info := "c=" + class.Name
 	if a.Tenant >= 0 {
 		t.Tenant = l.opt.Tenants[a.Tenant].Name
@@ -177,7 +177,7 @@
 	} else {
 		x.text = fmt.Appendf(nil, "mg %s v O%s P%s\r\n", a.Key, t.ID, info)
 	}
-	l.opt.Log.Do(func(r *seen.Record) { r.Tries = append(r.Tries, t) })
+	l.opt.Log.Update(func(r *seen.Record) { r.Tries = append(r.Tries, t) })
 	l.sent.Add(1)
 	if n == 0 {
 		l.mu.Lock()
@@ -225,7 +225,7 @@
 
 // dial opens a connection and sends a try on it.
 func (f *front) dial(x *try) {
-	c, err := net.DialTimeout("tcp", f.addr, min(dialFor, max(time.Millisecond, x.t.Until-f.load.opt.Log.Now())))
+	c, err := net.DialTimeout("tcp", f.addr, min(dialFor, max(time.Millisecond, x.t.WaitsUntil-f.load.opt.Log.Now())))
 	now := f.load.opt.Log.Now()
 	f.mu.Lock()
 	switch {
@@ -237,7 +237,7 @@
 	}
 	f.mu.Unlock()
 	if err != nil {
-		x.end(func(t *seen.Try) { t.Nowhere = true })
+		x.end(func(t *seen.Try) { t.ConnectFailed = true })
 		return
 	}
 	k := &conn{front: f, net: c, in: bufio.NewReaderSize(c, 8<<10)}
@@ -331,9 +331,9 @@
 	c.net.SetWriteDeadline(time.Now().Add(3 * time.Second))
 	_, err := c.net.Write(x.text)
 	now := x.load.opt.Log.Now()
-	x.load.opt.Log.Do(func(*seen.Record) {
+	x.load.opt.Log.Update(func(*seen.Record) {
 		if err == nil {
-			x.t.Sent = now
+			x.t.SentAt = now
 		}
 	})
 	if err != nil {
@@ -419,20 +419,20 @@
 		return
 	}
 	// A node may close a connection between requests; a request that crosses that goes out once more on a new one.
-	if part == "" && used > 0 && !x.t.Unread {
+	if part == "" && used > 0 && !x.t.Resent {
 		x.again()
 		return
 	}
 	now := f.load.opt.Log.Now()
-	x.end(func(t *seen.Try) { t.Ended, t.Cut, t.Line = now, part != "", part })
+	x.end(func(t *seen.Try) { t.ConnEndedAt, t.Truncated, t.AnswerLine = now, part != "", part })
 }
 
 // again sends a request that nobody has read once more, on a connection of its own.
 func (x *try) again() {
 	over := false
-	x.load.opt.Log.Do(func(*seen.Record) {
+	x.load.opt.Log.Update(func(*seen.Record) {
 		if over = x.over; !over {
-			x.t.Unread, x.t.Sent = true, 0
+			x.t.Resent, x.t.SentAt = true, 0
 		}
 	})
 	if over {
@@ -443,13 +443,13 @@
 
 // extra notes what came beyond the answer.
 func (x *try) extra(line string) {
-	x.load.opt.Log.Do(func(*seen.Record) { x.t.Extra = line })
+	x.load.opt.Log.Update(func(*seen.Record) { x.t.ExtraLine = line })
 }
 
 // answered takes a whole answer.
 func (x *try) answered(now time.Duration, line string, words []string, value []byte) {
 	x.end(func(t *seen.Try) {
-		t.At, t.Line, t.Answer = now, line, seen.Failed
+		t.AnsweredAt, t.AnswerLine, t.Answer = now, line, seen.Failed
 		id := ""
 		for _, w := range words[min(1, len(words)):] {
 			switch w[0] {
@@ -465,7 +465,7 @@
 			t.Answer = seen.Served
 			key, version, request, server, right := standin.ReadValue(value)
 			t.Server, t.Version = server, version
-			t.Right = right && id == t.ID && request == t.ID && key == t.Key
+			t.Correct = right && id == t.ID && request == t.ID && key == t.Key
 		case words[0] == "HD":
 			t.Answer = seen.Served
 			if id != t.ID {
@@ -475,7 +475,7 @@
 			t.Answer = seen.Refused
 			if len(words) > 2 {
 				ms, _ := strconv.Atoi(words[2])
-				t.ComeBack = time.Duration(ms) * time.Millisecond
+				t.RetryAfter = time.Duration(ms) * time.Millisecond
 			}
 		}
 	})
@@ -490,7 +490,7 @@
 // goAway is the client that leaves before its time is up.
 func (x *try) goAway() {
 	now := x.load.opt.Log.Now()
-	x.end(func(t *seen.Try) { t.Left = now })
+	x.end(func(t *seen.Try) { t.LeftAt = now })
 	x.hangUp()
 }
 
@@ -517,7 +517,7 @@
 	l := x.load
 	ended, again := false, false
 	var wait time.Duration
-	l.opt.Log.Do(func(*seen.Record) {
+	l.opt.Log.Update(func(*seen.Record) {
 		if x.over {
 			return
 		}
@@ -537,23 +537,23 @@
 		return
 	}
 	node := x.t.Node
-	if x.t.Nowhere {
+	if x.t.ConnectFailed {
 		node = (node + 1) % len(l.nodes)
 	}
 	due := l.opt.Log.Now() + wait
-	time.AfterFunc(wait, func() { l.begin(x.a, x.begin, due, x.t.N+1, node) })
+	time.AfterFunc(wait, func() { l.begin(x.a, x.begin, due, x.t.Number+1, node) })
 }
 
 // next says whether the client tries again, and after how long: safe requests after any failure, keyed ones whose repeats
 // all servers drop within their window, others only if the last try provably never ran.
 func (x *try) next() (bool, time.Duration) {
 	t, class := x.t, &x.load.opt.Classes[x.a.Class]
-	if t.Answer == seen.Served || t.Left > 0 || t.N+1 >= x.a.MaxTries {
+	if t.Answer == seen.Served || t.LeftAt > 0 || t.Number+1 >= x.a.MaxTries {
 		return false, 0
 	}
-	wait := max(x.load.opt.Spec.RetryDelay, t.ComeBack)
+	wait := max(x.load.opt.Spec.RetryDelay, t.RetryAfter)
 	now := x.load.opt.Log.Now()
-	harmless := t.Answer == seen.Refused || t.Nowhere
+	harmless := t.Answer == seen.Refused || t.ConnectFailed
 	switch class.Effect {
 	case world.Keyed:
 		harmless = harmless || class.Scope == world.ScopeAll && now+wait < x.begin+class.Window
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -89,7 +89,7 @@
 	}
 	l.Run(context.Background(), log.Now(), []world.Arrival{a})
 	var tries []*seen.Try
-	log.Do(func(r *seen.Record) { tries = r.Tries })
+	log.Update(func(r *seen.Record) { tries = r.Tries })
 	return tries
 }
 
@@ -120,7 +120,7 @@
 				}
 			}
 			if c.tries > 1 {
-				if gap := tries[1].Planned - tries[0].At; gap < 15*ms || strings.Contains(c.answer, "400") && gap < 395*ms {
+				if gap := tries[1].DueAt - tries[0].AnsweredAt; gap < 15*ms || strings.Contains(c.answer, "400") && gap < 395*ms {
 					t.Errorf("tried again after %v", gap)
 				}
 				if tries[0].ID == tries[1].ID {
@@ -147,8 +147,8 @@
 	l := New(Options{Log: log, Seed: 1, Classes: classes, Nodes: []string{addr}, Life: func(int) int { return 0 }})
 	plan := []world.Arrival{{N: 0, Key: "k", Tenant: -1, Timeout: 500 * ms, MaxTries: 1}, {N: 1, At: 100 * ms, Key: "k", Tenant: -1, Timeout: 500 * ms, MaxTries: 1}}
 	l.Run(context.Background(), log.Now(), plan)
-	log.Do(func(r *seen.Record) {
-		if x := r.Tries[1]; !x.Unread || x.Answer != seen.Served || !x.Right {
+	log.Update(func(r *seen.Record) {
+		if x := r.Tries[1]; !x.Resent || x.Answer != seen.Served || !x.Correct {
 			t.Errorf("%+v", x)
 		}
 	})
@@ -156,7 +156,7 @@
 		t.Errorf("%q", got)
 	}
 	addr, _ = server(t, func(int, string) string { return "" })
-	if tries := play(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.MaxTries = 1 }); tries[0].Ended == 0 || tries[0].Unread {
+	if tries := play(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.MaxTries = 1 }); tries[0].ConnEndedAt == 0 || tries[0].Resent {
 		t.Errorf("%+v", tries[0])
 	}
 }
@@ -174,18 +174,18 @@
 	}{
 		{"right", func(id string) string { return value("k", id, id) },
 			func(x *seen.Try) bool {
-				return x.Answer == seen.Served && x.Right && x.Server == "s-1" && x.Version == 2 && x.Extra == ""
+				return x.Answer == seen.Served && x.Correct && x.Server == "s-1" && x.Version == 2 && x.ExtraLine == ""
 			}},
 		{"another request's", func(id string) string { return value("k", "other", id) },
-			func(x *seen.Try) bool { return x.Answer == seen.Served && !x.Right }},
-		{"another key's", func(id string) string { return value("j", id, id) }, func(x *seen.Try) bool { return !x.Right }},
-		{"under another id", func(id string) string { return value("k", id, "x") }, func(x *seen.Try) bool { return !x.Right }},
-		{"twice", func(id string) string { return value("k", id, id) + value("k", id, id) }, func(x *seen.Try) bool { return x.Extra != "" }},
+			func(x *seen.Try) bool { return x.Answer == seen.Served && !x.Correct }},
+		{"another key's", func(id string) string { return value("j", id, id) }, func(x *seen.Try) bool { return !x.Correct }},
+		{"under another id", func(id string) string { return value("k", id, "x") }, func(x *seen.Try) bool { return !x.Correct }},
+		{"twice", func(id string) string { return value("k", id, id) + value("k", id, id) }, func(x *seen.Try) bool { return x.ExtraLine != "" }},
 		{"nothing", func(string) string { return "-" },
-			func(x *seen.Try) bool { return x.Answer == seen.None && x.Sent > 0 && x.Ended == 0 }},
+			func(x *seen.Try) bool { return x.Answer == seen.None && x.SentAt > 0 && x.ConnEndedAt == 0 }},
 		{"half of it", func(id string) string { return value("k", id, id)[:30] }, func(x *seen.Try) bool { return x.Answer == seen.None }},
 		{"refused", func(string) string { return "SERVER_ERROR busy 70\r\n" },
-			func(x *seen.Try) bool { return x.Answer == seen.Refused && x.ComeBack == 70*ms }},
+			func(x *seen.Try) bool { return x.Answer == seen.Refused && x.RetryAfter == 70*ms }},
 		{"nonsense", func(string) string { return "\r\n" }, func(x *seen.Try) bool { return x.Answer == seen.Failed }},
 	} {
 		addr, _ := server(t, func(_ int, line string) string { return c.answer(id(line)) })
@@ -193,11 +193,11 @@
 			t.Errorf("%s: %+v", c.name, tries[0])
 		}
 	}
-	if tries := play(t, "127.0.0.1:1", 2, world.ClientSpec{RetryDelay: ms}, nil); len(tries) != 3 || !tries[0].Nowhere {
+	if tries := play(t, "127.0.0.1:1", 2, world.ClientSpec{RetryDelay: ms}, nil); len(tries) != 3 || !tries[0].ConnectFailed {
 		t.Errorf("a node that is not there: %d tries", len(tries))
 	}
 	addr, _ := server(t, func(int, string) string { return "-" })
-	if tries := play(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.LeaveAfter = 50 * ms }); len(tries) != 1 || tries[0].Left == 0 {
+	if tries := play(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.LeaveAfter = 50 * ms }); len(tries) != 1 || tries[0].LeftAt == 0 {
 		t.Errorf("a client that goes away: %+v", tries[0])
 	}
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -99,12 +99,12 @@
 	case len(out.Misses) > 0:
 		out.Verdict = FallsShort
 	}
-	for _, m := range r.Record.Marks {
+	for _, m := range r.Record.Events {
 		out.Events = append(out.Events, Event{seconds(m.At), m.Text})
 	}
-	for _, l := range r.Record.Lives {
-		out.Nodes = append(out.Nodes, Life{l.Node + 1, l.Life, seconds(l.Start), seconds(l.Ready), seconds(l.End), l.Status, l.Killed,
-			math.Round(float64(l.Peak)/(1<<20)*10) / 10, l.Descs, l.CPU.Seconds(), filepath.Base(l.Log)})
+	for _, l := range r.Record.NodeProcesses {
+		out.Nodes = append(out.Nodes, Life{l.Node + 1, l.Generation, seconds(l.StartedAt), seconds(l.ReadyAt), seconds(l.EndedAt), l.ExitStatus, l.Killed,
+			math.Round(float64(l.PeakMemory)/(1<<20)*10) / 10, l.PeakDescriptors, l.CPU.Seconds(), filepath.Base(l.LogFile)})
 	}
 	return out
 }
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -58,7 +58,7 @@
 		if broken > 0 {
 			v.Breaches = []judge.Breach{{Rule: judge.Drains, What: judge.ToDraining, Why: "why", Story: []string{"a line"}}}
 		}
-		return &stage.Result{Verdict: v, Record: &seen.Record{Marks: []seen.Mark{{At: time.Second, Text: "c1 <dies>"}}}, Lab: lab, Cut: cut}
+		return &stage.Result{Verdict: v, Record: &seen.Record{Events: []seen.Event{{At: time.Second, Text: "c1 <dies>"}}}, Lab: lab, Cut: cut}
 	}
 	for _, c := range []struct {
 		r    *stage.Result
--- a/lab/scale/child.go
+++ b/lab/scale/child.go
@@ -200,7 +200,7 @@
 	defer forget.Stop()
 	go func() {
 		for range forget.C { // until the process ends
-			common.Log.Do(func(r *seen.Record) { r.Calls, r.Told, r.Marks = nil, nil, nil })
+			common.Log.Update(func(r *seen.Record) { r.ListCalls, r.ListUpdates, r.Events = nil, nil, nil })
 		}
 	}()
 	if err := e.Encode(reply{Addr: addr}); err != nil {
--- a/lab/soak/oracle.go
+++ b/lab/soak/oracle.go
@@ -42,15 +42,15 @@
 		}
 	}
 	starts, ready := 0, 0
-	for _, l := range r.Record.Lives {
-		if lines := violations(l.Log); len(lines) > 0 {
-			add("node %d process %d: %s", l.Node+1, l.Life+1, lines[0])
+	for _, l := range r.Record.NodeProcesses {
+		if lines := violations(l.LogFile); len(lines) > 0 {
+			add("node %d process %d: %s", l.Node+1, l.Generation+1, lines[0])
 		}
 		if !expectsReady(l, length) {
 			continue
 		}
 		starts++
-		if l.Ready != 0 && l.Ready-l.Start <= readyWithin {
+		if l.ReadyAt != 0 && l.ReadyAt-l.StartedAt <= readyWithin {
 			ready++
 		}
 	}
@@ -64,12 +64,12 @@
 }
 
 // expectsReady reports whether a process had the time to be ready.
-func expectsReady(l *seen.Life, length time.Duration) bool {
-	ended := l.End
+func expectsReady(l *seen.NodeProcess, length time.Duration) bool {
+	ended := l.EndedAt
 	if ended == 0 {
 		ended = length
 	}
-	return ended-l.Start > readyWithin && l.Start < length-readyWithin
+	return ended-l.StartedAt > readyWithin && l.StartedAt < length-readyWithin
 }
 
 // tail is the service of the load's end.
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -67,16 +67,16 @@
 	defer s.Close()
 	result := s.Run(ctx)
 	length := x.Length.D()
-	o := &Outcome{Plan: p, Void: result.Lab.Void, Requests: len(result.Record.Tries), Attempts: len(result.Record.Attempts), Processes: len(result.Record.Lives), Dir: dir}
+	o := &Outcome{Plan: p, Void: result.Lab.Void, Requests: len(result.Record.Tries), Attempts: len(result.Record.Attempts), Processes: len(result.Record.NodeProcesses), Dir: dir}
 	if result.Cut {
 		o.Void = "interrupted"
 	}
-	for _, l := range result.Record.Lives {
-		end := l.End
+	for _, l := range result.Record.NodeProcesses {
+		end := l.EndedAt
 		if end == 0 {
 			end = length
 		}
-		o.Time += end - l.Start
+		o.Time += end - l.StartedAt
 	}
 	worth, got := 0.0, 0.0
 	for _, c := range result.Verdict.Classes {
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -68,12 +68,12 @@
 		"node_crashes: 1":            func(r *stage.Result) { r.Verdict.Figures["node_crashes"] = 1 },
 		"said_overdue: 2":            func(r *stage.Result) { r.Verdict.Figures["said_overdue"] = 2 },
 		"said_violations: 1":         func(r *stage.Result) { r.Verdict.Figures["said_violations"] = 1 },
-		"rule=send why=answered":     func(r *stage.Result) { r.Record.Lives[0].Log = log },
-		"ready within 10s: 0 of 1":   func(r *stage.Result) { r.Record.Lives[0].Ready = 12 * time.Second },
+		"rule=send why=answered":     func(r *stage.Result) { r.Record.NodeProcesses[0].LogFile = log },
+		"ready within 10s: 0 of 1":   func(r *stage.Result) { r.Record.NodeProcesses[0].ReadyAt = 12 * time.Second },
 		"behind all troubles: 0.50":  func(r *stage.Result) { r.Verdict.Seconds[19].Service = 0 },
 		"one_answer lost at 3s: why": func(r *stage.Result) { r.Verdict.Breaches = append(r.Verdict.Breaches, breach()) },
 	} {
-		r := &stage.Result{Verdict: &lawful.Verdict{Figures: map[string]float64{}}, Record: &seen.Record{Lives: []*seen.Life{{Ready: time.Second}}}}
+		r := &stage.Result{Verdict: &lawful.Verdict{Figures: map[string]float64{}}, Record: &seen.Record{NodeProcesses: []*seen.NodeProcess{{ReadyAt: time.Second}}}}
 		for i := range 20 {
 			r.Verdict.Seconds = append(r.Verdict.Seconds, lawful.Second{At: i, Asked: 100, Service: 0.99})
 		}
--- a/lab/stage/list.go
+++ b/lab/stage/list.go
@@ -220,7 +220,7 @@
 
 // set makes a server's entry what it is now, or takes it out.
 func (k *keeper) set(name string, m world.Member) {
-	value := standin.EntryOf(k.stage.Log.Zero(), m)
+	value := standin.EntryOf(k.stage.Log.StartTime(), m)
 	k.loop.Post(func() {
 		k.mu.Lock()
 		defer k.mu.Unlock()
@@ -234,7 +234,7 @@
 			a.Change(value)
 		default:
 			a = registry.NewAnnouncer(k.loop, k.cfg, registryPrefix+m.ID, value, k.stage.X.List.Lease.D(), k.stage.X.Seed, func(event, why string) {
-				k.stage.Log.Mark(fmt.Sprintf("%s: %s %s", name, event, why))
+				k.stage.Log.AddEvent(fmt.Sprintf("%s: %s %s", name, event, why))
 			})
 			k.all[name] = a
 			a.Start()
--- a/lab/stage/node.go
+++ b/lab/stage/node.go
@@ -55,7 +55,7 @@
 	opt  NodeOptions
 	mu   sync.Mutex
 	cmd  *exec.Cmd
-	life *seen.Life
+	life *seen.NodeProcess
 	done chan struct{} // closed when the process has ended
 	n    int           // processes so far
 	path string
@@ -78,7 +78,7 @@
 }
 
 // Life is the running process's record.
-func (n *Node) Life() *seen.Life {
+func (n *Node) Life() *seen.NodeProcess {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.life
@@ -89,7 +89,7 @@
 	config := map[string]any{"name": fmt.Sprintf("n%d", n.opt.Number+1), "listen": n.opt.Listen, "discovery": n.opt.List,
 		"seed":     fmt.Sprintf("%016x", n.opt.Seed+uint64(n.n)),
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": n.opt.MemoryMB, "sockets": n.opt.Sockets},
-		"known":    standin.Wire(n.opt.Log.Zero(), revision, true, members),
+		"known":    standin.Wire(n.opt.Log.StartTime(), revision, true, members),
 		"settings": n.opt.Settings}
 	if n.control != "" {
 		config["control"] = n.control
@@ -187,8 +187,8 @@
 		cmd.Wait()
 		return fmt.Errorf("limit of descriptors: %w", err)
 	}
-	life := &seen.Life{Node: n.opt.Number, Life: n.n, Start: n.opt.Log.Now(), Known: members, Log: logPath}
-	n.opt.Log.Do(func(r *seen.Record) { r.Lives = append(r.Lives, life) })
+	life := &seen.NodeProcess{Node: n.opt.Number, Generation: n.n, StartedAt: n.opt.Log.Now(), InitialList: members, LogFile: logPath}
+	n.opt.Log.Update(func(r *seen.Record) { r.NodeProcesses = append(r.NodeProcesses, life) })
 	n.n++
 	n.cmd, n.life, n.done = cmd, life, make(chan struct{})
 	go n.watch(cmd, life, n.done)
@@ -202,7 +202,7 @@
 }
 
 // watch samples what a process uses, ends one that uses more memory than it may, and notes its end.
-func (n *Node) watch(cmd *exec.Cmd, life *seen.Life, done chan struct{}) {
+func (n *Node) watch(cmd *exec.Cmd, life *seen.NodeProcess, done chan struct{}) {
 	stopped := make(chan struct{})
 	go func() {
 		t := time.NewTicker(sampleEvery)
@@ -224,17 +224,17 @@
 		n.cmd = nil
 	}
 	n.mu.Unlock()
-	n.opt.Log.Do(func(*seen.Record) {
-		life.End = now
-		if life.Status = "exit status 0"; err != nil {
-			life.Status = err.Error()
+	n.opt.Log.Update(func(*seen.Record) {
+		life.EndedAt = now
+		if life.ExitStatus = "exit status 0"; err != nil {
+			life.ExitStatus = err.Error()
 		}
 		life.CPU = cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 	})
 	close(done)
 }
 
-func (n *Node) sample(p *os.Process, life *seen.Life) {
+func (n *Node) sample(p *os.Process, life *seen.NodeProcess) {
 	dir := fmt.Sprintf("/proc/%d", p.Pid)
 	status, err := os.ReadFile(dir + "/status")
 	if err != nil {
@@ -260,17 +260,17 @@
 		d.Close()
 		descs = len(names)
 	}
-	n.opt.Log.Do(func(*seen.Record) {
-		life.Peak, life.Descs = max(life.Peak, peak), max(life.Descs, descs)
+	n.opt.Log.Update(func(*seen.Record) {
+		life.PeakMemory, life.PeakDescriptors = max(life.PeakMemory, peak), max(life.PeakDescriptors, descs)
 	})
 	if now > int64(n.opt.MemoryMB)<<20 {
-		n.opt.Log.Mark(fmt.Sprintf("node %d is ended: it uses %d MB of %d", n.opt.Number+1, now>>20, n.opt.MemoryMB))
+		n.opt.Log.AddEvent(fmt.Sprintf("node %d is ended: it uses %d MB of %d", n.opt.Number+1, now>>20, n.opt.MemoryMB))
 		p.Kill()
 	}
 }
 
 // awaitReady notes when a process takes clients.
-func (n *Node) awaitReady(life *seen.Life, done chan struct{}, ready func() bool) {
+func (n *Node) awaitReady(life *seen.NodeProcess, done chan struct{}, ready func() bool) {
 	for !ready() {
 		select {
 		case <-done:
@@ -281,7 +281,7 @@
 		}
 	}
 	now := n.opt.Log.Now()
-	n.opt.Log.Do(func(*seen.Record) { life.Ready = now })
+	n.opt.Log.Update(func(*seen.Record) { life.ReadyAt = now })
 }
 
 // Ready waits until the running process is ready.
@@ -291,17 +291,17 @@
 	n.mu.Unlock()
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		ready := false
-		n.opt.Log.Do(func(*seen.Record) { ready = life.Ready > 0 })
+		n.opt.Log.Update(func(*seen.Record) { ready = life.ReadyAt > 0 })
 		if ready {
 			return nil
 		}
 		select {
 		case <-done:
-			return fmt.Errorf("node %d ended at its start (%s): %s", n.opt.Number+1, life.Status, lastLine(life.Log))
+			return fmt.Errorf("node %d ended at its start (%s): %s", n.opt.Number+1, life.ExitStatus, lastLine(life.LogFile))
 		default:
 		}
 	}
-	return fmt.Errorf("node %d is not ready after %v: %s", n.opt.Number+1, readyWithin, lastLine(life.Log))
+	return fmt.Errorf("node %d is not ready after %v: %s", n.opt.Number+1, readyWithin, lastLine(life.LogFile))
 }
 
 func lastLine(path string) string {
@@ -319,12 +319,12 @@
 		return
 	}
 	now := n.opt.Log.Now()
-	n.opt.Log.Do(func(*seen.Record) {
+	n.opt.Log.Update(func(*seen.Record) {
 		switch s {
 		case syscall.SIGKILL:
 			life.Killed = true
 		case syscall.SIGTERM:
-			life.Term = now
+			life.TerminatedAt = now
 		case syscall.SIGSTOP:
 			life.Frozen = append(life.Frozen, [2]time.Duration{now})
 		case syscall.SIGCONT:
@@ -370,7 +370,7 @@
 	if n.life == nil {
 		return ""
 	}
-	text, _ := os.ReadFile(n.life.Log)
+	text, _ := os.ReadFile(n.life.LogFile)
 	return string(text)
 }
 
@@ -381,7 +381,7 @@
 	n.mu.Unlock()
 	select {
 	case <-done:
-		return life.Status, true
+		return life.ExitStatus, true
 	case <-time.After(most):
 		return "", false
 	}
--- a/lab/stage/operators.go
+++ b/lab/stage/operators.go
@@ -58,14 +58,14 @@
 	word := map[bool]string{true: "detach", false: "attach"}[on]
 	if err := Call(s.Nodes[node].Control(), "POST", "/_cache-servers/"+word+"/"+id); err != nil {
 		if !on { // a call that was not answered may be carried out all the same, by a node that was stopped
-			s.Log.Do(func(r *seen.Record) { r.Said(node, id, on, at) })
+			s.Log.Update(func(r *seen.Record) { r.SetBan(node, id, on, at) })
 		}
 		return err
 	}
 	if on {
 		at = s.Log.Now()
 	}
-	s.Log.Do(func(r *seen.Record) { r.Said(node, id, on, at) })
+	s.Log.Update(func(r *seen.Record) { r.SetBan(node, id, on, at) })
 	return nil
 }
 
@@ -77,7 +77,7 @@
 		return err
 	}
 	now := s.Log.Now()
-	l := &seen.Lame{Node: node, From: now}
+	l := &seen.LameDuckCheck{Node: node, From: now}
 	s.mu.Lock()
 	old := s.lames[node]
 	if s.lames[node] = nil; on {
@@ -87,7 +87,7 @@
 	if !on || old != nil {
 		return nil
 	}
-	s.Log.Do(func(r *seen.Record) { r.Lames = append(r.Lames, l) })
+	s.Log.Update(func(r *seen.Record) { r.LameDuckChecks = append(r.LameDuckChecks, l) })
 	s.hands.Go(func() {
 		for {
 			select {
@@ -103,8 +103,8 @@
 			if over && ready {
 				return
 			}
-			if at := s.Log.Now(); !over && l.Looked == 0 && at >= now+drainedAfter {
-				s.Log.Do(func(*seen.Record) { l.Looked, l.Ready, l.Idle = at, ready, s.load.Idle(node) })
+			if at := s.Log.Now(); !over && l.CheckedAt == 0 && at >= now+drainedAfter {
+				s.Log.Update(func(*seen.Record) { l.CheckedAt, l.Ready, l.IdleConns = at, ready, s.load.Idle(node) })
 			}
 		}
 	})
@@ -137,12 +137,12 @@
 		return err
 	}
 	now := n.opt.Log.Now()
-	n.opt.Log.Do(func(*seen.Record) { life.Term = now })
+	n.opt.Log.Update(func(*seen.Record) { life.TerminatedAt = now })
 	old.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-done:
 	case <-time.After(n.opt.Longest + killBehind):
-		n.opt.Log.Do(func(*seen.Record) { life.Replaced = true })
+		n.opt.Log.Update(func(*seen.Record) { life.Replaced = true })
 		old.Process.Kill()
 		<-done
 	}
--- a/lab/stage/stage.go
+++ b/lab/stage/stage.go
@@ -67,7 +67,7 @@
 	net    string // the first three numbers of its loopback addresses
 
 	mu     sync.Mutex
-	lames  map[int]*seen.Lame                        // drains of nodes that last
+	lames  map[int]*seen.LameDuckCheck               // drains of nodes that last
 	missed [2]map[string][]func(version, size int64) // by request, the newer generation first
 	turned time.Time
 	rules  judge.Rules
@@ -95,7 +95,7 @@
 
 // Open puts a deployment up; when it returns without an error, all nodes are ready.
 func Open(x *experiment.Experiment, opt Options) (*Stage, error) {
-	s := &Stage{X: x, Log: seen.NewLog(), opt: opt, caches: map[string]*standin.Cache{}, lames: map[int]*seen.Lame{}, quit: make(chan struct{}), rules: x.Rules(), plan: x.Plan()}
+	s := &Stage{X: x, Log: seen.NewLog(), opt: opt, caches: map[string]*standin.Cache{}, lames: map[int]*seen.LameDuckCheck{}, quit: make(chan struct{}), rules: x.Rules(), plan: x.Plan()}
 	s.net = fmt.Sprintf("127.%d.%d.", 10+rand.IntN(200), rand.IntN(250))
 	s.Common = standin.NewCommon(s.Log, x.Seed, x.Classes)
 	s.missed = [2]map[string][]func(version, size int64){{}, {}}
@@ -379,19 +379,19 @@
 	}
 	ends.Wait()
 	r := &Result{Cut: ctx.Err() != nil, Plan: len(s.plan)}
-	s.Log.Do(func(rec *seen.Record) { r.Record = rec })
+	s.Log.Update(func(rec *seen.Record) { r.Record = rec })
 	plan := s.plan
 	if r.Cut { // only what was begun can be judged
 		n := 0
 		for _, t := range r.Record.Tries {
-			n = max(n, t.Arrival+1)
+			n = max(n, t.ArrivalNumber+1)
 		}
 		plan = plan[:n]
 	}
 	shift(r.Record, begin)
 	r.Verdict = judge.Judge(r.Record, s.rules, plan)
-	for _, l := range r.Record.Lives {
-		for name, v := range counters(l.Log) {
+	for _, l := range r.Record.NodeProcesses {
+		for name, v := range counters(l.LogFile) {
 			r.Verdict.Figures["said_"+name] += v
 		}
 	}
@@ -422,10 +422,10 @@
 		}
 	}
 	for _, t := range rec.Tries {
-		move(&t.Planned, &t.Sent, &t.Until, &t.At, &t.Ended, &t.Left)
+		move(&t.DueAt, &t.SentAt, &t.WaitsUntil, &t.AnsweredAt, &t.ConnEndedAt, &t.LeftAt)
 	}
 	for _, a := range rec.Attempts {
-		move(&a.First, &a.Last, &a.Answered, &a.Closed)
+		move(&a.FirstByteAt, &a.LastByteAt, &a.AnsweredAt, &a.ClosedAt)
 	}
 	members := func(list []world.Member) []world.Member {
 		list = slices.Clone(list)
@@ -434,33 +434,33 @@
 		}
 		return list
 	}
-	for i := range rec.Told {
-		move(&rec.Told[i].At)
-		rec.Told[i].Members = members(rec.Told[i].Members)
+	for i := range rec.ListUpdates {
+		move(&rec.ListUpdates[i].At)
+		rec.ListUpdates[i].Members = members(rec.ListUpdates[i].Members)
 	}
-	for _, c := range rec.Calls {
+	for _, c := range rec.ListCalls {
 		move(&c.From, &c.To)
 	}
-	for _, l := range rec.Lives {
-		move(&l.Start, &l.Ready, &l.Term, &l.End)
+	for _, l := range rec.NodeProcesses {
+		move(&l.StartedAt, &l.ReadyAt, &l.TerminatedAt, &l.EndedAt)
 		for i := range l.Frozen {
 			move(&l.Frozen[i][0], &l.Frozen[i][1])
 		}
-		l.Known = members(l.Known)
+		l.InitialList = members(l.InitialList)
 	}
-	for _, h := range rec.Hands {
+	for _, h := range rec.Bans {
 		move(&h.From, &h.To)
 	}
-	for _, l := range rec.Lames {
-		move(&l.From, &l.Looked)
+	for _, l := range rec.LameDuckChecks {
+		move(&l.From, &l.CheckedAt)
 	}
 	for i := range rec.Effects {
 		move(&rec.Effects[i].At)
 	}
-	for i := range rec.Starts {
-		move(&rec.Starts[i].At)
+	for i := range rec.ServerStarts {
+		move(&rec.ServerStarts[i].At)
 	}
-	for _, list := range [][]seen.Mark{rec.Falls, rec.Stops, rec.Marks, rec.Strange} {
+	for _, list := range [][]seen.Event{rec.FallOvers, rec.OriginStops, rec.Events, rec.ProtocolErrors} {
 		for i := range list {
 			move(&list[i].At)
 		}
@@ -496,10 +496,10 @@
 			return
 		case <-t.C:
 			m := Moment{At: s.Log.Now() - begin, Length: s.X.Length.D(), Sent: s.load.Sent()}
-			s.Log.Do(func(r *seen.Record) {
+			s.Log.Update(func(r *seen.Record) {
 				m.Attempts = len(r.Attempts)
-				if n := len(r.Marks); n > 0 {
-					m.Last = r.Marks[n-1].Text
+				if n := len(r.Events); n > 0 {
+					m.Last = r.Events[n-1].Text
 				}
 			})
 			s.opt.Progress(m)
@@ -516,10 +516,10 @@
 		case <-time.After(begin + a.At - s.Log.Now()):
 		}
 		if err := s.do(a); err != nil {
-			s.Log.Mark(fmt.Sprintf("%s failed: %v", a, err))
+			s.Log.AddEvent(fmt.Sprintf("%s failed: %v", a, err))
 			continue
 		}
-		s.Log.Mark(a.String())
+		s.Log.AddEvent(a.String())
 	}
 }
 
@@ -595,7 +595,7 @@
 	case fault.NodeUpgrade:
 		s.hands.Go(func() {
 			if err := s.upgrade(a.Node); err != nil {
-				s.Log.Mark(fmt.Sprintf("%s failed: %v", a, err))
+				s.Log.AddEvent(fmt.Sprintf("%s failed: %v", a, err))
 			}
 		})
 	case fault.NodeStart:
--- a/lab/standin/cache.go
+++ b/lab/standin/cache.go
@@ -81,7 +81,7 @@
 	try    *seen.Attempt
 	class  *world.Class
 	answer []byte
-	said   seen.Said
+	said   seen.ServerAnswer
 	size   int // of its value
 	begun  bool
 	ready  bool
@@ -123,11 +123,11 @@
 	if c.opt.Spec == nil {
 		return
 	}
-	s := seen.Start{Server: c.id, Name: c.opt.Name, Cold: cold, Capacity: float64(c.opt.Spec.Cores) * c.opt.Spec.Speed}
+	s := seen.ServerStart{Server: c.id, Name: c.opt.Name, Cold: cold, Capacity: float64(c.opt.Spec.Cores) * c.opt.Spec.Speed}
 	if cold {
 		s.At = c.Log.Now()
 	}
-	c.Log.Do(func(r *seen.Record) { r.Starts = append(r.Starts, s) })
+	c.Log.Update(func(r *seen.Record) { r.ServerStarts = append(r.ServerStarts, s) })
 }
 
 // Addr is where it listens.
@@ -213,11 +213,11 @@
 		conns = append(conns, k)
 	}
 	if on {
-		c.Log.Do(func(*seen.Record) {
+		c.Log.Update(func(*seen.Record) {
 			for _, k := range conns {
 				k.mu.Lock()
 				for _, s := range k.queue {
-					s.try.Blind = true
+					s.try.ConnStateUnknown = true
 				}
 				k.mu.Unlock()
 			}
@@ -334,9 +334,9 @@
 	}
 	c.fallen = true
 	id := c.id
-	c.Log.Do(func(r *seen.Record) {
-		r.Falls = append(r.Falls, seen.Mark{At: now, Text: id})
-		r.Marks = append(r.Marks, seen.Mark{At: now, Text: c.opt.Name + " falls over"})
+	c.Log.Update(func(r *seen.Record) {
+		r.FallOvers = append(r.FallOvers, seen.Event{At: now, Text: id})
+		r.Events = append(r.Events, seen.Event{At: now, Text: c.opt.Name + " falls over"})
 	})
 	go c.Die()
 }
@@ -379,21 +379,21 @@
 				})
 			})
 		}
-		s.fill(fmt.Appendf(nil, "EN O%s%s%s", t.Request, hit, tail), seen.Absent)
+		s.fill(fmt.Appendf(nil, "EN O%s%s%s", t.Request, hit, tail), seen.NoValue)
 	}
 }
 
 // fill gives a slot its answer, which goes out in its turn.
-func (s *slot) fill(answer []byte, said seen.Said) {
+func (s *slot) fill(answer []byte, said seen.ServerAnswer) {
 	c := s.conn.cache
 	p := c.spoil
 	switch x := c.rng.Float64(); {
 	case len(answer) == 0:
 	case x < p["reset"]:
-		answer, s.resets, said = answer[:c.rng.IntN(len(answer))], true, seen.Spoilt
+		answer, s.resets, said = answer[:c.rng.IntN(len(answer))], true, seen.Corrupt
 	case x < p["reset"]+p["garble"]:
 		answer, s.ends = garble(c.rng, answer)
-		said = seen.Spoilt
+		said = seen.Corrupt
 	case x < p["reset"]+p["garble"]+p["surplus"]:
 		if c.rng.IntN(2) == 0 {
 			answer = append(answer[:len(answer):len(answer)], answer...)
@@ -475,10 +475,10 @@
 	k.queue = nil
 	k.mu.Unlock()
 	now := c.Log.Now()
-	c.Log.Do(func(*seen.Record) {
+	c.Log.Update(func(*seen.Record) {
 		for _, s := range queue {
-			if s.try.Answered == 0 {
-				s.try.Closed = now
+			if s.try.AnsweredAt == 0 {
+				s.try.ClosedAt = now
 			}
 		}
 	})
@@ -561,7 +561,7 @@
 func (k *cacheConn) command(first time.Duration, line string, in *bufio.Reader) bool {
 	c := k.cache
 	words := strings.Fields(line)
-	s := &slot{conn: k, try: &seen.Attempt{Server: c.ID(), Conn: k.id, First: first}}
+	s := &slot{conn: k, try: &seen.Attempt{Server: c.ID(), Conn: k.id, FirstByteAt: first}}
 	t := s.try
 	var value []byte
 	good := len(words) >= 3 && (words[0] == "mg" || words[0] == "ms" && len(words) >= 4)
@@ -581,11 +581,11 @@
 		}
 		t.Class, t.Idem = info["c"], info["k"]
 		ms, err := strconv.ParseFloat(info["d"], 64)
-		t.Wait = time.Duration(ms * float64(time.Millisecond))
+		t.RemainingTime = time.Duration(ms * float64(time.Millisecond))
 		good = err == nil && t.Request != "" && t.Class != ""
 	}
 	if good {
-		c.Log.Do(func(r *seen.Record) { r.Attempts = append(r.Attempts, t) })
+		c.Log.Update(func(r *seen.Record) { r.Attempts = append(r.Attempts, t) })
 	}
 	if good && t.Write {
 		n, err := strconv.Atoi(words[2])
@@ -600,15 +600,15 @@
 	}
 	s.class = c.Classes[t.Class]
 	if k.script == nil && (!good || s.class == nil) {
-		c.Log.Do(func(r *seen.Record) {
-			r.Strange = append(r.Strange, seen.Mark{At: first, Text: fmt.Sprintf("server %s was sent %q", t.Server, line)})
+		c.Log.Update(func(r *seen.Record) {
+			r.ProtocolErrors = append(r.ProtocolErrors, seen.Event{At: first, Text: fmt.Sprintf("server %s was sent %q", t.Server, line)})
 		})
 		k.net.SetWriteDeadline(time.Now().Add(writeFor))
 		io.WriteString(k.net, "CLIENT_ERROR bad command\r\n")
 		return false
 	}
 	now := c.Log.Now()
-	c.Log.Do(func(*seen.Record) { t.Last = now })
+	c.Log.Update(func(*seen.Record) { t.LastByteAt = now })
 	s.size = len(value)
 	k.mu.Lock()
 	k.queue = append(k.queue, s)
@@ -648,7 +648,7 @@
 	now := c.Log.Now()
 	work := world.WorkOf(c.Seed, s.class, t.Request)
 	capacity, cold := c.model.Capacity(now), c.model.Cold(now)
-	c.Log.Do(func(*seen.Record) { t.Work, t.Capacity, t.Cold = work, capacity, cold })
+	c.Log.Update(func(*seen.Record) { t.Work, t.Capacity, t.Cold = work, capacity, cold })
 	if c.hangs || c.silent {
 		return
 	}
@@ -733,13 +733,13 @@
 			k.queue = k.queue[1:]
 		}
 		k.mu.Unlock()
-		c.Log.Do(func(*seen.Record) {
-			switch s.try.Said = s.said; {
-			case s.try.Closed > 0:
+		c.Log.Update(func(*seen.Record) {
+			switch s.try.Answer = s.said; {
+			case s.try.ClosedAt > 0:
 			case err == nil:
-				s.try.Answered = now
+				s.try.AnsweredAt = now
 			default: // the node has given it up, or this process has died
-				s.try.Closed = now
+				s.try.ClosedAt = now
 			}
 		})
 		if s.resets {
--- a/lab/standin/list.go
+++ b/lab/standin/list.go
@@ -232,10 +232,10 @@
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 	l.mu.Lock()
 	arrived := l.cut[node] // a call that arrives under a cut belongs to it, however soon the cut ends
-	call := &seen.Call{Node: node, Life: l.lives[node], From: l.Log.Now()}
+	call := &seen.ListCall{Node: node, Generation: l.lives[node], From: l.Log.Now()}
 	l.asks[node] = append(l.asks[node], r.URL.Query().Get("since"))
 	l.mu.Unlock()
-	l.Log.Do(func(rec *seen.Record) { rec.Calls = append(rec.Calls, call) })
+	l.Log.Update(func(rec *seen.Record) { rec.ListCalls = append(rec.ListCalls, call) })
 	if l.opt.Wait > 0 {
 		time.Sleep(l.opt.Wait)
 	}
@@ -287,8 +287,8 @@
 			body, _ := json.Marshal(answer)
 			w.Write(append(body, '\n'))
 			http.NewResponseController(w).Flush()
-			told := seen.Told{Node: node, Life: call.Life, At: l.Log.Now(), Revision: answer.Revision, Whole: answer.Complete, Members: members}
-			l.Log.Do(func(rec *seen.Record) { rec.Told = append(rec.Told, told) })
+			told := seen.ListUpdate{Node: node, Generation: call.Generation, At: l.Log.Now(), Revision: answer.Revision, Snapshot: answer.Complete, Members: members}
+			l.Log.Update(func(rec *seen.Record) { rec.ListUpdates = append(rec.ListUpdates, told) })
 			l.finish(call, true)
 			return
 		}
@@ -309,19 +309,19 @@
 func (l *List) answer(now time.Duration, since int64, watch bool) ([]world.Member, listAnswer) {
 	if watch && !l.opt.Whole {
 		if at, changes, known := l.roster.ChangesSince(now, since); known {
-			return changes, Wire(l.Log.Zero(), at, false, changes).(listAnswer)
+			return changes, Wire(l.Log.StartTime(), at, false, changes).(listAnswer)
 		}
 	}
 	at, all := l.roster.Snapshot(now)
 	if watch && l.opt.Whole && at == since {
 		return nil, listAnswer{Revision: at, Members: []listMember{}}
 	}
-	return all, Wire(l.Log.Zero(), at, true, all).(listAnswer)
+	return all, Wire(l.Log.StartTime(), at, true, all).(listAnswer)
 }
 
-func (l *List) finish(c *seen.Call, ok bool) {
+func (l *List) finish(c *seen.ListCall, ok bool) {
 	now := l.Log.Now()
-	l.Log.Do(func(*seen.Record) { c.To, c.OK = now, ok })
+	l.Log.Update(func(*seen.Record) { c.To, c.OK = now, ok })
 }
 
 func hangUp(w http.ResponseWriter) {
--- a/lab/standin/origin.go
+++ b/lab/standin/origin.go
@@ -168,7 +168,7 @@
 	for _, d := range o.model.Advance(now) {
 		if d.Applied {
 			e := seen.Effect{At: now, Request: o.by[d.Token], Key: d.Key, Idem: d.Idem, Receipt: d.Receipt}
-			o.Log.Do(func(r *seen.Record) { r.Effects = append(r.Effects, e) })
+			o.Log.Update(func(r *seen.Record) { r.Effects = append(r.Effects, e) })
 			if o.opt.Wrote != nil {
 				o.opt.Wrote(d.Key)
 			}
@@ -214,11 +214,11 @@
 	// The effect must be told by the request even if its client has gone by then.
 	o.by[token] = t.Request
 	v, work := o.model.Offer(now, world.Job{Token: token, Key: t.Key, Write: t.Write, Size: size, Idem: t.Idem})
-	o.Log.Do(func(r *seen.Record) {
+	o.Log.Update(func(r *seen.Record) {
 		t.Work, t.Capacity = work, o.model.Capacity()
 		if o.model.StopCount() > stops {
-			r.Stops = append(r.Stops, seen.Mark{At: now, Text: "origin"})
-			r.Marks = append(r.Marks, seen.Mark{At: now, Text: "the origin stops: too much was asked"})
+			r.OriginStops = append(r.OriginStops, seen.Event{At: now, Text: "origin"})
+			r.Events = append(r.Events, seen.Event{At: now, Text: "the origin stops: too much was asked"})
 		}
 	})
 	if v == world.Accepted {
@@ -261,18 +261,18 @@
 	}
 	info := fields(r.Header.Get("Request-Info"))
 	t := &seen.Attempt{Server: o.opt.ID, Origin: true, Request: r.Header.Get("Request-Id"), Class: info["c"], Idem: info["k"],
-		Key: strings.TrimPrefix(r.URL.Path, "/"), Write: r.Method == "PUT", First: first, Last: o.Log.Now()}
+		Key: strings.TrimPrefix(r.URL.Path, "/"), Write: r.Method == "PUT", FirstByteAt: first, LastByteAt: o.Log.Now()}
 	if t.Write {
 		t.Value = Digest(body)
 	}
 	if ms, err := strconv.ParseFloat(info["d"], 64); err == nil {
-		t.Wait = time.Duration(ms * float64(time.Millisecond))
+		t.RemainingTime = time.Duration(ms * float64(time.Millisecond))
 	}
 	class := o.Classes[t.Class]
-	o.Log.Do(func(rec *seen.Record) {
+	o.Log.Update(func(rec *seen.Record) {
 		rec.Attempts = append(rec.Attempts, t)
 		if class == nil || t.Request == "" || r.Method != "GET" && r.Method != "PUT" {
-			rec.Strange = append(rec.Strange, seen.Mark{At: first, Text: fmt.Sprintf("the origin was sent %s %s, Request-Info %q", r.Method, r.URL.Path, r.Header.Get("Request-Info"))})
+			rec.ProtocolErrors = append(rec.ProtocolErrors, seen.Event{At: first, Text: fmt.Sprintf("the origin was sent %s %s, Request-Info %q", r.Method, r.URL.Path, r.Header.Get("Request-Info"))})
 		}
 	})
 	if class == nil {
@@ -306,7 +306,7 @@
 			}
 		})
 		now := o.Log.Now()
-		o.Log.Do(func(*seen.Record) { t.Closed = now })
+		o.Log.Update(func(*seen.Record) { t.ClosedAt = now })
 	}
 }
 
@@ -316,20 +316,20 @@
 	spoils := o.rng.Float64() < o.spoil
 	o.mu.Unlock()
 	if spoils {
-		o.Log.Do(func(*seen.Record) { t.Said = seen.Spoilt })
+		o.Log.Update(func(*seen.Record) { t.Answer = seen.Corrupt })
 		o.garble(w)
 		o.ended(t)
 		return
 	}
 	if t.Write {
-		o.Log.Do(func(*seen.Record) { t.Receipt = d.Receipt })
+		o.Log.Update(func(*seen.Record) { t.Receipt = d.Receipt })
 		io.WriteString(w, d.Receipt)
 		o.answered(w, t, seen.Receipt)
 		return
 	}
 	size := world.SizeOf(o.Seed, class, t.Key)
 	v := Value(t.Key, d.Version, t.Request, o.opt.ID, size)
-	o.Log.Do(func(*seen.Record) { t.Version = d.Version })
+	o.Log.Update(func(*seen.Record) { t.Version = d.Version })
 	w.Header().Set("Content-Length", strconv.Itoa(len(v)))
 	w.Write(v)
 	o.answered(w, t, seen.Value)
@@ -360,16 +360,16 @@
 }
 
 // answered notes that an answer has gone out.
-func (o *Origin) answered(w http.ResponseWriter, t *seen.Attempt, said seen.Said) {
+func (o *Origin) answered(w http.ResponseWriter, t *seen.Attempt, said seen.ServerAnswer) {
 	http.NewResponseController(w).Flush()
 	now := o.Log.Now()
-	o.Log.Do(func(*seen.Record) { t.Said, t.Answered = said, now })
+	o.Log.Update(func(*seen.Record) { t.Answer, t.AnsweredAt = said, now })
 }
 
 // ended notes that an attempt is over without an answer.
 func (o *Origin) ended(t *seen.Attempt) {
 	now := o.Log.Now()
-	o.Log.Do(func(*seen.Record) { t.Closed = now })
+	o.Log.Update(func(*seen.Record) { t.ClosedAt = now })
 }
 
 // hangUp ends the connection as a dying process does.
--- a/lab/standin/registry.go
+++ b/lab/standin/registry.go
@@ -156,7 +156,7 @@
 		if m.Phase == world.Deleted {
 			s.Delete(r.opt.Prefix + m.ID)
 		} else {
-			s.Put(r.opt.Prefix+m.ID, EntryOf(r.Log.Zero(), m), 0)
+			s.Put(r.opt.Prefix+m.ID, EntryOf(r.Log.StartTime(), m), 0)
 		}
 	})
 }
@@ -171,7 +171,7 @@
 func (r *Registry) members(rev int64) (all []world.Member) {
 	kvs, _, _ := r.store.Range(r.opt.Prefix, prefixEnd(r.opt.Prefix), rev, 0)
 	for _, kv := range kvs {
-		if m, ok := memberOf(r.Log.Zero(), kv.Value); ok {
+		if m, ok := memberOf(r.Log.StartTime(), kv.Value); ok {
 			all = append(all, m)
 		}
 	}
@@ -301,7 +301,7 @@
 	node int
 	w    http.ResponseWriter
 	q    *http.Request
-	call *seen.Call
+	call *seen.ListCall
 	from *world.Store // that it began with: a restore ends it
 	said bool         // a part of the answer is out
 }
@@ -310,9 +310,9 @@
 	r.mu.Lock()
 	r.calls++
 	x := &exchange{r: r, end: end, node: node, w: w, q: q, from: r.store,
-		call: &seen.Call{Node: node, Life: r.lives[node], From: r.Log.Now()}}
+		call: &seen.ListCall{Node: node, Generation: r.lives[node], From: r.Log.Now()}}
 	r.mu.Unlock()
-	r.Log.Do(func(rec *seen.Record) { rec.Calls = append(rec.Calls, x.call) })
+	r.Log.Update(func(rec *seen.Record) { rec.ListCalls = append(rec.ListCalls, x.call) })
 	body, err := io.ReadAll(io.LimitReader(q.Body, 1<<20))
 	if err != nil || !x.alive() {
 		return
@@ -329,7 +329,7 @@
 		x.etcd(body)
 	}
 	now := r.Log.Now()
-	r.Log.Do(func(*seen.Record) { x.call.To = now })
+	r.Log.Update(func(*seen.Record) { x.call.To = now })
 }
 
 // alive says nothing for as long as the endpoint is mute, and ends what is down or garbled; false: it is over.
@@ -420,9 +420,9 @@
 
 // told notes what a node has been told.
 func (x *exchange) told(rev int64, whole bool, members []world.Member) {
-	t := seen.Told{Node: x.node, Life: x.call.Life, At: x.r.Log.Now(), Revision: rev, Whole: whole, Members: members}
-	x.r.Log.Do(func(rec *seen.Record) {
-		rec.Told = append(rec.Told, t)
+	t := seen.ListUpdate{Node: x.node, Generation: x.call.Generation, At: x.r.Log.Now(), Revision: rev, Snapshot: whole, Members: members}
+	x.r.Log.Update(func(rec *seen.Record) {
+		rec.ListUpdates = append(rec.ListUpdates, t)
 		x.call.OK = true
 	})
 }
@@ -628,7 +628,7 @@
 				if e.Deleted {
 					w.Type = "DELETE"
 					members = append(members, world.Member{ID: strings.TrimPrefix(e.KV.Key, r.opt.Prefix), Phase: world.Deleted})
-				} else if m, ok := memberOf(r.Log.Zero(), e.KV.Value); ok {
+				} else if m, ok := memberOf(r.Log.StartTime(), e.KV.Value); ok {
 					members = append(members, m)
 				}
 				list = append(list, w)
--- a/lab/standin/standin_test.go
+++ b/lab/standin/standin_test.go
@@ -103,7 +103,7 @@
 }
 
 func attempts(c *Common) (all []seen.Attempt) {
-	c.Log.Do(func(r *seen.Record) {
+	c.Log.Update(func(r *seen.Record) {
 		for _, a := range r.Attempts {
 			all = append(all, *a)
 		}
@@ -163,8 +163,8 @@
 		t.Errorf("%q", got)
 	}
 	all := attempts(c)
-	if len(all) != 3 || len(missed) != 1 || all[1].Said != seen.Value || all[2].Value != Digest([]byte("hi")) || all[2].Idem != "i" ||
-		all[1].Answered < all[1].Last || all[1].Last < all[1].First || all[1].Wait != 500*ms || all[1].Work <= 0 || all[1].Capacity != 2 {
+	if len(all) != 3 || len(missed) != 1 || all[1].Answer != seen.Value || all[2].Value != Digest([]byte("hi")) || all[2].Idem != "i" ||
+		all[1].AnsweredAt < all[1].LastByteAt || all[1].LastByteAt < all[1].FirstByteAt || all[1].RemainingTime != 500*ms || all[1].Work <= 0 || all[1].Capacity != 2 {
 		t.Errorf("%+v", all)
 	}
 }
@@ -176,9 +176,9 @@
 	s.Hang(true)
 	l := dial(t, s.Addr())
 	l.send("mg k1 v O1 Pc=read,d=500\r\n")
-	eventually(t, "it has come", func() bool { a := attempts(c); return len(a) == 1 && a[0].Last > 0 })
+	eventually(t, "it has come", func() bool { a := attempts(c); return len(a) == 1 && a[0].LastByteAt > 0 })
 	l.c.Close()
-	eventually(t, "its end is noted", func() bool { a := attempts(c)[0]; return a.Closed > a.Last && a.MayHaveRun() })
+	eventually(t, "its end is noted", func() bool { a := attempts(c)[0]; return a.ClosedAt > a.LastByteAt && a.MayHaveRun() })
 	l = dial(t, s.Addr())
 	l.send("mg k1 v O2 Pc=re")
 	l.c.Close()
@@ -345,7 +345,7 @@
 	c := common()
 	s := cache(t, c, func(o *CacheOptions) { o.Cold, o.PerConn = true, 10000 })
 	down := func() (n int) {
-		c.Log.Do(func(r *seen.Record) { n = len(r.Falls) })
+		c.Log.Update(func(r *seen.Record) { n = len(r.FallOvers) })
 		return n
 	}
 	eventually(t, "it falls", func() bool {
@@ -426,7 +426,7 @@
 		t.Errorf("a class that is none: %d", code)
 	}
 	var strange int
-	c.Log.Do(func(r *seen.Record) { strange = len(r.Strange) })
+	c.Log.Update(func(r *seen.Record) { strange = len(r.ProtocolErrors) })
 	if strange != 1 {
 		t.Errorf("%d strange requests", strange)
 	}
@@ -470,7 +470,7 @@
 	conn.Close()
 	eventually(t, "it takes effect", func() bool {
 		n := 0
-		c.Log.Do(func(r *seen.Record) { n = len(r.Effects) })
+		c.Log.Update(func(r *seen.Record) { n = len(r.Effects) })
 		return n == 1
 	})
 }
@@ -501,7 +501,7 @@
 	eventually(t, "the watch is there", func() bool { return len(l.Asked(1)) == 1 })
 	l.Set(world.Member{ID: "b", Addr: "127.0.0.1:2", Weight: 1, Started: 3 * time.Second})
 	if a := <-news; a.Complete || a.Revision != 2 || len(a.Members) != 1 || a.Members[0].ID != "b" ||
-		a.Members[0].UpSince != c.Log.Zero().Add(3*time.Second).UnixMilli() {
+		a.Members[0].UpSince != c.Log.StartTime().Add(3*time.Second).UnixMilli() {
 		t.Errorf("%+v", a)
 	}
 	if _, a := get(0, "?since=2&timeout_ms=10"); a.Complete || a.Revision != 2 || len(a.Members) != 0 {
@@ -536,7 +536,7 @@
 	// What was told is noted once it is written: the caller may have it before.
 	eventually(t, "it is noted five times that a node was told", func() bool {
 		told := 0
-		c.Log.Do(func(r *seen.Record) { told = len(r.Told) })
+		c.Log.Update(func(r *seen.Record) { told = len(r.ListUpdates) })
 		return told == 5
 	})
 }
