--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -585,7 +585,7 @@
 	for _, t := range x.Tenants {
 		tenants = append(tenants, t.Name)
 	}
-	line, err := fault.Expand(x.Fault, fault.Stage{Length: x.Length.D(), Servers: names, Nodes: x.Nodes.Count, Tenants: tenants, Ends: x.ends(), Planners: x.Planners.Count}, x.Seed)
+	line, err := fault.Expand(x.Fault, fault.Deployment{Length: x.Length.D(), Servers: names, Nodes: x.Nodes.Count, Tenants: tenants, Endpoints: x.ends(), Planners: x.Planners.Count}, x.Seed)
 	var bad *fault.Error
 	if errors.As(err, &bad) {
 		return f.Errorf(tomlfile.At("fault", bad.Spec, bad.Key), "%s", bad.Why)
@@ -594,7 +594,7 @@
 		return err
 	}
 	x.Timeline = line
-	for _, name := range line.Joining {
+	for _, name := range line.NewServers {
 		g := x.Servers[0].Group
 		old, _, _ := strings.Cut(name, ".")
 		for _, s := range x.Servers {
--- a/lab/fault/fault.go
+++ b/lab/fault/fault.go
@@ -15,14 +15,14 @@
 )
 
 // When is a time in a run: a span from its start, or a part of its length ("25%").
-type When struct {
-	Span time.Duration
-	Part float64
-	Set  bool
+type TimeSpec struct {
+	Duration time.Duration
+	Fraction float64
+	Set      bool
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (w *When) UnmarshalText(text []byte) error {
+func (w *TimeSpec) UnmarshalText(text []byte) error {
 	s := string(text)
 	w.Set = true
 	if p, ok := strings.CutSuffix(s, "%"); ok {
@@ -30,146 +30,146 @@
 		if err != nil || v < 0 || v > 100 {
 			return fmt.Errorf("%q is no part of the length: 0%% to 100%% are", s)
 		}
-		w.Part = v / 100
+		w.Fraction = v / 100
 		return nil
 	}
 	v, err := time.ParseDuration(s)
 	if err != nil || v < 0 {
 		return fmt.Errorf("%q is no time: a span such as 1.5s, or a part of the length such as 25%%, is", s)
 	}
-	w.Span = v
+	w.Duration = v
 	return nil
 }
 
 // In is the time in a run of that length.
-func (w When) In(length time.Duration) time.Duration {
-	return w.Span + time.Duration(w.Part*float64(length))
+func (w TimeSpec) Resolve(length time.Duration) time.Duration {
+	return w.Duration + time.Duration(w.Fraction*float64(length))
 }
 
 // Spec is a trouble as an experiment file tells it.
 type Spec struct {
-	Kind    string
-	At      When
-	For     When     // how long it lasts; without it, to the end of the run
-	Servers []string // by name; else Count or Share of them are drawn
-	Count   int
-	Share   float64
-	Nodes   []int // from 1; without them all nodes
-	Ends    []int `toml:"endpoints"` // of a registry, from 1; without them all
-	Plans   []int `toml:"planners"`  // from 1; without them all
-	Factor  float64
-	Part    float64
-	Every   When   // of what comes and goes: how often
-	Length  When   // and for how long each time
-	NewID   bool   `toml:"new_id"`
-	Warm    bool   // what starts is warm
-	Quiet   bool   // the list is not told
-	Tenant  string // of hot_tenant
+	Kind      string
+	At        TimeSpec
+	For       TimeSpec // how long it lasts; without it, to the end of the run
+	Servers   []string // by name; else Count or Share of them are drawn
+	Count     int
+	Share     float64
+	Nodes     []int // from 1; without them all nodes
+	Endpoints []int `toml:"endpoints"` // of a registry, from 1; without them all
+	Planners  []int `toml:"planners"`  // from 1; without them all
+	Factor    float64
+	Part      float64
+	Every     TimeSpec // of what comes and goes: how often
+	Length    TimeSpec // and for how long each time
+	NewID     bool     `toml:"new_id"`
+	Warm      bool     // what starts is warm
+	Quiet     bool     // the list is not told
+	Tenant    string   // of hot_tenant
 }
 
 // Verb is what an action does.
-type Verb string
+type ActionKind string
 
 // The verbs. A server is named by its name in the lab, a node by its number from 0.
 const (
-	Die         Verb = "die"              // the process ends: resets, then refused connections
-	Rise        Verb = "rise"             // a new process at the same place; X 1: cold; Text: the server's name that it comes back under
-	Silence     Verb = "silence"          // the machine says nothing; X 0: it is back
-	Hang        Verb = "hang"             // takes all, answers nothing; X 0: over
-	Refuse      Verb = "refuse"           // refuses connections, keeps those it has; X 0: over
-	Reset       Verb = "reset"            // the part X of the answers ends with the connection, in the midst
-	Garble      Verb = "garble"           // the part X of the answers is spoilt
-	Surplus     Verb = "surplus"          // more follows the part X of the answers
-	TurnAway    Verb = "turn_away"        // answers busy; X 0: over
-	Slow        Verb = "slow"             // X times slower; 1: as ever
-	Steal       Verb = "steal"            // a neighbour takes the part X of the machine
-	Pause       Verb = "pause"            // stands still; X 0: goes on
-	Drain       Verb = "drain"            // finishes what it has; the list says so
-	Leave       Verb = "leave"            // the list says that it is gone
-	Join        Verb = "join"             // a server of a new name starts; X 1: cold
-	Void        Verb = "void"             // the part X of its copies goes void
-	ListDown    Verb = "list_down"        // X 0: up
-	ListGarble  Verb = "list_garble"      // talks nonsense; X 0: over
-	ListLag     Verb = "list_lag"         // changes show X seconds late
-	ListCut     Verb = "list_cut"         // nothing comes from it to a node; X 0: over
-	NodeKill    Verb = "node_kill"        // SIGKILL
-	NodeTerm    Verb = "node_term"        // SIGTERM
-	NodeHup     Verb = "node_hup"         // SIGHUP
-	NodeStart   Verb = "node_start"       // a new process
-	NodeFreeze  Verb = "node_freeze"      // SIGSTOP; X 0: SIGCONT
-	NodeLame    Verb = "node_lame"        // the node is drained by hand; X 0: it takes clients again
-	NodeUpgrade Verb = "node_upgrade"     // a new process comes beside it and takes its place
-	Detach      Verb = "detach"           // a server is banned at a node by hand; X 0: it may serve again
-	RegDown     Verb = "registry_down"    // an endpoint answers 503; X 0: over
-	RegMute     Verb = "registry_mute"    // an endpoint says nothing; X 0: back
-	RegGarble   Verb = "registry_garble"  // an endpoint talks nonsense; X 0: over
-	RegLag      Verb = "registry_lag"     // an endpoint is X changes behind
-	RegCompact  Verb = "registry_compact" // all history is forgotten
-	RegWipe     Verb = "registry_wipe"    // all servers are taken out
-	RegSave     Verb = "registry_save"    // a backup is made
-	RegRestore  Verb = "registry_restore" // and put in the store's place
-	RegTwice    Verb = "registry_twice"   // changes are told twice, progress ahead of them; X 0: over
-	RegDrip     Verb = "registry_drip"    // answers come in small pieces, X ms apart; 0: over
-	PlanKill    Verb = "planner_kill"     // SIGKILL
-	PlanStart   Verb = "planner_start"    // a new process
-	PlanFreeze  Verb = "planner_freeze"   // SIGSTOP; X 0: SIGCONT
-	PlanCut     Verb = "planner_cut"      // nothing goes between a node and a planner; X 0: over. In the model alone
-	Rude        Verb = "rude"             // X clients that send nonsense; 0: over
-	OriginSlow  Verb = "origin_slow"      // X times slower; 1: as ever
-	OriginStop  Verb = "origin_stop"      // refuses connections; X 0: back
-	OriginPause Verb = "origin_pause"     // stands still; X 0: goes on
-	OriginSpoil Verb = "origin_spoil"     // the part X of the answers is spoilt
+	Kill            ActionKind = "die"              // the process ends: resets, then refused connections
+	Restart         ActionKind = "rise"             // a new process at the same place; X 1: cold; Text: the server's name that it comes back under
+	Silent          ActionKind = "silence"          // the machine says nothing; X 0: it is back
+	Hang            ActionKind = "hang"             // takes all, answers nothing; X 0: over
+	Refuse          ActionKind = "refuse"           // refuses connections, keeps those it has; X 0: over
+	Reset           ActionKind = "reset"            // the part X of the answers ends with the connection, in the midst
+	Garble          ActionKind = "garble"           // the part X of the answers is spoilt
+	Surplus         ActionKind = "surplus"          // more follows the part X of the answers
+	AnswerBusy      ActionKind = "turn_away"        // answers busy; X 0: over
+	Slow            ActionKind = "slow"             // X times slower; 1: as ever
+	Steal           ActionKind = "steal"            // a neighbour takes the part X of the machine
+	Pause           ActionKind = "pause"            // stands still; X 0: goes on
+	Drain           ActionKind = "drain"            // finishes what it has; the list says so
+	ListRemove      ActionKind = "leave"            // the list says that it is gone
+	StartNew        ActionKind = "join"             // a server of a new name starts; X 1: cold
+	Flush           ActionKind = "void"             // the part X of its copies goes void
+	ListDown        ActionKind = "list_down"        // X 0: up
+	ListGarble      ActionKind = "list_garble"      // talks nonsense; X 0: over
+	ListLag         ActionKind = "list_lag"         // changes show X seconds late
+	ListCut         ActionKind = "list_cut"         // nothing comes from it to a node; X 0: over
+	NodeKill        ActionKind = "node_kill"        // SIGKILL
+	NodeTerm        ActionKind = "node_term"        // SIGTERM
+	NodeHup         ActionKind = "node_hup"         // SIGHUP
+	NodeStart       ActionKind = "node_start"       // a new process
+	NodeFreeze      ActionKind = "node_freeze"      // SIGSTOP; X 0: SIGCONT
+	NodeLameDuck    ActionKind = "node_lame"        // the node is drained by hand; X 0: it takes clients again
+	NodeUpgrade     ActionKind = "node_upgrade"     // a new process comes beside it and takes its place
+	BanServer       ActionKind = "detach"           // a server is banned at a node by hand; X 0: it may serve again
+	RegistryDown    ActionKind = "registry_down"    // an endpoint answers 503; X 0: over
+	RegistryMute    ActionKind = "registry_mute"    // an endpoint says nothing; X 0: back
+	RegistryGarble  ActionKind = "registry_garble"  // an endpoint talks nonsense; X 0: over
+	RegistryLag     ActionKind = "registry_lag"     // an endpoint is X changes behind
+	RegistryCompact ActionKind = "registry_compact" // all history is forgotten
+	RegistryWipe    ActionKind = "registry_wipe"    // all servers are taken out
+	RegistrySave    ActionKind = "registry_save"    // a backup is made
+	RegistryRestore ActionKind = "registry_restore" // and put in the store's place
+	RegistryTwice   ActionKind = "registry_twice"   // changes are told twice, progress ahead of them; X 0: over
+	RegistryDrip    ActionKind = "registry_drip"    // answers come in small pieces, X ms apart; 0: over
+	PlannerKill     ActionKind = "planner_kill"     // SIGKILL
+	PlannerStart    ActionKind = "planner_start"    // a new process
+	PlannerFreeze   ActionKind = "planner_freeze"   // SIGSTOP; X 0: SIGCONT
+	PlannerCut      ActionKind = "planner_cut"      // nothing goes between a node and a planner; X 0: over. In the model alone
+	Rude            ActionKind = "rude"             // X clients that send nonsense; 0: over
+	OriginSlow      ActionKind = "origin_slow"      // X times slower; 1: as ever
+	OriginStop      ActionKind = "origin_stop"      // refuses connections; X 0: back
+	OriginPause     ActionKind = "origin_pause"     // stands still; X 0: goes on
+	OriginGarble    ActionKind = "origin_spoil"     // the part X of the answers is spoilt
 )
 
 // Action is one thing that happens at one time.
 type Action struct {
-	At     time.Duration
-	Verb   Verb
-	Server string  // name
-	Node   int     // from 0; -1: none
-	End    int     // of a registry, from 1; 0: none
-	Plan   int     // a planner, from 1; 0: none
-	X      float64 // as its verb says
-	Text   string
+	At       time.Duration
+	Kind     ActionKind
+	Server   string  // name
+	Node     int     // from 0; -1: none
+	Endpoint int     // of a registry, from 1; 0: none
+	Planner  int     // a planner, from 1; 0: none
+	Value    float64 // as its verb says
+	NewName  string
 }
 
 // String is the action as a line of a plan.
 func (a Action) String() string {
-	s := fmt.Sprintf("%s %s", a.At, a.Verb)
+	s := fmt.Sprintf("%s %s", a.At, a.Kind)
 	if a.Server != "" {
 		s += " server=" + a.Server
 	}
 	if a.Node >= 0 {
 		s += fmt.Sprintf(" node=%d", a.Node+1)
 	}
-	if a.End > 0 {
-		s += fmt.Sprintf(" endpoint=%d", a.End)
+	if a.Endpoint > 0 {
+		s += fmt.Sprintf(" endpoint=%d", a.Endpoint)
 	}
-	if a.Plan > 0 {
-		s += fmt.Sprintf(" planner=%d", a.Plan)
+	if a.Planner > 0 {
+		s += fmt.Sprintf(" planner=%d", a.Planner)
 	}
-	if s += fmt.Sprintf(" x=%g", a.X); a.Text != "" {
-		s += " as=" + a.Text
+	if s += fmt.Sprintf(" x=%g", a.Value); a.NewName != "" {
+		s += " as=" + a.NewName
 	}
 	return s
 }
 
 // Stage is what a timeline acts on.
-type Stage struct {
-	Length  time.Duration
-	Servers []string // names of the caches, in order
-	Nodes   int
-	Tenants []string
-	Ends    int // endpoints of a registry; 0: the list is no registry's
+type Deployment struct {
+	Length    time.Duration
+	Servers   []string // names of the caches, in order
+	Nodes     int
+	Tenants   []string
+	Endpoints int // endpoints of a registry; 0: the list is no registry's
 
 	Planners int
 }
 
 // Timeline is what happens in a run.
 type Timeline struct {
-	Actions []Action // by time
-	Shapes  []world.Shape
-	Joining []string // names of servers that will start
+	Actions    []Action // by time
+	Shapes     []world.Shape
+	NewServers []string // names of servers that will start
 }
 
 // Error is a fault in the numbered spec, of the key.
@@ -194,20 +194,20 @@
 var kinds map[string]kind
 
 func init() { // a literal would refer to itself
-	toggle := func(v Verb) func(x *expansion) {
+	toggle := func(v ActionKind) func(x *expansion) {
 		return func(x *expansion) {
-			x.servers(func(s string) { x.onOff(Action{Verb: v, Server: s, Node: -1, X: 1}, 0) })
+			x.servers(func(s string) { x.onOff(Action{Kind: v, Server: s, Node: -1, Value: 1}, 0) })
 		}
 	}
-	share := func(v Verb) func(x *expansion) {
+	share := func(v ActionKind) func(x *expansion) {
 		return func(x *expansion) {
-			x.servers(func(s string) { x.onOff(Action{Verb: v, Server: s, Node: -1, X: x.Part}, 0) })
+			x.servers(func(s string) { x.onOff(Action{Kind: v, Server: s, Node: -1, Value: x.Part}, 0) })
 		}
 	}
-	nodes := func(v Verb, on, off float64) func(x *expansion) {
-		return func(x *expansion) { x.nodes(func(n int) { x.onOff(Action{Verb: v, Node: n, X: on}, off) }) }
+	nodes := func(v ActionKind, on, off float64) func(x *expansion) {
+		return func(x *expansion) { x.nodes(func(n int) { x.onOff(Action{Kind: v, Node: n, Value: on}, off) }) }
 	}
-	single := func(v Verb, off float64) func(x *expansion) {
+	single := func(v ActionKind, off float64) func(x *expansion) {
 		return func(x *expansion) {
 			on := 1.0
 			switch {
@@ -216,24 +216,24 @@
 			case x.Part > 0:
 				on = x.Part
 			}
-			x.onOff(Action{Verb: v, Node: -1, X: on}, off)
+			x.onOff(Action{Kind: v, Node: -1, Value: on}, off)
 		}
 	}
-	ends := func(v Verb) func(x *expansion) {
+	ends := func(v ActionKind) func(x *expansion) {
 		return func(x *expansion) {
-			x.ends(func(e int) { x.onOff(Action{Verb: v, Node: -1, End: e, X: max(1, x.Factor)}, 0) })
+			x.ends(func(e int) { x.onOff(Action{Kind: v, Node: -1, Endpoint: e, Value: max(1, x.Factor)}, 0) })
 		}
 	}
-	moment := func(v Verb) func(x *expansion) {
-		return func(x *expansion) { x.add(Action{At: x.at, Verb: v, Node: -1}) }
+	moment := func(v ActionKind) func(x *expansion) {
+		return func(x *expansion) { x.add(Action{At: x.at, Kind: v, Node: -1}) }
 	}
 	shape := func(k world.ShapeKind) func(x *expansion) { return func(x *expansion) { x.shape(k) } }
 	kinds = map[string]kind{
 		"crash":         {on: "servers", expand: (*expansion).crash},
-		"silent":        {on: "servers", expand: toggle(Silence)},
+		"silent":        {on: "servers", expand: toggle(Silent)},
 		"hang":          {on: "servers", expand: toggle(Hang)},
 		"refuse":        {on: "servers", expand: toggle(Refuse)},
-		"busy":          {on: "servers", expand: toggle(TurnAway)},
+		"busy":          {on: "servers", expand: toggle(AnswerBusy)},
 		"reset":         {on: "servers", part: true, expand: share(Reset)},
 		"garble":        {on: "servers", part: true, expand: share(Garble)},
 		"surplus":       {on: "servers", part: true, expand: share(Surplus)},
@@ -248,7 +248,7 @@
 		"origin_slow":   {on: "origin", factor: true, expand: single(OriginSlow, 1)},
 		"origin_stop":   {on: "origin", expand: single(OriginStop, 0)},
 		"origin_pause":  {on: "origin", expand: single(OriginPause, 0)},
-		"origin_garble": {on: "origin", part: true, expand: single(OriginSpoil, 0)},
+		"origin_garble": {on: "origin", part: true, expand: single(OriginGarble, 0)},
 		"list_down":     {on: "list", expand: single(ListDown, 0)},
 		"list_garble":   {on: "list", expand: single(ListGarble, 0)},
 		"list_lag":      {on: "list", factor: true, expand: single(ListLag, 0)},
@@ -259,24 +259,26 @@
 		"node_freeze":   {on: "nodes", expand: nodes(NodeFreeze, 1, 0)},
 		"planner_kill":  {on: "planners", expand: (*expansion).plannerKill},
 		"planner_freeze": {on: "planners", expand: func(x *expansion) {
-			x.plans(func(p int) { x.onOff(Action{Verb: PlanFreeze, Node: -1, Plan: p, X: 1}, 0) })
+			x.plans(func(p int) { x.onOff(Action{Kind: PlannerFreeze, Node: -1, Planner: p, Value: 1}, 0) })
 		}},
 		"planner_cut": {on: "planners", expand: func(x *expansion) {
-			x.plans(func(p int) { x.nodes(func(n int) { x.onOff(Action{Verb: PlanCut, Node: n, Plan: p, X: 1}, 0) }) })
+			x.plans(func(p int) {
+				x.nodes(func(n int) { x.onOff(Action{Kind: PlannerCut, Node: n, Planner: p, Value: 1}, 0) })
+			})
 		}},
 		"upgrade":          {on: "nodes", expand: (*expansion).upgrade},
-		"lameduck":         {on: "nodes", expand: nodes(NodeLame, 1, 0)},
+		"lameduck":         {on: "nodes", expand: nodes(NodeLameDuck, 1, 0)},
 		"detach":           {on: "servers", expand: (*expansion).detach},
-		"registry_down":    {on: "registry", expand: ends(RegDown)},
-		"registry_mute":    {on: "registry", expand: ends(RegMute)},
-		"registry_garble":  {on: "registry", expand: ends(RegGarble)},
-		"registry_lag":     {on: "registry", factor: true, expand: ends(RegLag)},
-		"registry_compact": {on: "registry", expand: moment(RegCompact)},
-		"registry_wipe":    {on: "registry", expand: moment(RegWipe)},
-		"registry_save":    {on: "registry", expand: moment(RegSave)},
-		"registry_restore": {on: "registry", expand: moment(RegRestore)},
-		"registry_twice":   {on: "registry", expand: single(RegTwice, 0)},
-		"registry_drip":    {on: "registry", factor: true, expand: single(RegDrip, 0)},
+		"registry_down":    {on: "registry", expand: ends(RegistryDown)},
+		"registry_mute":    {on: "registry", expand: ends(RegistryMute)},
+		"registry_garble":  {on: "registry", expand: ends(RegistryGarble)},
+		"registry_lag":     {on: "registry", factor: true, expand: ends(RegistryLag)},
+		"registry_compact": {on: "registry", expand: moment(RegistryCompact)},
+		"registry_wipe":    {on: "registry", expand: moment(RegistryWipe)},
+		"registry_save":    {on: "registry", expand: moment(RegistrySave)},
+		"registry_restore": {on: "registry", expand: moment(RegistryRestore)},
+		"registry_twice":   {on: "registry", expand: single(RegistryTwice, 0)},
+		"registry_drip":    {on: "registry", factor: true, expand: single(RegistryDrip, 0)},
 		"rude":             {on: "load", expand: (*expansion).rude},
 		"surge":            {on: "load", factor: true, expand: shape(world.Surge)},
 		"hot_key":          {on: "load", part: true, expand: shape(world.HotKeys)},
@@ -299,7 +301,7 @@
 type expansion struct {
 	Spec
 	number int
-	stage  *Stage
+	stage  *Deployment
 	line   *Timeline
 	rng    *rand.Rand
 	at     time.Duration
@@ -308,15 +310,15 @@
 }
 
 // Expand draws the timeline. An error is an *Error.
-func Expand(specs []Spec, stage Stage, seed uint64) (*Timeline, error) {
+func Expand(specs []Spec, stage Deployment, seed uint64) (*Timeline, error) {
 	t := &Timeline{}
 	for i, s := range specs {
 		k, ok := kinds[s.Kind]
 		bad := func(key, format string, args ...any) error { return &Error{i, key, fmt.Sprintf(format, args...)} }
 		x := &expansion{Spec: s, number: i, stage: &stage, line: t, rng: world.RandomStream(seed, "fault", strconv.Itoa(i), s.Kind),
-			at: s.At.In(stage.Length), end: stage.Length}
+			at: s.At.Resolve(stage.Length), end: stage.Length}
 		if s.For.Set {
-			x.end = x.at + s.For.In(stage.Length)
+			x.end = x.at + s.For.Resolve(stage.Length)
 		}
 		switch {
 		case !ok:
@@ -339,20 +341,20 @@
 				return nil, bad("servers", "unknown server %q (number %d); there are %s", name, j+1, strings.Join(stage.Servers, ", "))
 			}
 		}
-		if k.on == "registry" && stage.Ends == 0 {
+		if k.on == "registry" && stage.Endpoints == 0 {
 			return nil, bad("kind", "%s needs a registry: list.kind etcd or consul", s.Kind)
 		}
 		if k.on == "planners" && stage.Planners == 0 {
 			return nil, bad("kind", "%s needs planners: planners.count", s.Kind)
 		}
-		for _, p := range s.Plans {
+		for _, p := range s.Planners {
 			if p < 1 || p > stage.Planners {
 				return nil, bad("planners", "unknown planner %d; there are 1 to %d", p, stage.Planners)
 			}
 		}
-		for _, e := range s.Ends {
-			if e < 1 || e > stage.Ends {
-				return nil, bad("endpoints", "unknown endpoint %d; there are 1 to %d", e, stage.Ends)
+		for _, e := range s.Endpoints {
+			if e < 1 || e > stage.Endpoints {
+				return nil, bad("endpoints", "unknown endpoint %d; there are 1 to %d", e, stage.Endpoints)
 			}
 		}
 		for _, n := range s.Nodes {
@@ -378,7 +380,7 @@
 	a.At = x.at
 	x.add(a)
 	if x.For.Set {
-		a.At, a.X = x.end, off
+		a.At, a.Value = x.end, off
 		x.add(a)
 	}
 }
@@ -424,15 +426,15 @@
 }
 
 func (x *expansion) nodes(f func(n int)) { numbered(x.Nodes, x.stage.Nodes, func(n int) { f(n - 1) }) }
-func (x *expansion) ends(f func(e int))  { numbered(x.Ends, x.stage.Ends, f) }
-func (x *expansion) plans(f func(p int)) { numbered(x.Plans, x.stage.Planners, f) }
+func (x *expansion) ends(f func(e int))  { numbered(x.Endpoints, x.stage.Endpoints, f) }
+func (x *expansion) plans(f func(p int)) { numbered(x.Planners, x.stage.Planners, f) }
 
 // plannerKill ends planners' processes; new ones start after the stated time.
 func (x *expansion) plannerKill() {
 	x.plans(func(p int) {
-		x.add(Action{At: x.at, Verb: PlanKill, Node: -1, Plan: p})
+		x.add(Action{At: x.at, Kind: PlannerKill, Node: -1, Planner: p})
 		if x.For.Set {
-			x.add(Action{At: x.end, Verb: PlanStart, Node: -1, Plan: p})
+			x.add(Action{At: x.end, Kind: PlannerStart, Node: -1, Planner: p})
 		}
 	})
 }
@@ -447,16 +449,16 @@
 // crash ends processes, which come back after the stated time, cold, under their id or a new one.
 func (x *expansion) crash() {
 	x.servers(func(s string) {
-		x.add(Action{At: x.at, Verb: Die, Server: s, Node: -1})
+		x.add(Action{At: x.at, Kind: Kill, Server: s, Node: -1})
 		if !x.Quiet {
-			x.add(Action{At: x.at, Verb: Leave, Server: s, Node: -1})
+			x.add(Action{At: x.at, Kind: ListRemove, Server: s, Node: -1})
 		}
 		if !x.For.Set {
 			return
 		}
-		a := Action{At: x.end, Verb: Rise, Server: s, Node: -1, X: x.cold()}
+		a := Action{At: x.end, Kind: Restart, Server: s, Node: -1, Value: x.cold()}
 		if x.NewID {
-			a.Text = x.newName(s)
+			a.NewName = x.newName(s)
 		}
 		x.add(a)
 	})
@@ -465,34 +467,34 @@
 // newName names a server that takes another's place.
 func (x *expansion) newName(old string) string {
 	name := old
-	for n := 2; slices.Contains(x.stage.Servers, name) || slices.Contains(x.line.Joining, name); n++ {
+	for n := 2; slices.Contains(x.stage.Servers, name) || slices.Contains(x.line.NewServers, name); n++ {
 		name = fmt.Sprintf("%s.%d", old, n)
 	}
-	x.line.Joining = append(x.line.Joining, name)
+	x.line.NewServers = append(x.line.NewServers, name)
 	return name
 }
 
 func (x *expansion) slow() {
-	x.servers(func(s string) { x.onOff(Action{Verb: Slow, Server: s, Node: -1, X: x.Factor}, 1) })
+	x.servers(func(s string) { x.onOff(Action{Kind: Slow, Server: s, Node: -1, Value: x.Factor}, 1) })
 }
 
 // neighbour takes a part of machines, on and off where Every is told.
 func (x *expansion) neighbour() {
-	x.servers(func(s string) { x.comeAndGo(Action{Verb: Steal, Server: s, Node: -1, X: x.Part}) })
+	x.servers(func(s string) { x.comeAndGo(Action{Kind: Steal, Server: s, Node: -1, Value: x.Part}) })
 }
 
 // pause makes servers stand still, now and then where Every is told.
 func (x *expansion) pause() {
-	x.servers(func(s string) { x.comeAndGo(Action{Verb: Pause, Server: s, Node: -1, X: 1}) })
+	x.servers(func(s string) { x.comeAndGo(Action{Kind: Pause, Server: s, Node: -1, Value: 1}) })
 }
 
 func (x *expansion) comeAndGo(a Action) {
-	every := x.Every.In(x.stage.Length)
+	every := x.Every.Resolve(x.stage.Length)
 	if every <= 0 {
 		x.onOff(a, 0)
 		return
 	}
-	length := x.Length.In(x.stage.Length)
+	length := x.Length.Resolve(x.stage.Length)
 	if length <= 0 {
 		length = every / 2
 	}
@@ -502,7 +504,7 @@
 	}
 	for at := x.at + time.Duration(x.rng.Float64()*float64(every)); at < x.end; {
 		on, off := a, a
-		on.At, off.At, off.X = at, min(at+length, x.end), 0
+		on.At, off.At, off.Value = at, min(at+length, x.end), 0
 		x.add(on)
 		x.add(off)
 		at += time.Duration((0.7 + 0.6*x.rng.Float64()) * float64(every))
@@ -510,21 +512,21 @@
 }
 
 func (x *expansion) flush() {
-	x.servers(func(s string) { x.add(Action{At: x.at, Verb: Void, Server: s, Node: -1, X: x.Part}) })
+	x.servers(func(s string) { x.add(Action{At: x.at, Kind: Flush, Server: s, Node: -1, Value: x.Part}) })
 }
 
 // drain takes servers out of service: draining for the stated time, then gone.
 func (x *expansion) drain() { x.servers(func(s string) { x.drainOne(s, x.at) }) }
 
 func (x *expansion) drainOne(s string, at time.Duration) {
-	x.add(Action{At: at, Verb: Drain, Server: s, Node: -1})
+	x.add(Action{At: at, Kind: Drain, Server: s, Node: -1})
 	if x.For.Set {
-		gone := at + x.For.In(x.stage.Length)
+		gone := at + x.For.Resolve(x.stage.Length)
 		if x.Kind == "deploy" || x.Kind == "shrink" {
-			gone = at + x.Length.In(x.stage.Length)
+			gone = at + x.Length.Resolve(x.stage.Length)
 		}
-		x.add(Action{At: gone, Verb: Leave, Server: s, Node: -1})
-		x.add(Action{At: gone + 1, Verb: Die, Server: s, Node: -1})
+		x.add(Action{At: gone, Kind: ListRemove, Server: s, Node: -1})
+		x.add(Action{At: gone + 1, Kind: Kill, Server: s, Node: -1})
 	}
 }
 
@@ -536,14 +538,14 @@
 		list = x.stage.Servers // Count is the batch
 	}
 	step := (x.end - x.at) / time.Duration((len(list)+batch-1)/batch)
-	if x.Length.In(x.stage.Length) <= 0 {
+	if x.Length.Resolve(x.stage.Length) <= 0 {
 		x.fail("length", "deploy wants to know how long each server drains")
 		return
 	}
 	for i, s := range list {
 		at := x.at + time.Duration(i/batch)*step
 		x.drainOne(s, at)
-		x.add(Action{At: at + x.Length.In(x.stage.Length) + 2, Verb: Rise, Server: s, Node: -1, X: x.cold(), Text: x.newName(s)})
+		x.add(Action{At: at + x.Length.Resolve(x.stage.Length) + 2, Kind: Restart, Server: s, Node: -1, Value: x.cold(), NewName: x.newName(s)})
 	}
 }
 
@@ -554,7 +556,7 @@
 		x.fail("share", "no server would be left")
 		return
 	}
-	if x.Length.In(x.stage.Length) <= 0 {
+	if x.Length.Resolve(x.stage.Length) <= 0 {
 		x.fail("length", "shrink wants to know how long each server drains")
 		return
 	}
@@ -575,7 +577,7 @@
 	}
 	for i := range n {
 		name := x.newName(fmt.Sprintf("g%d", i+1))
-		x.add(Action{At: x.at + time.Duration(i)*span/time.Duration(n), Verb: Join, Server: name, Node: -1, X: x.cold()})
+		x.add(Action{At: x.at + time.Duration(i)*span/time.Duration(n), Kind: StartNew, Server: name, Node: -1, Value: x.cold()})
 	}
 }
 
@@ -586,30 +588,30 @@
 		verb = NodeTerm
 	}
 	x.nodes(func(n int) {
-		x.add(Action{At: x.at, Verb: verb, Node: n})
+		x.add(Action{At: x.at, Kind: verb, Node: n})
 		if x.For.Set {
-			x.add(Action{At: x.end, Verb: NodeStart, Node: n})
+			x.add(Action{At: x.end, Kind: NodeStart, Node: n})
 		}
 	})
 }
 
 func (x *expansion) nodeHup() {
-	x.nodes(func(n int) { x.add(Action{At: x.at, Verb: NodeHup, Node: n}) })
+	x.nodes(func(n int) { x.add(Action{At: x.at, Kind: NodeHup, Node: n}) })
 }
 
 func (x *expansion) upgrade() {
-	x.nodes(func(n int) { x.add(Action{At: x.at, Verb: NodeUpgrade, Node: n}) })
+	x.nodes(func(n int) { x.add(Action{At: x.at, Kind: NodeUpgrade, Node: n}) })
 }
 
 // detach bans servers by hand at nodes.
 func (x *expansion) detach() {
 	x.servers(func(s string) {
-		x.nodes(func(n int) { x.onOff(Action{Verb: Detach, Server: s, Node: n, X: 1}, 0) })
+		x.nodes(func(n int) { x.onOff(Action{Kind: BanServer, Server: s, Node: n, Value: 1}, 0) })
 	})
 }
 
 func (x *expansion) rude() {
-	x.onOff(Action{Verb: Rude, Node: -1, X: float64(max(1, x.Count))}, 0)
+	x.onOff(Action{Kind: Rude, Node: -1, Value: float64(max(1, x.Count))}, 0)
 }
 
 // shape turns a trouble of the load into a shape of the arrivals.
--- a/lab/fault/fault_test.go
+++ b/lab/fault/fault_test.go
@@ -11,15 +11,15 @@
 	"pgregory.net/rapid"
 )
 
-func stage() Stage {
-	s := Stage{Length: 20 * time.Second, Nodes: 2, Tenants: []string{"x"}, Ends: 3, Planners: 2}
+func stage() Deployment {
+	s := Deployment{Length: 20 * time.Second, Nodes: 2, Tenants: []string{"x"}, Endpoints: 3, Planners: 2}
 	for i := range 8 {
 		s.Servers = append(s.Servers, fmt.Sprintf("c%d", i+1))
 	}
 	return s
 }
 
-func at(text string) (w When) {
+func at(text string) (w TimeSpec) {
 	if err := w.UnmarshalText([]byte(text)); err != nil {
 		panic(err)
 	}
@@ -63,7 +63,7 @@
 		{Spec{Kind: "node_hup", At: at("1s")}, []string{"1s node_hup node=1 x=0", "1s node_hup node=2 x=0"}},
 		{Spec{Kind: "list_down", At: at("50%")}, []string{"10s list_down x=1"}},
 		{Spec{Kind: "origin_slow", At: at("1s"), For: at("10%"), Factor: 5}, []string{"1s origin_slow x=5", "3s origin_slow x=1"}},
-		{Spec{Kind: "registry_lag", At: at("1s"), For: at("1s"), Ends: []int{2}, Factor: 4},
+		{Spec{Kind: "registry_lag", At: at("1s"), For: at("1s"), Endpoints: []int{2}, Factor: 4},
 			[]string{"1s registry_lag endpoint=2 x=4", "2s registry_lag endpoint=2 x=0"}},
 		{Spec{Kind: "registry_compact", At: at("1s")}, []string{"1s registry_compact x=0"}},
 		{Spec{Kind: "rude", At: at("0s"), For: at("1s"), Count: 3}, []string{"0s rude x=3", "1s rude x=0"}},
@@ -86,12 +86,12 @@
 		t.Fatal(err)
 	}
 	for _, a := range line.Actions {
-		switch a.Verb {
+		switch a.Kind {
 		case Drain:
 			out[a.Server] = true
 			drained++
-		case Rise:
-			if !out[a.Server] || a.Text != a.Server+".2" || a.X != 1 {
+		case Restart:
+			if !out[a.Server] || a.NewName != a.Server+".2" || a.Value != 1 {
 				t.Errorf("%s", a)
 			}
 			delete(out, a.Server)
@@ -123,10 +123,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var specs []Spec
 		for range rapid.IntRange(1, 6).Draw(t, "troubles") {
-			specs = append(specs, Spec{Kind: rapid.SampledFrom(Kinds()).Draw(t, "kind"), At: When{Part: rapid.Float64Range(0, 1).Draw(t, "at")},
-				For: When{Part: rapid.Float64Range(0.01, 1).Draw(t, "for"), Set: true}, Count: rapid.IntRange(0, 5).Draw(t, "count"),
-				Share: rapid.Float64Range(0, 0.9).Draw(t, "share"), Factor: 2, Part: 0.5, Length: When{Span: time.Second}, Tenant: "x",
-				Every: When{Span: 2 * time.Second}, Nodes: []int{1}})
+			specs = append(specs, Spec{Kind: rapid.SampledFrom(Kinds()).Draw(t, "kind"), At: TimeSpec{Fraction: rapid.Float64Range(0, 1).Draw(t, "at")},
+				For: TimeSpec{Fraction: rapid.Float64Range(0.01, 1).Draw(t, "for"), Set: true}, Count: rapid.IntRange(0, 5).Draw(t, "count"),
+				Share: rapid.Float64Range(0, 0.9).Draw(t, "share"), Factor: 2, Part: 0.5, Length: TimeSpec{Duration: time.Second}, Tenant: "x",
+				Every: TimeSpec{Duration: 2 * time.Second}, Nodes: []int{1}})
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
 		one, err := Expand(specs, stage(), seed)
@@ -161,7 +161,7 @@
 		{Spec{Kind: "shrink", For: at("1s"), Length: at("1s")}, "share"},
 		{Spec{Kind: "crash", Servers: []string{"c9"}}, "servers"},
 		{Spec{Kind: "node_kill", Nodes: []int{3}}, "nodes"},
-		{Spec{Kind: "registry_mute", Ends: []int{4}}, "endpoints"},
+		{Spec{Kind: "registry_mute", Endpoints: []int{4}}, "endpoints"},
 		{Spec{Kind: "crash", Share: -1}, "share"},
 		{Spec{Kind: "crash", Count: -1}, "count"},
 		{Spec{Kind: "hot_tenant", Part: 0.5, Tenant: "nobody"}, "tenant"},
@@ -175,7 +175,7 @@
 		}
 	}
 	for _, text := range []string{"", "7", "-1s", "101%", "x%", "-1%"} {
-		if err := new(When).UnmarshalText([]byte(text)); err == nil {
+		if err := new(TimeSpec).UnmarshalText([]byte(text)); err == nil {
 			t.Errorf("%q is taken for a time", text)
 		}
 	}
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -575,19 +575,19 @@
 
 // do carries out one action of the timeline.
 func (s *sim) do(a fault.Action) {
-	on := a.X != 0
-	if a.Plan > 0 {
+	on := a.Value != 0
+	if a.Planner > 0 {
 		s.onPlanner(a)
 		return
 	}
-	switch a.Verb {
+	switch a.Kind {
 	case fault.ListDown, fault.ListGarble:
 		s.lists.down = on
 		s.tell()
 	case fault.ListLag:
-		s.lists.delay = time.Duration(a.X * float64(time.Second))
+		s.lists.delay = time.Duration(a.Value * float64(time.Second))
 	case fault.OriginSlow:
-		s.origin.model.Slow(s.now, a.X)
+		s.origin.model.Slow(s.now, a.Value)
 		s.origin.plan()
 	case fault.OriginPause:
 		s.origin.model.Pause(s.now, on)
@@ -608,7 +608,7 @@
 		s.nodes[a.Node].freeze(on)
 	case fault.NodeStart:
 		s.nodes[a.Node].start()
-	case fault.Detach:
+	case fault.BanServer:
 		s.detach(a.Node, a.Server, on)
 	default:
 		if a.Server != "" {
--- a/lab/fleet/planners.go
+++ b/lab/fleet/planners.go
@@ -253,17 +253,17 @@
 
 // onPlanner breaks a planner, or parts a node from it.
 func (s *sim) onPlanner(a fault.Action) {
-	p := s.planners[a.Plan-1]
-	switch a.Verb {
-	case fault.PlanKill:
+	p := s.planners[a.Planner-1]
+	switch a.Kind {
+	case fault.PlannerKill:
 		p.up = false
-	case fault.PlanStart:
+	case fault.PlannerStart:
 		if !p.up {
 			p.start()
 		}
-	case fault.PlanFreeze:
-		p.frozen = a.X != 0
-	case fault.PlanCut:
-		s.nodes[a.Node].parted[p.id] = a.X != 0
+	case fault.PlannerFreeze:
+		p.frozen = a.Value != 0
+	case fault.PlannerCut:
+		s.nodes[a.Node].parted[p.id] = a.Value != 0
 	}
 }
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -197,30 +197,30 @@
 func (s *sim) onServer(a fault.Action) {
 	c := s.caches[a.Server]
 	v := s.x.Server(a.Server)
-	if a.Verb == fault.Join {
-		c = s.addCache(v, a.X != 0)
+	if a.Kind == fault.StartNew {
+		c = s.addCache(v, a.Value != 0)
 		s.entry(c, v, world.Serving)
 		return
 	}
 	if c == nil {
 		return
 	}
-	on := a.X != 0
-	switch a.Verb {
-	case fault.Die:
+	on := a.Value != 0
+	switch a.Kind {
+	case fault.Kill:
 		c.die()
-	case fault.Rise:
-		if a.Text != "" {
-			v = s.x.Server(a.Text)
+	case fault.Restart:
+		if a.NewName != "" {
+			v = s.x.Server(a.NewName)
 			delete(s.byID, c.id)
 			c.id = v.ID
-			s.caches[a.Text], s.byID[c.id] = c, c
+			s.caches[a.NewName], s.byID[c.id] = c, c
 		}
 		c.dead, c.refuse, c.silent, c.hangs, c.away, c.fell = false, false, false, false, false, false
 		c.model.Start(s.now, on)
 		c.noteStart(v, on)
 		s.entry(c, v, world.Serving)
-	case fault.Silence:
+	case fault.Silent:
 		c.silent = on
 		if on {
 			for _, j := range c.jobs {
@@ -235,19 +235,19 @@
 		c.hangs = on
 	case fault.Refuse:
 		c.refuse = on
-	case fault.TurnAway:
+	case fault.AnswerBusy:
 		c.away = on
 	case fault.Slow:
-		c.model.Slow(s.now, a.X)
+		c.model.Slow(s.now, a.Value)
 	case fault.Steal:
-		c.model.Steal(s.now, a.X)
+		c.model.Steal(s.now, a.Value)
 	case fault.Pause:
 		c.model.Pause(s.now, on)
-	case fault.Void:
-		c.model.Flush(a.X)
+	case fault.Flush:
+		c.model.Flush(a.Value)
 	case fault.Drain:
 		s.entry(c, v, world.Draining)
-	case fault.Leave:
+	case fault.ListRemove:
 		c.model.Drain(s.now, true)
 		s.entry(c, v, world.Deleted)
 	}
--- a/lab/stage/list.go
+++ b/lab/stage/list.go
@@ -163,28 +163,28 @@
 // onRegistry breaks a registry.
 func (s *Stage) onRegistry(a fault.Action) error {
 	r := s.list.(*store)
-	end, on := a.End-1, a.X != 0
-	switch a.Verb {
-	case fault.RegDown:
+	end, on := a.Endpoint-1, a.Value != 0
+	switch a.Kind {
+	case fault.RegistryDown:
 		r.Down(end, on)
-	case fault.RegMute:
+	case fault.RegistryMute:
 		r.Mute(end, on)
-	case fault.RegGarble:
+	case fault.RegistryGarble:
 		r.Garble(end, on)
-	case fault.RegLag:
-		r.Registry.Lag(end, int64(a.X))
-	case fault.RegCompact:
+	case fault.RegistryLag:
+		r.Registry.Lag(end, int64(a.Value))
+	case fault.RegistryCompact:
 		r.Compact(0)
-	case fault.RegWipe:
+	case fault.RegistryWipe:
 		r.Wipe()
-	case fault.RegSave:
+	case fault.RegistrySave:
 		r.Save()
-	case fault.RegRestore:
+	case fault.RegistryRestore:
 		r.Restore()
-	case fault.RegTwice:
+	case fault.RegistryTwice:
 		r.Twice(on)
-	case fault.RegDrip:
-		r.Split(on, time.Duration(a.X*float64(time.Millisecond)))
+	case fault.RegistryDrip:
+		r.Split(on, time.Duration(a.Value*float64(time.Millisecond)))
 	}
 	return nil
 }
--- a/lab/stage/planners.go
+++ b/lab/stage/planners.go
@@ -159,17 +159,17 @@
 
 // onPlanner breaks a planner.
 func (s *Stage) onPlanner(a fault.Action) error {
-	p := s.plans[a.Plan-1]
+	p := s.plans[a.Planner-1]
 	switch {
-	case a.Verb == fault.PlanCut:
+	case a.Kind == fault.PlannerCut:
 		return fmt.Errorf("nodes are parted from planners in the model alone (lapislab model)")
-	case a.Verb == fault.PlanStart && p.cmd == nil:
+	case a.Kind == fault.PlannerStart && p.cmd == nil:
 		return p.start()
-	case a.Verb == fault.PlanKill:
+	case a.Kind == fault.PlannerKill:
 		p.kill()
 	case p.cmd == nil:
 		return fmt.Errorf("planner %s does not run", p.id)
-	case a.X != 0:
+	case a.Value != 0:
 		return p.cmd.Process.Signal(syscall.SIGSTOP)
 	default:
 		return p.cmd.Process.Signal(syscall.SIGCONT)
--- a/lab/stage/stage.go
+++ b/lab/stage/stage.go
@@ -526,40 +526,40 @@
 // do carries out one action.
 func (s *Stage) do(a fault.Action) error {
 	switch {
-	case a.Verb == fault.Detach:
-		return s.detach(a.Node, a.Server, a.X != 0)
+	case a.Kind == fault.BanServer:
+		return s.detach(a.Node, a.Server, a.Value != 0)
 	case a.Server != "":
 		return s.onServer(a)
 	case a.Node >= 0:
 		return s.onNode(a)
 	}
-	on := a.X != 0
-	if a.Plan > 0 {
+	on := a.Value != 0
+	if a.Planner > 0 {
 		return s.onPlanner(a)
 	}
-	if strings.HasPrefix(string(a.Verb), "registry_") {
+	if strings.HasPrefix(string(a.Kind), "registry_") {
 		return s.onRegistry(a)
 	}
-	switch a.Verb {
+	switch a.Kind {
 	case fault.ListDown:
 		s.list.Fail(on)
 	case fault.ListGarble:
 		s.list.Nonsense(on)
 	case fault.ListLag:
-		s.list.Lag(time.Duration(a.X * float64(time.Second)))
+		s.list.Lag(time.Duration(a.Value * float64(time.Second)))
 	case fault.Rude:
-		s.load.Rude(int(a.X))
+		s.load.Rude(int(a.Value))
 	default:
 		if s.origin == nil {
 			return fmt.Errorf("there is no origin")
 		}
-		switch a.Verb {
+		switch a.Kind {
 		case fault.OriginSlow:
-			s.origin.Do(func(now time.Duration, m *world.Origin) { m.Slow(now, a.X) })
+			s.origin.Do(func(now time.Duration, m *world.Origin) { m.Slow(now, a.Value) })
 		case fault.OriginPause:
 			s.origin.Do(func(now time.Duration, m *world.Origin) { m.Pause(now, on) })
-		case fault.OriginSpoil:
-			s.origin.Spoil(a.X)
+		case fault.OriginGarble:
+			s.origin.Spoil(a.Value)
 		case fault.OriginStop:
 			return s.origin.Refuse(on)
 		}
@@ -568,12 +568,12 @@
 }
 
 func (s *Stage) onNode(a fault.Action) error {
-	if a.Verb == fault.ListCut {
-		s.list.Cut(a.Node, a.X != 0)
+	if a.Kind == fault.ListCut {
+		s.list.Cut(a.Node, a.Value != 0)
 		return nil
 	}
 	n := s.Nodes[a.Node]
-	switch a.Verb {
+	switch a.Kind {
 	case fault.NodeKill:
 		n.Kill()
 	case fault.NodeTerm:
@@ -585,13 +585,13 @@
 		}
 		n.Signal(syscall.SIGHUP)
 	case fault.NodeFreeze:
-		if a.X != 0 {
+		if a.Value != 0 {
 			n.Signal(syscall.SIGSTOP)
 		} else {
 			n.Signal(syscall.SIGCONT)
 		}
-	case fault.NodeLame:
-		return s.lameduck(a.Node, a.X != 0)
+	case fault.NodeLameDuck:
+		return s.lameduck(a.Node, a.Value != 0)
 	case fault.NodeUpgrade:
 		s.hands.Go(func() {
 			if err := s.upgrade(a.Node); err != nil {
@@ -629,9 +629,9 @@
 
 func (s *Stage) onServer(a fault.Action) error {
 	c := s.cache(a.Server)
-	if a.Verb == fault.Join {
+	if a.Kind == fault.StartNew {
 		v := s.X.Server(a.Server)
-		if _, err := s.startCache(v, a.X != 0); err != nil {
+		if _, err := s.startCache(v, a.Value != 0); err != nil {
 			return err
 		}
 		s.set(a.Server, world.Serving, s.Log.Now())
@@ -640,17 +640,17 @@
 	if c == nil {
 		return fmt.Errorf("%s is not there", a.Server)
 	}
-	on := a.X != 0
-	switch a.Verb {
-	case fault.Die:
+	on := a.Value != 0
+	switch a.Kind {
+	case fault.Kill:
 		c.Die()
 		if s.keeper != nil { // its lease lapses
 			s.keeper.die(a.Server)
 		}
-	case fault.Rise:
+	case fault.Restart:
 		id, name := "", a.Server
-		if a.Text != "" {
-			name = a.Text
+		if a.NewName != "" {
+			name = a.NewName
 			id = s.X.Server(name).ID
 			s.mu.Lock()
 			s.caches[name] = c // the same place under another name
@@ -664,27 +664,27 @@
 			started = s.Log.Now()
 		}
 		s.set(name, world.Serving, started)
-	case fault.Silence:
+	case fault.Silent:
 		c.Silence(on)
 	case fault.Hang:
 		c.Hang(on)
 	case fault.Refuse:
 		return c.Refuse(on)
-	case fault.TurnAway:
+	case fault.AnswerBusy:
 		c.TurnAway(on)
 	case fault.Reset, fault.Garble, fault.Surplus:
-		c.Spoil(string(a.Verb), a.X)
+		c.Spoil(string(a.Kind), a.Value)
 	case fault.Slow:
-		c.Do(func(now time.Duration, m *world.Cache) { m.Slow(now, a.X) })
+		c.Do(func(now time.Duration, m *world.Cache) { m.Slow(now, a.Value) })
 	case fault.Steal:
-		c.Do(func(now time.Duration, m *world.Cache) { m.Steal(now, a.X) })
+		c.Do(func(now time.Duration, m *world.Cache) { m.Steal(now, a.Value) })
 	case fault.Pause:
 		c.Do(func(now time.Duration, m *world.Cache) { m.Pause(now, on) })
-	case fault.Void:
-		c.Do(func(_ time.Duration, m *world.Cache) { m.Flush(a.X) })
+	case fault.Flush:
+		c.Do(func(_ time.Duration, m *world.Cache) { m.Flush(a.Value) })
 	case fault.Drain:
 		s.set(a.Server, world.Draining, s.startedOf(c))
-	case fault.Leave:
+	case fault.ListRemove:
 		c.Do(func(now time.Duration, m *world.Cache) { m.Drain(now, true) }) // what still comes is turned away
 		s.set(a.Server, world.Deleted, 0)
 	}
