--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -33,14 +33,14 @@
 
 // Options describe the clients.
 type Options struct {
-	Log     *seen.Log
-	Seed    uint64
-	Spec    world.ClientSpec
-	Classes []world.Class
-	Tenants []world.Tenant
-	Nodes   []string           // their addresses
-	Life    func(node int) int // which process of a node is running
-	Values  int                // bytes of memory for values of writes at most; 0: any
+	Log        *seen.Log
+	Seed       uint64
+	Spec       world.ClientSpec
+	Classes    []world.Class
+	Tenants    []world.Tenant
+	NodeAddrs  []string           // their addresses
+	Generation func(node int) int // which process of a node is running
+	Values     int                // bytes of memory for values of writes at most; 0: any
 }
 
 // Load is the clients of a run.
@@ -71,7 +71,7 @@
 // New makes the clients.
 func New(opt Options) *Load {
 	l := &Load{opt: opt, late: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
-	for i, addr := range opt.Nodes {
+	for i, addr := range opt.NodeAddrs {
 		l.nodes = append(l.nodes, &front{load: l, n: i, addr: addr, all: map[*conn]bool{}})
 	}
 	l.rude = &rudeClients{load: l}
@@ -79,13 +79,13 @@
 }
 
 // Late is how late wishes were sent behind their plan, in microseconds.
-func (l *Load) Late() *hdrhistogram.Histogram { return l.late }
+func (l *Load) SendDelays() *hdrhistogram.Histogram { return l.late }
 
 // Sent is how many tries have been made so far.
-func (l *Load) Sent() int64 { return l.sent.Load() }
+func (l *Load) TriesSent() int64 { return l.sent.Load() }
 
 // Rude sets how many clients send nonsense.
-func (l *Load) Rude(count int) { l.rude.set(count) }
+func (l *Load) SetRudeClients(count int) { l.rude.set(count) }
 
 // Run sends the plan, which begins at the time given on the log's clock, and waits until all is answered or given up.
 func (l *Load) Run(ctx context.Context, begin time.Duration, arrivals []world.Arrival) {
@@ -156,7 +156,7 @@
 	}
 	node = l.deal(node)
 	t := &seen.Try{ID: a.ID(l.opt.Seed, n), ArrivalNumber: a.N, Number: n, Class: class.Name, Key: a.Key, Idem: a.Idem, Write: class.Write,
-		Node: node, Generation: l.opt.Life(node), DueAt: due, WaitsUntil: until}
+		Node: node, Generation: l.opt.Generation(node), DueAt: due, WaitsUntil: until}
 	info := "c=" + class.Name
 	if a.Tenant >= 0 {
 		t.Tenant = l.opt.Tenants[a.Tenant].Name
@@ -278,7 +278,7 @@
 }
 
 // Away says that a node takes no new clients, or takes them again. Those that it has go on using their connections.
-func (l *Load) Away(node int, on bool) {
+func (l *Load) SetUnavailable(node int, on bool) {
 	f := l.nodes[node]
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -286,7 +286,7 @@
 }
 
 // Idle is how many connections a node holds with nothing open on them, as its clients see it.
-func (l *Load) Idle(node int) int {
+func (l *Load) IdleConns(node int) int {
 	f := l.nodes[node]
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -82,7 +82,7 @@
 func play(t *testing.T, addr string, class int, spec world.ClientSpec, change func(*world.Arrival)) []*seen.Try {
 	t.Helper()
 	log := seen.NewLog()
-	l := New(Options{Log: log, Seed: 1, Spec: spec, Classes: classes, Nodes: []string{addr}, Life: func(int) int { return 0 }})
+	l := New(Options{Log: log, Seed: 1, Spec: spec, Classes: classes, NodeAddrs: []string{addr}, Generation: func(int) int { return 0 }})
 	a := world.Arrival{Class: class, Tenant: -1, Key: "k", Timeout: 250 * ms, MaxTries: 3, Idem: "i", Size: 20}
 	if change != nil {
 		change(&a)
@@ -144,7 +144,7 @@
 		return good(line)
 	})
 	log := seen.NewLog()
-	l := New(Options{Log: log, Seed: 1, Classes: classes, Nodes: []string{addr}, Life: func(int) int { return 0 }})
+	l := New(Options{Log: log, Seed: 1, Classes: classes, NodeAddrs: []string{addr}, Generation: func(int) int { return 0 }})
 	plan := []world.Arrival{{N: 0, Key: "k", Tenant: -1, Timeout: 500 * ms, MaxTries: 1}, {N: 1, At: 100 * ms, Key: "k", Tenant: -1, Timeout: 500 * ms, MaxTries: 1}}
 	l.Run(context.Background(), log.Now(), plan)
 	log.Update(func(r *seen.Record) {
@@ -206,7 +206,7 @@
 func TestOpenLoop(t *testing.T) {
 	addr, lines := server(t, func(int, string) string { return "-" })
 	log := seen.NewLog()
-	l := New(Options{Log: log, Seed: 1, Classes: classes, Nodes: []string{addr}, Life: func(int) int { return 0 }})
+	l := New(Options{Log: log, Seed: 1, Classes: classes, NodeAddrs: []string{addr}, Generation: func(int) int { return 0 }})
 	var plan []world.Arrival
 	for i := range 100 {
 		plan = append(plan, world.Arrival{N: i, At: time.Duration(i) * ms, Key: "k", Tenant: -1, Timeout: 300 * ms, MaxTries: 1})
@@ -215,7 +215,7 @@
 	if n := len(lines()); n != 100 {
 		t.Errorf("%d of 100 were sent", n)
 	}
-	if l.Late().TotalCount() != 100 {
-		t.Errorf("%d counted", l.Late().TotalCount())
+	if l.SendDelays().TotalCount() != 100 {
+		t.Errorf("%d counted", l.SendDelays().TotalCount())
 	}
 }
--- a/lab/stage/operators.go
+++ b/lab/stage/operators.go
@@ -96,7 +96,7 @@
 			case <-time.After(frontEvery):
 			}
 			ready := load.Ready(n.Addr())
-			s.load.Away(node, !ready)
+			s.load.SetUnavailable(node, !ready)
 			s.mu.Lock()
 			over := s.lames[node] != l
 			s.mu.Unlock()
@@ -104,7 +104,7 @@
 				return
 			}
 			if at := s.Log.Now(); !over && l.CheckedAt == 0 && at >= now+drainedAfter {
-				s.Log.Update(func(*seen.Record) { l.CheckedAt, l.Ready, l.IdleConns = at, ready, s.load.Idle(node) })
+				s.Log.Update(func(*seen.Record) { l.CheckedAt, l.Ready, l.IdleConns = at, ready, s.load.IdleConns(node) })
 			}
 		}
 	})
--- a/lab/stage/stage.go
+++ b/lab/stage/stage.go
@@ -154,8 +154,8 @@
 	for _, n := range s.Nodes {
 		addrs = append(addrs, n.Addr())
 	}
-	s.load = load.New(load.Options{Log: s.Log, Seed: x.Seed, Spec: x.Source, Classes: x.Classes, Tenants: x.Tenants, Nodes: addrs,
-		Life: s.lifeOf})
+	s.load = load.New(load.Options{Log: s.Log, Seed: x.Seed, Spec: x.Source, Classes: x.Classes, Tenants: x.Tenants, NodeAddrs: addrs,
+		Generation: s.lifeOf})
 	return nil
 }
 
@@ -395,7 +395,7 @@
 			r.Verdict.Figures["said_"+name] += v
 		}
 	}
-	h := s.load.Late()
+	h := s.load.SendDelays()
 	most, mean := s.Common.Late()
 	ms := func(d time.Duration) float64 { return math.Round(float64(d)/float64(time.Microsecond)) / 1000 }
 	r.Lab = Lab{SendP50: judge.Millis(h, 50), SendP99: judge.Millis(h, 99), SendMax: float64(h.Max()) / 1000,
@@ -495,7 +495,7 @@
 		case <-stop:
 			return
 		case <-t.C:
-			m := Moment{At: s.Log.Now() - begin, Length: s.X.Length.D(), Sent: s.load.Sent()}
+			m := Moment{At: s.Log.Now() - begin, Length: s.X.Length.D(), Sent: s.load.TriesSent()}
 			s.Log.Update(func(r *seen.Record) {
 				m.Attempts = len(r.Attempts)
 				if n := len(r.Events); n > 0 {
@@ -548,7 +548,7 @@
 	case fault.ListLag:
 		s.list.Lag(time.Duration(a.Value * float64(time.Second)))
 	case fault.Rude:
-		s.load.Rude(int(a.Value))
+		s.load.SetRudeClients(int(a.Value))
 	default:
 		if s.origin == nil {
 			return fmt.Errorf("there is no origin")
