--- a/lab/seen/seen.go
+++ b/lab/seen/seen.go
@@ -1,5 +1,6 @@
-// Package seen holds what clients, servers, the origin and the list saw of a run: the only things that the judge goes by.
-// The nodes' own words are not among them. Times count from the run's start on the lab's clock.
+// Package seen records what the clients, servers, origin and list service observed during a run. The judge decides from
+// these records alone; the nodes' own logs and counters are not among them. Times count from the start of the run on the
+// lab's monotonic clock.
 package seen
 
 import (
@@ -9,76 +10,76 @@
 	"lapisshelf/lab/world"
 )
 
-// Answer is what a client was told in the end.
+// Answer is the kind of answer that a client received.
 type Answer int
 
-// The answers.
+// Kinds of answers to clients.
 const (
 	None    Answer = iota
-	Served         // a value or a receipt
-	Refused        // trying again is harmless
+	Served         // a value or a write receipt
+	Refused        // the request had no effect, so that a retry is harmless
 	Failed         // any other line
 )
 
-// String names the answer.
+// String returns the name used in stories and reports.
 func (a Answer) String() string {
 	return [...]string{"nothing", "served", "refused", "failed"}[a]
 }
 
-// Try is one try of a client, as that client saw it. Times are 0 where something did not happen.
+// Try is one try of a client, as that client observed it. A time of 0 means that the event did not happen.
 type Try struct {
 	ID            string
-	ArrivalNumber int // the number of the wish that it belongs to
-	Number        int // which try of it, from 0
+	ArrivalNumber int // Arrival.N of the arrival that it belongs to
+	Number        int // 0 for the first try of the arrival
 	Class         string
 	Tenant        string
 	Key           string
 	Idem          string
 	Write         bool
-	Value         uint64 // digest of a write's value
+	Value         uint64 // digest of the written value
 	Node          int
-	Generation    int           // of the node's processes, from 0
-	DueAt         time.Duration // when it was due
-	SentAt        time.Duration // its last byte was written
-	WaitsUntil    time.Duration // when the client stops waiting
+	Generation    int           // of the node's process; 0 is the first
+	DueAt         time.Duration // scheduled send time
+	SentAt        time.Duration // the last byte was written
+	WaitsUntil    time.Duration // when the client gives up
 	Answer        Answer
-	AnsweredAt    time.Duration // the answer's last byte came
-	AnswerLine    string        // the answer's first line
-	RetryAfter    time.Duration // what a refusal said
-	Correct       bool          // a value that was made for this request, as far as it tells by itself
-	Server        string        // whose value it is
+	AnsweredAt    time.Duration // the last byte of the answer arrived
+	AnswerLine    string        // first line of the answer
+	RetryAfter    time.Duration // delay that a refusal asked for
+	Correct       bool          // the value was made for this request and key
+	Server        string        // that produced the value
 	Version       int64         // of the value
 	Receipt       string
-	Resent        bool          // its connection ended with nothing said, and it went out once more on another
-	ConnectFailed bool          // no connection to the node could be had
-	ConnEndedAt   time.Duration // the connection ended without a whole answer
-	Truncated     bool          // in the midst of one
-	LeftAt        time.Duration // the client went away
-	ExtraLine     string        // what came beyond the one answer
+	Resent        bool          // its connection ended without an answer, and it was sent once more on a new one
+	ConnectFailed bool          // no connection to the node could be opened
+	ConnEndedAt   time.Duration // the connection ended before the answer was complete
+	Truncated     bool          // the connection ended within the answer
+	LeftAt        time.Duration // the client disconnected early
+	ExtraLine     string        // data received after the complete answer
 }
 
-// Said is what a server answered.
+// ServerAnswer is the kind of answer that a server sent.
 type ServerAnswer int
 
-// The answers of servers.
+// Kinds of answers by servers.
 const (
 	Nothing ServerAnswer = iota
 	Value
 	NoValue
 	Receipt
-	Busy    // it never ran
-	Error   // it may have run
-	Corrupt // noise, or a part of an answer: it may have run
+	Busy    // the request did not run
+	Error   // the request may have run
+	Corrupt // noise or a truncated answer; the request may have run
 )
 
-// String names the answer.
+// String returns the name used in stories and violations.
 func (s ServerAnswer) String() string {
 	return [...]string{"nothing", "a value", "a miss", "a receipt", "busy", "an error", "something spoilt"}[s]
 }
 
-// Attempt is a command that reached a server, as that server saw it.
+// Attempt is a command that reached a server, as that server observed it.
 type Attempt struct {
-	Server           string // its id
+	Server           string // server ID
 	Origin           bool
 	Conn             uint64
 	Request          string
@@ -87,16 +88,16 @@
 	Idem             string
 	Write            bool
 	Value            uint64
-	RemainingTime    time.Duration // how long the node said it would wait
-	FirstByteAt      time.Duration // its first byte came
-	LastByteAt       time.Duration // and its last; 0: never
+	RemainingTime    time.Duration // how long the node will wait, according to the command
+	FirstByteAt      time.Duration
+	LastByteAt       time.Duration // 0: the command never arrived whole
 	Work             time.Duration
-	Capacity         float64 // work a second that the server could do when it came
+	Capacity         float64 // of the server on arrival, in seconds of work per second
 	Cold             bool
 	Answer           ServerAnswer
-	AnsweredAt       time.Duration // the answer's last byte was written
-	ClosedAt         time.Duration // the node gave it up: its connection ended before the answer
-	ConnStateUnknown bool          // the server could not see what became of its connection
+	AnsweredAt       time.Duration // the last byte of the answer was written
+	ClosedAt         time.Duration // the node abandoned it: the connection ended before the answer
+	ConnStateUnknown bool          // the server could not observe whether its connection ended
 	Version          int64
 	Receipt          string
 }
@@ -106,7 +107,7 @@
 	return a.LastByteAt > 0 && a.Answer != Busy && a.Answer != NoValue
 }
 
-// Ended is when the attempt was over for the node; 0 where that was not seen.
+// EndedAt returns when the attempt ended for the node, or 0 if that was not observed.
 func (a *Attempt) EndedAt() time.Duration {
 	if a.AnsweredAt > 0 && (a.ClosedAt == 0 || a.AnsweredAt < a.ClosedAt) {
 		return a.AnsweredAt
@@ -114,54 +115,56 @@
 	return a.ClosedAt
 }
 
-// Told is list news that has been written to a node.
+// ListUpdate is a server list answer that was written to a node.
 type ListUpdate struct {
 	Node, Generation int
 	At               time.Duration
 	Revision         int64
-	Snapshot         bool
+	Snapshot         bool // Members is the whole list, not only the changes
 	Members          []world.Member
 }
 
-// Call is a call of a node at the list's service.
+// ListCall is a call of a node to the list service.
 type ListCall struct {
 	Node, Generation int
-	From, To         time.Duration // To is 0 while it is open
+	From, To         time.Duration // To is 0 while the call is open
 	OK               bool
 }
 
-// Life is one process of a node.
+// NodeProcess is one process of a node.
 type NodeProcess struct {
 	Node, Generation int
 	StartedAt        time.Duration
 	ReadyAt          time.Duration
 	TerminatedAt     time.Duration // SIGTERM was sent
 	EndedAt          time.Duration
-	Killed           bool               // by a fault of the plan
-	Replaced         bool               // killed, as planned, since another has taken its place
-	Frozen           [][2]time.Duration // stopped by a fault of the plan; an end of 0: to the last
+	Killed           bool               // by an injected fault
+	Replaced         bool               // killed on purpose because another process took its place
+	Frozen           [][2]time.Duration // intervals stopped by an injected fault; an end of 0 means until the process ended
 	ExitStatus       string
-	InitialList      []world.Member // the list that it was started with
-	PeakMemory       int64          // bytes of memory, at most
-	PeakDescriptors  int            // descriptors, at most
+	InitialList      []world.Member // server list that it was started with
+	PeakMemory       int64          // bytes
+	PeakDescriptors  int            // open file descriptors
 	CPU              time.Duration
-	LogFile          string // the file with its log
+	LogFile          string
 }
 
-// Hand is a word said of a server to a node by hand: it gets nothing new from From until To, which is 0 while that lasts.
+// Ban is an operator's ban of a server at one node: the node must send it nothing new from From until To. To is 0 while
+// the ban lasts.
 type Ban struct {
 	Node     int
 	Server   string
 	From, To time.Duration
 }
 
-// Lame is a drain of a node by hand, as a front and its clients saw it a stated time after the call.
+// LameDuckCheck is an operator's drain of a node, and the state that its clients and the load balancer in front of it
+// observed a fixed time later.
 type LameDuckCheck struct {
 	Node      int
 	From      time.Duration
-	CheckedAt time.Duration // 0: it was over before that
-	Ready     bool          // the node still said that it takes clients
-	IdleConns int           // connections of clients that it still held with nothing open
+	CheckedAt time.Duration // 0: the drain ended before the check
+	Ready     bool          // the node still reported that it takes clients
+	IdleConns int           // client connections that the node still held without a request in flight
 }
 
 // Effect is a write that took effect.
@@ -173,22 +176,22 @@
 	Receipt string
 }
 
-// Start is the beginning of a server's process.
+// ServerStart is the start of a server process.
 type ServerStart struct {
-	Server   string
+	Server   string // server ID
 	Name     string
 	At       time.Duration
 	Cold     bool
 	Capacity float64 // when warm
 }
 
-// Mark is something that happened to the deployment, for reports.
+// Event is something that happened to the deployment, for reports.
 type Event struct {
 	At   time.Duration
 	Text string
 }
 
-// Record is all that was seen.
+// Record holds all observations of a run.
 type Record struct {
 	Tries          []*Try
 	Attempts       []*Attempt
@@ -199,13 +202,13 @@
 	LameDuckChecks []*LameDuckCheck
 	Effects        []Effect
 	ServerStarts   []ServerStart
-	FallOvers      []Event // servers that fell over, by id
-	OriginStops    []Event // of the origin, for being asked too much
+	FallOvers      []Event // cold servers that failed under overload; Text is the server ID
+	OriginStops    []Event // stops of the origin caused by overload
 	Events         []Event
-	ProtocolErrors []Event // what servers were sent that no protocol allows
+	ProtocolErrors []Event // commands to servers that the protocol does not allow
 }
 
-// Said notes what was said of a server to a node by hand.
+// SetBan records that an operator banned a server at a node, or lifted the ban.
 func (r *Record) SetBan(node int, server string, banned bool, at time.Duration) {
 	if banned {
 		r.Bans = append(r.Bans, &Ban{Node: node, Server: server, From: at})
@@ -222,26 +225,26 @@
 type Log struct {
 	mu     sync.Mutex
 	record Record
-	zero   time.Time
+	start  time.Time
 }
 
-// NewLog starts the lab's clock.
-func NewLog() *Log { return &Log{zero: time.Now()} }
+// NewLog returns an empty log and starts the lab's clock.
+func NewLog() *Log { return &Log{start: time.Now()} }
 
-// Now is the time since the start, on the monotonic clock.
-func (l *Log) Now() time.Duration { return time.Since(l.zero) }
+// Now returns the time since the start, on the monotonic clock.
+func (l *Log) Now() time.Duration { return time.Since(l.start) }
 
-// Zero is the start.
-func (l *Log) StartTime() time.Time { return l.zero }
+// StartTime returns the wall clock time of the start.
+func (l *Log) StartTime() time.Time { return l.start }
 
-// Do changes the record, or anything in it.
+// Update calls f with the record locked. Everything that the record points to may be changed only within such a call.
 func (l *Log) Update(f func(r *Record)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(&l.record)
 }
 
-// Mark notes something that happened.
+// AddEvent records an event at the current time.
 func (l *Log) AddEvent(text string) {
 	l.Update(func(r *Record) { r.Events = append(r.Events, Event{l.Now(), text}) })
 }
