--- a/lab/fault/fault.go
+++ b/lab/fault/fault.go
@@ -184,11 +184,11 @@
 
 // kind says what a kind of trouble needs and does.
 type kind struct {
-	on     string // servers, nodes, origin, list, load, fleet
-	factor bool   // wants factor
-	part   bool   // wants part
-	span   bool   // wants for
-	expand func(x *expansion)
+	target      string // servers, nodes, origin, list, load, fleet
+	needsFactor bool   // wants factor
+	needsPart   bool   // wants part
+	needsFor    bool   // wants for
+	expand      func(x *expansion)
 }
 
 var kinds map[string]kind
@@ -196,16 +196,18 @@
 func init() { // a literal would refer to itself
 	toggle := func(v ActionKind) func(x *expansion) {
 		return func(x *expansion) {
-			x.servers(func(s string) { x.onOff(Action{Kind: v, Server: s, Node: -1, Value: 1}, 0) })
+			x.eachServer(func(s string) { x.addInterval(Action{Kind: v, Server: s, Node: -1, Value: 1}, 0) })
 		}
 	}
 	share := func(v ActionKind) func(x *expansion) {
 		return func(x *expansion) {
-			x.servers(func(s string) { x.onOff(Action{Kind: v, Server: s, Node: -1, Value: x.Part}, 0) })
+			x.eachServer(func(s string) { x.addInterval(Action{Kind: v, Server: s, Node: -1, Value: x.Part}, 0) })
 		}
 	}
 	nodes := func(v ActionKind, on, off float64) func(x *expansion) {
-		return func(x *expansion) { x.nodes(func(n int) { x.onOff(Action{Kind: v, Node: n, Value: on}, off) }) }
+		return func(x *expansion) {
+			x.eachNode(func(n int) { x.addInterval(Action{Kind: v, Node: n, Value: on}, off) })
+		}
 	}
 	single := func(v ActionKind, off float64) func(x *expansion) {
 		return func(x *expansion) {
@@ -216,74 +218,74 @@
 			case x.Part > 0:
 				on = x.Part
 			}
-			x.onOff(Action{Kind: v, Node: -1, Value: on}, off)
+			x.addInterval(Action{Kind: v, Node: -1, Value: on}, off)
 		}
 	}
 	ends := func(v ActionKind) func(x *expansion) {
 		return func(x *expansion) {
-			x.ends(func(e int) { x.onOff(Action{Kind: v, Node: -1, Endpoint: e, Value: max(1, x.Factor)}, 0) })
+			x.eachEndpoint(func(e int) { x.addInterval(Action{Kind: v, Node: -1, Endpoint: e, Value: max(1, x.Factor)}, 0) })
 		}
 	}
 	moment := func(v ActionKind) func(x *expansion) {
 		return func(x *expansion) { x.add(Action{At: x.at, Kind: v, Node: -1}) }
 	}
-	shape := func(k world.ShapeKind) func(x *expansion) { return func(x *expansion) { x.shape(k) } }
+	shape := func(k world.ShapeKind) func(x *expansion) { return func(x *expansion) { x.addShape(k) } }
 	kinds = map[string]kind{
-		"crash":         {on: "servers", expand: (*expansion).crash},
-		"silent":        {on: "servers", expand: toggle(Silent)},
-		"hang":          {on: "servers", expand: toggle(Hang)},
-		"refuse":        {on: "servers", expand: toggle(Refuse)},
-		"busy":          {on: "servers", expand: toggle(AnswerBusy)},
-		"reset":         {on: "servers", part: true, expand: share(Reset)},
-		"garble":        {on: "servers", part: true, expand: share(Garble)},
-		"surplus":       {on: "servers", part: true, expand: share(Surplus)},
-		"slow":          {on: "servers", factor: true, expand: (*expansion).slow},
-		"neighbour":     {on: "servers", part: true, expand: (*expansion).neighbour},
-		"pause":         {on: "servers", expand: (*expansion).pause},
-		"flush":         {on: "servers", part: true, expand: (*expansion).flush},
-		"drain":         {on: "servers", expand: (*expansion).drain},
-		"deploy":        {on: "servers", span: true, expand: (*expansion).deploy},
-		"shrink":        {on: "servers", span: true, expand: (*expansion).shrink},
-		"grow":          {on: "fleet", expand: (*expansion).grow},
-		"origin_slow":   {on: "origin", factor: true, expand: single(OriginSlow, 1)},
-		"origin_stop":   {on: "origin", expand: single(OriginStop, 0)},
-		"origin_pause":  {on: "origin", expand: single(OriginPause, 0)},
-		"origin_garble": {on: "origin", part: true, expand: single(OriginGarble, 0)},
-		"list_down":     {on: "list", expand: single(ListDown, 0)},
-		"list_garble":   {on: "list", expand: single(ListGarble, 0)},
-		"list_lag":      {on: "list", factor: true, expand: single(ListLag, 0)},
-		"list_cut":      {on: "nodes", expand: nodes(ListCut, 1, 0)},
-		"node_kill":     {on: "nodes", expand: (*expansion).nodeEnds},
-		"node_term":     {on: "nodes", expand: (*expansion).nodeEnds},
-		"node_hup":      {on: "nodes", expand: (*expansion).nodeHup},
-		"node_freeze":   {on: "nodes", expand: nodes(NodeFreeze, 1, 0)},
-		"planner_kill":  {on: "planners", expand: (*expansion).plannerKill},
-		"planner_freeze": {on: "planners", expand: func(x *expansion) {
-			x.plans(func(p int) { x.onOff(Action{Kind: PlannerFreeze, Node: -1, Planner: p, Value: 1}, 0) })
+		"crash":         {target: "servers", expand: (*expansion).crash},
+		"silent":        {target: "servers", expand: toggle(Silent)},
+		"hang":          {target: "servers", expand: toggle(Hang)},
+		"refuse":        {target: "servers", expand: toggle(Refuse)},
+		"busy":          {target: "servers", expand: toggle(AnswerBusy)},
+		"reset":         {target: "servers", needsPart: true, expand: share(Reset)},
+		"garble":        {target: "servers", needsPart: true, expand: share(Garble)},
+		"surplus":       {target: "servers", needsPart: true, expand: share(Surplus)},
+		"slow":          {target: "servers", needsFactor: true, expand: (*expansion).slow},
+		"neighbour":     {target: "servers", needsPart: true, expand: (*expansion).neighbour},
+		"pause":         {target: "servers", expand: (*expansion).pause},
+		"flush":         {target: "servers", needsPart: true, expand: (*expansion).flush},
+		"drain":         {target: "servers", expand: (*expansion).drain},
+		"deploy":        {target: "servers", needsFor: true, expand: (*expansion).deploy},
+		"shrink":        {target: "servers", needsFor: true, expand: (*expansion).shrink},
+		"grow":          {target: "fleet", expand: (*expansion).grow},
+		"origin_slow":   {target: "origin", needsFactor: true, expand: single(OriginSlow, 1)},
+		"origin_stop":   {target: "origin", expand: single(OriginStop, 0)},
+		"origin_pause":  {target: "origin", expand: single(OriginPause, 0)},
+		"origin_garble": {target: "origin", needsPart: true, expand: single(OriginGarble, 0)},
+		"list_down":     {target: "list", expand: single(ListDown, 0)},
+		"list_garble":   {target: "list", expand: single(ListGarble, 0)},
+		"list_lag":      {target: "list", needsFactor: true, expand: single(ListLag, 0)},
+		"list_cut":      {target: "nodes", expand: nodes(ListCut, 1, 0)},
+		"node_kill":     {target: "nodes", expand: (*expansion).endNodes},
+		"node_term":     {target: "nodes", expand: (*expansion).endNodes},
+		"node_hup":      {target: "nodes", expand: (*expansion).nodeHup},
+		"node_freeze":   {target: "nodes", expand: nodes(NodeFreeze, 1, 0)},
+		"planner_kill":  {target: "planners", expand: (*expansion).plannerKill},
+		"planner_freeze": {target: "planners", expand: func(x *expansion) {
+			x.eachPlanner(func(p int) { x.addInterval(Action{Kind: PlannerFreeze, Node: -1, Planner: p, Value: 1}, 0) })
 		}},
-		"planner_cut": {on: "planners", expand: func(x *expansion) {
-			x.plans(func(p int) {
-				x.nodes(func(n int) { x.onOff(Action{Kind: PlannerCut, Node: n, Planner: p, Value: 1}, 0) })
+		"planner_cut": {target: "planners", expand: func(x *expansion) {
+			x.eachPlanner(func(p int) {
+				x.eachNode(func(n int) { x.addInterval(Action{Kind: PlannerCut, Node: n, Planner: p, Value: 1}, 0) })
 			})
 		}},
-		"upgrade":          {on: "nodes", expand: (*expansion).upgrade},
-		"lameduck":         {on: "nodes", expand: nodes(NodeLameDuck, 1, 0)},
-		"detach":           {on: "servers", expand: (*expansion).detach},
-		"registry_down":    {on: "registry", expand: ends(RegistryDown)},
-		"registry_mute":    {on: "registry", expand: ends(RegistryMute)},
-		"registry_garble":  {on: "registry", expand: ends(RegistryGarble)},
-		"registry_lag":     {on: "registry", factor: true, expand: ends(RegistryLag)},
-		"registry_compact": {on: "registry", expand: moment(RegistryCompact)},
-		"registry_wipe":    {on: "registry", expand: moment(RegistryWipe)},
-		"registry_save":    {on: "registry", expand: moment(RegistrySave)},
-		"registry_restore": {on: "registry", expand: moment(RegistryRestore)},
-		"registry_twice":   {on: "registry", expand: single(RegistryTwice, 0)},
-		"registry_drip":    {on: "registry", factor: true, expand: single(RegistryDrip, 0)},
-		"rude":             {on: "load", expand: (*expansion).rude},
-		"surge":            {on: "load", factor: true, expand: shape(world.Surge)},
-		"hot_key":          {on: "load", part: true, expand: shape(world.HotKeys)},
-		"hot_tenant":       {on: "load", part: true, expand: shape(world.HotTenant)},
-		"hot_node":         {on: "load", part: true, expand: shape(world.HotNode)},
+		"upgrade":          {target: "nodes", expand: (*expansion).upgrade},
+		"lameduck":         {target: "nodes", expand: nodes(NodeLameDuck, 1, 0)},
+		"detach":           {target: "servers", expand: (*expansion).detach},
+		"registry_down":    {target: "registry", expand: ends(RegistryDown)},
+		"registry_mute":    {target: "registry", expand: ends(RegistryMute)},
+		"registry_garble":  {target: "registry", expand: ends(RegistryGarble)},
+		"registry_lag":     {target: "registry", needsFactor: true, expand: ends(RegistryLag)},
+		"registry_compact": {target: "registry", expand: moment(RegistryCompact)},
+		"registry_wipe":    {target: "registry", expand: moment(RegistryWipe)},
+		"registry_save":    {target: "registry", expand: moment(RegistrySave)},
+		"registry_restore": {target: "registry", expand: moment(RegistryRestore)},
+		"registry_twice":   {target: "registry", expand: single(RegistryTwice, 0)},
+		"registry_drip":    {target: "registry", needsFactor: true, expand: single(RegistryDrip, 0)},
+		"rude":             {target: "load", expand: (*expansion).rude},
+		"surge":            {target: "load", needsFactor: true, expand: shape(world.Surge)},
+		"hot_key":          {target: "load", needsPart: true, expand: shape(world.HotKeys)},
+		"hot_tenant":       {target: "load", needsPart: true, expand: shape(world.HotTenant)},
+		"hot_node":         {target: "load", needsPart: true, expand: shape(world.HotNode)},
 	}
 }
 
@@ -300,13 +302,13 @@
 // expansion is one spec being turned into actions.
 type expansion struct {
 	Spec
-	number int
-	stage  *Deployment
-	line   *Timeline
-	rng    *rand.Rand
-	at     time.Duration
-	end    time.Duration // the run's end where For is not told
-	err    *Error
+	index      int
+	deployment *Deployment
+	timeline   *Timeline
+	rng        *rand.Rand
+	at         time.Duration
+	end        time.Duration // the run's end where For is not told
+	err        *Error
 }
 
 // Expand draws the timeline. An error is an *Error.
@@ -315,7 +317,7 @@
 	for i, s := range specs {
 		k, ok := kinds[s.Kind]
 		bad := func(key, format string, args ...any) error { return &Error{i, key, fmt.Sprintf(format, args...)} }
-		x := &expansion{Spec: s, number: i, stage: &stage, line: t, rng: world.RandomStream(seed, "fault", strconv.Itoa(i), s.Kind),
+		x := &expansion{Spec: s, index: i, deployment: &stage, timeline: t, rng: world.RandomStream(seed, "fault", strconv.Itoa(i), s.Kind),
 			at: s.At.Resolve(stage.Length), end: stage.Length}
 		if s.For.Set {
 			x.end = x.at + s.For.Resolve(stage.Length)
@@ -325,11 +327,11 @@
 			return nil, bad("kind", "unknown kind %q; there are %s", s.Kind, strings.Join(Kinds(), ", "))
 		case x.at > stage.Length:
 			return nil, bad("at", "%v is after the end at %v", x.at, stage.Length)
-		case k.factor && s.Factor <= 0:
+		case k.needsFactor && s.Factor <= 0:
 			return nil, bad("factor", "%s wants a factor above 0", s.Kind)
-		case k.part && (s.Part <= 0 || s.Part > 1):
+		case k.needsPart && (s.Part <= 0 || s.Part > 1):
 			return nil, bad("part", "%s wants a part above 0 and at most 1", s.Kind)
-		case k.span && !s.For.Set:
+		case k.needsFor && !s.For.Set:
 			return nil, bad("for", "%s wants to know how long it takes", s.Kind)
 		case s.Share < 0 || s.Share > 1:
 			return nil, bad("share", "%g is no share: 0 to 1 are", s.Share)
@@ -341,10 +343,10 @@
 				return nil, bad("servers", "unknown server %q (number %d); there are %s", name, j+1, strings.Join(stage.Servers, ", "))
 			}
 		}
-		if k.on == "registry" && stage.Endpoints == 0 {
+		if k.target == "registry" && stage.Endpoints == 0 {
 			return nil, bad("kind", "%s needs a registry: list.kind etcd or consul", s.Kind)
 		}
-		if k.on == "planners" && stage.Planners == 0 {
+		if k.target == "planners" && stage.Planners == 0 {
 			return nil, bad("kind", "%s needs planners: planners.count", s.Kind)
 		}
 		for _, p := range s.Planners {
@@ -371,12 +373,12 @@
 	return t, nil
 }
 
-func (x *expansion) fail(key, why string) { x.err = &Error{x.number, key, why} }
+func (x *expansion) fail(key, why string) { x.err = &Error{x.index, key, why} }
 
-func (x *expansion) add(a Action) { x.line.Actions = append(x.line.Actions, a) }
+func (x *expansion) add(a Action) { x.timeline.Actions = append(x.timeline.Actions, a) }
 
 // onOff begins something, and ends it where it is to end before the run does.
-func (x *expansion) onOff(a Action, off float64) {
+func (x *expansion) addInterval(a Action, off float64) {
 	a.At = x.at
 	x.add(a)
 	if x.For.Set {
@@ -386,34 +388,34 @@
 }
 
 // chosen is the servers concerned: those named, else as many as told, drawn; else all.
-func (x *expansion) chosen() []string {
+func (x *expansion) selectedServers() []string {
 	if len(x.Servers) > 0 {
 		return x.Servers
 	}
-	n := len(x.stage.Servers)
+	n := len(x.deployment.Servers)
 	switch {
 	case x.Count > 0:
 		n = min(n, x.Count)
 	case x.Share > 0:
 		n = min(n, max(1, int(x.Share*float64(n)+0.5)))
 	default:
-		return x.stage.Servers
+		return x.deployment.Servers
 	}
-	list := slices.Clone(x.stage.Servers)
+	list := slices.Clone(x.deployment.Servers)
 	x.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	list = list[:n]
 	slices.Sort(list)
 	return list
 }
 
-func (x *expansion) servers(f func(name string)) {
-	for _, s := range x.chosen() {
+func (x *expansion) eachServer(f func(name string)) {
+	for _, s := range x.selectedServers() {
 		f(s)
 	}
 }
 
 // numbered does something for each of the numbers told, from 1; for all there are where none is.
-func numbered(told []int, all int, f func(n int)) {
+func eachNumber(told []int, all int, f func(n int)) {
 	if len(told) == 0 {
 		for n := range all {
 			f(n + 1)
@@ -425,13 +427,15 @@
 	}
 }
 
-func (x *expansion) nodes(f func(n int)) { numbered(x.Nodes, x.stage.Nodes, func(n int) { f(n - 1) }) }
-func (x *expansion) ends(f func(e int))  { numbered(x.Endpoints, x.stage.Endpoints, f) }
-func (x *expansion) plans(f func(p int)) { numbered(x.Planners, x.stage.Planners, f) }
+func (x *expansion) eachNode(f func(n int)) {
+	eachNumber(x.Nodes, x.deployment.Nodes, func(n int) { f(n - 1) })
+}
+func (x *expansion) eachEndpoint(f func(e int)) { eachNumber(x.Endpoints, x.deployment.Endpoints, f) }
+func (x *expansion) eachPlanner(f func(p int))  { eachNumber(x.Planners, x.deployment.Planners, f) }
 
 // plannerKill ends planners' processes; new ones start after the stated time.
 func (x *expansion) plannerKill() {
-	x.plans(func(p int) {
+	x.eachPlanner(func(p int) {
 		x.add(Action{At: x.at, Kind: PlannerKill, Node: -1, Planner: p})
 		if x.For.Set {
 			x.add(Action{At: x.end, Kind: PlannerStart, Node: -1, Planner: p})
@@ -439,7 +443,7 @@
 	})
 }
 
-func (x *expansion) cold() float64 {
+func (x *expansion) coldValue() float64 {
 	if x.Warm {
 		return 0
 	}
@@ -448,7 +452,7 @@
 
 // crash ends processes, which come back after the stated time, cold, under their id or a new one.
 func (x *expansion) crash() {
-	x.servers(func(s string) {
+	x.eachServer(func(s string) {
 		x.add(Action{At: x.at, Kind: Kill, Server: s, Node: -1})
 		if !x.Quiet {
 			x.add(Action{At: x.at, Kind: ListRemove, Server: s, Node: -1})
@@ -456,7 +460,7 @@
 		if !x.For.Set {
 			return
 		}
-		a := Action{At: x.end, Kind: Restart, Server: s, Node: -1, Value: x.cold()}
+		a := Action{At: x.end, Kind: Restart, Server: s, Node: -1, Value: x.coldValue()}
 		if x.NewID {
 			a.NewName = x.newName(s)
 		}
@@ -467,34 +471,34 @@
 // newName names a server that takes another's place.
 func (x *expansion) newName(old string) string {
 	name := old
-	for n := 2; slices.Contains(x.stage.Servers, name) || slices.Contains(x.line.NewServers, name); n++ {
+	for n := 2; slices.Contains(x.deployment.Servers, name) || slices.Contains(x.timeline.NewServers, name); n++ {
 		name = fmt.Sprintf("%s.%d", old, n)
 	}
-	x.line.NewServers = append(x.line.NewServers, name)
+	x.timeline.NewServers = append(x.timeline.NewServers, name)
 	return name
 }
 
 func (x *expansion) slow() {
-	x.servers(func(s string) { x.onOff(Action{Kind: Slow, Server: s, Node: -1, Value: x.Factor}, 1) })
+	x.eachServer(func(s string) { x.addInterval(Action{Kind: Slow, Server: s, Node: -1, Value: x.Factor}, 1) })
 }
 
 // neighbour takes a part of machines, on and off where Every is told.
 func (x *expansion) neighbour() {
-	x.servers(func(s string) { x.comeAndGo(Action{Kind: Steal, Server: s, Node: -1, Value: x.Part}) })
+	x.eachServer(func(s string) { x.addIntermittent(Action{Kind: Steal, Server: s, Node: -1, Value: x.Part}) })
 }
 
 // pause makes servers stand still, now and then where Every is told.
 func (x *expansion) pause() {
-	x.servers(func(s string) { x.comeAndGo(Action{Kind: Pause, Server: s, Node: -1, Value: 1}) })
+	x.eachServer(func(s string) { x.addIntermittent(Action{Kind: Pause, Server: s, Node: -1, Value: 1}) })
 }
 
-func (x *expansion) comeAndGo(a Action) {
-	every := x.Every.Resolve(x.stage.Length)
+func (x *expansion) addIntermittent(a Action) {
+	every := x.Every.Resolve(x.deployment.Length)
 	if every <= 0 {
-		x.onOff(a, 0)
+		x.addInterval(a, 0)
 		return
 	}
-	length := x.Length.Resolve(x.stage.Length)
+	length := x.Length.Resolve(x.deployment.Length)
 	if length <= 0 {
 		length = every / 2
 	}
@@ -512,18 +516,18 @@
 }
 
 func (x *expansion) flush() {
-	x.servers(func(s string) { x.add(Action{At: x.at, Kind: Flush, Server: s, Node: -1, Value: x.Part}) })
+	x.eachServer(func(s string) { x.add(Action{At: x.at, Kind: Flush, Server: s, Node: -1, Value: x.Part}) })
 }
 
 // drain takes servers out of service: draining for the stated time, then gone.
-func (x *expansion) drain() { x.servers(func(s string) { x.drainOne(s, x.at) }) }
+func (x *expansion) drain() { x.eachServer(func(s string) { x.drainServer(s, x.at) }) }
 
-func (x *expansion) drainOne(s string, at time.Duration) {
+func (x *expansion) drainServer(s string, at time.Duration) {
 	x.add(Action{At: at, Kind: Drain, Server: s, Node: -1})
 	if x.For.Set {
-		gone := at + x.For.Resolve(x.stage.Length)
+		gone := at + x.For.Resolve(x.deployment.Length)
 		if x.Kind == "deploy" || x.Kind == "shrink" {
-			gone = at + x.Length.Resolve(x.stage.Length)
+			gone = at + x.Length.Resolve(x.deployment.Length)
 		}
 		x.add(Action{At: gone, Kind: ListRemove, Server: s, Node: -1})
 		x.add(Action{At: gone + 1, Kind: Kill, Server: s, Node: -1})
@@ -532,36 +536,36 @@
 
 // deploy replaces servers one after the other, each by one under a new id at its place.
 func (x *expansion) deploy() {
-	list := x.chosen()
+	list := x.selectedServers()
 	batch := max(1, x.Count)
 	if len(x.Servers) == 0 && x.Share == 0 {
-		list = x.stage.Servers // Count is the batch
+		list = x.deployment.Servers // Count is the batch
 	}
 	step := (x.end - x.at) / time.Duration((len(list)+batch-1)/batch)
-	if x.Length.Resolve(x.stage.Length) <= 0 {
+	if x.Length.Resolve(x.deployment.Length) <= 0 {
 		x.fail("length", "deploy wants to know how long each server drains")
 		return
 	}
 	for i, s := range list {
 		at := x.at + time.Duration(i/batch)*step
-		x.drainOne(s, at)
-		x.add(Action{At: at + x.Length.Resolve(x.stage.Length) + 2, Kind: Restart, Server: s, Node: -1, Value: x.cold(), NewName: x.newName(s)})
+		x.drainServer(s, at)
+		x.add(Action{At: at + x.Length.Resolve(x.deployment.Length) + 2, Kind: Restart, Server: s, Node: -1, Value: x.coldValue(), NewName: x.newName(s)})
 	}
 }
 
 // shrink takes servers out one after the other.
 func (x *expansion) shrink() {
-	list := x.chosen()
-	if len(list) >= len(x.stage.Servers) {
+	list := x.selectedServers()
+	if len(list) >= len(x.deployment.Servers) {
 		x.fail("share", "no server would be left")
 		return
 	}
-	if x.Length.Resolve(x.stage.Length) <= 0 {
+	if x.Length.Resolve(x.deployment.Length) <= 0 {
 		x.fail("length", "shrink wants to know how long each server drains")
 		return
 	}
 	for i, s := range list {
-		x.drainOne(s, x.at+time.Duration(i)*(x.end-x.at)/time.Duration(len(list)))
+		x.drainServer(s, x.at+time.Duration(i)*(x.end-x.at)/time.Duration(len(list)))
 	}
 }
 
@@ -569,7 +573,7 @@
 func (x *expansion) grow() {
 	n := max(1, x.Count)
 	if x.Share > 0 {
-		n = max(1, int(x.Share*float64(len(x.stage.Servers))+0.5))
+		n = max(1, int(x.Share*float64(len(x.deployment.Servers))+0.5))
 	}
 	span := time.Duration(0)
 	if x.For.Set {
@@ -577,17 +581,17 @@
 	}
 	for i := range n {
 		name := x.newName(fmt.Sprintf("g%d", i+1))
-		x.add(Action{At: x.at + time.Duration(i)*span/time.Duration(n), Kind: StartNew, Server: name, Node: -1, Value: x.cold()})
+		x.add(Action{At: x.at + time.Duration(i)*span/time.Duration(n), Kind: StartNew, Server: name, Node: -1, Value: x.coldValue()})
 	}
 }
 
 // nodeEnds ends nodes, which come back after the stated time.
-func (x *expansion) nodeEnds() {
+func (x *expansion) endNodes() {
 	verb := NodeKill
 	if x.Kind == "node_term" {
 		verb = NodeTerm
 	}
-	x.nodes(func(n int) {
+	x.eachNode(func(n int) {
 		x.add(Action{At: x.at, Kind: verb, Node: n})
 		if x.For.Set {
 			x.add(Action{At: x.end, Kind: NodeStart, Node: n})
@@ -596,32 +600,32 @@
 }
 
 func (x *expansion) nodeHup() {
-	x.nodes(func(n int) { x.add(Action{At: x.at, Kind: NodeHup, Node: n}) })
+	x.eachNode(func(n int) { x.add(Action{At: x.at, Kind: NodeHup, Node: n}) })
 }
 
 func (x *expansion) upgrade() {
-	x.nodes(func(n int) { x.add(Action{At: x.at, Kind: NodeUpgrade, Node: n}) })
+	x.eachNode(func(n int) { x.add(Action{At: x.at, Kind: NodeUpgrade, Node: n}) })
 }
 
 // detach bans servers by hand at nodes.
 func (x *expansion) detach() {
-	x.servers(func(s string) {
-		x.nodes(func(n int) { x.onOff(Action{Kind: BanServer, Server: s, Node: n, Value: 1}, 0) })
+	x.eachServer(func(s string) {
+		x.eachNode(func(n int) { x.addInterval(Action{Kind: BanServer, Server: s, Node: n, Value: 1}, 0) })
 	})
 }
 
 func (x *expansion) rude() {
-	x.onOff(Action{Kind: Rude, Node: -1, Value: float64(max(1, x.Count))}, 0)
+	x.addInterval(Action{Kind: Rude, Node: -1, Value: float64(max(1, x.Count))}, 0)
 }
 
 // shape turns a trouble of the load into a shape of the arrivals.
-func (x *expansion) shape(k world.ShapeKind) {
+func (x *expansion) addShape(k world.ShapeKind) {
 	s := world.Shape{Kind: k, From: x.at, To: x.end, Magnitude: x.Part, Count: max(1, x.Count)}
 	switch k {
 	case world.Surge:
 		s.Magnitude = x.Factor
 	case world.HotTenant:
-		if s.Index = slices.Index(x.stage.Tenants, x.Tenant); s.Index < 0 {
+		if s.Index = slices.Index(x.deployment.Tenants, x.Tenant); s.Index < 0 {
 			x.fail("tenant", fmt.Sprintf("unknown tenant %q", x.Tenant))
 		}
 	case world.HotNode:
@@ -631,5 +635,5 @@
 		}
 		s.Index = x.Nodes[0] - 1
 	}
-	x.line.Shapes = append(x.line.Shapes, s)
+	x.timeline.Shapes = append(x.timeline.Shapes, s)
 }
--- a/lab/load/rude.go
+++ b/lab/load/rude.go
@@ -12,25 +12,25 @@
 
 // rudeClients send what no client should: noise, lines without end, wrong lengths, half a command, or nothing at all.
 type rudeClients struct {
-	load *Load
-	mu   sync.Mutex
-	stop []chan struct{}
-	wait sync.WaitGroup
+	load  *Load
+	mu    sync.Mutex
+	stops []chan struct{}
+	wait  sync.WaitGroup
 }
 
 // set makes it so many.
-func (r *rudeClients) set(count int) {
+func (r *rudeClients) setCount(count int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for len(r.stop) > count {
-		last := len(r.stop) - 1
-		close(r.stop[last])
-		r.stop = r.stop[:last]
+	for len(r.stops) > count {
+		last := len(r.stops) - 1
+		close(r.stops[last])
+		r.stops = r.stops[:last]
 	}
-	for len(r.stop) < count {
+	for len(r.stops) < count {
 		stop := make(chan struct{})
-		n := len(r.stop)
-		r.stop = append(r.stop, stop)
+		n := len(r.stops)
+		r.stops = append(r.stops, stop)
 		r.wait.Add(1)
 		go func() {
 			defer r.wait.Done()
@@ -39,7 +39,7 @@
 	}
 }
 
-var rudeness = []string{
+var rudePayloads = []string{
 	"\x00\x01\xfe\xff garbage\r\n",
 	strings.Repeat("x", 100000),
 	"ms k -5 O1 Pc=x,d=1\r\n",
@@ -60,14 +60,14 @@
 			return
 		default:
 		}
-		node := r.load.nodes[rng.IntN(len(r.load.nodes))]
+		node := r.load.pools[rng.IntN(len(r.load.pools))]
 		c, err := net.DialTimeout("tcp", node.addr, 200*time.Millisecond)
 		if err != nil {
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
 		c.SetDeadline(time.Now().Add(time.Duration(50+rng.IntN(250)) * time.Millisecond))
-		go io.WriteString(c, rudeness[rng.IntN(len(rudeness))])
+		go io.WriteString(c, rudePayloads[rng.IntN(len(rudePayloads))])
 		io.Copy(io.Discard, io.LimitReader(c, 1<<20))
 		c.Close()
 	}
--- a/lab/world/budget.go
+++ b/lab/world/budget.go
@@ -11,14 +11,14 @@
 	// Slack is work that may come beyond it by chance.
 	Slack time.Duration
 
-	entries []entry
-	work    float64 // of the entries
+	arrivals []workArrival
+	total    float64 // of the entries
 }
 
-type entry struct {
-	at   time.Duration
-	work float64
-	mark bool
+type workArrival struct {
+	at     time.Duration
+	work   float64
+	marked bool
 }
 
 // Add counts work that comes while the server can do capacity seconds of work a second. It reports whether the budget is
@@ -27,23 +27,23 @@
 	if b.Multiple <= 0 || b.Window <= 0 {
 		return false, 0
 	}
-	b.entries = append(b.entries, entry{now, work.Seconds(), mark})
-	b.work += work.Seconds()
+	b.arrivals = append(b.arrivals, workArrival{now, work.Seconds(), mark})
+	b.total += work.Seconds()
 	first := 0
-	for first < len(b.entries) && b.entries[first].at <= now-b.Window {
-		b.work -= b.entries[first].work
+	for first < len(b.arrivals) && b.arrivals[first].at <= now-b.Window {
+		b.total -= b.arrivals[first].work
 		first++
 	}
-	if b.entries = b.entries[first:]; b.work <= b.Multiple*capacity*b.Window.Seconds()+b.Slack.Seconds()+1e-9 {
+	if b.arrivals = b.arrivals[first:]; b.total <= b.Multiple*capacity*b.Window.Seconds()+b.Slack.Seconds()+1e-9 {
 		return false, 0
 	}
-	for _, e := range b.entries {
-		if e.mark {
+	for _, e := range b.arrivals {
+		if e.marked {
 			marked += e.work
 		}
 	}
-	return true, marked / b.work
+	return true, marked / b.total
 }
 
 // Reset forgets what was counted.
-func (b *WorkBudget) Reset() { b.entries, b.work = nil, 0 }
+func (b *WorkBudget) Reset() { b.arrivals, b.total = nil, 0 }
--- a/lab/world/cache.go
+++ b/lab/world/cache.go
@@ -9,7 +9,7 @@
 )
 
 // coldStep is how finely a changing speed is followed.
-const coldStep = 20 * time.Millisecond
+const warmUpStep = 20 * time.Millisecond
 
 // CacheSpec is what a cache server is.
 type CacheSpec struct {
@@ -74,32 +74,32 @@
 
 // Cache is one cache server's process.
 type Cache struct {
-	spec    CacheSpec
-	station station
-	rng     *rand.Rand
-	began   time.Duration // of this process
-	cold    bool          // it began empty and slow
-	up      bool
-	drains  bool
-	paused  bool
-	factor  float64 // slower by it
-	stolen  float64 // part of the machine that a neighbour takes
-	kept    map[string]*list.Element
-	used    *list.List // of *object, used last in front
-	bytes   int64
-	leases  map[string]time.Duration
-	gone    map[uint64]bool     // jobs that nobody waits for
-	fetches map[string][]uint64 // through: jobs that wait for a key
-	held    map[uint64]*Job     // through: jobs that hold their slot while the origin works
-	budget  WorkBudget
-	fell    bool
-	report  LoadReport
-	told    time.Duration
-	done    []Completion
-	asks    []OriginRequest
-}
-
-type object struct {
+	spec           CacheSpec
+	station        station
+	rng            *rand.Rand
+	startedAt      time.Duration // of this process
+	startedCold    bool          // it began empty and slow
+	running        bool
+	draining       bool
+	paused         bool
+	slowdown       float64 // slower by it
+	stolenPart     float64 // part of the machine that a neighbour takes
+	values         map[string]*list.Element
+	lru            *list.List // of *object, used last in front
+	bytes          int64
+	leases         map[string]time.Duration
+	cancelled      map[uint64]bool     // jobs that nobody waits for
+	fetches        map[string][]uint64 // through: jobs that wait for a key
+	atOrigin       map[uint64]*Job     // through: jobs that hold their slot while the origin works
+	coldBudget     WorkBudget
+	fellOver       bool
+	report         LoadReport
+	reportedAt     time.Duration
+	completions    []Completion
+	originRequests []OriginRequest
+}
+
+type cachedValue struct {
 	key     string
 	version int64
 	size    int64
@@ -107,27 +107,27 @@
 
 // NewCache makes a cache that runs and is warm, with nothing kept.
 func NewCache(spec CacheSpec, seed uint64) *Cache {
-	c := &Cache{spec: spec, rng: RandomStream(seed, "cache", spec.Name), factor: 1}
-	c.budget = WorkBudget{Multiple: spec.FallMultiple, Window: spec.FallWindow}
-	c.station = station{cores: float64(spec.Cores), slots: spec.Slots, room: spec.QueueLimit}
-	c.empty()
-	c.up = true
+	c := &Cache{spec: spec, rng: RandomStream(seed, "cache", spec.Name), slowdown: 1}
+	c.coldBudget = WorkBudget{Multiple: spec.FallMultiple, Window: spec.FallWindow}
+	c.station = station{cores: float64(spec.Cores), slots: spec.Slots, queueLimit: spec.QueueLimit}
+	c.clearState()
+	c.running = true
 	c.setSpeed(0)
 	return c
 }
 
-func (c *Cache) empty() {
-	c.kept, c.used, c.bytes = map[string]*list.Element{}, list.New(), 0
-	c.leases, c.gone = map[string]time.Duration{}, map[uint64]bool{}
-	c.fetches, c.held = map[string][]uint64{}, map[uint64]*Job{}
+func (c *Cache) clearState() {
+	c.values, c.lru, c.bytes = map[string]*list.Element{}, list.New(), 0
+	c.leases, c.cancelled = map[string]time.Duration{}, map[uint64]bool{}
+	c.fetches, c.atOrigin = map[string][]uint64{}, map[uint64]*Job{}
 }
 
 // Warmth is the part of its capacity that the process has reached by now, between 0 and 1.
 func (c *Cache) WarmFraction(now time.Duration) float64 {
-	if !c.cold || c.spec.WarmUp <= 0 || now-c.began >= c.spec.WarmUp {
+	if !c.startedCold || c.spec.WarmUp <= 0 || now-c.startedAt >= c.spec.WarmUp {
 		return 1
 	}
-	part := float64(now-c.began) / float64(c.spec.WarmUp)
+	part := float64(now-c.startedAt) / float64(c.spec.WarmUp)
 	return c.spec.ColdFrom + (1-c.spec.ColdFrom)*max(0, part)
 }
 
@@ -140,15 +140,15 @@
 func (c *Cache) Cold(now time.Duration) bool { return c.WarmFraction(now) < 1 }
 
 // Fell reports whether it was pushed over while cold; it stays down until Start.
-func (c *Cache) FellOver() bool { return c.fell }
+func (c *Cache) FellOver() bool { return c.fellOver }
 
 // Up reports whether the process runs.
-func (c *Cache) Up() bool { return c.up && !c.fell }
+func (c *Cache) Up() bool { return c.running && !c.fellOver }
 
 func (c *Cache) setSpeed(now time.Duration) {
 	c.station.speed = 0
-	if c.up && !c.fell && !c.paused {
-		c.station.speed = c.spec.Speed * c.WarmFraction(now) / c.factor * (1 - c.stolen)
+	if c.running && !c.fellOver && !c.paused {
+		c.station.speed = c.spec.Speed * c.WarmFraction(now) / c.slowdown * (1 - c.stolenPart)
 	}
 }
 
@@ -159,14 +159,14 @@
 		return Down
 	}
 	if c.Cold(now) {
-		c.budget.Slack = max(c.budget.Slack, 2*j.Work)
-		if spent, _ := c.budget.Add(now, j.Work, c.Capacity(now), false); spent {
-			c.fell = true
-			c.end()
+		c.coldBudget.Slack = max(c.coldBudget.Slack, 2*j.Work)
+		if spent, _ := c.coldBudget.Add(now, j.Work, c.Capacity(now), false); spent {
+			c.fellOver = true
+			c.discardJobs()
 			return Down
 		}
 	}
-	if c.drains || !c.station.offer(&j) {
+	if c.draining || !c.station.admit(&j) {
 		return Busy
 	}
 	return Accepted
@@ -176,23 +176,23 @@
 func (c *Cache) Connect(now time.Duration) {
 	c.advance(now)
 	if c.spec.HandshakeWork > 0 && c.Up() {
-		c.station.offer(&Job{Work: c.spec.HandshakeWork})
+		c.station.admit(&Job{Work: c.spec.HandshakeWork})
 	}
 }
 
 // Cancel notes that nobody waits for a job any more. It may go on; nothing is told of it.
 func (c *Cache) Cancel(now time.Duration, token uint64) {
 	c.advance(now)
-	if !c.station.drop(token, true, !c.spec.IgnoresCancel) {
-		c.gone[token] = true
+	if !c.station.remove(token, true, !c.spec.IgnoresCancel) {
+		c.cancelled[token] = true
 	}
 }
 
 // Next is when something happens by itself, if nothing comes before.
 func (c *Cache) Next() (time.Duration, bool) {
-	at, ok := c.station.next()
+	at, ok := c.station.nextCompletion()
 	if ok && (c.Cold(c.station.now) || c.paused) {
-		at = min(at, c.station.now+coldStep) // the speed changes under way
+		at = min(at, c.station.now+warmUpStep) // the speed changes under way
 	}
 	return at, ok
 }
@@ -200,8 +200,8 @@
 // Advance lets time pass and gives what has ended and what is wanted of the origin.
 func (c *Cache) Advance(now time.Duration) ([]Completion, []OriginRequest) {
 	c.advance(now)
-	done, asks := c.done, c.asks
-	c.done, c.asks = nil, nil
+	done, asks := c.completions, c.originRequests
+	c.completions, c.originRequests = nil, nil
 	return done, asks
 }
 
@@ -210,7 +210,7 @@
 		c.setSpeed(c.station.now)
 		to := now
 		if c.Cold(c.station.now) {
-			to = min(to, c.station.now+coldStep)
+			to = min(to, c.station.now+warmUpStep)
 		}
 		c.station.advance(to, c.finish)
 	}
@@ -222,21 +222,21 @@
 	if j.Token == 0 {
 		return // a handshake
 	}
-	if c.gone[j.Token] && !j.Write {
-		delete(c.gone, j.Token)
+	if c.cancelled[j.Token] && !j.Write {
+		delete(c.cancelled, j.Token)
 		return
 	}
-	e, kept := c.kept[j.Key]
+	e, kept := c.values[j.Key]
 	switch {
 	case j.Write && c.spec.Through:
-		c.hold(at, j, true)
+		c.holdForOrigin(at, j, true)
 	case j.Write: // only the origin takes writes
-		c.tell(Completion{Token: j.Token, At: at, Outcome: Miss, Key: j.Key})
+		c.complete(Completion{Token: j.Token, At: at, Outcome: Miss, Key: j.Key})
 	case kept:
-		c.used.MoveToFront(e)
-		c.tell(Completion{Token: j.Token, At: at, Outcome: Hit, Version: e.Value.(*object).version, Key: j.Key})
+		c.lru.MoveToFront(e)
+		c.complete(Completion{Token: j.Token, At: at, Outcome: Hit, Version: e.Value.(*cachedValue).version, Key: j.Key})
 	case c.spec.Through:
-		c.hold(at, j, false)
+		c.holdForOrigin(at, j, false)
 	default:
 		ending := Miss
 		if until, out := c.leases[j.Key]; out && at < until {
@@ -244,13 +244,13 @@
 		} else if c.spec.Lease > 0 {
 			c.leases[j.Key] = at + c.spec.Lease
 		}
-		c.tell(Completion{Token: j.Token, At: at, Outcome: ending, Key: j.Key})
+		c.complete(Completion{Token: j.Token, At: at, Outcome: ending, Key: j.Key})
 	}
 }
 
-func (c *Cache) hold(at time.Duration, j *Job, write bool) {
-	c.station.held++
-	c.held[j.Token] = j
+func (c *Cache) holdForOrigin(at time.Duration, j *Job, write bool) {
+	c.station.heldSlots++
+	c.atOrigin[j.Token] = j
 	if !write {
 		waits := c.fetches[j.Key]
 		c.fetches[j.Key] = append(waits, j.Token)
@@ -258,13 +258,13 @@
 			return
 		}
 	}
-	c.asks = append(c.asks, OriginRequest{Token: j.Token, At: at, Key: j.Key, Write: write, Idem: j.Idem})
+	c.originRequests = append(c.originRequests, OriginRequest{Token: j.Token, At: at, Key: j.Key, Write: write, Idem: j.Idem})
 }
 
 // Answer brings what the origin said to an Ask, in through mode.
 func (c *Cache) OriginAnswered(now time.Duration, token uint64, d Completion) {
 	c.advance(now)
-	j := c.held[token]
+	j := c.atOrigin[token]
 	if j == nil {
 		return
 	}
@@ -277,19 +277,19 @@
 		c.Store(now, j.Key, d.Version, int64(j.Size))
 	}
 	for _, t := range tokens {
-		delete(c.held, t)
-		c.station.held--
-		c.tell(Completion{Token: t, At: now, Outcome: d.Outcome, Version: d.Version, Receipt: d.Receipt, Key: j.Key})
+		delete(c.atOrigin, t)
+		c.station.heldSlots--
+		c.complete(Completion{Token: t, At: now, Outcome: d.Outcome, Version: d.Version, Receipt: d.Receipt, Key: j.Key})
 	}
-	c.station.refill()
+	c.station.startQueued()
 }
 
-func (c *Cache) tell(d Completion) {
-	if c.gone[d.Token] {
-		delete(c.gone, d.Token)
+func (c *Cache) complete(d Completion) {
+	if c.cancelled[d.Token] {
+		delete(c.cancelled, d.Token)
 		return
 	}
-	c.done = append(c.done, d)
+	c.completions = append(c.completions, d)
 }
 
 // Store keeps a value.
@@ -298,55 +298,55 @@
 		return
 	}
 	delete(c.leases, key)
-	if e := c.kept[key]; e != nil {
-		o := e.Value.(*object)
+	if e := c.values[key]; e != nil {
+		o := e.Value.(*cachedValue)
 		if version < o.version {
 			return
 		}
 		c.bytes += size - o.size
 		o.version, o.size = version, size
-		c.used.MoveToFront(e)
+		c.lru.MoveToFront(e)
 	} else {
-		c.kept[key] = c.used.PushFront(&object{key, version, size})
+		c.values[key] = c.lru.PushFront(&cachedValue{key, version, size})
 		c.bytes += size
 	}
 	for c.bytes > c.spec.MemoryBytes {
-		c.forget(c.used.Back().Value.(*object).key)
+		c.evict(c.lru.Back().Value.(*cachedValue).key)
 	}
 }
 
-func (c *Cache) forget(key string) {
-	if e := c.kept[key]; e != nil {
-		c.bytes -= e.Value.(*object).size
-		c.used.Remove(e)
-		delete(c.kept, key)
+func (c *Cache) evict(key string) {
+	if e := c.values[key]; e != nil {
+		c.bytes -= e.Value.(*cachedValue).size
+		c.lru.Remove(e)
+		delete(c.values, key)
 	}
 }
 
 // Void drops the copy of a key.
-func (c *Cache) Invalidate(key string) { c.forget(key) }
+func (c *Cache) Invalidate(key string) { c.evict(key) }
 
 // Flush drops that share of the copies, by chance.
 func (c *Cache) Flush(share float64) {
-	keys := make([]string, 0, len(c.kept))
-	for k := range c.kept {
+	keys := make([]string, 0, len(c.values))
+	for k := range c.values {
 		keys = append(keys, k)
 	}
 	slices.Sort(keys)
 	for _, k := range keys {
 		if c.rng.Float64() < share {
-			c.forget(k)
+			c.evict(k)
 		}
 	}
 }
 
 // Kept is the number of values kept and their bytes.
-func (c *Cache) Size() (values int, bytes int64) { return len(c.kept), c.bytes }
+func (c *Cache) Size() (values int, bytes int64) { return len(c.values), c.bytes }
 
 // Has reports whether a value is kept, and its version.
 func (c *Cache) CachedVersion(key string) (int64, bool) {
-	if e := c.kept[key]; e != nil {
-		return e.Value.(*object).version, true
+	if e := c.values[key]; e != nil {
+		return e.Value.(*cachedValue).version, true
 	}
 	return 0, false
 }
@@ -354,18 +354,18 @@
 // Stop ends the process: what it had taken is gone. It gives the tokens of those jobs.
 func (c *Cache) Stop(now time.Duration) []uint64 {
 	c.advance(now)
-	c.up = false
-	return c.end()
+	c.running = false
+	return c.discardJobs()
 }
 
-func (c *Cache) end() []uint64 {
+func (c *Cache) discardJobs() []uint64 {
 	tokens := c.station.clear()
-	for t := range c.held {
+	for t := range c.atOrigin {
 		tokens = append(tokens, t)
 	}
 	slices.Sort(tokens)
-	c.empty()
-	c.done, c.asks = nil, nil
+	c.clearState()
+	c.completions, c.originRequests = nil, nil
 	c.setSpeed(c.station.now)
 	return slices.DeleteFunc(tokens, func(t uint64) bool { return t == 0 })
 }
@@ -373,20 +373,20 @@
 // Start begins a new process: empty and, if cold is set, slow until it is warm.
 func (c *Cache) Start(now time.Duration, cold bool) {
 	c.advance(now)
-	c.end()
-	c.budget.Reset()
-	c.up, c.fell, c.drains, c.paused, c.factor, c.stolen = true, false, false, false, 1, 0
-	c.began, c.cold = now, cold
+	c.discardJobs()
+	c.coldBudget.Reset()
+	c.running, c.fellOver, c.draining, c.paused, c.slowdown, c.stolenPart = true, false, false, false, 1, 0
+	c.startedAt, c.startedCold = now, cold
 	c.setSpeed(now)
 }
 
 // Began is when the process started, and whether it did so cold.
-func (c *Cache) Started() (at time.Duration, cold bool) { return c.began, c.cold }
+func (c *Cache) Started() (at time.Duration, cold bool) { return c.startedAt, c.startedCold }
 
 // Drain makes it finish what it has and turn away what is new.
 func (c *Cache) Drain(now time.Duration, on bool) {
 	c.advance(now)
-	c.drains = on
+	c.draining = on
 }
 
 // Pause makes it stand still, or go on.
@@ -399,30 +399,30 @@
 // Slow makes all its work take so many times as long; 1 is as ever.
 func (c *Cache) Slow(now time.Duration, factor float64) {
 	c.advance(now)
-	c.factor = max(factor, 1e-3)
+	c.slowdown = max(factor, 1e-3)
 	c.setSpeed(now)
 }
 
 // Steal gives a part of the machine to a neighbour; 0 is none.
 func (c *Cache) Steal(now time.Duration, part float64) {
 	c.advance(now)
-	c.stolen = min(max(part, 0), 1)
+	c.stolenPart = min(max(part, 0), 1)
 	c.setSpeed(now)
 }
 
 // Report is the load report that it gives now: as old as its refreshing allows, and a little wrong.
 func (c *Cache) LoadReport(now time.Duration) LoadReport {
 	c.advance(now)
-	if c.told == 0 || now-c.told >= c.spec.ReportInterval {
+	if c.reportedAt == 0 || now-c.reportedAt >= c.spec.ReportInterval {
 		noise := func() float64 { return 1 + c.spec.ReportNoise*c.rng.NormFloat64() }
-		c.report = LoadReport{Utilization: math.Round(100*min(1, max(0, c.station.load()*noise()))) / 100,
-			Queue: max(0, int(math.Round(float64(len(c.station.waiting))*noise())))}
-		c.told = now
+		c.report = LoadReport{Utilization: math.Round(100*min(1, max(0, c.station.utilization()*noise()))) / 100,
+			Queue: max(0, int(math.Round(float64(len(c.station.queue))*noise())))}
+		c.reportedAt = now
 	}
 	return c.report
 }
 
 // Holds is the number of jobs in work, holding a slot, and waiting.
 func (c *Cache) JobCounts() (working, waiting int) {
-	return len(c.station.work) + c.station.held, len(c.station.waiting)
+	return len(c.station.running) + c.station.heldSlots, len(c.station.queue)
 }
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -46,7 +46,7 @@
 	Index     int
 }
 
-func (s Shape) acts(at time.Duration) bool { return at >= s.From && at < s.To }
+func (s Shape) active(at time.Duration) bool { return at >= s.From && at < s.To }
 
 // Arrival is a client's wish, drawn ahead: its first try and what it will do if that fails. Nothing that happens in a run
 // changes it.
@@ -67,7 +67,7 @@
 
 // ID is the id of one of its tries, from 0.
 func (a *Arrival) ID(seed uint64, try int) string {
-	return fmt.Sprintf("%016x", digest(seed, "id", strconv.Itoa(a.N), strconv.Itoa(try)))
+	return fmt.Sprintf("%016x", hash(seed, "id", strconv.Itoa(a.N), strconv.Itoa(try)))
 }
 
 // String is the arrival as a line of a plan.
@@ -78,57 +78,57 @@
 
 // Source draws arrivals, in order. The same seed and figures give the same ones.
 type Source struct {
-	spec    ClientSpec
-	classes []Class
-	tenants []Tenant
-	shapes  []Shape
-	seed    uint64
-	end     time.Duration
-	now     time.Duration
-	n       int
-	most    float64 // the highest rate of the run
-	gaps    *rand.Rand
-	picks   *rand.Rand
-	zipf    []float64
-	shares  [3][]float64 // cumulative: classes, tenants, nodes
-	quota   []tally
+	spec             ClientSpec
+	classes          []Class
+	tenants          []Tenant
+	shapes           []Shape
+	seed             uint64
+	end              time.Duration
+	now              time.Duration
+	count            int
+	maxRate          float64 // the highest rate of the run
+	gapRand          *rand.Rand
+	choiceRand       *rand.Rand
+	keyWeights       []float64
+	cumulativeShares [3][]float64 // cumulative: classes, tenants, nodes
+	quotaCounters    []quotaCounter
 }
 
 // tally counts a tenant's requests of the present second.
-type tally struct {
+type quotaCounter struct {
 	second int64
 	count  float64
 }
 
 // NewSource makes a source that runs until end.
 func NewSource(spec ClientSpec, classes []Class, tenants []Tenant, shapes []Shape, seed uint64, end time.Duration) *Source {
-	s := &Source{spec: spec, classes: classes, tenants: tenants, shapes: shapes, seed: seed, end: end, most: spec.Rate,
-		gaps: RandomStream(seed, "gaps"), picks: RandomStream(seed, "picks"), quota: make([]tally, len(tenants))}
+	s := &Source{spec: spec, classes: classes, tenants: tenants, shapes: shapes, seed: seed, end: end, maxRate: spec.Rate,
+		gapRand: RandomStream(seed, "gaps"), choiceRand: RandomStream(seed, "picks"), quotaCounters: make([]quotaCounter, len(tenants))}
 	for _, x := range shapes {
 		if x.Kind == Surge && x.Magnitude > 1 {
-			s.most *= x.Magnitude // shapes may overlap
+			s.maxRate *= x.Magnitude // shapes may overlap
 		}
 	}
-	s.zipf = make([]float64, max(1, spec.Keys))
+	s.keyWeights = make([]float64, max(1, spec.Keys))
 	sum := 0.0
-	for i := range s.zipf {
+	for i := range s.keyWeights {
 		sum += math.Pow(float64(i+1)+spec.Offset, -spec.Zipf)
-		s.zipf[i] = sum
+		s.keyWeights[i] = sum
 	}
 	for _, c := range classes {
-		s.shares[0] = append(s.shares[0], c.Share)
+		s.cumulativeShares[0] = append(s.cumulativeShares[0], c.Share)
 	}
 	for _, t := range tenants {
-		s.shares[1] = append(s.shares[1], t.Share)
+		s.cumulativeShares[1] = append(s.cumulativeShares[1], t.Share)
 	}
 	for i := range max(1, spec.Nodes) {
 		share := 1.0
 		if i < len(spec.NodeShares) {
 			share = spec.NodeShares[i]
 		}
-		s.shares[2] = append(s.shares[2], share)
+		s.cumulativeShares[2] = append(s.cumulativeShares[2], share)
 	}
-	for _, list := range s.shares {
+	for _, list := range s.cumulativeShares {
 		for i := 1; i < len(list); i++ {
 			list[i] += list[i-1]
 		}
@@ -140,7 +140,7 @@
 func (s *Source) Rate(at time.Duration) float64 {
 	r := s.spec.Rate
 	for _, x := range s.shapes {
-		if x.Kind == Surge && x.acts(at) {
+		if x.Kind == Surge && x.active(at) {
 			r *= x.Magnitude
 		}
 	}
@@ -152,35 +152,35 @@
 	if len(shares) == 0 {
 		return -1
 	}
-	x := s.picks.Float64() * shares[len(shares)-1]
+	x := s.choiceRand.Float64() * shares[len(shares)-1]
 	return min(sort.SearchFloat64s(shares, x), len(shares)-1)
 }
 
 // Next draws the next arrival; false when the run is over.
 func (s *Source) Next() (Arrival, bool) {
-	if s.most <= 0 {
+	if s.maxRate <= 0 {
 		return Arrival{}, false
 	}
 	for {
-		s.now += time.Duration(s.gaps.ExpFloat64() / s.most * float64(time.Second))
+		s.now += time.Duration(s.gapRand.ExpFloat64() / s.maxRate * float64(time.Second))
 		if s.now >= s.end {
 			return Arrival{}, false
 		}
-		if s.gaps.Float64()*s.most < s.Rate(s.now) {
+		if s.gapRand.Float64()*s.maxRate < s.Rate(s.now) {
 			break
 		}
 	}
-	a := Arrival{N: s.n, At: s.now, Class: s.draw(s.shares[0]), Tenant: s.draw(s.shares[1]), Node: s.draw(s.shares[2])}
-	s.n++
-	rank := sort.SearchFloat64s(s.zipf, s.picks.Float64()*s.zipf[len(s.zipf)-1])
-	key := s.key(min(rank, len(s.zipf)-1))
+	a := Arrival{N: s.count, At: s.now, Class: s.draw(s.cumulativeShares[0]), Tenant: s.draw(s.cumulativeShares[1]), Node: s.draw(s.cumulativeShares[2])}
+	s.count++
+	rank := sort.SearchFloat64s(s.keyWeights, s.choiceRand.Float64()*s.keyWeights[len(s.keyWeights)-1])
+	key := s.keyName(min(rank, len(s.keyWeights)-1))
 	for i, x := range s.shapes {
-		if x.Kind == Surge || !x.acts(s.now) || s.picks.Float64() >= x.Magnitude {
+		if x.Kind == Surge || !x.active(s.now) || s.choiceRand.Float64() >= x.Magnitude {
 			continue
 		}
 		switch x.Kind {
 		case HotKeys:
-			key = fmt.Sprintf("hot%d-%d", i, s.picks.IntN(max(1, x.Count)))
+			key = fmt.Sprintf("hot%d-%d", i, s.choiceRand.IntN(max(1, x.Count)))
 		case HotTenant:
 			a.Tenant = x.Index
 		case HotNode:
@@ -188,57 +188,57 @@
 		}
 	}
 	c := &s.classes[a.Class]
-	a.Key = s.spell(key)
+	a.Key = s.keyText(key)
 	if c.Write {
 		a.Size = SizeOf(s.seed, c, a.Key)
 	}
 	if c.Effect == Keyed {
-		a.Idem = fmt.Sprintf("%016x", digest(s.seed, "idem", strconv.Itoa(a.N)))
+		a.Idem = fmt.Sprintf("%016x", hash(s.seed, "idem", strconv.Itoa(a.N)))
 	}
 	lo, hi := s.spec.TimeoutRange[0], s.spec.TimeoutRange[1]
-	a.Timeout = max(time.Millisecond, time.Duration((lo+(hi-lo)*s.picks.Float64())*float64(c.Deadline)).Truncate(time.Millisecond))
+	a.Timeout = max(time.Millisecond, time.Duration((lo+(hi-lo)*s.choiceRand.Float64())*float64(c.Deadline)).Truncate(time.Millisecond))
 	a.MaxTries = 1 + s.spec.MaxRetries
-	if leave, part := s.picks.Float64(), s.picks.Float64(); leave < s.spec.LeaveShare {
+	if leave, part := s.choiceRand.Float64(), s.choiceRand.Float64(); leave < s.spec.LeaveShare {
 		a.LeaveAfter = time.Duration(part * float64(a.Timeout))
 	}
 	if a.Tenant >= 0 {
-		a.OverQuota = s.over(a.Tenant)
+		a.OverQuota = s.exceedsQuota(a.Tenant)
 	}
 	return a, true
 }
 
 // spell is a key's text: what it begins with tells nothing of its rank.
-func (s *Source) spell(key string) string {
-	return fmt.Sprintf("%x-%s", digest(s.seed, "key", key)>>40, key)
+func (s *Source) keyText(key string) string {
+	return fmt.Sprintf("%x-%s", hash(s.seed, "key", key)>>40, key)
 }
 
 // Popular gives the keys that are asked for when the run begins, the most popular first, at most so many.
 func (s *Source) PopularKeys(most int) []string {
-	keys := make([]string, 0, min(most, len(s.zipf)))
-	for rank := range min(most, len(s.zipf)) {
-		keys = append(keys, s.spell(s.key(rank)))
+	keys := make([]string, 0, min(most, len(s.keyWeights)))
+	for rank := range min(most, len(s.keyWeights)) {
+		keys = append(keys, s.keyText(s.keyName(rank)))
 	}
 	return keys
 }
 
 // key names the key of a rank; drift replaces it by and by, each at times of its own.
-func (s *Source) key(rank int) string {
+func (s *Source) keyName(rank int) string {
 	if s.spec.Drift <= 0 {
 		return "k" + strconv.Itoa(rank)
 	}
-	turn := math.Floor(s.now.Seconds()*s.spec.Drift + unit(digest(s.seed, "turn", strconv.Itoa(rank))))
+	turn := math.Floor(s.now.Seconds()*s.spec.Drift + unitInterval(hash(s.seed, "turn", strconv.Itoa(rank))))
 	return fmt.Sprintf("k%d.%d", rank, int(turn))
 }
 
 // over counts a tenant's request and reports whether it is beyond the quota of its second.
-func (s *Source) over(tenant int) bool {
+func (s *Source) exceedsQuota(tenant int) bool {
 	quota := s.tenants[tenant].Quota
 	if quota <= 0 {
 		return false
 	}
-	t := &s.quota[tenant]
+	t := &s.quotaCounters[tenant]
 	if second := int64(s.now / time.Second); second != t.second {
-		*t = tally{second: second}
+		*t = quotaCounter{second: second}
 	}
 	t.count++
 	return t.count > quota
--- a/lab/world/origin.go
+++ b/lab/world/origin.go
@@ -22,48 +22,48 @@
 
 // Origin is what holds all values. It carries out writes, each idempotency key once within its window.
 type Origin struct {
-	spec     OriginSpec
-	station  station
-	rng      *rand.Rand
-	versions map[string]int64
-	seen     map[string]*effect
-	order    []string // of seen, the oldest first
-	jobs     map[uint64]*originJob
-	receipts int64
-	factor   float64
-	until    time.Duration // stopped until then
-	paused   bool
-	stops    int
-	budget   WorkBudget
-	done     []Completion
-	lost     []uint64
+	spec         OriginSpec
+	station      station
+	rng          *rand.Rand
+	versions     map[string]int64
+	effects      map[string]*effect
+	effectOrder  []string // of seen, the oldest first
+	jobs         map[uint64]*originJob
+	receipts     int64
+	slowdown     float64
+	stoppedUntil time.Duration // stopped until then
+	paused       bool
+	stops        int
+	budget       WorkBudget
+	completions  []Completion
+	lost         []uint64
 }
 
 type originJob struct {
 	Job
-	came time.Duration
-	gone bool
+	arrivedAt time.Duration
+	cancelled bool
 }
 
 type effect struct {
-	began   time.Duration // when the first attempt that may have run came
-	receipt string
-	version int64
+	firstArrival time.Duration // when the first attempt that may have run came
+	receipt      string
+	version      int64
 }
 
 // NewOrigin makes an origin that runs.
 func NewOrigin(spec OriginSpec, seed uint64) *Origin {
-	o := &Origin{spec: spec, rng: RandomStream(seed, "origin"), versions: map[string]int64{}, seen: map[string]*effect{},
-		jobs: map[uint64]*originJob{}, factor: 1}
-	o.station = station{cores: float64(spec.Cores), slots: spec.Slots, room: spec.QueueLimit}
+	o := &Origin{spec: spec, rng: RandomStream(seed, "origin"), versions: map[string]int64{}, effects: map[string]*effect{},
+		jobs: map[uint64]*originJob{}, slowdown: 1}
+	o.station = station{cores: float64(spec.Cores), slots: spec.Slots, queueLimit: spec.QueueLimit}
 	o.budget = WorkBudget{Multiple: spec.FallMultiple, Window: spec.FallWindow}
 	o.setSpeed(0)
 	return o
 }
 
 func (o *Origin) setSpeed(now time.Duration) {
-	o.station.speed = 1 / o.factor
-	if o.paused || now < o.until {
+	o.station.speed = 1 / o.slowdown
+	if o.paused || now < o.stoppedUntil {
 		o.station.speed = 0
 	}
 }
@@ -78,7 +78,7 @@
 func (o *Origin) StopCount() int { return o.stops }
 
 // Stopped reports whether it is stopped now.
-func (o *Origin) Stopped(now time.Duration) bool { return now < o.until }
+func (o *Origin) Stopped(now time.Duration) bool { return now < o.stoppedUntil }
 
 // Offer brings a job, whose work it draws itself; it gives that work too. Where the verdict is Dead it has stopped: the
 // jobs that it had are lost, see Lost.
@@ -98,8 +98,8 @@
 		o.stops++
 		return Down, j.Work
 	}
-	job := &originJob{Job: j, came: now}
-	if !o.station.offer(&job.Job) {
+	job := &originJob{Job: j, arrivedAt: now}
+	if !o.station.admit(&job.Job) {
 		return Busy, j.Work
 	}
 	o.jobs[j.Token] = job
@@ -109,7 +109,7 @@
 // Stop makes it lose what it has and answer nothing for a while.
 func (o *Origin) Stop(now, length time.Duration) {
 	o.advance(now)
-	o.until = now + length
+	o.stoppedUntil = now + length
 	o.lost = append(o.lost, o.station.clear()...)
 	for _, t := range o.lost {
 		delete(o.jobs, t)
@@ -132,7 +132,7 @@
 	if j == nil {
 		return
 	}
-	if j.gone = true; o.station.drop(token, true, !o.spec.IgnoresCancel && !j.Write) {
+	if j.cancelled = true; o.station.remove(token, true, !o.spec.IgnoresCancel && !j.Write) {
 		delete(o.jobs, token)
 	}
 }
@@ -140,7 +140,7 @@
 // Slow makes its work take so many times as long; 1 is as ever.
 func (o *Origin) Slow(now time.Duration, factor float64) {
 	o.advance(now)
-	o.factor = max(factor, 1e-3)
+	o.slowdown = max(factor, 1e-3)
 	o.setSpeed(now)
 }
 
@@ -152,14 +152,14 @@
 }
 
 // Next is when something happens by itself, if nothing comes before.
-func (o *Origin) Next() (time.Duration, bool) { return o.station.next() }
+func (o *Origin) Next() (time.Duration, bool) { return o.station.nextCompletion() }
 
 // Advance lets time pass and gives what has ended. What nobody waits for is given too, if it was a write that took
 // effect: its copies are void.
 func (o *Origin) Advance(now time.Duration) []Completion {
 	o.advance(now)
-	d := o.done
-	o.done = nil
+	d := o.completions
+	o.completions = nil
 	return d
 }
 
@@ -167,8 +167,8 @@
 	for o.station.now < now {
 		o.setSpeed(o.station.now)
 		to := now
-		if o.station.now < o.until {
-			to = min(now, o.until)
+		if o.station.now < o.stoppedUntil {
+			to = min(now, o.stoppedUntil)
 		}
 		o.station.advance(to, o.finish)
 	}
@@ -183,37 +183,37 @@
 	}
 	d := Completion{Token: j.Token, At: at, Key: j.Key, Idem: j.Idem}
 	if !j.Write {
-		if d.Outcome, d.Version = Fetched, o.versions[j.Key]; !job.gone {
-			o.done = append(o.done, d)
+		if d.Outcome, d.Version = Fetched, o.versions[j.Key]; !job.cancelled {
+			o.completions = append(o.completions, d)
 		}
 		return
 	}
 	d.Outcome = Stored
-	e := o.seen[j.Idem]
-	if j.Idem == "" || e == nil || job.came-e.began > o.spec.DedupWindow {
+	e := o.effects[j.Idem]
+	if j.Idem == "" || e == nil || job.arrivedAt-e.firstArrival > o.spec.DedupWindow {
 		o.receipts++
 		o.versions[j.Key]++
-		e = &effect{began: job.came, receipt: fmt.Sprintf("R%d", o.receipts), version: o.versions[j.Key]}
+		e = &effect{firstArrival: job.arrivedAt, receipt: fmt.Sprintf("R%d", o.receipts), version: o.versions[j.Key]}
 		if j.Idem != "" {
-			o.remember(j.Idem, e)
+			o.rememberEffect(j.Idem, e)
 		}
 		d.Applied = true
 	}
 	d.Receipt, d.Version = e.receipt, e.version
-	if d.Applied || !job.gone {
-		o.done = append(o.done, d)
+	if d.Applied || !job.cancelled {
+		o.completions = append(o.completions, d)
 	}
 }
 
 // remember keeps an effect for its window, and no longer than needed.
-func (o *Origin) remember(idem string, e *effect) {
-	for len(o.order) > 0 {
-		if old := o.seen[o.order[0]]; old != nil && o.station.now-old.began <= 2*o.spec.DedupWindow {
+func (o *Origin) rememberEffect(idem string, e *effect) {
+	for len(o.effectOrder) > 0 {
+		if old := o.effects[o.effectOrder[0]]; old != nil && o.station.now-old.firstArrival <= 2*o.spec.DedupWindow {
 			break
 		}
-		delete(o.seen, o.order[0])
-		o.order = o.order[1:]
+		delete(o.effects, o.effectOrder[0])
+		o.effectOrder = o.effectOrder[1:]
 	}
-	o.seen[idem] = e
-	o.order = append(o.order, idem)
+	o.effects[idem] = e
+	o.effectOrder = append(o.effectOrder, idem)
 }
--- a/lab/world/roster.go
+++ b/lab/world/roster.go
@@ -30,23 +30,23 @@
 
 // Roster is the list of servers as its service tells it: late, by revisions, whole or as changes.
 type ServerList struct {
-	log     []change // by revision, the oldest forgotten
-	members map[string]Member
-	rev     int64
-	first   int64 // changes after this revision are still known
-	keep    int
-	hidden  []change // not to be seen yet, by when they will
+	changes    []change // by revision, the oldest forgotten
+	members    map[string]Member
+	revision   int64
+	oldestBase int64 // changes after this revision are still known
+	maxChanges int
+	pending    []change // not to be seen yet, by when they will
 }
 
 type change struct {
-	rev     int64
-	member  Member
-	visible time.Duration
+	revision  int64
+	member    Member
+	visibleAt time.Duration
 }
 
 // NewRoster makes a list that remembers so many changes.
 func NewServerList(keep int, members ...Member) *ServerList {
-	r := &ServerList{members: map[string]Member{}, keep: keep, rev: 1, first: 1}
+	r := &ServerList{members: map[string]Member{}, maxChanges: keep, revision: 1, oldestBase: 1}
 	for _, m := range members {
 		r.members[m.ID] = m
 	}
@@ -56,26 +56,26 @@
 // Set changes an entry; the list shows it after the delay.
 func (r *ServerList) Set(now, delay time.Duration, m Member) {
 	r.advance(now)
-	r.hidden = append(r.hidden, change{member: m, visible: now + delay})
-	slices.SortStableFunc(r.hidden, func(a, b change) int { return cmp.Compare(a.visible, b.visible) })
+	r.pending = append(r.pending, change{member: m, visibleAt: now + delay})
+	slices.SortStableFunc(r.pending, func(a, b change) int { return cmp.Compare(a.visibleAt, b.visibleAt) })
 	r.advance(now)
 }
 
 func (r *ServerList) advance(now time.Duration) {
-	for len(r.hidden) > 0 && r.hidden[0].visible <= now {
-		c := r.hidden[0]
-		r.hidden = r.hidden[1:]
-		r.rev++
-		c.rev = r.rev
+	for len(r.pending) > 0 && r.pending[0].visibleAt <= now {
+		c := r.pending[0]
+		r.pending = r.pending[1:]
+		r.revision++
+		c.revision = r.revision
 		if c.member.Phase == Deleted {
 			delete(r.members, c.member.ID)
 		} else {
 			r.members[c.member.ID] = c.member
 		}
-		r.log = append(r.log, c)
-		if len(r.log) > r.keep {
-			r.first = r.log[len(r.log)-r.keep-1].rev
-			r.log = slices.Clone(r.log[len(r.log)-r.keep:])
+		r.changes = append(r.changes, c)
+		if len(r.changes) > r.maxChanges {
+			r.oldestBase = r.changes[len(r.changes)-r.maxChanges-1].revision
+			r.changes = slices.Clone(r.changes[len(r.changes)-r.maxChanges:])
 		}
 	}
 }
@@ -83,7 +83,7 @@
 // Revision is the list's version now.
 func (r *ServerList) Revision(now time.Duration) int64 {
 	r.advance(now)
-	return r.rev
+	return r.revision
 }
 
 // Whole is the list as it shows now, by id.
@@ -93,34 +93,34 @@
 		members = append(members, m)
 	}
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
-	return r.rev, members
+	return r.revision, members
 }
 
 // Since gives what has changed after a revision, each server once as it is now. With known unset the changes are
 // forgotten, or the revision was never one of this list: only the whole list tells.
 func (r *ServerList) ChangesSince(now time.Duration, rev int64) (at int64, changes []Member, known bool) {
 	r.advance(now)
-	if rev < r.first || rev > r.rev {
-		return r.rev, nil, false
+	if rev < r.oldestBase || rev > r.revision {
+		return r.revision, nil, false
 	}
 	last := map[string]int{}
-	for i, c := range r.log {
-		if c.rev > rev {
+	for i, c := range r.changes {
+		if c.revision > rev {
 			last[c.member.ID] = i
 		}
 	}
-	for i, c := range r.log {
-		if c.rev > rev && last[c.member.ID] == i {
+	for i, c := range r.changes {
+		if c.revision > rev && last[c.member.ID] == i {
 			changes = append(changes, c.member)
 		}
 	}
-	return r.rev, changes, true
+	return r.revision, changes, true
 }
 
 // Next is when the next change shows.
 func (r *ServerList) NextVisible() (time.Duration, bool) {
-	if len(r.hidden) == 0 {
+	if len(r.pending) == 0 {
 		return 0, false
 	}
-	return r.hidden[0].visible, true
+	return r.pending[0].visibleAt, true
 }
--- a/lab/world/station.go
+++ b/lab/world/station.go
@@ -28,35 +28,35 @@
 
 // station shares cores evenly among the jobs in work; so many may be in work, so many may wait, the rest is turned away.
 type station struct {
-	cores       float64
-	slots, room int
-	speed       float64 // of a core now, in work a second
-	now         time.Duration
-	given       float64 // work that each job in work has had since the start, in seconds
-	work        workHeap
-	waiting     []*Job
-	held        int // slots that are held without working
-	busy        float64
-	serial      uint64
-	left        time.Duration // until when busy has been read
+	cores             float64
+	slots, queueLimit int
+	speed             float64 // of a core now, in work a second
+	now               time.Duration
+	attained          float64 // work that each job in work has had since the start, in seconds
+	running           runningHeap
+	queue             []*Job
+	heldSlots         int // slots that are held without working
+	busySeconds       float64
+	lastSequence      uint64
+	loadReadAt        time.Duration // until when busy has been read
 }
 
 // inWork is a job in work; it is finished once the station has given so much to each.
-type inWork struct {
-	job    *Job
-	finish float64
-	serial uint64
+type runningJob struct {
+	job      *Job
+	finish   float64
+	sequence uint64
 }
 
-type workHeap []inWork
+type runningHeap []runningJob
 
-func (h workHeap) Len() int { return len(h) }
-func (h workHeap) Less(i, j int) bool {
-	return h[i].finish < h[j].finish || h[i].finish == h[j].finish && h[i].serial < h[j].serial
+func (h runningHeap) Len() int { return len(h) }
+func (h runningHeap) Less(i, j int) bool {
+	return h[i].finish < h[j].finish || h[i].finish == h[j].finish && h[i].sequence < h[j].sequence
 }
-func (h workHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *workHeap) Push(x any)   { *h = append(*h, x.(inWork)) }
-func (h *workHeap) Pop() any {
+func (h runningHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *runningHeap) Push(x any)   { *h = append(*h, x.(runningJob)) }
+func (h *runningHeap) Pop() any {
 	last := len(*h) - 1
 	x := (*h)[last]
 	*h = (*h)[:last]
@@ -65,47 +65,47 @@
 
 // rate is the work that each job in work gets in a second.
 func (s *station) rate() float64 {
-	if len(s.work) == 0 {
+	if len(s.running) == 0 {
 		return 0
 	}
-	return s.speed * min(1, s.cores/float64(len(s.work)))
+	return s.speed * min(1, s.cores/float64(len(s.running)))
 }
 
 // offer takes a job in, or turns it away.
-func (s *station) offer(j *Job) bool {
+func (s *station) admit(j *Job) bool {
 	switch {
-	case len(s.work)+s.held < s.slots:
-		s.begin(j)
-	case len(s.waiting) < s.room:
-		s.waiting = append(s.waiting, j)
+	case len(s.running)+s.heldSlots < s.slots:
+		s.start(j)
+	case len(s.queue) < s.queueLimit:
+		s.queue = append(s.queue, j)
 	default:
 		return false
 	}
 	return true
 }
 
-func (s *station) begin(j *Job) {
-	s.serial++
-	heap.Push(&s.work, inWork{j, s.given + j.Work.Seconds(), s.serial})
+func (s *station) start(j *Job) {
+	s.lastSequence++
+	heap.Push(&s.running, runningJob{j, s.attained + j.Work.Seconds(), s.lastSequence})
 }
 
 // refill begins what waits while there are slots.
-func (s *station) refill() {
-	for len(s.waiting) > 0 && len(s.work)+s.held < s.slots {
-		j := s.waiting[0]
-		s.waiting[0] = nil
-		s.waiting = s.waiting[1:]
-		s.begin(j)
+func (s *station) startQueued() {
+	for len(s.queue) > 0 && len(s.running)+s.heldSlots < s.slots {
+		j := s.queue[0]
+		s.queue[0] = nil
+		s.queue = s.queue[1:]
+		s.start(j)
 	}
 }
 
 // next is when the next job is finished if nothing changes before.
-func (s *station) next() (time.Duration, bool) {
+func (s *station) nextCompletion() (time.Duration, bool) {
 	r := s.rate()
 	if r <= 0 {
 		return 0, false
 	}
-	left := max(0, s.work[0].finish-s.given) / r
+	left := max(0, s.running[0].finish-s.attained) / r
 	if left > (100 * time.Hour).Seconds() {
 		return 0, false
 	}
@@ -116,33 +116,33 @@
 func (s *station) advance(to time.Duration, done func(at time.Duration, j *Job)) {
 	for s.now < to {
 		end := to
-		at, ok := s.next()
+		at, ok := s.nextCompletion()
 		if ok && at < end {
 			end = at
 		}
-		s.busy += min(float64(len(s.work)), s.cores) / s.cores * (end - s.now).Seconds()
-		s.given += s.rate() * (end - s.now).Seconds()
+		s.busySeconds += min(float64(len(s.running)), s.cores) / s.cores * (end - s.now).Seconds()
+		s.attained += s.rate() * (end - s.now).Seconds()
 		s.now = end
-		for len(s.work) > 0 && s.work[0].finish <= s.given+1e-9 {
-			j := heap.Pop(&s.work).(inWork).job
+		for len(s.running) > 0 && s.running[0].finish <= s.attained+1e-9 {
+			j := heap.Pop(&s.running).(runningJob).job
 			done(s.now, j)
 		}
-		s.refill()
+		s.startQueued()
 	}
 }
 
 // drop takes a job out: one that waits, or, if running is set, one in work. It reports whether it was there.
-func (s *station) drop(token uint64, waiting, running bool) bool {
+func (s *station) remove(token uint64, waiting, running bool) bool {
 	if waiting {
-		if i := slices.IndexFunc(s.waiting, func(j *Job) bool { return j.Token == token }); i >= 0 {
-			s.waiting = slices.Delete(s.waiting, i, i+1)
+		if i := slices.IndexFunc(s.queue, func(j *Job) bool { return j.Token == token }); i >= 0 {
+			s.queue = slices.Delete(s.queue, i, i+1)
 			return true
 		}
 	}
 	if running {
-		if i := slices.IndexFunc(s.work, func(w inWork) bool { return w.job.Token == token }); i >= 0 {
-			heap.Remove(&s.work, i)
-			s.refill()
+		if i := slices.IndexFunc(s.running, func(w runningJob) bool { return w.job.Token == token }); i >= 0 {
+			heap.Remove(&s.running, i)
+			s.startQueued()
 			return true
 		}
 	}
@@ -151,24 +151,24 @@
 
 // clear forgets all jobs and gives their tokens, those in work first.
 func (s *station) clear() (tokens []uint64) {
-	slices.SortFunc(s.work, func(a, b inWork) int { return int(int64(a.serial) - int64(b.serial)) })
-	for _, w := range s.work {
+	slices.SortFunc(s.running, func(a, b runningJob) int { return int(int64(a.sequence) - int64(b.sequence)) })
+	for _, w := range s.running {
 		tokens = append(tokens, w.job.Token)
 	}
-	for _, j := range s.waiting {
+	for _, j := range s.queue {
 		tokens = append(tokens, j.Token)
 	}
-	s.work, s.waiting, s.held = nil, nil, 0
+	s.running, s.queue, s.heldSlots = nil, nil, 0
 	return tokens
 }
 
 // load is the part of the cores used since it was last asked for.
-func (s *station) load() float64 {
-	span := (s.now - s.left).Seconds()
+func (s *station) utilization() float64 {
+	span := (s.now - s.loadReadAt).Seconds()
 	if span <= 0 {
-		return min(1, float64(len(s.work))/s.cores)
+		return min(1, float64(len(s.running))/s.cores)
 	}
-	used := s.busy / span
-	s.busy, s.left = 0, s.now
+	used := s.busySeconds / span
+	s.busySeconds, s.loadReadAt = 0, s.now
 	return min(1, used)
 }
--- a/lab/world/store.go
+++ b/lab/world/store.go
@@ -28,18 +28,18 @@
 
 // Store is a key-value store with revisions, history, compaction and leases.
 type Store struct {
-	rev       int64
+	revision  int64
 	compacted int64 // what is older is forgotten
-	keys      map[string][]StoreEvent
-	log       []StoreEvent // by revision, those after the compaction
+	history   map[string][]StoreEvent
+	events    []StoreEvent // by revision, those after the compaction
 	leases    map[int64]*lease
-	serial    int64
+	lastLease int64
 }
 
 type lease struct {
-	ttl  time.Duration
-	end  time.Duration
-	keys map[string]bool
+	ttl       time.Duration
+	expiresAt time.Duration
+	keys      map[string]bool
 }
 
 // ErrCompacted is a revision that the store has forgotten, ErrFuture one that it has not reached.
@@ -51,23 +51,23 @@
 
 // NewStore makes an empty store at revision 1.
 func NewStore() *Store {
-	return &Store{rev: 1, keys: map[string][]StoreEvent{}, leases: map[int64]*lease{}}
+	return &Store{revision: 1, history: map[string][]StoreEvent{}, leases: map[int64]*lease{}}
 }
 
 // Revision is that of the last change.
-func (s *Store) Revision() int64 { return s.rev }
+func (s *Store) Revision() int64 { return s.revision }
 
 // Compacted is the oldest revision that can still be read.
 func (s *Store) Compacted() int64 { return s.compacted }
 
 // add takes an event in.
-func (s *Store) add(e StoreEvent) {
-	s.keys[e.KV.Key] = append(s.keys[e.KV.Key], e)
-	s.log = append(s.log, e)
+func (s *Store) appendEvent(e StoreEvent) {
+	s.history[e.KV.Key] = append(s.history[e.KV.Key], e)
+	s.events = append(s.events, e)
 }
 
-func (s *Store) last(key string) (StoreEvent, bool) {
-	list := s.keys[key]
+func (s *Store) current(key string) (StoreEvent, bool) {
+	list := s.history[key]
 	if len(list) == 0 || list[len(list)-1].Deleted {
 		return StoreEvent{}, false
 	}
@@ -79,9 +79,9 @@
 	if lease != 0 && s.leases[lease] == nil {
 		return 0, ErrNoLease
 	}
-	s.rev++
-	kv := KV{Key: key, Value: slices.Clone(value), CreateRevision: s.rev, ModRevision: s.rev, Version: 1, Lease: lease}
-	if old, ok := s.last(key); ok {
+	s.revision++
+	kv := KV{Key: key, Value: slices.Clone(value), CreateRevision: s.revision, ModRevision: s.revision, Version: 1, Lease: lease}
+	if old, ok := s.current(key); ok {
 		kv.CreateRevision, kv.Version = old.KV.CreateRevision, old.KV.Version+1
 		if l := s.leases[old.KV.Lease]; l != nil {
 			delete(l.keys, key)
@@ -90,34 +90,34 @@
 	if l := s.leases[lease]; l != nil {
 		l.keys[key] = true
 	}
-	s.add(StoreEvent{KV: kv})
-	return s.rev, nil
+	s.appendEvent(StoreEvent{KV: kv})
+	return s.revision, nil
 }
 
 // Delete takes out the keys that begin with a prefix, all in one revision; it gives how many there were.
 func (s *Store) Delete(prefix string) int {
 	var gone []string
-	for key := range s.keys {
-		if _, ok := s.last(key); ok && strings.HasPrefix(key, prefix) {
+	for key := range s.history {
+		if _, ok := s.current(key); ok && strings.HasPrefix(key, prefix) {
 			gone = append(gone, key)
 		}
 	}
-	s.drop(gone)
+	s.deleteKeys(gone)
 	return len(gone)
 }
 
-func (s *Store) drop(keys []string) {
+func (s *Store) deleteKeys(keys []string) {
 	if len(keys) == 0 {
 		return
 	}
 	slices.Sort(keys)
-	s.rev++
+	s.revision++
 	for _, key := range keys {
-		if old, ok := s.last(key); ok {
+		if old, ok := s.current(key); ok {
 			if l := s.leases[old.KV.Lease]; l != nil {
 				delete(l.keys, key)
 			}
-			s.add(StoreEvent{KV: KV{Key: key, ModRevision: s.rev}, Deleted: true})
+			s.appendEvent(StoreEvent{KV: KV{Key: key, ModRevision: s.revision}, Deleted: true})
 		}
 	}
 }
@@ -125,18 +125,18 @@
 // Range reads the keys from one, that one included, up to another, in order, as they were at a revision (0: now).
 func (s *Store) Range(from, to string, rev int64, limit int) (kvs []KV, more bool, err error) {
 	switch {
-	case rev > s.rev:
+	case rev > s.revision:
 		return nil, false, ErrFuture
 	case rev > 0 && rev < s.compacted:
 		return nil, false, ErrCompacted
 	case rev <= 0:
-		rev = s.rev
+		rev = s.revision
 	}
-	for _, key := range slices.Sorted(maps.Keys(s.keys)) {
+	for _, key := range slices.Sorted(maps.Keys(s.history)) {
 		if key < from || to != "" && key >= to {
 			continue
 		}
-		list := s.keys[key]
+		list := s.history[key]
 		i := sort.Search(len(list), func(i int) bool { return list[i].KV.ModRevision > rev })
 		if i == 0 || list[i-1].Deleted {
 			continue
@@ -154,9 +154,9 @@
 	if from <= s.compacted && s.compacted > 0 {
 		return nil, ErrCompacted
 	}
-	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].KV.ModRevision >= from })
+	i := sort.Search(len(s.events), func(i int) bool { return s.events[i].KV.ModRevision >= from })
 	var out []StoreEvent
-	for _, e := range s.log[i:] {
+	for _, e := range s.events[i:] {
 		if e.KV.ModRevision > to {
 			break
 		}
@@ -169,8 +169,8 @@
 
 // LastChange is the revision of the last change, up to one, of keys with a prefix; 0 where none is known.
 func (s *Store) LastChange(to int64, prefix string) int64 {
-	for i := len(s.log) - 1; i >= 0; i-- {
-		if e := s.log[i]; e.KV.ModRevision <= to && strings.HasPrefix(e.KV.Key, prefix) {
+	for i := len(s.events) - 1; i >= 0; i-- {
+		if e := s.events[i]; e.KV.ModRevision <= to && strings.HasPrefix(e.KV.Key, prefix) {
 			return e.KV.ModRevision
 		}
 	}
@@ -179,31 +179,31 @@
 
 // Compact forgets what is older than a revision, which itself can still be read.
 func (s *Store) Compact(rev int64) {
-	rev = min(rev, s.rev)
+	rev = min(rev, s.revision)
 	if rev <= s.compacted {
 		return
 	}
 	s.compacted = rev
-	for key, list := range s.keys {
+	for key, list := range s.history {
 		i := sort.Search(len(list), func(i int) bool { return list[i].KV.ModRevision > rev })
 		if i > 0 && !list[i-1].Deleted {
 			i-- // what it was at that revision
 		}
 		if list = slices.Clone(list[i:]); len(list) == 0 {
-			delete(s.keys, key)
+			delete(s.history, key)
 		} else {
-			s.keys[key] = list
+			s.history[key] = list
 		}
 	}
-	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].KV.ModRevision > rev })
-	s.log = slices.Clone(s.log[i:])
+	i := sort.Search(len(s.events), func(i int) bool { return s.events[i].KV.ModRevision > rev })
+	s.events = slices.Clone(s.events[i:])
 }
 
 // Grant makes a lease.
 func (s *Store) GrantLease(now, ttl time.Duration) int64 {
-	s.serial++
-	s.leases[s.serial] = &lease{ttl: ttl, end: now + ttl, keys: map[string]bool{}}
-	return s.serial
+	s.lastLease++
+	s.leases[s.lastLease] = &lease{ttl: ttl, expiresAt: now + ttl, keys: map[string]bool{}}
+	return s.lastLease
 }
 
 // KeepAlive renews a lease and gives its time to live.
@@ -213,7 +213,7 @@
 	if l == nil {
 		return 0, ErrNoLease
 	}
-	l.end = now + l.ttl
+	l.expiresAt = now + l.ttl
 	return l.ttl, nil
 }
 
@@ -224,7 +224,7 @@
 		return ErrNoLease
 	}
 	delete(s.leases, id)
-	s.drop(slices.Collect(maps.Keys(l.keys)))
+	s.deleteKeys(slices.Collect(maps.Keys(l.keys)))
 	return nil
 }
 
@@ -232,11 +232,13 @@
 func (s *Store) ExpireLeases(now time.Duration) bool {
 	var over []int64
 	for id, l := range s.leases {
-		if now >= l.end {
+		if now >= l.expiresAt {
 			over = append(over, id)
 		}
 	}
-	slices.SortFunc(over, func(a, b int64) int { return cmp.Or(cmp.Compare(s.leases[a].end, s.leases[b].end), cmp.Compare(a, b)) })
+	slices.SortFunc(over, func(a, b int64) int {
+		return cmp.Or(cmp.Compare(s.leases[a].expiresAt, s.leases[b].expiresAt), cmp.Compare(a, b))
+	})
 	for _, id := range over {
 		s.Revoke(id)
 	}
@@ -246,8 +248,8 @@
 // NextLapse is when the next lease ends if it is not kept alive.
 func (s *Store) NextExpiry() (at time.Duration, ok bool) {
 	for _, l := range s.leases {
-		if !ok || l.end < at {
-			at, ok = l.end, true
+		if !ok || l.expiresAt < at {
+			at, ok = l.expiresAt, true
 		}
 	}
 	return at, ok
@@ -255,12 +257,12 @@
 
 // Backup is a copy of the store as it is; put in the store's place later, it is one restored from an old backup.
 func (s *Store) Backup() *Store {
-	b := &Store{rev: s.rev, compacted: s.compacted, keys: map[string][]StoreEvent{}, log: slices.Clone(s.log), leases: map[int64]*lease{}, serial: s.serial}
-	for k, v := range s.keys {
-		b.keys[k] = slices.Clone(v)
+	b := &Store{revision: s.revision, compacted: s.compacted, history: map[string][]StoreEvent{}, events: slices.Clone(s.events), leases: map[int64]*lease{}, lastLease: s.lastLease}
+	for k, v := range s.history {
+		b.history[k] = slices.Clone(v)
 	}
 	for id, l := range s.leases {
-		b.leases[id] = &lease{l.ttl, l.end, maps.Clone(l.keys)}
+		b.leases[id] = &lease{l.ttl, l.expiresAt, maps.Clone(l.keys)}
 	}
 	return b
 }
--- a/lab/world/store_test.go
+++ b/lab/world/store_test.go
@@ -23,31 +23,31 @@
 			case 0:
 				s.Delete(key)
 			case 1:
-				s.Compact(s.rev - int64(rapid.IntRange(0, 5).Draw(t, "keep")))
+				s.Compact(s.revision - int64(rapid.IntRange(0, 5).Draw(t, "keep")))
 			case 2:
 				leases = append(leases, s.GrantLease(now, 2*time.Second))
 			case 3:
 				if len(leases) > 0 {
 					id := leases[rapid.IntRange(0, len(leases)-1).Draw(t, "lease")]
 					if _, err := s.KeepAlive(now, id); err == nil {
-						s.Put(key, []byte(fmt.Sprint(s.rev)), id)
+						s.Put(key, []byte(fmt.Sprint(s.revision)), id)
 					}
 				}
 			default:
-				s.Put(key, []byte(fmt.Sprint(s.rev)), 0)
+				s.Put(key, []byte(fmt.Sprint(s.revision)), 0)
 			}
 		}
 		want, _, _ := s.Range("p/", "p0", 0, 0)
-		for rev := max(s.compacted, 1); rev <= s.rev; rev++ {
+		for rev := max(s.compacted, 1); rev <= s.revision; rev++ {
 			list, _, err := s.Range("p/", "p0", rev, 0)
 			if err != nil {
-				t.Fatalf("revision %d of %d, compacted %d: %v", rev, s.rev, s.compacted, err)
+				t.Fatalf("revision %d of %d, compacted %d: %v", rev, s.revision, s.compacted, err)
 			}
 			state := map[string]string{}
 			for _, kv := range list {
 				state[kv.Key] = string(kv.Value)
 			}
-			events, err := s.ChangesSince(rev+1, s.rev, "p/")
+			events, err := s.ChangesSince(rev+1, s.revision, "p/")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -71,7 +71,7 @@
 			if _, _, err := s.Range("p/", "p0", s.compacted-1, 0); s.compacted > 1 && !errors.Is(err, ErrCompacted) {
 				t.Fatal("a compacted revision can be read")
 			}
-			if _, err := s.ChangesSince(s.compacted, s.rev, ""); !errors.Is(err, ErrCompacted) {
+			if _, err := s.ChangesSince(s.compacted, s.revision, ""); !errors.Is(err, ErrCompacted) {
 				t.Fatal("changes that are compacted are told")
 			}
 		}
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -62,11 +62,11 @@
 
 // Stream gives the random numbers of one purpose: draws for one never shift those for another.
 func RandomStream(seed uint64, purpose ...string) *rand.Rand {
-	return rand.New(rand.NewPCG(seed, digest(0, purpose...)))
+	return rand.New(rand.NewPCG(seed, hash(0, purpose...)))
 }
 
 // digest is a hash of words, stable over runs and machines.
-func digest(seed uint64, words ...string) uint64 {
+func hash(seed uint64, words ...string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	var b [8]byte
@@ -80,11 +80,11 @@
 }
 
 // unit turns a digest into a number between 0 and 1, neither included.
-func unit(h uint64) float64 { return (float64(h>>12) + 0.5) / (1 << 52) }
+func unitInterval(h uint64) float64 { return (float64(h>>12) + 0.5) / (1 << 52) }
 
 // normal turns a digest into a draw of the standard normal distribution (Box and Muller).
 func normal(h uint64) float64 {
-	u, v := unit(h), unit(h*0x9e3779b97f4a7c15+0x7f4a7c15)
+	u, v := unitInterval(h), unitInterval(h*0x9e3779b97f4a7c15+0x7f4a7c15)
 	return math.Sqrt(-2*math.Log(u)) * math.Cos(2*math.Pi*v)
 }
 
@@ -98,10 +98,10 @@
 
 // WorkOf is the work of a request, the same whoever asks: it hangs on the seed, the class and the request's id.
 func WorkOf(seed uint64, c *Class, id string) time.Duration {
-	return max(time.Microsecond, time.Duration(float64(c.Work)*logNormal(digest(seed, "work", id), c.Sigma)))
+	return max(time.Microsecond, time.Duration(float64(c.Work)*logNormal(hash(seed, "work", id), c.Sigma)))
 }
 
 // SizeOf is how many bytes the value of a key holds, the same whoever asks.
 func SizeOf(seed uint64, c *Class, key string) int {
-	return max(1, int(float64(c.Size)*logNormal(digest(seed, "size", key), c.SizeSigma)))
+	return max(1, int(float64(c.Size)*logNormal(hash(seed, "size", key), c.SizeSigma)))
 }
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -260,8 +260,8 @@
 	for i := range 1000 {
 		o.Offer(time.Hour+time.Duration(i)*time.Minute, Job{Token: uint64(10 + i), Write: true, Idem: fmt.Sprint(i)})
 	}
-	if len(o.seen) > 10 {
-		t.Errorf("%d effects remembered", len(o.seen))
+	if len(o.effects) > 10 {
+		t.Errorf("%d effects remembered", len(o.effects))
 	}
 }
 
