--- a/lab/world/budget.go
+++ b/lab/world/budget.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Budget counts the work that reaches a server against a multiple of what it can do: over any span of the stated length,
-// all that was sent, turned away or not, must stay under multiple x capacity x span. It is how a cold server falls over
-// and how an origin stops.
+// WorkBudget limits the work that arrives at a server to a multiple of its capacity: over any window, all work sent to
+// it, rejected or not, must stay under Multiple x capacity x Window. A cold server that exceeds it falls over, and an
+// origin that exceeds it stops.
 type WorkBudget struct {
 	Multiple float64
 	Window   time.Duration
-	// Slack is work that may come beyond it by chance.
+	// Slack is extra work allowed for random variation.
 	Slack time.Duration
 
 	arrivals []workArrival
-	total    float64 // of the entries
+	total    float64 // sum over arrivals
 }
 
 type workArrival struct {
@@ -21,8 +21,8 @@
 	marked bool
 }
 
-// Add counts work that comes while the server can do capacity seconds of work a second. It reports whether the budget is
-// spent, and which part of the work that spent it was marked by the caller.
+// Add counts work that arrives while the server can do capacity seconds of work per second. It reports whether the
+// budget is exceeded and, if so, which fraction of the work in the window the caller had marked.
 func (b *WorkBudget) Add(now, work time.Duration, capacity float64, mark bool) (spent bool, marked float64) {
 	if b.Multiple <= 0 || b.Window <= 0 {
 		return false, 0
@@ -45,5 +45,5 @@
 	return true, marked / b.total
 }
 
-// Reset forgets what was counted.
+// Reset discards the counted work.
 func (b *WorkBudget) Reset() { b.arrivals, b.total = nil, 0 }
--- a/lab/world/cache.go
+++ b/lab/world/cache.go
@@ -8,89 +8,89 @@
 	"time"
 )
 
-// coldStep is how finely a changing speed is followed.
+// warmUpStep is the interval at which the speed of a server that warms up is updated.
 const warmUpStep = 20 * time.Millisecond
 
-// CacheSpec is what a cache server is.
+// CacheSpec configures a cache server.
 type CacheSpec struct {
 	Name           string
 	Cores          int
-	Speed          float64 // of a core, in work a second
-	Slots          int     // requests in work at once
-	QueueLimit     int     // requests that wait beyond those
-	MemoryBytes    int64   // bytes of values kept; what was used longest ago goes first
+	Speed          float64 // of a core, in seconds of work per second
+	Slots          int     // jobs that may run at once
+	QueueLimit     int     // jobs that may wait for a slot
+	MemoryBytes    int64   // memory for values; the least recently used are evicted first
 	WarmUp         time.Duration
-	ColdFrom       float64 // part of its capacity that it starts with
-	FallMultiple   float64 // of its present capacity, which while cold makes it fall over; 0: never
+	ColdFrom       float64 // fraction of the capacity available at a cold start
+	FallMultiple   float64 // of the present capacity; a cold server that receives more work falls over; 0: never
 	FallWindow     time.Duration
-	ReportInterval time.Duration // how often its load report is made anew
-	ReportNoise    float64       // relative
-	HandshakeWork  time.Duration // work of a new connection
-	Through        bool          // it fetches what it lacks, and passes on writes, itself
-	Coalesce       bool          // fetches of one key are shared, in through mode
-	Lease          time.Duration // for so long a miss is told as another's fetch; 0: that is not told
-	IgnoresCancel  bool          // work goes on after a cancel
+	ReportInterval time.Duration // how often the load report is refreshed
+	ReportNoise    float64       // relative standard deviation
+	HandshakeWork  time.Duration // work that a new connection costs
+	Through        bool          // through mode: it fetches missing values and forwards writes to the origin itself
+	Coalesce       bool          // in through mode, concurrent fetches of a key share one origin request
+	Lease          time.Duration // after a miss, other misses of the key are reported as Fetching for this long; 0: never
+	IgnoresCancel  bool          // running jobs continue after a cancel
 }
 
-// Ending is how a job ended at a server.
+// Outcome is how a job ended at a server.
 type Outcome int
 
-// The endings.
+// Outcomes of jobs.
 const (
-	Hit     Outcome = iota // a value that was kept
-	Fetched                // a value that was fetched for it, in through mode
-	Miss                   // there is none
+	Hit     Outcome = iota // the value was cached
+	Fetched                // the value was fetched from the origin, in through mode
+	Miss                   // no value is cached
 	Fetching
 	Stored // a write was carried out
-	Failed // it may have run
+	Failed // the job may have run
 )
 
-// Done is the end of a job.
+// Completion is the end of a job.
 type Completion struct {
 	Token   uint64
 	At      time.Duration
 	Outcome Outcome
 	Version int64  // of the value
 	Receipt string // of a write
-	Applied bool   // a write that took effect now, no repeat of one
+	Applied bool   // the write took effect now and is not a repeat of an earlier one
 	Key     string
 	Idem    string
 }
 
-// Ask is what a cache in through mode wants of the origin.
+// OriginRequest is a request that a cache in through mode sends to the origin.
 type OriginRequest struct {
-	Token uint64 // the job it is for
+	Token uint64 // the job that it is for
 	At    time.Duration
 	Key   string
 	Write bool
 	Idem  string
 }
 
-// Report is a load report.
+// LoadReport is what a server reports of its load.
 type LoadReport struct {
-	Utilization float64 // part of the cores in use
-	Queue       int     // jobs that wait
+	Utilization float64 // fraction of the cores in use
+	Queue       int     // jobs that wait for a slot
 }
 
-// Cache is one cache server's process.
+// Cache models one process of a cache server. It is not safe for concurrent use.
 type Cache struct {
 	spec           CacheSpec
 	station        station
 	rng            *rand.Rand
-	startedAt      time.Duration // of this process
-	startedCold    bool          // it began empty and slow
+	startedAt      time.Duration // start of this process
+	startedCold    bool          // this process started empty and below full speed
 	running        bool
 	draining       bool
 	paused         bool
-	slowdown       float64 // slower by it
-	stolenPart     float64 // part of the machine that a neighbour takes
+	slowdown       float64 // all work takes this many times as long
+	stolenPart     float64 // fraction of the machine that a neighbour takes
 	values         map[string]*list.Element
-	lru            *list.List // of *object, used last in front
+	lru            *list.List // of *cachedValue, most recently used first
 	bytes          int64
 	leases         map[string]time.Duration
-	cancelled      map[uint64]bool     // jobs that nobody waits for
-	fetches        map[string][]uint64 // through: jobs that wait for a key
-	atOrigin       map[uint64]*Job     // through: jobs that hold their slot while the origin works
+	cancelled      map[uint64]bool     // jobs whose requester went away
+	fetches        map[string][]uint64 // through mode: jobs that wait for the value of a key
+	atOrigin       map[uint64]*Job     // through mode: jobs that hold their slot while the origin works
 	coldBudget     WorkBudget
 	fellOver       bool
 	report         LoadReport
@@ -105,7 +105,7 @@
 	size    int64
 }
 
-// NewCache makes a cache that runs and is warm, with nothing kept.
+// NewCache returns a running, warm and empty cache.
 func NewCache(spec CacheSpec, seed uint64) *Cache {
 	c := &Cache{spec: spec, rng: RandomStream(seed, "cache", spec.Name), slowdown: 1}
 	c.coldBudget = WorkBudget{Multiple: spec.FallMultiple, Window: spec.FallWindow}
@@ -122,7 +122,7 @@
 	c.fetches, c.atOrigin = map[string][]uint64{}, map[uint64]*Job{}
 }
 
-// Warmth is the part of its capacity that the process has reached by now, between 0 and 1.
+// WarmFraction returns the fraction of the capacity that the process has reached by now.
 func (c *Cache) WarmFraction(now time.Duration) float64 {
 	if !c.startedCold || c.spec.WarmUp <= 0 || now-c.startedAt >= c.spec.WarmUp {
 		return 1
@@ -131,15 +131,15 @@
 	return c.spec.ColdFrom + (1-c.spec.ColdFrom)*max(0, part)
 }
 
-// Capacity is the work that it can do in a second now.
+// Capacity returns the seconds of work that it can do per second now.
 func (c *Cache) Capacity(now time.Duration) float64 {
 	return c.station.cores * c.spec.Speed * c.WarmFraction(now)
 }
 
-// Cold reports whether it is still warming up.
+// Cold reports whether the process is still warming up.
 func (c *Cache) Cold(now time.Duration) bool { return c.WarmFraction(now) < 1 }
 
-// Fell reports whether it was pushed over while cold; it stays down until Start.
+// FellOver reports whether it failed under overload while cold. It stays down until Start.
 func (c *Cache) FellOver() bool { return c.fellOver }
 
 // Up reports whether the process runs.
@@ -152,7 +152,7 @@
 	}
 }
 
-// Offer brings a job.
+// Offer submits a job.
 func (c *Cache) Offer(now time.Duration, j Job) Admission {
 	c.advance(now)
 	if !c.Up() {
@@ -172,7 +172,7 @@
 	return Accepted
 }
 
-// Connect counts a new connection, which is work.
+// Connect accounts for the work of a new connection.
 func (c *Cache) Connect(now time.Duration) {
 	c.advance(now)
 	if c.spec.HandshakeWork > 0 && c.Up() {
@@ -180,7 +180,7 @@
 	}
 }
 
-// Cancel notes that nobody waits for a job any more. It may go on; nothing is told of it.
+// Cancel records that the requester of a job went away. The job may continue, but its completion is not reported.
 func (c *Cache) Cancel(now time.Duration, token uint64) {
 	c.advance(now)
 	if !c.station.remove(token, true, !c.spec.IgnoresCancel) {
@@ -188,16 +188,16 @@
 	}
 }
 
-// Next is when something happens by itself, if nothing comes before.
+// Next returns the time of the next event if nothing is submitted before.
 func (c *Cache) Next() (time.Duration, bool) {
 	at, ok := c.station.nextCompletion()
 	if ok && (c.Cold(c.station.now) || c.paused) {
-		at = min(at, c.station.now+warmUpStep) // the speed changes under way
+		at = min(at, c.station.now+warmUpStep) // the speed changes before then
 	}
 	return at, ok
 }
 
-// Advance lets time pass and gives what has ended and what is wanted of the origin.
+// Advance moves the time forward and returns the jobs completed and the origin requests made since the last call.
 func (c *Cache) Advance(now time.Duration) ([]Completion, []OriginRequest) {
 	c.advance(now)
 	done, asks := c.completions, c.originRequests
@@ -217,10 +217,11 @@
 	c.setSpeed(now)
 }
 
-// finish ends the work of a job; in through mode what the origin must do comes behind that, with the slot held.
+// finish handles a job whose work is done. In through mode, a job that needs the origin keeps its slot until
+// OriginAnswered.
 func (c *Cache) finish(at time.Duration, j *Job) {
 	if j.Token == 0 {
-		return // a handshake
+		return // the work of a connection
 	}
 	if c.cancelled[j.Token] && !j.Write {
 		delete(c.cancelled, j.Token)
@@ -230,7 +231,7 @@
 	switch {
 	case j.Write && c.spec.Through:
 		c.holdForOrigin(at, j, true)
-	case j.Write: // only the origin takes writes
+	case j.Write: // only the origin accepts writes
 		c.complete(Completion{Token: j.Token, At: at, Outcome: Miss, Key: j.Key})
 	case kept:
 		c.lru.MoveToFront(e)
@@ -261,7 +262,7 @@
 	c.originRequests = append(c.originRequests, OriginRequest{Token: j.Token, At: at, Key: j.Key, Write: write, Idem: j.Idem})
 }
 
-// Answer brings what the origin said to an Ask, in through mode.
+// OriginAnswered delivers the origin's answer to an OriginRequest, in through mode.
 func (c *Cache) OriginAnswered(now time.Duration, token uint64, d Completion) {
 	c.advance(now)
 	j := c.atOrigin[token]
@@ -292,7 +293,7 @@
 	c.completions = append(c.completions, d)
 }
 
-// Store keeps a value.
+// Store caches a value.
 func (c *Cache) Store(now time.Duration, key string, version, size int64) {
 	if !c.Up() || size > c.spec.MemoryBytes {
 		return
@@ -323,10 +324,10 @@
 	}
 }
 
-// Void drops the copy of a key.
+// Invalidate removes the cached value of a key.
 func (c *Cache) Invalidate(key string) { c.evict(key) }
 
-// Flush drops that share of the copies, by chance.
+// Flush removes each cached value with the probability share.
 func (c *Cache) Flush(share float64) {
 	keys := make([]string, 0, len(c.values))
 	for k := range c.values {
@@ -340,10 +341,10 @@
 	}
 }
 
-// Kept is the number of values kept and their bytes.
+// Size returns the number of cached values and their bytes.
 func (c *Cache) Size() (values int, bytes int64) { return len(c.values), c.bytes }
 
-// Has reports whether a value is kept, and its version.
+// CachedVersion returns the version of the cached value of a key, and whether there is one.
 func (c *Cache) CachedVersion(key string) (int64, bool) {
 	if e := c.values[key]; e != nil {
 		return e.Value.(*cachedValue).version, true
@@ -351,7 +352,7 @@
 	return 0, false
 }
 
-// Stop ends the process: what it had taken is gone. It gives the tokens of those jobs.
+// Stop ends the process and loses its jobs, whose tokens it returns.
 func (c *Cache) Stop(now time.Duration) []uint64 {
 	c.advance(now)
 	c.running = false
@@ -370,7 +371,7 @@
 	return slices.DeleteFunc(tokens, func(t uint64) bool { return t == 0 })
 }
 
-// Start begins a new process: empty and, if cold is set, slow until it is warm.
+// Start starts a new process: empty and, if cold is set, below full speed until it is warm.
 func (c *Cache) Start(now time.Duration, cold bool) {
 	c.advance(now)
 	c.discardJobs()
@@ -380,37 +381,37 @@
 	c.setSpeed(now)
 }
 
-// Began is when the process started, and whether it did so cold.
+// Started returns when the process started and whether it started cold.
 func (c *Cache) Started() (at time.Duration, cold bool) { return c.startedAt, c.startedCold }
 
-// Drain makes it finish what it has and turn away what is new.
+// Drain makes the server finish its jobs and reject new ones, or ends that.
 func (c *Cache) Drain(now time.Duration, on bool) {
 	c.advance(now)
 	c.draining = on
 }
 
-// Pause makes it stand still, or go on.
+// Pause suspends or resumes the process.
 func (c *Cache) Pause(now time.Duration, on bool) {
 	c.advance(now)
 	c.paused = on
 	c.setSpeed(now)
 }
 
-// Slow makes all its work take so many times as long; 1 is as ever.
+// Slow makes all work take factor times as long; 1 is normal.
 func (c *Cache) Slow(now time.Duration, factor float64) {
 	c.advance(now)
 	c.slowdown = max(factor, 1e-3)
 	c.setSpeed(now)
 }
 
-// Steal gives a part of the machine to a neighbour; 0 is none.
+// Steal gives a fraction of the machine to a neighbour; 0 is none.
 func (c *Cache) Steal(now time.Duration, part float64) {
 	c.advance(now)
 	c.stolenPart = min(max(part, 0), 1)
 	c.setSpeed(now)
 }
 
-// Report is the load report that it gives now: as old as its refreshing allows, and a little wrong.
+// LoadReport returns the load report as the server gives it now: up to ReportInterval old, and with random errors.
 func (c *Cache) LoadReport(now time.Duration) LoadReport {
 	c.advance(now)
 	if c.reportedAt == 0 || now-c.reportedAt >= c.spec.ReportInterval {
@@ -422,7 +423,7 @@
 	return c.report
 }
 
-// Holds is the number of jobs in work, holding a slot, and waiting.
+// JobCounts returns the number of jobs that hold a slot and of those that wait for one.
 func (c *Cache) JobCounts() (working, waiting int) {
 	return len(c.station.running) + c.station.heldSlots, len(c.station.queue)
 }
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -10,34 +10,34 @@
 	"time"
 )
 
-// ClientSpec is what the clients are.
+// ClientSpec configures the clients.
 type ClientSpec struct {
-	Rate         float64 // first tries a second
-	Keys         int     // how many there are
-	Zipf         float64 // popularity of the key of rank n is 1/(n+Offset)^Zipf
+	Rate         float64 // first tries per second
+	Keys         int     // number of keys
+	Zipf         float64 // the popularity of the key of rank n is proportional to 1/(n+Offset)^Zipf
 	Offset       float64
-	Drift        float64 // part of the keys that is replaced by new ones each second
+	Drift        float64 // fraction of the keys that is replaced by new ones each second
 	TimeoutRange [2]float64
-	MaxRetries   int           // further tries of a client, at most
-	RetryDelay   time.Duration // before a further try
+	MaxRetries   int           // further tries per arrival
+	RetryDelay   time.Duration // minimum delay before a further try
 	MarksRetry   bool
-	LeaveShare   float64 // part of the tries whose client goes away before its time is up
+	LeaveShare   float64 // fraction of first tries whose client disconnects before its timeout
 	Nodes        int
-	NodeShares   []float64 // traffic of each node; empty: all alike
+	NodeShares   []float64 // relative traffic of each node; empty: all equal
 }
 
-// ShapeKind is a departure from even traffic.
+// ShapeKind is a kind of deviation from even traffic.
 type ShapeKind int
 
-// The kinds of shapes.
+// Kinds of shapes.
 const (
-	Surge     ShapeKind = iota // the rate is multiplied by Size
-	HotKeys                    // Count keys draw the part Size of all requests
-	HotTenant                  // the tenant numbered Who draws the part Size
-	HotNode                    // the node numbered Who is sent the part Size
+	Surge     ShapeKind = iota // the rate is multiplied by Magnitude
+	HotKeys                    // Count keys receive the fraction Magnitude of all requests
+	HotTenant                  // the tenant Index sends the fraction Magnitude
+	HotNode                    // the node Index receives the fraction Magnitude
 )
 
-// Shape is such a departure and when it acts.
+// Shape is a deviation from even traffic within an interval.
 type Shape struct {
 	Kind      ShapeKind
 	From, To  time.Duration
@@ -48,8 +48,8 @@
 
 func (s Shape) active(at time.Duration) bool { return at >= s.From && at < s.To }
 
-// Arrival is a client's wish, drawn ahead: its first try and what it will do if that fails. Nothing that happens in a run
-// changes it.
+// Arrival is a request of a client, drawn before the run: its first try, and what the client does if that fails.
+// Nothing that happens in a run changes it.
 type Arrival struct {
 	N          int
 	At         time.Duration
@@ -57,26 +57,26 @@
 	Tenant     int // -1: none
 	Node       int
 	Key        string
-	Size       int    // bytes of the value, for a write
-	Idem       string // idempotency key, of a keyed class
+	Size       int    // bytes of the value of a write
+	Idem       string // idempotency key, for a keyed class
 	Timeout    time.Duration
-	MaxTries   int           // at most, the first included
-	LeaveAfter time.Duration // after which the client goes away; 0: it stays
+	MaxTries   int           // including the first
+	LeaveAfter time.Duration // after which the client disconnects; 0: it stays
 	OverQuota  bool          // beyond its tenant's quota
 }
 
-// ID is the id of one of its tries, from 0.
+// ID returns the request ID of a try; try 0 is the first.
 func (a *Arrival) ID(seed uint64, try int) string {
 	return fmt.Sprintf("%016x", hash(seed, "id", strconv.Itoa(a.N), strconv.Itoa(try)))
 }
 
-// String is the arrival as a line of a plan.
+// String returns the arrival as a line of a plan.
 func (a *Arrival) String() string {
 	return fmt.Sprintf("%d at=%s class=%d tenant=%d node=%d key=%s size=%d idem=%s patience=%s tries=%d leave=%s over=%t",
 		a.N, a.At, a.Class, a.Tenant, a.Node, a.Key, a.Size, a.Idem, a.Timeout, a.MaxTries, a.LeaveAfter, a.OverQuota)
 }
 
-// Source draws arrivals, in order. The same seed and figures give the same ones.
+// Source draws arrivals in order of time. Equal parameters and an equal seed give equal arrivals.
 type Source struct {
 	spec             ClientSpec
 	classes          []Class
@@ -86,21 +86,21 @@
 	end              time.Duration
 	now              time.Duration
 	count            int
-	maxRate          float64 // the highest rate of the run
+	maxRate          float64 // highest rate of the run
 	gapRand          *rand.Rand
 	choiceRand       *rand.Rand
 	keyWeights       []float64
-	cumulativeShares [3][]float64 // cumulative: classes, tenants, nodes
+	cumulativeShares [3][]float64 // of classes, tenants and nodes
 	quotaCounters    []quotaCounter
 }
 
-// tally counts a tenant's requests of the present second.
+// quotaCounter counts a tenant's requests within one second.
 type quotaCounter struct {
 	second int64
 	count  float64
 }
 
-// NewSource makes a source that runs until end.
+// NewSource returns a source of arrivals from 0 until end.
 func NewSource(spec ClientSpec, classes []Class, tenants []Tenant, shapes []Shape, seed uint64, end time.Duration) *Source {
 	s := &Source{spec: spec, classes: classes, tenants: tenants, shapes: shapes, seed: seed, end: end, maxRate: spec.Rate,
 		gapRand: RandomStream(seed, "gaps"), choiceRand: RandomStream(seed, "picks"), quotaCounters: make([]quotaCounter, len(tenants))}
@@ -136,7 +136,7 @@
 	return s
 }
 
-// Rate is the rate of arrivals at a time.
+// Rate returns the rate of arrivals at a time, per second.
 func (s *Source) Rate(at time.Duration) float64 {
 	r := s.spec.Rate
 	for _, x := range s.shapes {
@@ -147,7 +147,7 @@
 	return r
 }
 
-// draw picks from cumulative shares; -1 where there are none.
+// draw returns a random index, weighted by cumulative shares, or -1 if there are none.
 func (s *Source) draw(shares []float64) int {
 	if len(shares) == 0 {
 		return -1
@@ -156,7 +156,7 @@
 	return min(sort.SearchFloat64s(shares, x), len(shares)-1)
 }
 
-// Next draws the next arrival; false when the run is over.
+// Next draws the next arrival. It returns false at the end of the run.
 func (s *Source) Next() (Arrival, bool) {
 	if s.maxRate <= 0 {
 		return Arrival{}, false
@@ -207,21 +207,21 @@
 	return a, true
 }
 
-// spell is a key's text: what it begins with tells nothing of its rank.
+// keyText returns the text of a key. It begins with a hash, so that keys of similar rank share no prefix.
 func (s *Source) keyText(key string) string {
 	return fmt.Sprintf("%x-%s", hash(s.seed, "key", key)>>40, key)
 }
 
-// Popular gives the keys that are asked for when the run begins, the most popular first, at most so many.
-func (s *Source) PopularKeys(most int) []string {
-	keys := make([]string, 0, min(most, len(s.keyWeights)))
-	for rank := range min(most, len(s.keyWeights)) {
+// PopularKeys returns the keys in use at the current time, the most popular first, at most limit of them.
+func (s *Source) PopularKeys(limit int) []string {
+	keys := make([]string, 0, min(limit, len(s.keyWeights)))
+	for rank := range min(limit, len(s.keyWeights)) {
 		keys = append(keys, s.keyText(s.keyName(rank)))
 	}
 	return keys
 }
 
-// key names the key of a rank; drift replaces it by and by, each at times of its own.
+// keyName names the key of a rank. With drift, each rank changes its key periodically, at a phase of its own.
 func (s *Source) keyName(rank int) string {
 	if s.spec.Drift <= 0 {
 		return "k" + strconv.Itoa(rank)
@@ -230,7 +230,7 @@
 	return fmt.Sprintf("k%d.%d", rank, int(turn))
 }
 
-// over counts a tenant's request and reports whether it is beyond the quota of its second.
+// exceedsQuota counts a request of a tenant and reports whether it is beyond the quota of the current second.
 func (s *Source) exceedsQuota(tenant int) bool {
 	quota := s.tenants[tenant].Quota
 	if quota <= 0 {
--- a/lab/world/origin.go
+++ b/lab/world/origin.go
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// OriginSpec is what the origin is.
+// OriginSpec configures the origin.
 type OriginSpec struct {
 	Cores             int
 	Slots, QueueLimit int
-	Work              time.Duration // of a fetch, mean
-	Sigma             float64       // of its logarithm
-	WriteFactor       float64       // a write's work over a fetch's
-	FallMultiple      float64       // of its capacity, which asked for over FallFor stops it; 0: never
+	Work              time.Duration // mean work of a fetch
+	Sigma             float64       // standard deviation of the logarithm of the work
+	WriteFactor       float64       // work of a write relative to a fetch
+	FallMultiple      float64       // of its capacity; if more work arrives over FallWindow, it stops; 0: never
 	FallWindow        time.Duration
-	Downtime          time.Duration // how long it stops then
+	Downtime          time.Duration // how long an overloaded origin is stopped
 	DedupWindow       time.Duration // how long it drops repeats of a keyed write
-	IgnoresCancel     bool          // work goes on when nobody waits for it any more
+	IgnoresCancel     bool          // running jobs continue after a cancel
 }
 
-// Origin is what holds all values. It carries out writes, each idempotency key once within its window.
+// Origin models the service that holds all values. It carries out the writes, each idempotency key once within its
+// window. It is not safe for concurrent use.
 type Origin struct {
 	spec         OriginSpec
 	station      station
 	rng          *rand.Rand
 	versions     map[string]int64
 	effects      map[string]*effect
-	effectOrder  []string // of seen, the oldest first
+	effectOrder  []string // keys of effects, the oldest first
 	jobs         map[uint64]*originJob
 	receipts     int64
 	slowdown     float64
-	stoppedUntil time.Duration // stopped until then
+	stoppedUntil time.Duration
 	paused       bool
 	stops        int
 	budget       WorkBudget
@@ -46,12 +47,12 @@
 }
 
 type effect struct {
-	firstArrival time.Duration // when the first attempt that may have run came
+	firstArrival time.Duration // arrival of the first attempt that may have run
 	receipt      string
 	version      int64
 }
 
-// NewOrigin makes an origin that runs.
+// NewOrigin returns a running origin.
 func NewOrigin(spec OriginSpec, seed uint64) *Origin {
 	o := &Origin{spec: spec, rng: RandomStream(seed, "origin"), versions: map[string]int64{}, effects: map[string]*effect{},
 		jobs: map[uint64]*originJob{}, slowdown: 1}
@@ -68,20 +69,20 @@
 	}
 }
 
-// Capacity is the work that it can do in a second.
+// Capacity returns the seconds of work that it can do per second.
 func (o *Origin) Capacity() float64 { return float64(o.spec.Cores) }
 
-// Version is the present version of a key's value; that of one never written is 0.
+// Version returns the current version of a key's value; 0 if it was never written.
 func (o *Origin) Version(key string) int64 { return o.versions[key] }
 
-// Stops is how often it has stopped because too much was asked.
+// StopCount returns how often it stopped because of overload.
 func (o *Origin) StopCount() int { return o.stops }
 
 // Stopped reports whether it is stopped now.
 func (o *Origin) Stopped(now time.Duration) bool { return now < o.stoppedUntil }
 
-// Offer brings a job, whose work it draws itself; it gives that work too. Where the verdict is Dead it has stopped: the
-// jobs that it had are lost, see Lost.
+// Offer submits a job and returns the work that it drew for it. If the origin is stopped, or this job stops it, it
+// returns Down; TakeLost returns the jobs lost by a stop.
 func (o *Origin) Offer(now time.Duration, j Job) (Admission, time.Duration) {
 	o.advance(now)
 	j.Work = time.Duration(float64(o.spec.Work) * logNormal(o.rng.Uint64(), o.spec.Sigma))
@@ -106,7 +107,7 @@
 	return Accepted, j.Work
 }
 
-// Stop makes it lose what it has and answer nothing for a while.
+// Stop makes the origin lose its jobs and answer nothing for a while.
 func (o *Origin) Stop(now, length time.Duration) {
 	o.advance(now)
 	o.stoppedUntil = now + length
@@ -118,14 +119,14 @@
 	o.setSpeed(now)
 }
 
-// Lost gives the jobs that a stop has cost since it was last asked.
+// TakeLost returns the tokens of the jobs lost by stops since the last call.
 func (o *Origin) TakeLost() []uint64 {
 	l := o.lost
 	o.lost = nil
 	return l
 }
 
-// Cancel notes that nobody waits for a job. A write that is in work goes on.
+// Cancel records that the requester of a job went away. A running write continues.
 func (o *Origin) Cancel(now time.Duration, token uint64) {
 	o.advance(now)
 	j := o.jobs[token]
@@ -137,25 +138,25 @@
 	}
 }
 
-// Slow makes its work take so many times as long; 1 is as ever.
+// Slow makes its work take factor times as long; 1 is normal.
 func (o *Origin) Slow(now time.Duration, factor float64) {
 	o.advance(now)
 	o.slowdown = max(factor, 1e-3)
 	o.setSpeed(now)
 }
 
-// Pause makes it stand still, or go on.
+// Pause suspends or resumes the origin.
 func (o *Origin) Pause(now time.Duration, on bool) {
 	o.advance(now)
 	o.paused = on
 	o.setSpeed(now)
 }
 
-// Next is when something happens by itself, if nothing comes before.
+// Next returns the time of the next event if nothing is submitted before.
 func (o *Origin) Next() (time.Duration, bool) { return o.station.nextCompletion() }
 
-// Advance lets time pass and gives what has ended. What nobody waits for is given too, if it was a write that took
-// effect: its copies are void.
+// Advance moves the time forward and returns the jobs completed since the last call. A cancelled write that took effect
+// is included, because it makes cached values stale.
 func (o *Origin) Advance(now time.Duration) []Completion {
 	o.advance(now)
 	d := o.completions
@@ -205,7 +206,7 @@
 	}
 }
 
-// remember keeps an effect for its window, and no longer than needed.
+// rememberEffect keeps an effect for at least its window, and discards expired ones.
 func (o *Origin) rememberEffect(idem string, e *effect) {
 	for len(o.effectOrder) > 0 {
 		if old := o.effects[o.effectOrder[0]]; old != nil && o.station.now-old.firstArrival <= 2*o.spec.DedupWindow {
--- a/lab/world/rank.go
+++ b/lab/world/rank.go
@@ -7,9 +7,9 @@
 	"golang.org/x/crypto/blake2b"
 )
 
-// Top is the member that the shared ranking puts first for a key: the highest weighted score over id, a zero byte and
-// key, of those that serve. It is the design's formula written a second time, so that what a fleet holds at a run's start
-// does not hang on the code that is tried. It returns -1 where nobody serves.
+// TopRanked returns the index of the serving member with the highest weighted rendezvous score for a key, or -1 if none
+// serves. The score is a hash of the ID, a zero byte and the key. This is a second implementation of the balancer's
+// formula, so that the cache contents at the start of a run do not depend on the code under test.
 func TopRanked(key string, members []Member) int {
 	best, top := 0.0, -1
 	for i, m := range members {
--- a/lab/world/roster.go
+++ b/lab/world/roster.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Phase is where a listed server is in its life.
+// Phase is the state of a listed server.
 type Phase int
 
-// The phases.
+// Phases of a listed server.
 const (
 	Serving Phase = iota
 	Draining
@@ -25,17 +25,17 @@
 	Cell    int
 	Phase   Phase
 	Weight  float64
-	Started time.Duration // last start; 0: long ago
+	Started time.Duration // last start; 0: before the run
 }
 
-// Roster is the list of servers as its service tells it: late, by revisions, whole or as changes.
+// ServerList models the server list as its service reports it: with a delay, by revisions, as a snapshot or as changes.
 type ServerList struct {
-	changes    []change // by revision, the oldest forgotten
+	changes    []change // by revision; the oldest are discarded
 	members    map[string]Member
 	revision   int64
-	oldestBase int64 // changes after this revision are still known
+	oldestBase int64 // changes after this revision are available
 	maxChanges int
-	pending    []change // not to be seen yet, by when they will
+	pending    []change // changes that are not visible yet, by the time when they will be
 }
 
 type change struct {
@@ -44,16 +44,16 @@
 	visibleAt time.Duration
 }
 
-// NewRoster makes a list that remembers so many changes.
-func NewServerList(keep int, members ...Member) *ServerList {
-	r := &ServerList{members: map[string]Member{}, maxChanges: keep, revision: 1, oldestBase: 1}
+// NewServerList returns a list at revision 1 that keeps the given number of changes.
+func NewServerList(maxChanges int, members ...Member) *ServerList {
+	r := &ServerList{members: map[string]Member{}, maxChanges: maxChanges, revision: 1, oldestBase: 1}
 	for _, m := range members {
 		r.members[m.ID] = m
 	}
 	return r
 }
 
-// Set changes an entry; the list shows it after the delay.
+// Set changes an entry. The change becomes visible after the delay.
 func (r *ServerList) Set(now, delay time.Duration, m Member) {
 	r.advance(now)
 	r.pending = append(r.pending, change{member: m, visibleAt: now + delay})
@@ -80,13 +80,13 @@
 	}
 }
 
-// Revision is the list's version now.
+// Revision returns the current revision.
 func (r *ServerList) Revision(now time.Duration) int64 {
 	r.advance(now)
 	return r.revision
 }
 
-// Whole is the list as it shows now, by id.
+// Snapshot returns the visible list, sorted by ID.
 func (r *ServerList) Snapshot(now time.Duration) (rev int64, members []Member) {
 	r.advance(now)
 	for _, m := range r.members {
@@ -96,8 +96,8 @@
 	return r.revision, members
 }
 
-// Since gives what has changed after a revision, each server once as it is now. With known unset the changes are
-// forgotten, or the revision was never one of this list: only the whole list tells.
+// ChangesSince returns the servers that changed after a revision, each once in its current state. It returns known =
+// false if those changes were discarded or the revision never existed: then only a snapshot helps.
 func (r *ServerList) ChangesSince(now time.Duration, rev int64) (at int64, changes []Member, known bool) {
 	r.advance(now)
 	if rev < r.oldestBase || rev > r.revision {
@@ -117,7 +117,7 @@
 	return r.revision, changes, true
 }
 
-// Next is when the next change shows.
+// NextVisible returns when the next pending change becomes visible.
 func (r *ServerList) NextVisible() (time.Duration, bool) {
 	if len(r.pending) == 0 {
 		return 0, false
--- a/lab/world/station.go
+++ b/lab/world/station.go
@@ -6,42 +6,43 @@
 	"time"
 )
 
-// Job is a request as a server sees it.
+// Job is a request at a server.
 type Job struct {
-	Token uint64 // the caller's name for it, not in use at this server
+	Token uint64 // set by the caller; unique among the server's current jobs
 	Key   string
 	Work  time.Duration
 	Write bool
 	Size  int    // bytes of the value
-	Idem  string // a keyed write's idempotency key
+	Idem  string // idempotency key of a keyed write
 }
 
-// Verdict says what becomes of a job that has come.
+// Admission is the result of submitting a job.
 type Admission int
 
-// The verdicts.
+// Results of submitting a job.
 const (
 	Accepted Admission = iota
-	Busy               // turned away unseen: no room, or draining
-	Down               // nobody is there
+	Busy               // rejected without effect: the queue is full or the server drains
+	Down               // nobody is listening
 )
 
-// station shares cores evenly among the jobs in work; so many may be in work, so many may wait, the rest is turned away.
+// station models processor sharing: the running jobs share the cores evenly. A limited number of jobs may run and a
+// limited number may wait; further ones are rejected.
 type station struct {
 	cores             float64
 	slots, queueLimit int
-	speed             float64 // of a core now, in work a second
+	speed             float64 // of a core now, in seconds of work per second
 	now               time.Duration
-	attained          float64 // work that each job in work has had since the start, in seconds
+	attained          float64 // seconds of work that each running job has received since the start
 	running           runningHeap
 	queue             []*Job
-	heldSlots         int // slots that are held without working
+	heldSlots         int // slots held by jobs that do no work here
 	busySeconds       float64
 	lastSequence      uint64
-	loadReadAt        time.Duration // until when busy has been read
+	loadReadAt        time.Duration // until when utilization has read busySeconds
 }
 
-// inWork is a job in work; it is finished once the station has given so much to each.
+// runningJob is a running job; it completes when the station's attained service reaches finish.
 type runningJob struct {
 	job      *Job
 	finish   float64
@@ -63,7 +64,7 @@
 	return x
 }
 
-// rate is the work that each job in work gets in a second.
+// rate returns the seconds of work that each running job receives per second.
 func (s *station) rate() float64 {
 	if len(s.running) == 0 {
 		return 0
@@ -71,7 +72,7 @@
 	return s.speed * min(1, s.cores/float64(len(s.running)))
 }
 
-// offer takes a job in, or turns it away.
+// admit starts or queues a job. It returns false if it rejects the job.
 func (s *station) admit(j *Job) bool {
 	switch {
 	case len(s.running)+s.heldSlots < s.slots:
@@ -89,7 +90,7 @@
 	heap.Push(&s.running, runningJob{j, s.attained + j.Work.Seconds(), s.lastSequence})
 }
 
-// refill begins what waits while there are slots.
+// startQueued starts waiting jobs while there are free slots.
 func (s *station) startQueued() {
 	for len(s.queue) > 0 && len(s.running)+s.heldSlots < s.slots {
 		j := s.queue[0]
@@ -99,20 +100,21 @@
 	}
 }
 
-// next is when the next job is finished if nothing changes before.
+// nextCompletion returns when the next job completes if nothing changes before.
 func (s *station) nextCompletion() (time.Duration, bool) {
 	r := s.rate()
 	if r <= 0 {
 		return 0, false
 	}
-	left := max(0, s.running[0].finish-s.attained) / r
-	if left > (100 * time.Hour).Seconds() {
+	remaining := max(0, s.running[0].finish-s.attained) / r
+	if remaining > (100 * time.Hour).Seconds() {
 		return 0, false
 	}
-	return s.now + time.Duration(left*float64(time.Second)) + 1, true // rounded up: by then it is finished
+	return s.now + time.Duration(remaining*float64(time.Second)) + 1, true // rounded up, so that the job is complete by then
 }
 
-// advance works until a time at the present speed and gives each job that is finished to done, which may hold its slot.
+// advance works at the present speed until a time and calls done for each completed job. The callback may hold the
+// job's slot.
 func (s *station) advance(to time.Duration, done func(at time.Duration, j *Job)) {
 	for s.now < to {
 		end := to
@@ -131,7 +133,8 @@
 	}
 }
 
-// drop takes a job out: one that waits, or, if running is set, one in work. It reports whether it was there.
+// remove removes a job: a waiting one if waiting is set, a running one if running is set. It reports whether it found
+// the job.
 func (s *station) remove(token uint64, waiting, running bool) bool {
 	if waiting {
 		if i := slices.IndexFunc(s.queue, func(j *Job) bool { return j.Token == token }); i >= 0 {
@@ -149,7 +152,7 @@
 	return false
 }
 
-// clear forgets all jobs and gives their tokens, those in work first.
+// clear removes all jobs and returns their tokens, running jobs first.
 func (s *station) clear() (tokens []uint64) {
 	slices.SortFunc(s.running, func(a, b runningJob) int { return int(int64(a.sequence) - int64(b.sequence)) })
 	for _, w := range s.running {
@@ -162,7 +165,7 @@
 	return tokens
 }
 
-// load is the part of the cores used since it was last asked for.
+// utilization returns the fraction of the cores used since the last call.
 func (s *station) utilization() float64 {
 	span := (s.now - s.loadReadAt).Seconds()
 	if span <= 0 {
--- a/lab/world/store.go
+++ b/lab/world/store.go
@@ -14,22 +14,22 @@
 type KV struct {
 	Key            string
 	Value          []byte
-	CreateRevision int64 // revisions
+	CreateRevision int64
 	ModRevision    int64
-	Version        int64 // changes of it since it was made
+	Version        int64 // number of changes since its creation
 	Lease          int64 // 0: none
 }
 
-// StoreEvent is a change of a store.
+// StoreEvent is a change of a key.
 type StoreEvent struct {
 	KV      KV
 	Deleted bool
 }
 
-// Store is a key-value store with revisions, history, compaction and leases.
+// Store is a key-value store with revisions, history, compaction and leases, as registries have them.
 type Store struct {
 	revision  int64
-	compacted int64 // what is older is forgotten
+	compacted int64 // history before this revision is discarded; 0: never compacted
 	history   map[string][]StoreEvent
 	events    []StoreEvent // by revision, those after the compaction
 	leases    map[int64]*lease
@@ -42,25 +42,25 @@
 	keys      map[string]bool
 }
 
-// ErrCompacted is a revision that the store has forgotten, ErrFuture one that it has not reached.
+// ErrCompacted means that the history of a revision is discarded, ErrFuture that the store has not reached it.
 var (
 	ErrCompacted = errors.New("required revision has been compacted")
 	ErrFuture    = errors.New("required revision is a future revision")
 	ErrNoLease   = errors.New("requested lease not found")
 )
 
-// NewStore makes an empty store at revision 1.
+// NewStore returns an empty store at revision 1.
 func NewStore() *Store {
 	return &Store{revision: 1, history: map[string][]StoreEvent{}, leases: map[int64]*lease{}}
 }
 
-// Revision is that of the last change.
+// Revision returns the revision of the last change.
 func (s *Store) Revision() int64 { return s.revision }
 
-// Compacted is the oldest revision that can still be read.
+// Compacted returns the oldest revision that can be read.
 func (s *Store) Compacted() int64 { return s.compacted }
 
-// add takes an event in.
+// appendEvent adds an event to the history.
 func (s *Store) appendEvent(e StoreEvent) {
 	s.history[e.KV.Key] = append(s.history[e.KV.Key], e)
 	s.events = append(s.events, e)
@@ -74,7 +74,7 @@
 	return list[len(list)-1], true
 }
 
-// Put sets a key, under a lease unless that is 0.
+// Put sets a key, attached to a lease unless that is 0.
 func (s *Store) Put(key string, value []byte, lease int64) (int64, error) {
 	if lease != 0 && s.leases[lease] == nil {
 		return 0, ErrNoLease
@@ -94,16 +94,16 @@
 	return s.revision, nil
 }
 
-// Delete takes out the keys that begin with a prefix, all in one revision; it gives how many there were.
+// Delete deletes the keys with a prefix, all in one revision, and returns how many there were.
 func (s *Store) Delete(prefix string) int {
-	var gone []string
+	var matching []string
 	for key := range s.history {
 		if _, ok := s.current(key); ok && strings.HasPrefix(key, prefix) {
-			gone = append(gone, key)
+			matching = append(matching, key)
 		}
 	}
-	s.deleteKeys(gone)
-	return len(gone)
+	s.deleteKeys(matching)
+	return len(matching)
 }
 
 func (s *Store) deleteKeys(keys []string) {
@@ -122,7 +122,7 @@
 	}
 }
 
-// Range reads the keys from one, that one included, up to another, in order, as they were at a revision (0: now).
+// Range reads the keys in [from, to) in order, as of a revision (0: now). An empty to means no upper limit.
 func (s *Store) Range(from, to string, rev int64, limit int) (kvs []KV, more bool, err error) {
 	switch {
 	case rev > s.revision:
@@ -149,7 +149,7 @@
 	return kvs, false, nil
 }
 
-// Since gives the changes from a revision on, that one included, up to another, of keys with a prefix.
+// ChangesSince returns the changes of keys with a prefix, from one revision to another, both included.
 func (s *Store) ChangesSince(from, to int64, prefix string) ([]StoreEvent, error) {
 	if from <= s.compacted && s.compacted > 0 {
 		return nil, ErrCompacted
@@ -167,7 +167,7 @@
 	return out, nil
 }
 
-// LastChange is the revision of the last change, up to one, of keys with a prefix; 0 where none is known.
+// LastChange returns the last revision, at most to, that changed a key with a prefix; 0 if none is known.
 func (s *Store) LastChange(to int64, prefix string) int64 {
 	for i := len(s.events) - 1; i >= 0; i-- {
 		if e := s.events[i]; e.KV.ModRevision <= to && strings.HasPrefix(e.KV.Key, prefix) {
@@ -177,7 +177,7 @@
 	return 0
 }
 
-// Compact forgets what is older than a revision, which itself can still be read.
+// Compact discards the history before a revision, which itself can still be read.
 func (s *Store) Compact(rev int64) {
 	rev = min(rev, s.revision)
 	if rev <= s.compacted {
@@ -187,7 +187,7 @@
 	for key, list := range s.history {
 		i := sort.Search(len(list), func(i int) bool { return list[i].KV.ModRevision > rev })
 		if i > 0 && !list[i-1].Deleted {
-			i-- // what it was at that revision
+			i-- // keep the value as of that revision
 		}
 		if list = slices.Clone(list[i:]); len(list) == 0 {
 			delete(s.history, key)
@@ -199,14 +199,14 @@
 	s.events = slices.Clone(s.events[i:])
 }
 
-// Grant makes a lease.
+// GrantLease creates a lease.
 func (s *Store) GrantLease(now, ttl time.Duration) int64 {
 	s.lastLease++
 	s.leases[s.lastLease] = &lease{ttl: ttl, expiresAt: now + ttl, keys: map[string]bool{}}
 	return s.lastLease
 }
 
-// KeepAlive renews a lease and gives its time to live.
+// KeepAlive renews a lease and returns its TTL.
 func (s *Store) KeepAlive(now time.Duration, id int64) (time.Duration, error) {
 	s.ExpireLeases(now)
 	l := s.leases[id]
@@ -217,7 +217,7 @@
 	return l.ttl, nil
 }
 
-// Revoke ends a lease and takes out its keys.
+// Revoke ends a lease and deletes its keys.
 func (s *Store) Revoke(id int64) error {
 	l := s.leases[id]
 	if l == nil {
@@ -228,24 +228,24 @@
 	return nil
 }
 
-// Lapse ends the leases that are over, in order; it reports whether there were any.
+// ExpireLeases ends the leases whose TTL has passed, in order of expiry, and reports whether there were any.
 func (s *Store) ExpireLeases(now time.Duration) bool {
-	var over []int64
+	var expired []int64
 	for id, l := range s.leases {
 		if now >= l.expiresAt {
-			over = append(over, id)
+			expired = append(expired, id)
 		}
 	}
-	slices.SortFunc(over, func(a, b int64) int {
+	slices.SortFunc(expired, func(a, b int64) int {
 		return cmp.Or(cmp.Compare(s.leases[a].expiresAt, s.leases[b].expiresAt), cmp.Compare(a, b))
 	})
-	for _, id := range over {
+	for _, id := range expired {
 		s.Revoke(id)
 	}
-	return len(over) > 0
+	return len(expired) > 0
 }
 
-// NextLapse is when the next lease ends if it is not kept alive.
+// NextExpiry returns when the next lease expires unless it is kept alive.
 func (s *Store) NextExpiry() (at time.Duration, ok bool) {
 	for _, l := range s.leases {
 		if !ok || l.expiresAt < at {
@@ -255,7 +255,7 @@
 	return at, ok
 }
 
-// Backup is a copy of the store as it is; put in the store's place later, it is one restored from an old backup.
+// Backup returns a copy of the store. To simulate a restore from an old backup, it replaces the store later.
 func (s *Store) Backup() *Store {
 	b := &Store{revision: s.revision, compacted: s.compacted, history: map[string][]StoreEvent{}, events: slices.Clone(s.events), leases: map[int64]*lease{}, lastLease: s.lastLease}
 	for k, v := range s.history {
