--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load plays clients: open loop, many at once from one process. Each wish has its time in the plan and is sent
-// then, whatever has become of those before it; times are counted from when it was due, so that a node that stalls cannot
-// hide what it kept waiting. How late the load itself was is measured, for a run in which it was late says nothing.
+// Package load simulates many clients in one process, as an open-loop load: each arrival is sent at its planned time,
+// whatever became of the earlier ones, and its times count from then, so that a stalled node cannot hide the requests
+// that it delays. The load measures its own lateness, because the results of a run in which it was late are not valid.
 package load
 
 import (
@@ -24,26 +24,26 @@
 
 const (
 	dialTimeout        = time.Second            // how long a client waits for a connection
-	listenAfterTimeout = 250 * time.Millisecond // how long after its deadline a client still listens, to see what comes
-	downNoticeDelay    = 2 * time.Second        // after which the front deals nothing more to a node that refuses connections
-	maxIdleConns       = 4096                   // connections kept for each node
+	listenAfterTimeout = 250 * time.Millisecond // how long a client still reads after its timeout, to detect late answers
+	downNoticeDelay    = 2 * time.Second        // after which no try goes to a node that refuses connections
+	maxIdleConns       = 4096                   // per node
 
-	minRetryTime = 20 * time.Millisecond // with less time than that nobody tries again
+	minRetryTime = 20 * time.Millisecond // with less remaining time, clients don't retry
 )
 
-// Options describe the clients.
+// Options configure the clients.
 type Options struct {
 	Log        *seen.Log
 	Seed       uint64
 	Spec       world.ClientSpec
 	Classes    []world.Class
 	Tenants    []world.Tenant
-	NodeAddrs  []string           // their addresses
-	Generation func(node int) int // which process of a node is running
-	Values     int                // bytes of memory for values of writes at most; 0: any
+	NodeAddrs  []string
+	Generation func(node int) int // number of a node's running process, from 0
+	Values     int                // memory limit for values of writes, in bytes; 0: none
 }
 
-// Load is the clients of a run.
+// Load sends the requests of all clients of a run.
 type Load struct {
 	opt      Options
 	pools    []*connPool
@@ -51,12 +51,12 @@
 	sent     atomic.Int64
 
 	mu         sync.Mutex
-	sendDelays *hdrhistogram.Histogram // of sends behind their plan, in microseconds
+	sendDelays *hdrhistogram.Histogram // delays of sends behind the plan, in microseconds
 
 	rude *rudeClients
 }
 
-// front is what deals out connections to one node.
+// connPool holds the client connections to one node.
 type connPool struct {
 	load        *Load
 	node        int
@@ -64,11 +64,11 @@
 	mu          sync.Mutex
 	idle        []*conn
 	conns       map[*conn]bool
-	downSince   time.Duration // since when it refuses; 0: it does not
-	unavailable bool          // it says that it takes no clients: no new connections are dealt to it
+	downSince   time.Duration // since when the node refuses connections; 0: it accepts them
+	unavailable bool          // the node takes no new clients: it gets no new connections
 }
 
-// New makes the clients.
+// New returns a load with a connection pool for each node.
 func New(opt Options) *Load {
 	l := &Load{opt: opt, sendDelays: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 	for i, addr := range opt.NodeAddrs {
@@ -78,16 +78,16 @@
 	return l
 }
 
-// Late is how late wishes were sent behind their plan, in microseconds.
+// SendDelays returns how late first tries were sent behind their plan, in microseconds.
 func (l *Load) SendDelays() *hdrhistogram.Histogram { return l.sendDelays }
 
-// Sent is how many tries have been made so far.
+// TriesSent returns the number of tries so far.
 func (l *Load) TriesSent() int64 { return l.sent.Load() }
 
-// Rude sets how many clients send nonsense.
+// SetRudeClients sets the number of clients that send invalid data.
 func (l *Load) SetRudeClients(count int) { l.rude.setCount(count) }
 
-// Run sends the plan, which begins at the time given on the log's clock, and waits until all is answered or given up.
+// Run sends the planned arrivals, counted from begin on the log's clock, and waits until each is answered or abandoned.
 func (l *Load) Run(ctx context.Context, begin time.Duration, arrivals []world.Arrival) {
 	for i := range arrivals {
 		a := &arrivals[i]
@@ -109,8 +109,8 @@
 	<-done
 	l.rude.setCount(0)
 	l.rude.wait.Wait()
-	for _, f := range l.pools {
-		f.close()
+	for _, p := range l.pools {
+		p.close()
 	}
 }
 
@@ -125,11 +125,11 @@
 	}
 }
 
-// try is one try under way.
+// try is a try in flight.
 type try struct {
 	load        *Load
 	arrival     *world.Arrival
-	arrivalDue  time.Duration // when the wish was due
+	arrivalDue  time.Duration // when the arrival was due
 	record      *seen.Try
 	request     []byte
 	conn        atomic.Pointer[conn]
@@ -138,17 +138,17 @@
 	ended       bool
 }
 
-// first sends a wish's first try.
+// startFirst starts the first try of an arrival.
 func (l *Load) startFirst(a *world.Arrival, due time.Duration) {
 	l.inFlight.Add(1)
 	l.startTry(a, due, due, 0, a.Node)
 }
 
-// begin makes a try that is due at a time.
-func (l *Load) startTry(a *world.Arrival, wish, due time.Duration, n, node int) {
+// startTry sends try n of an arrival, which is due at the given time.
+func (l *Load) startTry(a *world.Arrival, arrivalDue, due time.Duration, n, node int) {
 	class := &l.opt.Classes[a.Class]
 	now := l.opt.Log.Now()
-	until := min(max(now, due)+a.Timeout, wish+class.Deadline)
+	until := min(max(now, due)+a.Timeout, arrivalDue+class.Deadline)
 	ms := (until - max(now, due)) / time.Millisecond
 	if ms < 1 {
 		l.inFlight.Done()
@@ -169,7 +169,7 @@
 	if n > 0 && l.opt.Spec.MarksRetry {
 		info += ",r=1"
 	}
-	x := &try{load: l, arrival: a, arrivalDue: wish, record: t}
+	x := &try{load: l, arrival: a, arrivalDue: arrivalDue, record: t}
 	if class.Write {
 		value := standin.Value(a.Key, int64(a.N), "write", "client", a.Size)
 		t.Value = standin.Digest(value)
@@ -188,83 +188,84 @@
 	if a.LeaveAfter > 0 && n == 0 {
 		x.leaveTimer = time.AfterFunc(due+a.LeaveAfter-now, x.leaveEarly)
 	}
-	f := l.pools[node]
-	if c := f.takeIdle(); c != nil {
+	p := l.pools[node]
+	if c := p.takeIdle(); c != nil {
 		c.send(x)
 		return
 	}
-	go f.dial(x)
+	go p.dial(x)
 }
 
-// deal is the node that the front sends a client to: another where the wanted one has refused for a while.
+// chooseNode returns the node that a try is sent to: the given one, or the next one if that has been down for a while
+// or takes no new clients.
 func (l *Load) chooseNode(node int) int {
 	now := l.opt.Log.Now()
 	for i := range l.pools {
-		f := l.pools[(node+i)%len(l.pools)]
-		f.mu.Lock()
-		down, away := f.downSince, f.unavailable && len(f.idle) == 0
-		f.mu.Unlock()
+		p := l.pools[(node+i)%len(l.pools)]
+		p.mu.Lock()
+		down, away := p.downSince, p.unavailable && len(p.idle) == 0
+		p.mu.Unlock()
 		if !away && (down == 0 || now-down < downNoticeDelay) {
-			return f.node
+			return p.node
 		}
 	}
 	return node
 }
 
-// take gives an idle connection, the one used last.
-func (f *connPool) takeIdle() *conn {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if n := len(f.idle); n > 0 {
-		c := f.idle[n-1]
-		f.idle = f.idle[:n-1]
+// takeIdle removes and returns the most recently used idle connection, or nil.
+func (p *connPool) takeIdle() *conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if n := len(p.idle); n > 0 {
+		c := p.idle[n-1]
+		p.idle = p.idle[:n-1]
 		return c
 	}
 	return nil
 }
 
 // dial opens a connection and sends a try on it.
-func (f *connPool) dial(x *try) {
-	c, err := net.DialTimeout("tcp", f.addr, min(dialTimeout, max(time.Millisecond, x.record.WaitsUntil-f.load.opt.Log.Now())))
-	now := f.load.opt.Log.Now()
-	f.mu.Lock()
+func (p *connPool) dial(x *try) {
+	c, err := net.DialTimeout("tcp", p.addr, min(dialTimeout, max(time.Millisecond, x.record.WaitsUntil-p.load.opt.Log.Now())))
+	now := p.load.opt.Log.Now()
+	p.mu.Lock()
 	switch {
 	case err == nil:
-		f.downSince = 0
-	case f.downSince == 0:
-		f.downSince = now
-		go f.awaitReady()
+		p.downSince = 0
+	case p.downSince == 0:
+		p.downSince = now
+		go p.awaitReady()
 	}
-	f.mu.Unlock()
+	p.mu.Unlock()
 	if err != nil {
 		x.finish(func(t *seen.Try) { t.ConnectFailed = true })
 		return
 	}
-	k := &conn{pool: f, netConn: c, reader: bufio.NewReaderSize(c, 8<<10)}
-	f.mu.Lock()
-	f.conns[k] = true
-	f.mu.Unlock()
+	k := &conn{pool: p, netConn: c, reader: bufio.NewReaderSize(c, 8<<10)}
+	p.mu.Lock()
+	p.conns[k] = true
+	p.mu.Unlock()
 	k.send(x)
 	k.readAnswers()
 }
 
-// ask looks whether a node that refused connections is back.
-func (f *connPool) awaitReady() {
+// awaitReady polls a node that refused connections until it is back.
+func (p *connPool) awaitReady() {
 	for range 1200 {
 		time.Sleep(50 * time.Millisecond)
-		f.mu.Lock()
-		up := f.downSince == 0
-		f.mu.Unlock()
-		if up || isReady(f.addr) {
-			f.mu.Lock()
-			f.downSince = 0
-			f.mu.Unlock()
+		p.mu.Lock()
+		up := p.downSince == 0
+		p.mu.Unlock()
+		if up || isReady(p.addr) {
+			p.mu.Lock()
+			p.downSince = 0
+			p.mu.Unlock()
 			return
 		}
 	}
 }
 
-// ready reports whether a node answers mn with MN.
+// isReady reports whether a node answers mn with MN.
 func isReady(addr string) bool {
 	c, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 	if err != nil {
@@ -277,34 +278,34 @@
 	return err == nil && line == "MN\r\n"
 }
 
-// Away says that a node takes no new clients, or takes them again. Those that it has go on using their connections.
+// SetUnavailable sets whether a node takes no new clients. Existing connections stay in use.
 func (l *Load) SetUnavailable(node int, on bool) {
-	f := l.pools[node]
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.unavailable = on
+	p := l.pools[node]
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.unavailable = on
 }
 
-// Idle is how many connections a node holds with nothing open on them, as its clients see it.
+// IdleConns returns the number of open connections to a node without a request in flight.
 func (l *Load) IdleConns(node int) int {
-	f := l.pools[node]
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.idle)
+	p := l.pools[node]
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.idle)
 }
 
 // Ready reports whether the node at an address answers mn with MN.
 func Ready(addr string) bool { return isReady(addr) }
 
-func (f *connPool) close() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
+func (p *connPool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.conns {
 		c.netConn.Close()
 	}
 }
 
-// conn is a client's connection: one request at a time.
+// conn is a client connection. It carries one request at a time.
 type conn struct {
 	pool    *connPool
 	netConn net.Conn
@@ -312,8 +313,8 @@
 
 	mu            sync.Mutex
 	current       *try
-	previous      *try // whose answer came last
-	answeredCount int  // requests that were answered on it
+	previous      *try // the try answered last
+	answeredCount int  // requests answered on this connection
 	closed        bool
 }
 
@@ -341,7 +342,7 @@
 	}
 }
 
-// read takes answers for the connection's life.
+// readAnswers reads answers until the connection ends.
 func (c *conn) readAnswers() {
 	for {
 		line, err := c.reader.ReadString('\n')
@@ -368,7 +369,7 @@
 		now := c.pool.load.opt.Log.Now()
 		c.mu.Lock()
 		x := c.current
-		if x == nil { // beyond the one answer
+		if x == nil { // data after the complete answer
 			last := c.previous
 			c.mu.Unlock()
 			if last != nil {
@@ -385,31 +386,31 @@
 	}
 }
 
-// put keeps a connection for the next try.
-func (f *connPool) putIdle(c *conn) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.idle) < maxIdleConns {
-		f.idle = append(f.idle, c)
+// putIdle returns a connection to the pool.
+func (p *connPool) putIdle(c *conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.idle) < maxIdleConns {
+		p.idle = append(p.idle, c)
 	}
 }
 
-// lost gives the connection up after a write that failed.
+// closeFailed closes the connection after a failed write.
 func (c *conn) closeFailed() { c.netConn.Close() }
 
-// end notes that the connection is over, with a part of an answer or none.
+// ended handles the end of the connection; part is the start of an incomplete answer, if any.
 func (c *conn) ended(part string) {
 	c.netConn.Close()
-	f := c.pool
-	f.mu.Lock()
-	delete(f.conns, c)
-	for i, x := range f.idle {
+	p := c.pool
+	p.mu.Lock()
+	delete(p.conns, c)
+	for i, x := range p.idle {
 		if x == c {
-			f.idle = append(f.idle[:i], f.idle[i+1:]...)
+			p.idle = append(p.idle[:i], p.idle[i+1:]...)
 			break
 		}
 	}
-	f.mu.Unlock()
+	p.mu.Unlock()
 	c.mu.Lock()
 	c.closed = true
 	x, used := c.current, c.answeredCount
@@ -418,16 +419,16 @@
 	if x == nil {
 		return
 	}
-	// A node may close a connection between requests; a request that crosses that goes out once more on a new one.
+	// A node may close an idle connection. A request that crosses the close is sent once more on a new connection.
 	if part == "" && used > 0 && !x.record.Resent {
 		x.resend()
 		return
 	}
-	now := f.load.opt.Log.Now()
+	now := p.load.opt.Log.Now()
 	x.finish(func(t *seen.Try) { t.ConnEndedAt, t.Truncated, t.AnswerLine = now, part != "", part })
 }
 
-// again sends a request that nobody has read once more, on a connection of its own.
+// resend sends an unanswered request once more, on a new connection.
 func (x *try) resend() {
 	over := false
 	x.load.opt.Log.Update(func(*seen.Record) {
@@ -441,12 +442,12 @@
 	go x.load.pools[x.record.Node].dial(x)
 }
 
-// extra notes what came beyond the answer.
+// recordExtra records data received after the complete answer.
 func (x *try) recordExtra(line string) {
 	x.load.opt.Log.Update(func(*seen.Record) { x.record.ExtraLine = line })
 }
 
-// answered takes a whole answer.
+// handleAnswer records a complete answer.
 func (x *try) handleAnswer(now time.Duration, line string, words []string, value []byte) {
 	x.finish(func(t *seen.Try) {
 		t.AnsweredAt, t.AnswerLine, t.Answer = now, line, seen.Failed
@@ -481,20 +482,20 @@
 	})
 }
 
-// giveUp is the client that has waited long enough.
+// giveUp ends the try at its timeout.
 func (x *try) giveUp() {
 	x.finish(func(*seen.Try) {})
 	x.closeConn()
 }
 
-// goAway is the client that leaves before its time is up.
+// leaveEarly ends the try when its client disconnects before the timeout.
 func (x *try) leaveEarly() {
 	now := x.load.opt.Log.Now()
 	x.finish(func(t *seen.Try) { t.LeftAt = now })
 	x.closeConn()
 }
 
-// hangUp closes the connection that the try is out on.
+// closeConn closes the connection that the try is in flight on.
 func (x *try) closeConn() {
 	c := x.conn.Load()
 	if c == nil {
@@ -502,7 +503,7 @@
 	}
 	c.mu.Lock()
 	mine := c.current == x
-	if mine { // its answer may be on the way still: it is nobody's
+	if mine { // an answer that still arrives belongs to no try
 		c.current, c.previous = nil, nil
 		c.closed = true
 	}
@@ -512,7 +513,7 @@
 	}
 }
 
-// end ends a try, once, and begins the client's next where there is to be one.
+// finish ends a try, once, and schedules the client's next one if there is to be one.
 func (x *try) finish(change func(t *seen.Try)) {
 	l := x.load
 	ended, again := false, false
@@ -544,8 +545,9 @@
 	time.AfterFunc(wait, func() { l.startTry(x.arrival, x.arrivalDue, due, x.record.Number+1, node) })
 }
 
-// next says whether the client tries again, and after how long: safe requests after any failure, keyed ones whose repeats
-// all servers drop within their window, others only if the last try provably never ran.
+// retryAfter reports whether the client tries again, and after which delay. Safe requests are retried after any
+// failure, keyed ones while all servers drop repeats within the window, and others only if the last try provably never
+// ran.
 func (x *try) retryAfter() (bool, time.Duration) {
 	t, class := x.record, &x.load.opt.Classes[x.arrival.Class]
 	if t.Answer == seen.Served || t.LeftAt > 0 || t.Number+1 >= x.arrival.MaxTries {
--- a/lab/load/rude.go
+++ b/lab/load/rude.go
@@ -10,7 +10,7 @@
 	"lapisshelf/lab/world"
 )
 
-// rudeClients send what no client should: noise, lines without end, wrong lengths, half a command, or nothing at all.
+// rudeClients simulate misbehaving clients: they send noise, endless lines, wrong lengths, half a command, or nothing.
 type rudeClients struct {
 	load  *Load
 	mu    sync.Mutex
@@ -18,7 +18,7 @@
 	wait  sync.WaitGroup
 }
 
-// set makes it so many.
+// setCount starts or stops clients until there are count of them.
 func (r *rudeClients) setCount(count int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,7 +51,7 @@
 	strings.Repeat("get k\r\n", 300),
 }
 
-// run is one of them: it connects, sends, reads what comes for a while, and begins again.
+// run runs one client: it connects, sends a payload, reads for a while and starts over.
 func (r *rudeClients) run(n int, stop chan struct{}) {
 	rng := world.RandomStream(r.load.opt.Seed, "rude", string(rune('a'+n%26)))
 	for {
