--- a/lab/fault/fault.go
+++ b/lab/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault turns what an experiment file says of troubles into a timeline: single actions at single times, drawn by
-// the seed alone. The same timeline drives stand-ins on sockets and models in virtual time.
+// Package fault expands the faults of an experiment file into a timeline of actions, each at one time. Random choices
+// depend on the seed alone. The same timeline drives the stand-ins on sockets and the models in virtual time.
 package fault
 
 import (
@@ -14,7 +14,7 @@
 	"lapisshelf/lab/world"
 )
 
-// When is a time in a run: a span from its start, or a part of its length ("25%").
+// TimeSpec is a time or a duration in a run: a duration such as "1.5s", or a part of the run's length such as "25%".
 type TimeSpec struct {
 	Duration time.Duration
 	Fraction float64
@@ -22,118 +22,119 @@
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (w *TimeSpec) UnmarshalText(text []byte) error {
+func (t *TimeSpec) UnmarshalText(text []byte) error {
 	s := string(text)
-	w.Set = true
+	t.Set = true
 	if p, ok := strings.CutSuffix(s, "%"); ok {
 		v, err := strconv.ParseFloat(p, 64)
 		if err != nil || v < 0 || v > 100 {
-			return fmt.Errorf("%q is no part of the length: 0%% to 100%% are", s)
+			return fmt.Errorf("invalid part of the length %q: must be 0%% to 100%%", s)
 		}
-		w.Fraction = v / 100
+		t.Fraction = v / 100
 		return nil
 	}
 	v, err := time.ParseDuration(s)
 	if err != nil || v < 0 {
-		return fmt.Errorf("%q is no time: a span such as 1.5s, or a part of the length such as 25%%, is", s)
+		return fmt.Errorf("invalid time %q: must be a duration such as 1.5s or a part of the length such as 25%%", s)
 	}
-	w.Duration = v
+	t.Duration = v
 	return nil
 }
 
-// In is the time in a run of that length.
-func (w TimeSpec) Resolve(length time.Duration) time.Duration {
-	return w.Duration + time.Duration(w.Fraction*float64(length))
+// Resolve returns the time in a run of the given length.
+func (t TimeSpec) Resolve(length time.Duration) time.Duration {
+	return t.Duration + time.Duration(t.Fraction*float64(length))
 }
 
-// Spec is a trouble as an experiment file tells it.
+// Spec is a fault as an experiment file describes it.
 type Spec struct {
 	Kind      string
 	At        TimeSpec
-	For       TimeSpec // how long it lasts; without it, to the end of the run
-	Servers   []string // by name; else Count or Share of them are drawn
+	For       TimeSpec // duration; if unset, until the end of the run
+	Servers   []string // by name; if empty, Count or Share of them are drawn at random
 	Count     int
 	Share     float64
-	Nodes     []int // from 1; without them all nodes
-	Endpoints []int `toml:"endpoints"` // of a registry, from 1; without them all
-	Planners  []int `toml:"planners"`  // from 1; without them all
+	Nodes     []int // from 1; empty: all nodes
+	Endpoints []int `toml:"endpoints"` // of a registry, from 1; empty: all
+	Planners  []int `toml:"planners"`  // from 1; empty: all
 	Factor    float64
 	Part      float64
-	Every     TimeSpec // of what comes and goes: how often
-	Length    TimeSpec // and for how long each time
+	Every     TimeSpec // mean interval of an intermittent fault
+	Length    TimeSpec // duration of each occurrence, or of each server's drain
 	NewID     bool     `toml:"new_id"`
-	Warm      bool     // what starts is warm
-	Quiet     bool     // the list is not told
-	Tenant    string   // of hot_tenant
+	Warm      bool     // started servers are warm
+	Quiet     bool     // the server list is not updated
+	Tenant    string   // for hot_tenant
 }
 
-// Verb is what an action does.
+// ActionKind is what an action does.
 type ActionKind string
 
-// The verbs. A server is named by its name in the lab, a node by its number from 0.
+// Kinds of actions. Servers are identified by their name in the lab, nodes by their number from 0. "Value 0" is the end
+// of a fault that lasts.
 const (
-	Kill            ActionKind = "die"              // the process ends: resets, then refused connections
-	Restart         ActionKind = "rise"             // a new process at the same place; X 1: cold; Text: the server's name that it comes back under
-	Silent          ActionKind = "silence"          // the machine says nothing; X 0: it is back
-	Hang            ActionKind = "hang"             // takes all, answers nothing; X 0: over
-	Refuse          ActionKind = "refuse"           // refuses connections, keeps those it has; X 0: over
-	Reset           ActionKind = "reset"            // the part X of the answers ends with the connection, in the midst
-	Garble          ActionKind = "garble"           // the part X of the answers is spoilt
-	Surplus         ActionKind = "surplus"          // more follows the part X of the answers
-	AnswerBusy      ActionKind = "turn_away"        // answers busy; X 0: over
-	Slow            ActionKind = "slow"             // X times slower; 1: as ever
-	Steal           ActionKind = "steal"            // a neighbour takes the part X of the machine
-	Pause           ActionKind = "pause"            // stands still; X 0: goes on
-	Drain           ActionKind = "drain"            // finishes what it has; the list says so
-	ListRemove      ActionKind = "leave"            // the list says that it is gone
-	StartNew        ActionKind = "join"             // a server of a new name starts; X 1: cold
-	Flush           ActionKind = "void"             // the part X of its copies goes void
-	ListDown        ActionKind = "list_down"        // X 0: up
-	ListGarble      ActionKind = "list_garble"      // talks nonsense; X 0: over
-	ListLag         ActionKind = "list_lag"         // changes show X seconds late
-	ListCut         ActionKind = "list_cut"         // nothing comes from it to a node; X 0: over
+	Kill            ActionKind = "die"              // the process ends: open connections are reset, new ones refused
+	Restart         ActionKind = "rise"             // a new process at the same address; Value 1: cold; NewName: the name of the server if it changes
+	Silent          ActionKind = "silence"          // the machine sends nothing; Value 0: end
+	Hang            ActionKind = "hang"             // accepts everything, answers nothing; Value 0: end
+	Refuse          ActionKind = "refuse"           // refuses new connections, keeps open ones; Value 0: end
+	Reset           ActionKind = "reset"            // the fraction Value of the answers is cut off by a close of the connection
+	Garble          ActionKind = "garble"           // the fraction Value of the answers is corrupted
+	Surplus         ActionKind = "surplus"          // the fraction Value of the answers is followed by extra data
+	AnswerBusy      ActionKind = "turn_away"        // rejects requests with a busy answer; Value 0: end
+	Slow            ActionKind = "slow"             // Value times slower; 1: normal
+	Steal           ActionKind = "steal"            // a neighbour takes the fraction Value of the machine
+	Pause           ActionKind = "pause"            // the process stands still; Value 0: end
+	Drain           ActionKind = "drain"            // finishes its requests; the list reports it as draining
+	ListRemove      ActionKind = "leave"            // the list reports it as gone
+	StartNew        ActionKind = "join"             // a server with a new name starts; Value 1: cold
+	Flush           ActionKind = "void"             // the fraction Value of the cached values is lost
+	ListDown        ActionKind = "list_down"        // the list service is down; Value 0: end
+	ListGarble      ActionKind = "list_garble"      // the list service sends invalid data; Value 0: end
+	ListLag         ActionKind = "list_lag"         // changes become visible Value seconds late
+	ListCut         ActionKind = "list_cut"         // the list service sends nothing to one node; Value 0: end
 	NodeKill        ActionKind = "node_kill"        // SIGKILL
 	NodeTerm        ActionKind = "node_term"        // SIGTERM
 	NodeHup         ActionKind = "node_hup"         // SIGHUP
 	NodeStart       ActionKind = "node_start"       // a new process
-	NodeFreeze      ActionKind = "node_freeze"      // SIGSTOP; X 0: SIGCONT
-	NodeLameDuck    ActionKind = "node_lame"        // the node is drained by hand; X 0: it takes clients again
-	NodeUpgrade     ActionKind = "node_upgrade"     // a new process comes beside it and takes its place
-	BanServer       ActionKind = "detach"           // a server is banned at a node by hand; X 0: it may serve again
-	RegistryDown    ActionKind = "registry_down"    // an endpoint answers 503; X 0: over
-	RegistryMute    ActionKind = "registry_mute"    // an endpoint says nothing; X 0: back
-	RegistryGarble  ActionKind = "registry_garble"  // an endpoint talks nonsense; X 0: over
-	RegistryLag     ActionKind = "registry_lag"     // an endpoint is X changes behind
-	RegistryCompact ActionKind = "registry_compact" // all history is forgotten
-	RegistryWipe    ActionKind = "registry_wipe"    // all servers are taken out
+	NodeFreeze      ActionKind = "node_freeze"      // SIGSTOP; Value 0: SIGCONT
+	NodeLameDuck    ActionKind = "node_lame"        // an operator drains the node; Value 0: it takes clients again
+	NodeUpgrade     ActionKind = "node_upgrade"     // a successor process starts beside the node's process and replaces it
+	BanServer       ActionKind = "detach"           // an operator bans a server at a node; Value 0: lifts the ban
+	RegistryDown    ActionKind = "registry_down"    // an endpoint answers 503; Value 0: end
+	RegistryMute    ActionKind = "registry_mute"    // an endpoint sends nothing; Value 0: end
+	RegistryGarble  ActionKind = "registry_garble"  // an endpoint sends invalid data; Value 0: end
+	RegistryLag     ActionKind = "registry_lag"     // an endpoint is Value changes behind
+	RegistryCompact ActionKind = "registry_compact" // the whole history is compacted
+	RegistryWipe    ActionKind = "registry_wipe"    // all servers are deleted
 	RegistrySave    ActionKind = "registry_save"    // a backup is made
-	RegistryRestore ActionKind = "registry_restore" // and put in the store's place
-	RegistryTwice   ActionKind = "registry_twice"   // changes are told twice, progress ahead of them; X 0: over
-	RegistryDrip    ActionKind = "registry_drip"    // answers come in small pieces, X ms apart; 0: over
+	RegistryRestore ActionKind = "registry_restore" // the backup replaces the store
+	RegistryTwice   ActionKind = "registry_twice"   // changes are sent twice, after a progress report that is ahead of them; Value 0: end
+	RegistryDrip    ActionKind = "registry_drip"    // answers arrive in small pieces, Value ms apart; 0: end
 	PlannerKill     ActionKind = "planner_kill"     // SIGKILL
 	PlannerStart    ActionKind = "planner_start"    // a new process
-	PlannerFreeze   ActionKind = "planner_freeze"   // SIGSTOP; X 0: SIGCONT
-	PlannerCut      ActionKind = "planner_cut"      // nothing goes between a node and a planner; X 0: over. In the model alone
-	Rude            ActionKind = "rude"             // X clients that send nonsense; 0: over
-	OriginSlow      ActionKind = "origin_slow"      // X times slower; 1: as ever
-	OriginStop      ActionKind = "origin_stop"      // refuses connections; X 0: back
-	OriginPause     ActionKind = "origin_pause"     // stands still; X 0: goes on
-	OriginGarble    ActionKind = "origin_spoil"     // the part X of the answers is spoilt
+	PlannerFreeze   ActionKind = "planner_freeze"   // SIGSTOP; Value 0: SIGCONT
+	PlannerCut      ActionKind = "planner_cut"      // nothing passes between a node and a planner; Value 0: end; only in the fleet simulation
+	Rude            ActionKind = "rude"             // Value clients send invalid data; 0: end
+	OriginSlow      ActionKind = "origin_slow"      // Value times slower; 1: normal
+	OriginStop      ActionKind = "origin_stop"      // refuses connections; Value 0: end
+	OriginPause     ActionKind = "origin_pause"     // the process stands still; Value 0: end
+	OriginGarble    ActionKind = "origin_spoil"     // the fraction Value of the answers is corrupted
 )
 
-// Action is one thing that happens at one time.
+// Action is one event of a timeline.
 type Action struct {
 	At       time.Duration
 	Kind     ActionKind
-	Server   string  // name
+	Server   string  // name in the lab
 	Node     int     // from 0; -1: none
 	Endpoint int     // of a registry, from 1; 0: none
-	Planner  int     // a planner, from 1; 0: none
-	Value    float64 // as its verb says
+	Planner  int     // from 1; 0: none
+	Value    float64 // meaning depends on Kind
 	NewName  string
 }
 
-// String is the action as a line of a plan.
+// String returns the action as a line of a plan.
 func (a Action) String() string {
 	s := fmt.Sprintf("%s %s", a.At, a.Kind)
 	if a.Server != "" {
@@ -154,25 +155,25 @@
 	return s
 }
 
-// Stage is what a timeline acts on.
+// Deployment describes what a timeline acts on.
 type Deployment struct {
 	Length    time.Duration
-	Servers   []string // names of the caches, in order
+	Servers   []string // names of the cache servers, in order
 	Nodes     int
 	Tenants   []string
-	Endpoints int // endpoints of a registry; 0: the list is no registry's
+	Endpoints int // endpoints of the registry; 0: the list service is not a registry
 
 	Planners int
 }
 
-// Timeline is what happens in a run.
+// Timeline holds all fault actions of a run.
 type Timeline struct {
-	Actions    []Action // by time
+	Actions    []Action // in order of time
 	Shapes     []world.Shape
-	NewServers []string // names of servers that will start
+	NewServers []string // names of servers that start during the run
 }
 
-// Error is a fault in the numbered spec, of the key.
+// Error is an error in a key of the spec with index Spec, from 0.
 type Error struct {
 	Spec int
 	Key  string
@@ -182,24 +183,24 @@
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("fault[%d].%s: %s", e.Spec+1, e.Key, e.Why) }
 
-// kind says what a kind of trouble needs and does.
+// kind describes a kind of fault: its required keys, and its expansion into actions.
 type kind struct {
-	target      string // servers, nodes, origin, list, load, fleet
-	needsFactor bool   // wants factor
-	needsPart   bool   // wants part
-	needsFor    bool   // wants for
+	target      string // servers, nodes, planners, origin, list, registry, load or fleet
+	needsFactor bool   // factor is required
+	needsPart   bool   // part is required
+	needsFor    bool   // for is required
 	expand      func(x *expansion)
 }
 
 var kinds map[string]kind
 
-func init() { // a literal would refer to itself
-	toggle := func(v ActionKind) func(x *expansion) {
+func init() { // set here because a literal would be an initialization cycle
+	onServers := func(v ActionKind) func(x *expansion) {
 		return func(x *expansion) {
 			x.eachServer(func(s string) { x.addInterval(Action{Kind: v, Server: s, Node: -1, Value: 1}, 0) })
 		}
 	}
-	share := func(v ActionKind) func(x *expansion) {
+	partOfAnswers := func(v ActionKind) func(x *expansion) {
 		return func(x *expansion) {
 			x.eachServer(func(s string) { x.addInterval(Action{Kind: v, Server: s, Node: -1, Value: x.Part}, 0) })
 		}
@@ -209,7 +210,7 @@
 			x.eachNode(func(n int) { x.addInterval(Action{Kind: v, Node: n, Value: on}, off) })
 		}
 	}
-	single := func(v ActionKind, off float64) func(x *expansion) {
+	global := func(v ActionKind, off float64) func(x *expansion) {
 		return func(x *expansion) {
 			on := 1.0
 			switch {
@@ -221,24 +222,24 @@
 			x.addInterval(Action{Kind: v, Node: -1, Value: on}, off)
 		}
 	}
-	ends := func(v ActionKind) func(x *expansion) {
+	endpoints := func(v ActionKind) func(x *expansion) {
 		return func(x *expansion) {
 			x.eachEndpoint(func(e int) { x.addInterval(Action{Kind: v, Node: -1, Endpoint: e, Value: max(1, x.Factor)}, 0) })
 		}
 	}
-	moment := func(v ActionKind) func(x *expansion) {
+	once := func(v ActionKind) func(x *expansion) {
 		return func(x *expansion) { x.add(Action{At: x.at, Kind: v, Node: -1}) }
 	}
 	shape := func(k world.ShapeKind) func(x *expansion) { return func(x *expansion) { x.addShape(k) } }
 	kinds = map[string]kind{
 		"crash":         {target: "servers", expand: (*expansion).crash},
-		"silent":        {target: "servers", expand: toggle(Silent)},
-		"hang":          {target: "servers", expand: toggle(Hang)},
-		"refuse":        {target: "servers", expand: toggle(Refuse)},
-		"busy":          {target: "servers", expand: toggle(AnswerBusy)},
-		"reset":         {target: "servers", needsPart: true, expand: share(Reset)},
-		"garble":        {target: "servers", needsPart: true, expand: share(Garble)},
-		"surplus":       {target: "servers", needsPart: true, expand: share(Surplus)},
+		"silent":        {target: "servers", expand: onServers(Silent)},
+		"hang":          {target: "servers", expand: onServers(Hang)},
+		"refuse":        {target: "servers", expand: onServers(Refuse)},
+		"busy":          {target: "servers", expand: onServers(AnswerBusy)},
+		"reset":         {target: "servers", needsPart: true, expand: partOfAnswers(Reset)},
+		"garble":        {target: "servers", needsPart: true, expand: partOfAnswers(Garble)},
+		"surplus":       {target: "servers", needsPart: true, expand: partOfAnswers(Surplus)},
 		"slow":          {target: "servers", needsFactor: true, expand: (*expansion).slow},
 		"neighbour":     {target: "servers", needsPart: true, expand: (*expansion).neighbour},
 		"pause":         {target: "servers", expand: (*expansion).pause},
@@ -247,13 +248,13 @@
 		"deploy":        {target: "servers", needsFor: true, expand: (*expansion).deploy},
 		"shrink":        {target: "servers", needsFor: true, expand: (*expansion).shrink},
 		"grow":          {target: "fleet", expand: (*expansion).grow},
-		"origin_slow":   {target: "origin", needsFactor: true, expand: single(OriginSlow, 1)},
-		"origin_stop":   {target: "origin", expand: single(OriginStop, 0)},
-		"origin_pause":  {target: "origin", expand: single(OriginPause, 0)},
-		"origin_garble": {target: "origin", needsPart: true, expand: single(OriginGarble, 0)},
-		"list_down":     {target: "list", expand: single(ListDown, 0)},
-		"list_garble":   {target: "list", expand: single(ListGarble, 0)},
-		"list_lag":      {target: "list", needsFactor: true, expand: single(ListLag, 0)},
+		"origin_slow":   {target: "origin", needsFactor: true, expand: global(OriginSlow, 1)},
+		"origin_stop":   {target: "origin", expand: global(OriginStop, 0)},
+		"origin_pause":  {target: "origin", expand: global(OriginPause, 0)},
+		"origin_garble": {target: "origin", needsPart: true, expand: global(OriginGarble, 0)},
+		"list_down":     {target: "list", expand: global(ListDown, 0)},
+		"list_garble":   {target: "list", expand: global(ListGarble, 0)},
+		"list_lag":      {target: "list", needsFactor: true, expand: global(ListLag, 0)},
 		"list_cut":      {target: "nodes", expand: nodes(ListCut, 1, 0)},
 		"node_kill":     {target: "nodes", expand: (*expansion).endNodes},
 		"node_term":     {target: "nodes", expand: (*expansion).endNodes},
@@ -271,16 +272,16 @@
 		"upgrade":          {target: "nodes", expand: (*expansion).upgrade},
 		"lameduck":         {target: "nodes", expand: nodes(NodeLameDuck, 1, 0)},
 		"detach":           {target: "servers", expand: (*expansion).detach},
-		"registry_down":    {target: "registry", expand: ends(RegistryDown)},
-		"registry_mute":    {target: "registry", expand: ends(RegistryMute)},
-		"registry_garble":  {target: "registry", expand: ends(RegistryGarble)},
-		"registry_lag":     {target: "registry", needsFactor: true, expand: ends(RegistryLag)},
-		"registry_compact": {target: "registry", expand: moment(RegistryCompact)},
-		"registry_wipe":    {target: "registry", expand: moment(RegistryWipe)},
-		"registry_save":    {target: "registry", expand: moment(RegistrySave)},
-		"registry_restore": {target: "registry", expand: moment(RegistryRestore)},
-		"registry_twice":   {target: "registry", expand: single(RegistryTwice, 0)},
-		"registry_drip":    {target: "registry", needsFactor: true, expand: single(RegistryDrip, 0)},
+		"registry_down":    {target: "registry", expand: endpoints(RegistryDown)},
+		"registry_mute":    {target: "registry", expand: endpoints(RegistryMute)},
+		"registry_garble":  {target: "registry", expand: endpoints(RegistryGarble)},
+		"registry_lag":     {target: "registry", needsFactor: true, expand: endpoints(RegistryLag)},
+		"registry_compact": {target: "registry", expand: once(RegistryCompact)},
+		"registry_wipe":    {target: "registry", expand: once(RegistryWipe)},
+		"registry_save":    {target: "registry", expand: once(RegistrySave)},
+		"registry_restore": {target: "registry", expand: once(RegistryRestore)},
+		"registry_twice":   {target: "registry", expand: global(RegistryTwice, 0)},
+		"registry_drip":    {target: "registry", needsFactor: true, expand: global(RegistryDrip, 0)},
 		"rude":             {target: "load", expand: (*expansion).rude},
 		"surge":            {target: "load", needsFactor: true, expand: shape(world.Surge)},
 		"hot_key":          {target: "load", needsPart: true, expand: shape(world.HotKeys)},
@@ -289,7 +290,7 @@
 	}
 }
 
-// Kinds names all kinds of trouble.
+// Kinds returns the names of all kinds of faults, sorted.
 func Kinds() []string {
 	var all []string
 	for k := range kinds {
@@ -299,7 +300,7 @@
 	return all
 }
 
-// expansion is one spec being turned into actions.
+// expansion is the state of expanding one spec into actions.
 type expansion struct {
 	Spec
 	index      int
@@ -307,61 +308,61 @@
 	timeline   *Timeline
 	rng        *rand.Rand
 	at         time.Duration
-	end        time.Duration // the run's end where For is not told
+	end        time.Duration // end of the fault: the end of the run if For is unset
 	err        *Error
 }
 
-// Expand draws the timeline. An error is an *Error.
-func Expand(specs []Spec, stage Deployment, seed uint64) (*Timeline, error) {
+// Expand expands specs into a timeline. Errors are of type *Error.
+func Expand(specs []Spec, deployment Deployment, seed uint64) (*Timeline, error) {
 	t := &Timeline{}
 	for i, s := range specs {
 		k, ok := kinds[s.Kind]
 		bad := func(key, format string, args ...any) error { return &Error{i, key, fmt.Sprintf(format, args...)} }
-		x := &expansion{Spec: s, index: i, deployment: &stage, timeline: t, rng: world.RandomStream(seed, "fault", strconv.Itoa(i), s.Kind),
-			at: s.At.Resolve(stage.Length), end: stage.Length}
+		x := &expansion{Spec: s, index: i, deployment: &deployment, timeline: t, rng: world.RandomStream(seed, "fault", strconv.Itoa(i), s.Kind),
+			at: s.At.Resolve(deployment.Length), end: deployment.Length}
 		if s.For.Set {
-			x.end = x.at + s.For.Resolve(stage.Length)
+			x.end = x.at + s.For.Resolve(deployment.Length)
 		}
 		switch {
 		case !ok:
 			return nil, bad("kind", "unknown kind %q; there are %s", s.Kind, strings.Join(Kinds(), ", "))
-		case x.at > stage.Length:
-			return nil, bad("at", "%v is after the end at %v", x.at, stage.Length)
+		case x.at > deployment.Length:
+			return nil, bad("at", "%v is after the end at %v", x.at, deployment.Length)
 		case k.needsFactor && s.Factor <= 0:
-			return nil, bad("factor", "%s wants a factor above 0", s.Kind)
+			return nil, bad("factor", "%s requires a factor above 0", s.Kind)
 		case k.needsPart && (s.Part <= 0 || s.Part > 1):
-			return nil, bad("part", "%s wants a part above 0 and at most 1", s.Kind)
+			return nil, bad("part", "%s requires a part above 0 and at most 1", s.Kind)
 		case k.needsFor && !s.For.Set:
-			return nil, bad("for", "%s wants to know how long it takes", s.Kind)
+			return nil, bad("for", "%s requires a duration", s.Kind)
 		case s.Share < 0 || s.Share > 1:
-			return nil, bad("share", "%g is no share: 0 to 1 are", s.Share)
+			return nil, bad("share", "%g is out of range: must be 0 to 1", s.Share)
 		case s.Count < 0:
-			return nil, bad("count", "%d is below 0", s.Count)
+			return nil, bad("count", "%d is negative", s.Count)
 		}
 		for j, name := range s.Servers {
-			if !slices.Contains(stage.Servers, name) {
-				return nil, bad("servers", "unknown server %q (number %d); there are %s", name, j+1, strings.Join(stage.Servers, ", "))
+			if !slices.Contains(deployment.Servers, name) {
+				return nil, bad("servers", "unknown server %q (number %d); there are %s", name, j+1, strings.Join(deployment.Servers, ", "))
 			}
 		}
-		if k.target == "registry" && stage.Endpoints == 0 {
-			return nil, bad("kind", "%s needs a registry: list.kind etcd or consul", s.Kind)
+		if k.target == "registry" && deployment.Endpoints == 0 {
+			return nil, bad("kind", "%s requires a registry: list.kind etcd or consul", s.Kind)
 		}
-		if k.target == "planners" && stage.Planners == 0 {
-			return nil, bad("kind", "%s needs planners: planners.count", s.Kind)
+		if k.target == "planners" && deployment.Planners == 0 {
+			return nil, bad("kind", "%s requires planners: planners.count", s.Kind)
 		}
 		for _, p := range s.Planners {
-			if p < 1 || p > stage.Planners {
-				return nil, bad("planners", "unknown planner %d; there are 1 to %d", p, stage.Planners)
+			if p < 1 || p > deployment.Planners {
+				return nil, bad("planners", "unknown planner %d; there are 1 to %d", p, deployment.Planners)
 			}
 		}
 		for _, e := range s.Endpoints {
-			if e < 1 || e > stage.Endpoints {
-				return nil, bad("endpoints", "unknown endpoint %d; there are 1 to %d", e, stage.Endpoints)
+			if e < 1 || e > deployment.Endpoints {
+				return nil, bad("endpoints", "unknown endpoint %d; there are 1 to %d", e, deployment.Endpoints)
 			}
 		}
 		for _, n := range s.Nodes {
-			if n < 1 || n > stage.Nodes {
-				return nil, bad("nodes", "unknown node %d; there are 1 to %d", n, stage.Nodes)
+			if n < 1 || n > deployment.Nodes {
+				return nil, bad("nodes", "unknown node %d; there are 1 to %d", n, deployment.Nodes)
 			}
 		}
 		if k.expand(x); x.err != nil {
@@ -369,7 +370,7 @@
 		}
 	}
 	slices.SortStableFunc(t.Actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
-	t.Actions = slices.DeleteFunc(t.Actions, func(a Action) bool { return a.At > stage.Length })
+	t.Actions = slices.DeleteFunc(t.Actions, func(a Action) bool { return a.At > deployment.Length })
 	return t, nil
 }
 
@@ -377,7 +378,7 @@
 
 func (x *expansion) add(a Action) { x.timeline.Actions = append(x.timeline.Actions, a) }
 
-// onOff begins something, and ends it where it is to end before the run does.
+// addInterval adds the start of a fault and, if For is set, its end.
 func (x *expansion) addInterval(a Action, off float64) {
 	a.At = x.at
 	x.add(a)
@@ -387,7 +388,7 @@
 	}
 }
 
-// chosen is the servers concerned: those named, else as many as told, drawn; else all.
+// selectedServers returns the servers concerned: those named, or Count or Share of all, drawn at random, or all.
 func (x *expansion) selectedServers() []string {
 	if len(x.Servers) > 0 {
 		return x.Servers
@@ -414,15 +415,15 @@
 	}
 }
 
-// numbered does something for each of the numbers told, from 1; for all there are where none is.
-func eachNumber(told []int, all int, f func(n int)) {
-	if len(told) == 0 {
+// eachNumber calls f for each of the given numbers, or for 1 to all if none are given.
+func eachNumber(numbers []int, all int, f func(n int)) {
+	if len(numbers) == 0 {
 		for n := range all {
 			f(n + 1)
 		}
 		return
 	}
-	for _, n := range told {
+	for _, n := range numbers {
 		f(n)
 	}
 }
@@ -433,7 +434,7 @@
 func (x *expansion) eachEndpoint(f func(e int)) { eachNumber(x.Endpoints, x.deployment.Endpoints, f) }
 func (x *expansion) eachPlanner(f func(p int))  { eachNumber(x.Planners, x.deployment.Planners, f) }
 
-// plannerKill ends planners' processes; new ones start after the stated time.
+// plannerKill kills planner processes. If For is set, new processes start after that time.
 func (x *expansion) plannerKill() {
 	x.eachPlanner(func(p int) {
 		x.add(Action{At: x.at, Kind: PlannerKill, Node: -1, Planner: p})
@@ -450,7 +451,7 @@
 	return 1
 }
 
-// crash ends processes, which come back after the stated time, cold, under their id or a new one.
+// crash kills servers. If For is set, they restart after that time under their old name or a new one.
 func (x *expansion) crash() {
 	x.eachServer(func(s string) {
 		x.add(Action{At: x.at, Kind: Kill, Server: s, Node: -1})
@@ -468,7 +469,7 @@
 	})
 }
 
-// newName names a server that takes another's place.
+// newName returns an unused name for a server that replaces another.
 func (x *expansion) newName(old string) string {
 	name := old
 	for n := 2; slices.Contains(x.deployment.Servers, name) || slices.Contains(x.timeline.NewServers, name); n++ {
@@ -482,12 +483,12 @@
 	x.eachServer(func(s string) { x.addInterval(Action{Kind: Slow, Server: s, Node: -1, Value: x.Factor}, 1) })
 }
 
-// neighbour takes a part of machines, on and off where Every is told.
+// neighbour takes a part of machines, intermittently if Every is set.
 func (x *expansion) neighbour() {
 	x.eachServer(func(s string) { x.addIntermittent(Action{Kind: Steal, Server: s, Node: -1, Value: x.Part}) })
 }
 
-// pause makes servers stand still, now and then where Every is told.
+// pause suspends servers, intermittently if Every is set.
 func (x *expansion) pause() {
 	x.eachServer(func(s string) { x.addIntermittent(Action{Kind: Pause, Server: s, Node: -1, Value: 1}) })
 }
@@ -503,7 +504,7 @@
 		length = every / 2
 	}
 	if length >= every {
-		x.fail("length", "what comes and goes must be gone for a while: length is not under every")
+		x.fail("length", "must be less than every, so that the fault pauses between occurrences")
 		return
 	}
 	for at := x.at + time.Duration(x.rng.Float64()*float64(every)); at < x.end; {
@@ -519,7 +520,7 @@
 	x.eachServer(func(s string) { x.add(Action{At: x.at, Kind: Flush, Server: s, Node: -1, Value: x.Part}) })
 }
 
-// drain takes servers out of service: draining for the stated time, then gone.
+// drain drains servers; if For is set, they are removed after that time.
 func (x *expansion) drain() { x.eachServer(func(s string) { x.drainServer(s, x.at) }) }
 
 func (x *expansion) drainServer(s string, at time.Duration) {
@@ -534,16 +535,16 @@
 	}
 }
 
-// deploy replaces servers one after the other, each by one under a new id at its place.
+// deploy replaces servers in batches, each by a server with a new name at the same address.
 func (x *expansion) deploy() {
 	list := x.selectedServers()
 	batch := max(1, x.Count)
 	if len(x.Servers) == 0 && x.Share == 0 {
-		list = x.deployment.Servers // Count is the batch
+		list = x.deployment.Servers // Count is the batch size
 	}
 	step := (x.end - x.at) / time.Duration((len(list)+batch-1)/batch)
 	if x.Length.Resolve(x.deployment.Length) <= 0 {
-		x.fail("length", "deploy wants to know how long each server drains")
+		x.fail("length", "deploy requires the drain duration of each server")
 		return
 	}
 	for i, s := range list {
@@ -553,15 +554,15 @@
 	}
 }
 
-// shrink takes servers out one after the other.
+// shrink removes servers one after the other.
 func (x *expansion) shrink() {
 	list := x.selectedServers()
 	if len(list) >= len(x.deployment.Servers) {
-		x.fail("share", "no server would be left")
+		x.fail("share", "shrink would remove all servers")
 		return
 	}
 	if x.Length.Resolve(x.deployment.Length) <= 0 {
-		x.fail("length", "shrink wants to know how long each server drains")
+		x.fail("length", "shrink requires the drain duration of each server")
 		return
 	}
 	for i, s := range list {
@@ -569,7 +570,7 @@
 	}
 }
 
-// grow starts servers of new names, over the stated time.
+// grow starts servers with new names, spread over the given duration.
 func (x *expansion) grow() {
 	n := max(1, x.Count)
 	if x.Share > 0 {
@@ -585,7 +586,7 @@
 	}
 }
 
-// nodeEnds ends nodes, which come back after the stated time.
+// endNodes kills or terminates nodes. If For is set, they restart after that time.
 func (x *expansion) endNodes() {
 	verb := NodeKill
 	if x.Kind == "node_term" {
@@ -607,7 +608,7 @@
 	x.eachNode(func(n int) { x.add(Action{At: x.at, Kind: NodeUpgrade, Node: n}) })
 }
 
-// detach bans servers by hand at nodes.
+// detach bans servers at nodes, as an operator would.
 func (x *expansion) detach() {
 	x.eachServer(func(s string) {
 		x.eachNode(func(n int) { x.addInterval(Action{Kind: BanServer, Server: s, Node: n, Value: 1}, 0) })
@@ -618,7 +619,7 @@
 	x.addInterval(Action{Kind: Rude, Node: -1, Value: float64(max(1, x.Count))}, 0)
 }
 
-// shape turns a trouble of the load into a shape of the arrivals.
+// addShape adds a traffic shape for a fault of the load.
 func (x *expansion) addShape(k world.ShapeKind) {
 	s := world.Shape{Kind: k, From: x.at, To: x.end, Magnitude: x.Part, Count: max(1, x.Count)}
 	switch k {
@@ -630,7 +631,7 @@
 		}
 	case world.HotNode:
 		if len(x.Nodes) != 1 {
-			x.fail("nodes", "hot_node wants one node")
+			x.fail("nodes", "hot_node requires exactly one node")
 			return
 		}
 		s.Index = x.Nodes[0] - 1
