--- a/lab/fault/fault.go
+++ b/lab/fault/fault.go
@@ -526,12 +526,12 @@
 func (x *expansion) drainServer(s string, at time.Duration) {
 	x.add(Action{At: at, Kind: Drain, Server: s, Node: -1})
 	if x.For.Set {
-		gone := at + x.For.Resolve(x.deployment.Length)
+		removeAt := at + x.For.Resolve(x.deployment.Length)
 		if x.Kind == "deploy" || x.Kind == "shrink" {
-			gone = at + x.Length.Resolve(x.deployment.Length)
+			removeAt = at + x.Length.Resolve(x.deployment.Length)
 		}
-		x.add(Action{At: gone, Kind: ListRemove, Server: s, Node: -1})
-		x.add(Action{At: gone + 1, Kind: Kill, Server: s, Node: -1})
+		x.add(Action{At: removeAt, Kind: ListRemove, Server: s, Node: -1})
+		x.add(Action{At: removeAt + 1, Kind: Kill, Server: s, Node: -1})
 	}
 }
 
--- a/lab/seen/seen.go
+++ b/lab/seen/seen.go
@@ -74,7 +74,7 @@
 
 // String returns the name used in stories and violations.
 func (s ServerAnswer) String() string {
-	return [...]string{"nothing", "a value", "a miss", "a receipt", "busy", "an error", "something spoilt"}[s]
+	return [...]string{"nothing", "a value", "a miss", "a receipt", "busy", "an error", "a corrupt answer"}[s]
 }
 
 // Attempt is a command that reached a server, as that server observed it.
@@ -90,7 +90,7 @@
 	Value            uint64
 	RemainingTime    time.Duration // how long the node will wait, according to the command
 	FirstByteAt      time.Duration
-	LastByteAt       time.Duration // 0: the command never arrived whole
+	LastByteAt       time.Duration // 0: the command never arrived completely
 	Work             time.Duration
 	Capacity         float64 // of the server on arrival, in seconds of work per second
 	Cold             bool
--- a/lab/world/cache.go
+++ b/lab/world/cache.go
@@ -200,9 +200,9 @@
 // Advance moves the time forward and returns the jobs completed and the origin requests made since the last call.
 func (c *Cache) Advance(now time.Duration) ([]Completion, []OriginRequest) {
 	c.advance(now)
-	done, asks := c.completions, c.originRequests
+	done, requests := c.completions, c.originRequests
 	c.completions, c.originRequests = nil, nil
-	return done, asks
+	return done, requests
 }
 
 func (c *Cache) advance(now time.Duration) {
@@ -227,13 +227,13 @@
 		delete(c.cancelled, j.Token)
 		return
 	}
-	e, kept := c.values[j.Key]
+	e, cached := c.values[j.Key]
 	switch {
 	case j.Write && c.spec.Through:
 		c.holdForOrigin(at, j, true)
 	case j.Write: // only the origin accepts writes
 		c.complete(Completion{Token: j.Token, At: at, Outcome: Miss, Key: j.Key})
-	case kept:
+	case cached:
 		c.lru.MoveToFront(e)
 		c.complete(Completion{Token: j.Token, At: at, Outcome: Hit, Version: e.Value.(*cachedValue).version, Key: j.Key})
 	case c.spec.Through:
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -16,8 +16,8 @@
 	Keys         int     // number of keys
 	Zipf         float64 // the popularity of the key of rank n is proportional to 1/(n+Offset)^Zipf
 	Offset       float64
-	Drift        float64 // fraction of the keys that is replaced by new ones each second
-	TimeoutRange [2]float64
+	Drift        float64       // fraction of the keys that is replaced by new ones each second
+	TimeoutRange [2]float64    // lowest and highest timeout of a try, as fractions of the class deadline
 	MaxRetries   int           // further tries per arrival
 	RetryDelay   time.Duration // minimum delay before a further try
 	MarksRetry   bool
@@ -89,7 +89,7 @@
 	maxRate          float64 // highest rate of the run
 	gapRand          *rand.Rand
 	choiceRand       *rand.Rand
-	keyWeights       []float64
+	keyWeights       []float64    // cumulative, by rank
 	cumulativeShares [3][]float64 // of classes, tenants and nodes
 	quotaCounters    []quotaCounter
 }
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -191,15 +191,15 @@
 		c.Offer(0, Job{Token: uint64(i + 1), Key: "k", Work: ms, Size: 10})
 	}
 	c.Offer(0, Job{Token: 4, Key: "k", Work: ms, Write: true, Idem: "i"})
-	done, asks := c.Advance(20 * ms)
-	if len(done) != 0 || len(asks) != 2 {
-		t.Fatalf("%v %v", done, asks)
+	done, requests := c.Advance(20 * ms)
+	if len(done) != 0 || len(requests) != 2 {
+		t.Fatalf("%v %v", done, requests)
 	}
 	if c.Offer(20*ms, Job{Token: 5, Work: ms}) != Accepted || c.Offer(20*ms, Job{Token: 6, Work: ms}) != Accepted ||
 		c.Offer(20*ms, Job{Token: 7, Work: ms}) != Busy {
 		t.Error("jobs that wait for the origin do not hold their slots")
 	}
-	for _, a := range asks {
+	for _, a := range requests {
 		if a.Write {
 			c.OriginAnswered(30*ms, a.Token, Completion{Outcome: Stored, Receipt: "R1"})
 		} else {
@@ -393,14 +393,14 @@
 	near("writes", float64(puts)/float64(len(all)), 0.1)
 	near("first node", float64(nodes[0])/float64(len(all)), 0.5)
 	near("leaving", float64(leave)/float64(len(all)), 0.05)
-	most := func(m map[string]int) (n int) {
+	maxCount := func(m map[string]int) (n int) {
 		for _, c := range m {
 			n = max(n, c)
 		}
 		return n
 	}
-	near("hot key", float64(most(hot))/1500, 0.3)
-	if top := float64(most(keys)) / float64(len(all)-1500); top < 0.01 || top > 0.08 {
+	near("hot key", float64(maxCount(hot))/1500, 0.3)
+	if top := float64(maxCount(keys)) / float64(len(all)-1500); top < 0.01 || top > 0.08 {
 		t.Errorf("the most popular key has a share of %v", top)
 	}
 	if over == 0 || over > len(all)/2 {
