--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -370,10 +370,10 @@
 		c.mu.Lock()
 		x := c.current
 		if x == nil { // data after the complete answer
-			last := c.previous
+			previous := c.previous
 			c.mu.Unlock()
-			if last != nil {
-				last.recordExtra(line)
+			if previous != nil {
+				previous.recordExtra(line)
 			}
 			c.netConn.Close()
 			continue
@@ -430,13 +430,13 @@
 
 // resend sends an unanswered request once more, on a new connection.
 func (x *try) resend() {
-	over := false
+	ended := false
 	x.load.opt.Log.Update(func(*seen.Record) {
-		if over = x.ended; !over {
+		if ended = x.ended; !ended {
 			x.record.Resent, x.record.SentAt = true, 0
 		}
 	})
-	if over {
+	if ended {
 		return
 	}
 	go x.load.pools[x.record.Node].dial(x)
@@ -464,9 +464,9 @@
 		case len(words) == 0:
 		case words[0] == "VA":
 			t.Answer = seen.Served
-			key, version, request, server, right := standin.ReadValue(value)
+			key, version, request, server, intact := standin.ReadValue(value)
 			t.Server, t.Version = server, version
-			t.Correct = right && id == t.ID && request == t.ID && key == t.Key
+			t.Correct = intact && id == t.ID && request == t.ID && key == t.Key
 		case words[0] == "HD":
 			t.Answer = seen.Served
 			if id != t.ID {
@@ -555,12 +555,12 @@
 	}
 	wait := max(x.load.opt.Spec.RetryDelay, t.RetryAfter)
 	now := x.load.opt.Log.Now()
-	harmless := t.Answer == seen.Refused || t.ConnectFailed
+	repeatable := t.Answer == seen.Refused || t.ConnectFailed
 	switch class.Effect {
 	case world.Keyed:
-		harmless = harmless || class.Scope == world.ScopeAll && now+wait < x.arrivalDue+class.Window
+		repeatable = repeatable || class.Scope == world.ScopeAll && now+wait < x.arrivalDue+class.Window
 	case world.Safe:
-		harmless = true
+		repeatable = true
 	}
-	return harmless && now+wait+minRetryTime < x.arrivalDue+class.Deadline, wait
+	return repeatable && now+wait+minRetryTime < x.arrivalDue+class.Deadline, wait
 }
--- a/lab/load/rude.go
+++ b/lab/load/rude.go
@@ -60,8 +60,8 @@
 			return
 		default:
 		}
-		node := r.load.pools[rng.IntN(len(r.load.pools))]
-		c, err := net.DialTimeout("tcp", node.addr, 200*time.Millisecond)
+		pool := r.load.pools[rng.IntN(len(r.load.pools))]
+		c, err := net.DialTimeout("tcp", pool.addr, 200*time.Millisecond)
 		if err != nil {
 			time.Sleep(20 * time.Millisecond)
 			continue
--- a/lab/world/budget.go
+++ b/lab/world/budget.go
@@ -23,7 +23,7 @@
 
 // Add counts work that arrives while the server can do capacity seconds of work per second. It reports whether the
 // budget is exceeded and, if so, which fraction of the work in the window the caller had marked.
-func (b *WorkBudget) Add(now, work time.Duration, capacity float64, mark bool) (spent bool, marked float64) {
+func (b *WorkBudget) Add(now, work time.Duration, capacity float64, mark bool) (exceeded bool, marked float64) {
 	if b.Multiple <= 0 || b.Window <= 0 {
 		return false, 0
 	}
--- a/lab/world/cache.go
+++ b/lab/world/cache.go
@@ -239,13 +239,13 @@
 	case c.spec.Through:
 		c.holdForOrigin(at, j, false)
 	default:
-		ending := Miss
-		if until, out := c.leases[j.Key]; out && at < until {
-			ending = Fetching
+		outcome := Miss
+		if until, leased := c.leases[j.Key]; leased && at < until {
+			outcome = Fetching
 		} else if c.spec.Lease > 0 {
 			c.leases[j.Key] = at + c.spec.Lease
 		}
-		c.complete(Completion{Token: j.Token, At: at, Outcome: ending, Key: j.Key})
+		c.complete(Completion{Token: j.Token, At: at, Outcome: outcome, Key: j.Key})
 	}
 }
 
@@ -253,9 +253,9 @@
 	c.station.heldSlots++
 	c.atOrigin[j.Token] = j
 	if !write {
-		waits := c.fetches[j.Key]
-		c.fetches[j.Key] = append(waits, j.Token)
-		if len(waits) > 0 && c.spec.Coalesce {
+		waiting := c.fetches[j.Key]
+		c.fetches[j.Key] = append(waiting, j.Token)
+		if len(waiting) > 0 && c.spec.Coalesce {
 			return
 		}
 	}
