--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -418,7 +418,7 @@
 			r := run(t, cfg, 0, nil)
 			r.reg = reg
 			eventually(t, "all are known, and changes are waited for", func() bool { return r.is() && reg.Waits() > 0 })
-			reg.Log.Do(func(rec *seen.Record) { rec.Told = nil }) // it has each list that was told
+			reg.Log.Update(func(rec *seen.Record) { rec.ListUpdates = nil }) // it has each list that was told
 			used := heap() - before
 			if n, _ := reg.Calls(); n != calls {
 				t.Errorf("%d calls, not %d", n, calls)
@@ -476,7 +476,7 @@
 		r.reg.Down(0, false)
 		eventually(t, "it is back", there)
 		r.reg.Down(1, false)
-		r.reg.Do(func(now time.Duration, s *world.Store) { s.Lapse(now + time.Hour) }) // the leases are lost
+		r.reg.Do(func(now time.Duration, s *world.Store) { s.ExpireLeases(now + time.Hour) }) // the leases are lost
 		eventually(t, "the loss is known", gone)
 		eventually(t, "it is back under a new lease", there)
 		done := make(chan bool)
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -64,7 +64,7 @@
 	byID   map[string]*cache // by the id that it has now
 	names  map[string]string // a joining server's place
 	origin *origin
-	roster *world.Roster
+	roster *world.ServerList
 	lists  listState
 	nodes  []*node
 	logs   []string
@@ -130,7 +130,7 @@
 			members = append(members, world.Member{ID: x.OriginID(), Kind: "origin", Zone: "a", Weight: 1})
 		}
 	}
-	s.roster = world.NewRoster(1<<20, members...)
+	s.roster = world.NewServerList(1<<20, members...)
 	for i := range x.Nodes.Count {
 		text, err := json.Marshal(x.Settings(i))
 		if err != nil {
@@ -164,12 +164,12 @@
 	room := map[string]int64{}
 	for _, v := range x.Servers {
 		if !v.Group.Cold {
-			room[v.ID] = int64(x.Clients.Warm * float64(v.Spec.Memory))
+			room[v.ID] = int64(x.Clients.Warm * float64(v.Spec.MemoryBytes))
 		}
 	}
 	full := 0
-	for _, key := range src.Popular(x.Clients.Keys) {
-		i := world.Top(key, members)
+	for _, key := range src.PopularKeys(x.Clients.Keys) {
+		i := world.TopRanked(key, members)
 		if i < 0 || full >= len(members) {
 			return
 		}
@@ -193,7 +193,7 @@
 	for _, a := range s.x.Timeline.Actions {
 		s.at(a.At, func() {
 			s.do(a)
-			s.rec.Marks = append(s.rec.Marks, seen.Mark{At: s.now, Text: a.String()})
+			s.rec.Events = append(s.rec.Events, seen.Event{At: s.now, Text: a.String()})
 		})
 	}
 	for i := range plan {
@@ -208,7 +208,7 @@
 		e.do()
 	}
 	for _, n := range s.nodes {
-		n.life.End, n.life.Term, n.life.Status = s.now, s.now, "exit status 0"
+		n.life.EndedAt, n.life.TerminatedAt, n.life.ExitStatus = s.now, s.now, "exit status 0"
 	}
 	rules := s.x.Rules()
 	rules.Tolerance = 5 * time.Millisecond // nothing is late here but what travels
@@ -227,28 +227,28 @@
 // wish begins a try of a client.
 func (s *sim) wish(a *world.Arrival, begin time.Duration, n, at int) {
 	class := &s.x.Classes[a.Class]
-	until := min(s.now+a.Patience, begin+class.Deadline)
+	until := min(s.now+a.Timeout, begin+class.Deadline)
 	if until-s.now < time.Millisecond {
 		s.open_--
 		return
 	}
 	nd := s.nodes[at]
 	for i := range s.nodes { // the front knows which nodes serve, after a while
-		if x := s.nodes[(at+i)%len(s.nodes)]; x.up || s.now-x.life.End < 2*time.Second {
+		if x := s.nodes[(at+i)%len(s.nodes)]; x.up || s.now-x.life.EndedAt < 2*time.Second {
 			nd = x
 			break
 		}
 	}
-	t := &seen.Try{ID: a.ID(s.x.Seed, n), Arrival: a.N, N: n, Class: class.Name, Key: a.Key, Idem: a.Idem, Write: class.Write, Node: nd.number,
-		Life: nd.lives - 1, Planned: s.now, Sent: s.now, Until: until}
+	t := &seen.Try{ID: a.ID(s.x.Seed, n), ArrivalNumber: a.N, Number: n, Class: class.Name, Key: a.Key, Idem: a.Idem, Write: class.Write, Node: nd.number,
+		Generation: nd.lives - 1, DueAt: s.now, SentAt: s.now, WaitsUntil: until}
 	if a.Tenant >= 0 {
 		t.Tenant = s.x.Tenants[a.Tenant].Name
 	}
 	s.rec.Tries = append(s.rec.Tries, t)
 	x := &try{a: a, wish: begin, t: t, class: class}
-	if a.Leave > 0 && n == 0 {
-		s.after(a.Leave, func() {
-			s.end(x, func() { t.Left = s.now })
+	if a.LeaveAfter > 0 && n == 0 {
+		s.after(a.LeaveAfter, func() {
+			s.end(x, func() { t.LeftAt = s.now })
 			s.hop(func() { nd.abandoned(t.ID) })
 		})
 	}
@@ -256,7 +256,7 @@
 	s.hop(func() {
 		if !nd.up || nd.frozen {
 			if !nd.up {
-				s.end(x, func() { t.Nowhere = true })
+				s.end(x, func() { t.ConnectFailed = true })
 			}
 			return
 		}
@@ -272,9 +272,9 @@
 	x.over = true
 	change()
 	t := x.t
-	wait := max(s.x.Source.Pause, t.ComeBack)
-	again := t.Answer != seen.Served && t.Left == 0 && t.N+1 < x.a.Tries && s.now+wait+20*time.Millisecond < x.wish+x.class.Deadline
-	if harmless := t.Answer == seen.Refused || t.Nowhere; again && !harmless {
+	wait := max(s.x.Source.RetryDelay, t.RetryAfter)
+	again := t.Answer != seen.Served && t.LeftAt == 0 && t.Number+1 < x.a.MaxTries && s.now+wait+20*time.Millisecond < x.wish+x.class.Deadline
+	if harmless := t.Answer == seen.Refused || t.ConnectFailed; again && !harmless {
 		again = x.class.Effect == world.Safe || x.class.Effect == world.Keyed && x.class.Scope == world.ScopeAll && s.now+wait < x.wish+x.class.Window
 	}
 	if !again {
@@ -282,10 +282,10 @@
 		return
 	}
 	at := t.Node
-	if t.Nowhere {
+	if t.ConnectFailed {
 		at = (at + 1) % len(s.nodes)
 	}
-	s.after(wait, func() { s.wish(x.a, x.wish, t.N+1, at) })
+	s.after(wait, func() { s.wish(x.a, x.wish, t.Number+1, at) })
 }
 
 // node is one balancer.
@@ -295,7 +295,7 @@
 	set       policy.Settings
 	deadlines map[string]time.Duration
 	policy    *policy.Balancer
-	life      *seen.Life
+	life      *seen.NodeProcess
 	lives     int
 	up        bool
 	frozen    bool
@@ -331,12 +331,12 @@
 // start begins a process.
 func (n *node) start() {
 	s := n.sim
-	rev, members := s.roster.Whole(s.now)
-	n.life = &seen.Life{Node: n.number, Life: n.lives, Start: s.now, Ready: s.now, Known: members}
-	s.rec.Lives = append(s.rec.Lives, n.life)
+	rev, members := s.roster.Snapshot(s.now)
+	n.life = &seen.NodeProcess{Node: n.number, Generation: n.lives, StartedAt: s.now, ReadyAt: s.now, InitialList: members}
+	s.rec.NodeProcesses = append(s.rec.NodeProcesses, n.life)
 	n.lives++
 	n.up, n.frozen, n.calls, n.rev = true, false, map[string]*call{}, rev
-	n.seed = world.Stream(s.x.Seed, "node", strconv.Itoa(n.number), strconv.Itoa(n.lives)).Uint64()
+	n.seed = world.RandomStream(s.x.Seed, "node", strconv.Itoa(n.number), strconv.Itoa(n.lives)).Uint64()
 	n.members = map[string]world.Member{}
 	for _, m := range members {
 		n.members[m.ID] = m
@@ -374,10 +374,10 @@
 // take hands a request to the module.
 func (n *node) take(x *try) {
 	s, t := n.sim, x.t
-	left := t.Until - s.now
+	left := t.WaitsUntil - s.now
 	c := &call{try: x, node: n, life: n.lives, end: s.now + left - min(margin, left/2)}
 	n.calls[t.ID] = c
-	s.at(t.Until-min(lastCall, (t.Until-c.end)/3), func() {
+	s.at(t.WaitsUntil-min(lastCall, (t.WaitsUntil-c.end)/3), func() {
 		if n.calls[t.ID] == c && !c.answered && n.lives == c.life && n.up {
 			s.logs = append(s.logs, fmt.Sprintf("%v node %d: overdue %s", s.now, n.number+1, t.ID))
 			n.answer(c, seen.Failed, 0, nil)
@@ -424,9 +424,9 @@
 	s.hop(func() {
 		s.end(x, func() {
 			t := x.t
-			t.Answer, t.At, t.ComeBack = kind, s.now, comeBack
+			t.Answer, t.AnsweredAt, t.RetryAfter = kind, s.now, comeBack
 			if by != nil {
-				t.Server, t.Version, t.Receipt, t.Right = by.Server, by.Version, by.Receipt, true
+				t.Server, t.Version, t.Receipt, t.Correct = by.Server, by.Version, by.Receipt, true
 			}
 		})
 	})
@@ -482,8 +482,8 @@
 		return
 	}
 	n.sim.hop(func() {
-		if a.rec.Closed == 0 && a.rec.Answered == 0 {
-			a.rec.Closed = n.sim.now
+		if a.rec.ClosedAt == 0 && a.rec.AnsweredAt == 0 {
+			a.rec.ClosedAt = n.sim.now
 		}
 		a.stop()
 	})
@@ -560,12 +560,12 @@
 	if !n.up || n.cut || n.frozen || s.lists.down {
 		return
 	}
-	at, changes, known := s.roster.Since(s.now, n.rev)
+	at, changes, known := s.roster.ChangesSince(s.now, n.rev)
 	if !known || at == n.rev {
 		return
 	}
 	n.rev = at
-	s.rec.Told = append(s.rec.Told, seen.Told{Node: n.number, Life: n.lives - 1, At: s.now, Revision: at, Members: changes})
+	s.rec.ListUpdates = append(s.rec.ListUpdates, seen.ListUpdate{Node: n.number, Generation: n.lives - 1, At: s.now, Revision: at, Members: changes})
 	for _, m := range changes {
 		n.members[m.ID] = m
 	}
@@ -575,19 +575,19 @@
 
 // do carries out one action of the timeline.
 func (s *sim) do(a fault.Action) {
-	on := a.X != 0
-	if a.Plan > 0 {
+	on := a.Value != 0
+	if a.Planner > 0 {
 		s.onPlanner(a)
 		return
 	}
-	switch a.Verb {
+	switch a.Kind {
 	case fault.ListDown, fault.ListGarble:
 		s.lists.down = on
 		s.tell()
 	case fault.ListLag:
-		s.lists.delay = time.Duration(a.X * float64(time.Second))
+		s.lists.delay = time.Duration(a.Value * float64(time.Second))
 	case fault.OriginSlow:
-		s.origin.model.Slow(s.now, a.X)
+		s.origin.model.Slow(s.now, a.Value)
 		s.origin.plan()
 	case fault.OriginPause:
 		s.origin.model.Pause(s.now, on)
@@ -608,7 +608,7 @@
 		s.nodes[a.Node].freeze(on)
 	case fault.NodeStart:
 		s.nodes[a.Node].start()
-	case fault.Detach:
+	case fault.BanServer:
 		s.detach(a.Node, a.Server, on)
 	default:
 		if a.Server != "" {
@@ -623,15 +623,15 @@
 		return
 	}
 	s := n.sim
-	n.up, n.life.End, n.life.Killed, n.life.Status = false, s.now, true, "signal: killed"
+	n.up, n.life.EndedAt, n.life.Killed, n.life.ExitStatus = false, s.now, true, "signal: killed"
 	for _, c := range n.calls {
 		x := c.try
-		s.hop(func() { s.end(x, func() { x.t.Ended = s.now }) })
+		s.hop(func() { s.end(x, func() { x.t.ConnEndedAt = s.now }) })
 		for _, a := range c.tries {
 			if !a.done {
 				s.hop(func() {
-					if a.rec.Closed == 0 && a.rec.Answered == 0 {
-						a.rec.Closed = s.now
+					if a.rec.ClosedAt == 0 && a.rec.AnsweredAt == 0 {
+						a.rec.ClosedAt = s.now
 					}
 					a.stop()
 				})
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -44,11 +44,11 @@
 }
 
 func (c *cache) noteStart(v *experiment.Server, cold bool) {
-	st := seen.Start{Server: c.id, Name: c.name, Cold: cold, Capacity: float64(v.Spec.Cores) * v.Spec.Speed}
+	st := seen.ServerStart{Server: c.id, Name: c.name, Cold: cold, Capacity: float64(v.Spec.Cores) * v.Spec.Speed}
 	if cold {
 		st.At = c.sim.now
 	}
-	c.sim.rec.Starts = append(c.sim.rec.Starts, st)
+	c.sim.rec.ServerStarts = append(c.sim.rec.ServerStarts, st)
 }
 
 // arrive is an attempt at a server.
@@ -69,7 +69,7 @@
 		return
 	}
 	t, r := a.call.try.t, a.rec
-	r.First, r.Last = s.now, s.now
+	r.FirstByteAt, r.LastByteAt = s.now, s.now
 	class := a.call.try.class
 	r.Work = world.WorkOf(s.x.Seed, class, t.ID)
 	r.Capacity, r.Cold = c.model.Capacity(s.now), c.model.Cold(s.now)
@@ -84,7 +84,7 @@
 	c.serial++
 	token := c.serial
 	switch c.model.Offer(s.now, world.Job{Token: token, Key: t.Key, Work: r.Work, Write: t.Write, Size: s.valueOf(t, class), Idem: t.Idem}) {
-	case world.Taken:
+	case world.Accepted:
 		c.jobs[token] = &job{n, a}
 		a.stop = func() {
 			if c.jobs[token] != nil {
@@ -100,13 +100,13 @@
 }
 
 // reply sends an attempt's answer back.
-func (c *cache) reply(n *node, a *attempt, o policy.Outcome, note policy.Note, said seen.Said) {
+func (c *cache) reply(n *node, a *attempt, o policy.Outcome, note policy.Note, said seen.ServerAnswer) {
 	s := c.sim
 	if c.silent {
 		return
 	}
-	if a.rec.Closed == 0 {
-		a.rec.Said, a.rec.Answered = said, s.now
+	if a.rec.ClosedAt == 0 {
+		a.rec.Answer, a.rec.AnsweredAt = said, s.now
 	}
 	s.hop(func() { n.finished(a, o, note) })
 }
@@ -122,11 +122,11 @@
 		}
 		delete(c.jobs, d.Token)
 		r := j.a.rec
-		switch d.Ending {
+		switch d.Outcome {
 		case world.Hit, world.Fetched:
 			r.Version = d.Version
 			note := policy.NoteHit
-			if d.Ending == world.Fetched {
+			if d.Outcome == world.Fetched {
 				note = policy.NoteMiss
 			}
 			c.reply(j.node, j.a, policy.OK, c.tells(note), seen.Value)
@@ -137,11 +137,11 @@
 			c.reply(j.node, j.a, policy.Errored, c.tells(policy.NoteMiss), seen.Error)
 		default:
 			note := policy.NoteMiss
-			if d.Ending == world.Fetching {
+			if d.Outcome == world.Fetching {
 				note = policy.NoteFetching
 			}
 			j.a.call.missed = append(j.a.call.missed, c)
-			c.reply(j.node, j.a, policy.Miss, c.tells(note), seen.Absent)
+			c.reply(j.node, j.a, policy.Miss, c.tells(note), seen.NoValue)
 		}
 	}
 	for _, a := range asks {
@@ -149,10 +149,10 @@
 			s.origin.ask(c, a, j)
 		}
 	}
-	if c.model.Fell() && !c.fell {
+	if c.model.FellOver() && !c.fell {
 		c.fell = true
-		s.rec.Falls = append(s.rec.Falls, seen.Mark{At: s.now, Text: c.id})
-		s.rec.Marks = append(s.rec.Marks, seen.Mark{At: s.now, Text: c.name + " falls over"})
+		s.rec.FallOvers = append(s.rec.FallOvers, seen.Event{At: s.now, Text: c.id})
+		s.rec.Events = append(s.rec.Events, seen.Event{At: s.now, Text: c.name + " falls over"})
 		c.die()
 	}
 	c.plan()
@@ -186,8 +186,8 @@
 	c.dead = true
 	c.model.Stop(s.now)
 	for _, j := range c.jobs {
-		if j.a.rec.Closed == 0 {
-			j.a.rec.Closed = s.now
+		if j.a.rec.ClosedAt == 0 {
+			j.a.rec.ClosedAt = s.now
 		}
 		s.hop(func() { j.node.finished(j.a, policy.Reset, 0) })
 	}
@@ -197,34 +197,34 @@
 func (s *sim) onServer(a fault.Action) {
 	c := s.caches[a.Server]
 	v := s.x.Server(a.Server)
-	if a.Verb == fault.Join {
-		c = s.addCache(v, a.X != 0)
+	if a.Kind == fault.StartNew {
+		c = s.addCache(v, a.Value != 0)
 		s.entry(c, v, world.Serving)
 		return
 	}
 	if c == nil {
 		return
 	}
-	on := a.X != 0
-	switch a.Verb {
-	case fault.Die:
+	on := a.Value != 0
+	switch a.Kind {
+	case fault.Kill:
 		c.die()
-	case fault.Rise:
-		if a.Text != "" {
-			v = s.x.Server(a.Text)
+	case fault.Restart:
+		if a.NewName != "" {
+			v = s.x.Server(a.NewName)
 			delete(s.byID, c.id)
 			c.id = v.ID
-			s.caches[a.Text], s.byID[c.id] = c, c
+			s.caches[a.NewName], s.byID[c.id] = c, c
 		}
 		c.dead, c.refuse, c.silent, c.hangs, c.away, c.fell = false, false, false, false, false, false
 		c.model.Start(s.now, on)
 		c.noteStart(v, on)
 		s.entry(c, v, world.Serving)
-	case fault.Silence:
+	case fault.Silent:
 		c.silent = on
 		if on {
 			for _, j := range c.jobs {
-				j.a.rec.Blind = true
+				j.a.rec.ConnStateUnknown = true
 			}
 			return
 		}
@@ -235,19 +235,19 @@
 		c.hangs = on
 	case fault.Refuse:
 		c.refuse = on
-	case fault.TurnAway:
+	case fault.AnswerBusy:
 		c.away = on
 	case fault.Slow:
-		c.model.Slow(s.now, a.X)
+		c.model.Slow(s.now, a.Value)
 	case fault.Steal:
-		c.model.Steal(s.now, a.X)
+		c.model.Steal(s.now, a.Value)
 	case fault.Pause:
 		c.model.Pause(s.now, on)
-	case fault.Void:
-		c.model.Flush(a.X)
+	case fault.Flush:
+		c.model.Flush(a.Value)
 	case fault.Drain:
 		s.entry(c, v, world.Draining)
-	case fault.Leave:
+	case fault.ListRemove:
 		c.model.Drain(s.now, true)
 		s.entry(c, v, world.Deleted)
 	}
@@ -260,7 +260,7 @@
 func (s *sim) entry(c *cache, v *experiment.Server, phase world.Phase) {
 	m := v.Member
 	m.ID, m.Phase = c.id, phase
-	if began, cold := c.model.Began(); cold {
+	if began, cold := c.model.Started(); cold {
 		m.Started = began
 	}
 	s.set(m)
@@ -274,27 +274,27 @@
 	due    time.Duration
 	jobs   map[uint64]*job
 	byWho  map[uint64]string
-	asks   map[uint64]func(world.Done, bool)
+	asks   map[uint64]func(world.Completion, bool)
 }
 
 func newOrigin(s *sim) *origin {
 	return &origin{sim: s, model: world.NewOrigin(s.x.OriginSpec(), s.x.Seed), jobs: map[uint64]*job{}, byWho: map[uint64]string{},
-		asks: map[uint64]func(world.Done, bool){}}
+		asks: map[uint64]func(world.Completion, bool){}}
 }
 
 // offer brings a job; what becomes of one that is taken is told to end.
-func (o *origin) offer(t *seen.Attempt, size int) (uint64, world.Verdict) {
+func (o *origin) offer(t *seen.Attempt, size int) (uint64, world.Admission) {
 	s := o.sim
 	o.serial++
 	o.byWho[o.serial] = t.Request
-	stops := o.model.Stops()
+	stops := o.model.StopCount()
 	v, work := o.model.Offer(s.now, world.Job{Token: o.serial, Key: t.Key, Write: t.Write, Size: size, Idem: t.Idem})
 	t.Work, t.Capacity = work, o.model.Capacity()
-	if o.model.Stops() > stops {
-		s.rec.Stops = append(s.rec.Stops, seen.Mark{At: s.now, Text: "origin"})
-		s.rec.Marks = append(s.rec.Marks, seen.Mark{At: s.now, Text: "the origin stops: too much was asked"})
+	if o.model.StopCount() > stops {
+		s.rec.OriginStops = append(s.rec.OriginStops, seen.Event{At: s.now, Text: "origin"})
+		s.rec.Events = append(s.rec.Events, seen.Event{At: s.now, Text: "the origin stops: too much was asked"})
 	}
-	if v != world.Taken {
+	if v != world.Accepted {
 		delete(o.byWho, o.serial)
 	}
 	return o.serial, v
@@ -307,11 +307,11 @@
 		return
 	}
 	r := a.rec
-	r.Origin, r.First, r.Last = true, s.now, s.now
+	r.Origin, r.FirstByteAt, r.LastByteAt = true, s.now, s.now
 	s.rec.Attempts = append(s.rec.Attempts, r)
 	token, v := o.offer(r, 0)
 	switch v {
-	case world.Taken:
+	case world.Accepted:
 		o.jobs[token] = &job{n, a}
 		a.stop = func() {
 			if o.jobs[token] != nil {
@@ -321,36 +321,36 @@
 			}
 		}
 	case world.Busy:
-		r.Said, r.Answered = seen.Busy, s.now
+		r.Answer, r.AnsweredAt = seen.Busy, s.now
 		s.hop(func() { n.finished(a, policy.Full, 0) })
 	default:
-		r.Closed = s.now
+		r.ClosedAt = s.now
 		s.hop(func() { n.finished(a, policy.ConnectFailed, 0) })
 	}
 	o.look()
 }
 
 // ask is a cache's own request, in through mode.
-func (o *origin) ask(c *cache, a world.Ask, j *job) {
+func (o *origin) ask(c *cache, a world.OriginRequest, j *job) {
 	s := o.sim
 	t := &seen.Attempt{Server: s.x.OriginID(), Origin: true, Request: j.a.rec.Request, Key: a.Key, Write: a.Write, Idem: a.Idem}
 	model := c.model
-	end := func(d world.Done, ok bool) {
+	end := func(d world.Completion, ok bool) {
 		if !ok {
-			d = world.Done{Ending: world.Failed}
+			d = world.Completion{Outcome: world.Failed}
 		}
 		s.hop(func() {
 			if !c.dead && c.model == model {
-				c.model.Answer(s.now, a.Token, d)
+				c.model.OriginAnswered(s.now, a.Token, d)
 				c.look()
 			}
 		})
 	}
 	token, v := o.offer(t, 0)
-	if v == world.Taken {
+	if v == world.Accepted {
 		o.asks[token] = end
 	} else {
-		end(world.Done{}, false)
+		end(world.Completion{}, false)
 	}
 	o.look()
 }
@@ -358,11 +358,11 @@
 func (o *origin) look() {
 	s := o.sim
 	for _, d := range o.model.Advance(s.now) {
-		if d.Fresh {
+		if d.Applied {
 			s.rec.Effects = append(s.rec.Effects, seen.Effect{At: s.now, Request: o.byWho[d.Token], Key: d.Key, Idem: d.Idem, Receipt: d.Receipt})
 			for _, v := range s.x.Servers {
 				if c := s.caches[v.Name]; c != nil {
-					c.model.Void(d.Key)
+					c.model.Invalidate(d.Key)
 				}
 			}
 		}
@@ -377,10 +377,10 @@
 		}
 		delete(o.jobs, d.Token)
 		r := j.a.rec
-		if r.Answered = s.now; r.Write {
-			r.Said, r.Receipt = seen.Receipt, d.Receipt
+		if r.AnsweredAt = s.now; r.Write {
+			r.Answer, r.Receipt = seen.Receipt, d.Receipt
 		} else {
-			r.Said, r.Version = seen.Value, d.Version
+			r.Answer, r.Version = seen.Value, d.Version
 			list := j.a.call.missed
 			for _, c := range list[:min(2, len(list))] {
 				c.model.Store(s.now, r.Key, d.Version, int64(s.valueOf(j.a.call.try.t, j.a.call.try.class)))
@@ -388,15 +388,15 @@
 		}
 		s.hop(func() { j.node.finished(j.a, policy.OK, 0) })
 	}
-	for _, token := range o.model.Lost() {
+	for _, token := range o.model.TakeLost() {
 		delete(o.byWho, token)
 		if end := o.asks[token]; end != nil {
 			delete(o.asks, token)
-			end(world.Done{}, false)
+			end(world.Completion{}, false)
 		}
 		if j := o.jobs[token]; j != nil {
 			delete(o.jobs, token)
-			j.a.rec.Closed = s.now
+			j.a.rec.ClosedAt = s.now
 			s.hop(func() { j.node.finished(j.a, policy.Reset, 0) })
 		}
 	}
@@ -426,7 +426,7 @@
 	if !n.up {
 		return
 	}
-	s.rec.Said(number, id, on, s.now)
+	s.rec.SetBan(number, id, on, s.now)
 	n.policy.Ban(n.clock(), id, on)
 	n.settle()
 }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load plays clients: open loop, many at once from one process. Each wish has its time in the plan and is sent
-// then, whatever has become of those before it; times are counted from when it was due, so that a node that stalls cannot
-// hide what it kept waiting. How late the load itself was is measured, for a run in which it was late says nothing.
+// Package load simulates many clients in one process, as an open-loop load: each arrival is sent at its planned time,
+// whatever became of the earlier ones, and its times count from then, so that a stalled node cannot hide the requests
+// that it delays. The load measures its own lateness, because the results of a run in which it was late are not valid.
 package load
 
 import (
@@ -23,71 +23,71 @@
 )
 
 const (
-	dialFor  = time.Second            // how long a client waits for a connection
-	tellFor  = 250 * time.Millisecond // how long after its deadline a client still listens, to see what comes
-	noticed  = 2 * time.Second        // after which the front deals nothing more to a node that refuses connections
-	mostIdle = 4096                   // connections kept for each node
+	dialTimeout        = time.Second            // how long a client waits for a connection
+	listenAfterTimeout = 250 * time.Millisecond // how long a client still reads after its timeout, to detect late answers
+	downNoticeDelay    = 2 * time.Second        // after which no try goes to a node that refuses connections
+	maxIdleConns       = 4096                   // per node
 
-	leastLeft = 20 * time.Millisecond // with less time than that nobody tries again
+	minRetryTime = 20 * time.Millisecond // with less remaining time, clients don't retry
 )
 
-// Options describe the clients.
+// Options configure the clients.
 type Options struct {
-	Log     *seen.Log
-	Seed    uint64
-	Spec    world.ClientSpec
-	Classes []world.Class
-	Tenants []world.Tenant
-	Nodes   []string           // their addresses
-	Life    func(node int) int // which process of a node is running
-	Values  int                // bytes of memory for values of writes at most; 0: any
+	Log        *seen.Log
+	Seed       uint64
+	Spec       world.ClientSpec
+	Classes    []world.Class
+	Tenants    []world.Tenant
+	NodeAddrs  []string
+	Generation func(node int) int // number of a node's running process, from 0
+	Values     int                // memory limit for values of writes, in bytes; 0: none
 }
 
-// Load is the clients of a run.
+// Load sends the requests of all clients of a run.
 type Load struct {
-	opt   Options
-	nodes []*front
-	open  sync.WaitGroup
-	sent  atomic.Int64
+	opt      Options
+	pools    []*connPool
+	inFlight sync.WaitGroup
+	sent     atomic.Int64
 
-	mu   sync.Mutex
-	late *hdrhistogram.Histogram // of sends behind their plan, in microseconds
+	mu         sync.Mutex
+	sendDelays *hdrhistogram.Histogram // delays of sends behind the plan, in microseconds
 
 	rude *rudeClients
 }
 
-// front is what deals out connections to one node.
-type front struct {
-	load *Load
-	n    int
-	addr string
-	mu   sync.Mutex
-	idle []*conn
-	all  map[*conn]bool
-	down time.Duration // since when it refuses; 0: it does not
-	away bool          // it says that it takes no clients: no new connections are dealt to it
+// connPool holds the client connections to one node.
+type connPool struct {
+	load        *Load
+	node        int
+	addr        string
+	mu          sync.Mutex
+	idle        []*conn
+	conns       map[*conn]bool
+	downSince   time.Duration // since when the node refuses connections; 0: it accepts them
+	unavailable bool          // the node takes no new clients: it gets no new connections
 }
 
-// New makes the clients.
+// New returns a load with a connection pool for each node.
 func New(opt Options) *Load {
-	l := &Load{opt: opt, late: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
-	for i, addr := range opt.Nodes {
-		l.nodes = append(l.nodes, &front{load: l, n: i, addr: addr, all: map[*conn]bool{}})
+	l := &Load{opt: opt, sendDelays: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+	for i, addr := range opt.NodeAddrs {
+		l.pools = append(l.pools, &connPool{load: l, node: i, addr: addr, conns: map[*conn]bool{}})
 	}
 	l.rude = &rudeClients{load: l}
 	return l
 }
 
-// Late is how late wishes were sent behind their plan, in microseconds.
-func (l *Load) Late() *hdrhistogram.Histogram { return l.late }
+// SendDelays returns how late first tries were sent behind their plan, in microseconds.
+func (l *Load) SendDelays() *hdrhistogram.Histogram { return l.sendDelays }
 
-// Sent is how many tries have been made so far.
-func (l *Load) Sent() int64 { return l.sent.Load() }
+// TriesSent returns the number of tries so far.
+func (l *Load) TriesSent() int64 { return l.sent.Load() }
 
-// Rude sets how many clients send nonsense.
-func (l *Load) Rude(count int) { l.rude.set(count) }
+// SetRudeClients sets the number of clients that send invalid data.
+func (l *Load) SetRudeClients(count int) { l.rude.setCount(count) }
 
-// Run sends the plan, which begins at the time given on the log's clock, and waits until all is answered or given up.
+// Run sends the planned arrivals, counted from begin on the log's clock, and waits until each is answered or abandoned.
 func (l *Load) Run(ctx context.Context, begin time.Duration, arrivals []world.Arrival) {
 	for i := range arrivals {
 		a := &arrivals[i]
@@ -99,18 +99,18 @@
 		} else if ctx.Err() != nil {
 			break
 		}
-		l.first(a, due)
+		l.startFirst(a, due)
 	}
 	done := make(chan struct{})
 	go func() {
-		l.open.Wait()
+		l.inFlight.Wait()
 		close(done)
 	}()
 	<-done
-	l.rude.set(0)
+	l.rude.setCount(0)
 	l.rude.wait.Wait()
-	for _, f := range l.nodes {
-		f.close()
+	for _, p := range l.pools {
+		p.close()
 	}
 }
 
@@ -125,38 +125,38 @@
 	}
 }
 
-// try is one try under way.
+// try is a try in flight.
 type try struct {
-	load  *Load
-	a     *world.Arrival
-	begin time.Duration // when the wish was due
-	t     *seen.Try
-	text  []byte
-	conn  atomic.Pointer[conn]
-	timer *time.Timer
-	leave *time.Timer
-	over  bool
+	load        *Load
+	arrival     *world.Arrival
+	arrivalDue  time.Duration // when the arrival was due
+	record      *seen.Try
+	request     []byte
+	conn        atomic.Pointer[conn]
+	giveUpTimer *time.Timer
+	leaveTimer  *time.Timer
+	ended       bool
 }
 
-// first sends a wish's first try.
-func (l *Load) first(a *world.Arrival, due time.Duration) {
-	l.open.Add(1)
-	l.begin(a, due, due, 0, a.Node)
+// startFirst starts the first try of an arrival.
+func (l *Load) startFirst(a *world.Arrival, due time.Duration) {
+	l.inFlight.Add(1)
+	l.startTry(a, due, due, 0, a.Node)
 }
 
-// begin makes a try that is due at a time.
-func (l *Load) begin(a *world.Arrival, wish, due time.Duration, n, node int) {
+// startTry sends try n of an arrival, which is due at the given time.
+func (l *Load) startTry(a *world.Arrival, arrivalDue, due time.Duration, n, node int) {
 	class := &l.opt.Classes[a.Class]
 	now := l.opt.Log.Now()
-	until := min(max(now, due)+a.Patience, wish+class.Deadline)
+	until := min(max(now, due)+a.Timeout, arrivalDue+class.Deadline)
 	ms := (until - max(now, due)) / time.Millisecond
 	if ms < 1 {
-		l.open.Done()
+		l.inFlight.Done()
 		return
 	}
-	node = l.deal(node)
-	t := &seen.Try{ID: a.ID(l.opt.Seed, n), Arrival: a.N, N: n, Class: class.Name, Key: a.Key, Idem: a.Idem, Write: class.Write,
-		Node: node, Life: l.opt.Life(node), Planned: due, Until: until}
+	node = l.chooseNode(node)
+	t := &seen.Try{ID: a.ID(l.opt.Seed, n), ArrivalNumber: a.N, Number: n, Class: class.Name, Key: a.Key, Idem: a.Idem, Write: class.Write,
+		Node: node, Generation: l.opt.Generation(node), DueAt: due, WaitsUntil: until}
 	info := "c=" + class.Name
 	if a.Tenant >= 0 {
 		t.Tenant = l.opt.Tenants[a.Tenant].Name
@@ -169,103 +169,104 @@
 	if n > 0 && l.opt.Spec.MarksRetry {
 		info += ",r=1"
 	}
-	x := &try{load: l, a: a, begin: wish, t: t}
+	x := &try{load: l, arrival: a, arrivalDue: arrivalDue, record: t}
 	if class.Write {
 		value := standin.Value(a.Key, int64(a.N), "write", "client", a.Size)
 		t.Value = standin.Digest(value)
-		x.text = fmt.Appendf(nil, "ms %s %d O%s P%s\r\n%s\r\n", a.Key, len(value), t.ID, info, value)
+		x.request = fmt.Appendf(nil, "ms %s %d O%s P%s\r\n%s\r\n", a.Key, len(value), t.ID, info, value)
 	} else {
-		x.text = fmt.Appendf(nil, "mg %s v O%s P%s\r\n", a.Key, t.ID, info)
+		x.request = fmt.Appendf(nil, "mg %s v O%s P%s\r\n", a.Key, t.ID, info)
 	}
-	l.opt.Log.Do(func(r *seen.Record) { r.Tries = append(r.Tries, t) })
+	l.opt.Log.Update(func(r *seen.Record) { r.Tries = append(r.Tries, t) })
 	l.sent.Add(1)
 	if n == 0 {
 		l.mu.Lock()
-		l.late.RecordValue(max(0, int64((now-due)/time.Microsecond)))
+		l.sendDelays.RecordValue(max(0, int64((now-due)/time.Microsecond)))
 		l.mu.Unlock()
 	}
-	x.timer = time.AfterFunc(until+tellFor-now, x.giveUp)
-	if a.Leave > 0 && n == 0 {
-		x.leave = time.AfterFunc(due+a.Leave-now, x.goAway)
+	x.giveUpTimer = time.AfterFunc(until+listenAfterTimeout-now, x.giveUp)
+	if a.LeaveAfter > 0 && n == 0 {
+		x.leaveTimer = time.AfterFunc(due+a.LeaveAfter-now, x.leaveEarly)
 	}
-	f := l.nodes[node]
-	if c := f.take(); c != nil {
+	p := l.pools[node]
+	if c := p.takeIdle(); c != nil {
 		c.send(x)
 		return
 	}
-	go f.dial(x)
+	go p.dial(x)
 }
 
-// deal is the node that the front sends a client to: another where the wanted one has refused for a while.
-func (l *Load) deal(node int) int {
+// chooseNode returns the node that a try is sent to: the given one, or the next one if that has been down for a while
+// or takes no new clients.
+func (l *Load) chooseNode(node int) int {
 	now := l.opt.Log.Now()
-	for i := range l.nodes {
-		f := l.nodes[(node+i)%len(l.nodes)]
-		f.mu.Lock()
-		down, away := f.down, f.away && len(f.idle) == 0
-		f.mu.Unlock()
-		if !away && (down == 0 || now-down < noticed) {
-			return f.n
+	for i := range l.pools {
+		p := l.pools[(node+i)%len(l.pools)]
+		p.mu.Lock()
+		down, away := p.downSince, p.unavailable && len(p.idle) == 0
+		p.mu.Unlock()
+		if !away && (down == 0 || now-down < downNoticeDelay) {
+			return p.node
 		}
 	}
 	return node
 }
 
-// take gives an idle connection, the one used last.
-func (f *front) take() *conn {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if n := len(f.idle); n > 0 {
-		c := f.idle[n-1]
-		f.idle = f.idle[:n-1]
+// takeIdle removes and returns the most recently used idle connection, or nil.
+func (p *connPool) takeIdle() *conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if n := len(p.idle); n > 0 {
+		c := p.idle[n-1]
+		p.idle = p.idle[:n-1]
 		return c
 	}
 	return nil
 }
 
 // dial opens a connection and sends a try on it.
-func (f *front) dial(x *try) {
-	c, err := net.DialTimeout("tcp", f.addr, min(dialFor, max(time.Millisecond, x.t.Until-f.load.opt.Log.Now())))
-	now := f.load.opt.Log.Now()
-	f.mu.Lock()
+func (p *connPool) dial(x *try) {
+	c, err := net.DialTimeout("tcp", p.addr, min(dialTimeout, max(time.Millisecond, x.record.WaitsUntil-p.load.opt.Log.Now())))
+	now := p.load.opt.Log.Now()
+	p.mu.Lock()
 	switch {
 	case err == nil:
-		f.down = 0
-	case f.down == 0:
-		f.down = now
-		go f.ask()
+		p.downSince = 0
+	case p.downSince == 0:
+		p.downSince = now
+		go p.awaitReady()
 	}
-	f.mu.Unlock()
+	p.mu.Unlock()
 	if err != nil {
-		x.end(func(t *seen.Try) { t.Nowhere = true })
+		x.finish(func(t *seen.Try) { t.ConnectFailed = true })
 		return
 	}
-	k := &conn{front: f, net: c, in: bufio.NewReaderSize(c, 8<<10)}
-	f.mu.Lock()
-	f.all[k] = true
-	f.mu.Unlock()
+	k := &conn{pool: p, netConn: c, reader: bufio.NewReaderSize(c, 8<<10)}
+	p.mu.Lock()
+	p.conns[k] = true
+	p.mu.Unlock()
 	k.send(x)
-	k.read()
+	k.readAnswers()
 }
 
-// ask looks whether a node that refused connections is back.
-func (f *front) ask() {
+// awaitReady polls a node that refused connections until it is back.
+func (p *connPool) awaitReady() {
 	for range 1200 {
 		time.Sleep(50 * time.Millisecond)
-		f.mu.Lock()
-		up := f.down == 0
-		f.mu.Unlock()
-		if up || ready(f.addr) {
-			f.mu.Lock()
-			f.down = 0
-			f.mu.Unlock()
+		p.mu.Lock()
+		up := p.downSince == 0
+		p.mu.Unlock()
+		if up || isReady(p.addr) {
+			p.mu.Lock()
+			p.downSince = 0
+			p.mu.Unlock()
 			return
 		}
 	}
 }
 
-// ready reports whether a node answers mn with MN.
-func ready(addr string) bool {
+// isReady reports whether a node answers mn with MN.
+func isReady(addr string) bool {
 	c, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 	if err != nil {
 		return false
@@ -277,76 +278,76 @@
 	return err == nil && line == "MN\r\n"
 }
 
-// Away says that a node takes no new clients, or takes them again. Those that it has go on using their connections.
-func (l *Load) Away(node int, on bool) {
-	f := l.nodes[node]
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.away = on
+// SetUnavailable sets whether a node takes no new clients. Existing connections stay in use.
+func (l *Load) SetUnavailable(node int, on bool) {
+	p := l.pools[node]
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.unavailable = on
 }
 
-// Idle is how many connections a node holds with nothing open on them, as its clients see it.
-func (l *Load) Idle(node int) int {
-	f := l.nodes[node]
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.idle)
+// IdleConns returns the number of open connections to a node without a request in flight.
+func (l *Load) IdleConns(node int) int {
+	p := l.pools[node]
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.idle)
 }
 
 // Ready reports whether the node at an address answers mn with MN.
-func Ready(addr string) bool { return ready(addr) }
+func Ready(addr string) bool { return isReady(addr) }
 
-func (f *front) close() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.all {
-		c.net.Close()
+func (p *connPool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.conns {
+		c.netConn.Close()
 	}
 }
 
-// conn is a client's connection: one request at a time.
+// conn is a client connection. It carries one request at a time.
 type conn struct {
-	front *front
-	net   net.Conn
-	in    *bufio.Reader
-
-	mu   sync.Mutex
-	cur  *try
-	last *try // whose answer came last
-	used int  // requests that were answered on it
-	gone bool
+	pool    *connPool
+	netConn net.Conn
+	reader  *bufio.Reader
+
+	mu            sync.Mutex
+	current       *try
+	previous      *try // the try answered last
+	answeredCount int  // requests answered on this connection
+	closed        bool
 }
 
 // send writes a try's request.
 func (c *conn) send(x *try) {
 	c.mu.Lock()
-	if c.gone {
+	if c.closed {
 		c.mu.Unlock()
-		x.again()
+		x.resend()
 		return
 	}
-	c.cur = x
+	c.current = x
 	x.conn.Store(c)
 	c.mu.Unlock()
-	c.net.SetWriteDeadline(time.Now().Add(3 * time.Second))
-	_, err := c.net.Write(x.text)
+	c.netConn.SetWriteDeadline(time.Now().Add(3 * time.Second))
+	_, err := c.netConn.Write(x.request)
 	now := x.load.opt.Log.Now()
-	x.load.opt.Log.Do(func(*seen.Record) {
+	x.load.opt.Log.Update(func(*seen.Record) {
 		if err == nil {
-			x.t.Sent = now
+			x.record.SentAt = now
 		}
 	})
 	if err != nil {
-		c.lost()
+		c.closeFailed()
 	}
 }
 
-// read takes answers for the connection's life.
-func (c *conn) read() {
+// readAnswers reads answers until the connection ends.
+func (c *conn) readAnswers() {
 	for {
-		line, err := c.in.ReadString('\n')
+		line, err := c.reader.ReadString('\n')
 		if err != nil {
-			c.end(line)
+			c.ended(line)
 			return
 		}
 		line = strings.TrimRight(line, "\r\n")
@@ -355,101 +356,101 @@
 		if len(words) > 1 && words[0] == "VA" {
 			n, bad := strconv.Atoi(words[1])
 			if bad != nil || n < 0 || n > 256<<20 {
-				c.end(line)
+				c.ended(line)
 				return
 			}
 			value = make([]byte, n+2)
-			if _, err := io.ReadFull(c.in, value); err != nil {
-				c.end(line)
+			if _, err := io.ReadFull(c.reader, value); err != nil {
+				c.ended(line)
 				return
 			}
 			value = value[:n]
 		}
-		now := c.front.load.opt.Log.Now()
+		now := c.pool.load.opt.Log.Now()
 		c.mu.Lock()
-		x := c.cur
-		if x == nil { // beyond the one answer
-			last := c.last
+		x := c.current
+		if x == nil { // data after the complete answer
+			previous := c.previous
 			c.mu.Unlock()
-			if last != nil {
-				last.extra(line)
+			if previous != nil {
+				previous.recordExtra(line)
 			}
-			c.net.Close()
+			c.netConn.Close()
 			continue
 		}
-		c.cur, c.last = nil, x
-		c.used++
+		c.current, c.previous = nil, x
+		c.answeredCount++
 		c.mu.Unlock()
-		c.front.put(c)
-		x.answered(now, line, words, value)
+		c.pool.putIdle(c)
+		x.handleAnswer(now, line, words, value)
 	}
 }
 
-// put keeps a connection for the next try.
-func (f *front) put(c *conn) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.idle) < mostIdle {
-		f.idle = append(f.idle, c)
+// putIdle returns a connection to the pool.
+func (p *connPool) putIdle(c *conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.idle) < maxIdleConns {
+		p.idle = append(p.idle, c)
 	}
 }
 
-// lost gives the connection up after a write that failed.
-func (c *conn) lost() { c.net.Close() }
+// closeFailed closes the connection after a failed write.
+func (c *conn) closeFailed() { c.netConn.Close() }
 
-// end notes that the connection is over, with a part of an answer or none.
-func (c *conn) end(part string) {
-	c.net.Close()
-	f := c.front
-	f.mu.Lock()
-	delete(f.all, c)
-	for i, x := range f.idle {
+// ended handles the end of the connection; part is the start of an incomplete answer, if any.
+func (c *conn) ended(part string) {
+	c.netConn.Close()
+	p := c.pool
+	p.mu.Lock()
+	delete(p.conns, c)
+	for i, x := range p.idle {
 		if x == c {
-			f.idle = append(f.idle[:i], f.idle[i+1:]...)
+			p.idle = append(p.idle[:i], p.idle[i+1:]...)
 			break
 		}
 	}
-	f.mu.Unlock()
+	p.mu.Unlock()
 	c.mu.Lock()
-	c.gone = true
-	x, used := c.cur, c.used
-	c.cur = nil
+	c.closed = true
+	x, used := c.current, c.answeredCount
+	c.current = nil
 	c.mu.Unlock()
 	if x == nil {
 		return
 	}
-	// A node may close a connection between requests; a request that crosses that goes out once more on a new one.
-	if part == "" && used > 0 && !x.t.Unread {
-		x.again()
+	// A node may close an idle connection. A request that crosses the close is sent once more on a new connection.
+	if part == "" && used > 0 && !x.record.Resent {
+		x.resend()
 		return
 	}
-	now := f.load.opt.Log.Now()
-	x.end(func(t *seen.Try) { t.Ended, t.Cut, t.Line = now, part != "", part })
+	now := p.load.opt.Log.Now()
+	x.finish(func(t *seen.Try) { t.ConnEndedAt, t.Truncated, t.AnswerLine = now, part != "", part })
 }
 
-// again sends a request that nobody has read once more, on a connection of its own.
-func (x *try) again() {
-	over := false
-	x.load.opt.Log.Do(func(*seen.Record) {
-		if over = x.over; !over {
-			x.t.Unread, x.t.Sent = true, 0
+// resend sends an unanswered request once more, on a new connection.
+func (x *try) resend() {
+	ended := false
+	x.load.opt.Log.Update(func(*seen.Record) {
+		if ended = x.ended; !ended {
+			x.record.Resent, x.record.SentAt = true, 0
 		}
 	})
-	if over {
+	if ended {
 		return
 	}
-	go x.load.nodes[x.t.Node].dial(x)
+	go x.load.pools[x.record.Node].dial(x)
 }
 
-// extra notes what came beyond the answer.
-func (x *try) extra(line string) {
-	x.load.opt.Log.Do(func(*seen.Record) { x.t.Extra = line })
+// recordExtra records data received after the complete answer.
+func (x *try) recordExtra(line string) {
+	x.load.opt.Log.Update(func(*seen.Record) { x.record.ExtraLine = line })
 }
 
-// answered takes a whole answer.
-func (x *try) answered(now time.Duration, line string, words []string, value []byte) {
-	x.end(func(t *seen.Try) {
-		t.At, t.Line, t.Answer = now, line, seen.Failed
+// handleAnswer records a complete answer.
+func (x *try) handleAnswer(now time.Duration, line string, words []string, value []byte) {
+	x.finish(func(t *seen.Try) {
+		t.AnsweredAt, t.AnswerLine, t.Answer = now, line, seen.Failed
 		id := ""
 		for _, w := range words[min(1, len(words)):] {
 			switch w[0] {
@@ -463,9 +464,9 @@
 		case len(words) == 0:
 		case words[0] == "VA":
 			t.Answer = seen.Served
-			key, version, request, server, right := standin.ReadValue(value)
+			key, version, request, server, intact := standin.ReadValue(value)
 			t.Server, t.Version = server, version
-			t.Right = right && id == t.ID && request == t.ID && key == t.Key
+			t.Correct = intact && id == t.ID && request == t.ID && key == t.Key
 		case words[0] == "HD":
 			t.Answer = seen.Served
 			if id != t.ID {
@@ -475,90 +476,91 @@
 			t.Answer = seen.Refused
 			if len(words) > 2 {
 				ms, _ := strconv.Atoi(words[2])
-				t.ComeBack = time.Duration(ms) * time.Millisecond
+				t.RetryAfter = time.Duration(ms) * time.Millisecond
 			}
 		}
 	})
 }
 
-// giveUp is the client that has waited long enough.
+// giveUp ends the try at its timeout.
 func (x *try) giveUp() {
-	x.end(func(*seen.Try) {})
-	x.hangUp()
+	x.finish(func(*seen.Try) {})
+	x.closeConn()
 }
 
-// goAway is the client that leaves before its time is up.
-func (x *try) goAway() {
+// leaveEarly ends the try when its client disconnects before the timeout.
+func (x *try) leaveEarly() {
 	now := x.load.opt.Log.Now()
-	x.end(func(t *seen.Try) { t.Left = now })
-	x.hangUp()
+	x.finish(func(t *seen.Try) { t.LeftAt = now })
+	x.closeConn()
 }
 
-// hangUp closes the connection that the try is out on.
-func (x *try) hangUp() {
+// closeConn closes the connection that the try is in flight on.
+func (x *try) closeConn() {
 	c := x.conn.Load()
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
-	mine := c.cur == x
-	if mine { // its answer may be on the way still: it is nobody's
-		c.cur, c.last = nil, nil
-		c.gone = true
+	mine := c.current == x
+	if mine { // an answer that still arrives belongs to no try
+		c.current, c.previous = nil, nil
+		c.closed = true
 	}
 	c.mu.Unlock()
 	if mine {
-		c.net.Close()
+		c.netConn.Close()
 	}
 }
 
-// end ends a try, once, and begins the client's next where there is to be one.
-func (x *try) end(change func(t *seen.Try)) {
+// finish ends a try, once, and schedules the client's next one if there is to be one.
+func (x *try) finish(change func(t *seen.Try)) {
 	l := x.load
 	ended, again := false, false
 	var wait time.Duration
-	l.opt.Log.Do(func(*seen.Record) {
-		if x.over {
+	l.opt.Log.Update(func(*seen.Record) {
+		if x.ended {
 			return
 		}
-		x.over, ended = true, true
-		change(x.t)
-		again, wait = x.next()
+		x.ended, ended = true, true
+		change(x.record)
+		again, wait = x.retryAfter()
 	})
 	if !ended {
 		return
 	}
-	x.timer.Stop()
-	if x.leave != nil {
-		x.leave.Stop()
+	x.giveUpTimer.Stop()
+	if x.leaveTimer != nil {
+		x.leaveTimer.Stop()
 	}
 	if !again {
-		l.open.Done()
+		l.inFlight.Done()
 		return
 	}
-	node := x.t.Node
-	if x.t.Nowhere {
-		node = (node + 1) % len(l.nodes)
+	node := x.record.Node
+	if x.record.ConnectFailed {
+		node = (node + 1) % len(l.pools)
 	}
 	due := l.opt.Log.Now() + wait
-	time.AfterFunc(wait, func() { l.begin(x.a, x.begin, due, x.t.N+1, node) })
+	time.AfterFunc(wait, func() { l.startTry(x.arrival, x.arrivalDue, due, x.record.Number+1, node) })
 }
 
-// next says whether the client tries again, and after how long: safe requests after any failure, keyed ones whose repeats
-// all servers drop within their window, others only if the last try provably never ran.
-func (x *try) next() (bool, time.Duration) {
-	t, class := x.t, &x.load.opt.Classes[x.a.Class]
-	if t.Answer == seen.Served || t.Left > 0 || t.N+1 >= x.a.Tries {
+// retryAfter reports whether the client tries again, and after which delay. Safe requests are retried after any
+// failure, keyed ones while all servers drop repeats within the window, and others only if the last try provably never
+// ran.
+func (x *try) retryAfter() (bool, time.Duration) {
+	t, class := x.record, &x.load.opt.Classes[x.arrival.Class]
+	if t.Answer == seen.Served || t.LeftAt > 0 || t.Number+1 >= x.arrival.MaxTries {
 		return false, 0
 	}
-	wait := max(x.load.opt.Spec.Pause, t.ComeBack)
+	wait := max(x.load.opt.Spec.RetryDelay, t.RetryAfter)
 	now := x.load.opt.Log.Now()
-	harmless := t.Answer == seen.Refused || t.Nowhere
+	repeatable := t.Answer == seen.Refused || t.ConnectFailed
 	switch class.Effect {
 	case world.Keyed:
-		harmless = harmless || class.Scope == world.ScopeAll && now+wait < x.begin+class.Window
+		repeatable = repeatable || class.Scope == world.ScopeAll && now+wait < x.arrivalDue+class.Window
 	case world.Safe:
-		harmless = true
+		repeatable = true
 	}
-	return harmless && now+wait+leastLeft < x.begin+class.Deadline, wait
+	return repeatable && now+wait+minRetryTime < x.arrivalDue+class.Deadline, wait
 }
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -20,7 +20,7 @@
 var classes = []world.Class{{Name: "read", Deadline: time.Second}, {Name: "put", Effect: world.Keyed, Window: 300 * ms, Write: true, Deadline: time.Second},
 	{Name: "pay", Effect: world.Unsafe, Write: true, Deadline: time.Second}, {Name: "zput", Effect: world.Keyed, Scope: world.ScopeZone, Window: 300 * ms, Write: true, Deadline: time.Second}}
 
-// server answers each request as a test says; "" ends the connection, "-" says nothing.
+// server answers each request with the text that answer returns. An empty text closes the connection, "-" sends nothing.
 func server(t *testing.T, answer func(n int, line string) string) (addr string, lines func() []string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -78,22 +78,22 @@
 	return ""
 }
 
-// play sends one wish of a class and gives its tries.
-func play(t *testing.T, addr string, class int, spec world.ClientSpec, change func(*world.Arrival)) []*seen.Try {
+// runArrival sends one arrival of a class and returns its tries.
+func runArrival(t *testing.T, addr string, class int, spec world.ClientSpec, change func(*world.Arrival)) []*seen.Try {
 	t.Helper()
 	log := seen.NewLog()
-	l := New(Options{Log: log, Seed: 1, Spec: spec, Classes: classes, Nodes: []string{addr}, Life: func(int) int { return 0 }})
-	a := world.Arrival{Class: class, Tenant: -1, Key: "k", Patience: 250 * ms, Tries: 3, Idem: "i", Size: 20}
+	l := New(Options{Log: log, Seed: 1, Spec: spec, Classes: classes, NodeAddrs: []string{addr}, Generation: func(int) int { return 0 }})
+	a := world.Arrival{Class: class, Tenant: -1, Key: "k", Timeout: 250 * ms, MaxTries: 3, Idem: "i", Size: 20}
 	if change != nil {
 		change(&a)
 	}
 	l.Run(context.Background(), log.Now(), []world.Arrival{a})
 	var tries []*seen.Try
-	log.Do(func(r *seen.Record) { tries = r.Tries })
+	log.Update(func(r *seen.Record) { tries = r.Tries })
 	return tries
 }
 
-// What a client repeats: safe requests after anything, keyed ones within their window where all drop repeats, others
+// Clients retry safe requests after any failure, keyed ones within their window if all servers drop repeats, and others
 // only after a refusal.
 func TestWhatIsTriedAgain(t *testing.T) {
 	for _, c := range []struct {
@@ -110,7 +110,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			addr, lines := server(t, func(int, string) string { return c.answer })
-			tries := play(t, addr, c.class, world.ClientSpec{Pause: 20 * ms, MarksRetry: true}, nil)
+			tries := runArrival(t, addr, c.class, world.ClientSpec{RetryDelay: 20 * ms, MarksRetry: true}, nil)
 			if len(tries) != c.tries || len(lines()) != c.tries {
 				t.Fatalf("%d tries, %d requests", len(tries), len(lines()))
 			}
@@ -120,19 +120,19 @@
 				}
 			}
 			if c.tries > 1 {
-				if gap := tries[1].Planned - tries[0].At; gap < 15*ms || strings.Contains(c.answer, "400") && gap < 395*ms {
-					t.Errorf("tried again after %v", gap)
+				if gap := tries[1].DueAt - tries[0].AnsweredAt; gap < 15*ms || strings.Contains(c.answer, "400") && gap < 395*ms {
+					t.Errorf("retried after %v", gap)
 				}
 				if tries[0].ID == tries[1].ID {
-					t.Error("two tries have one id")
+					t.Error("two tries have the same ID")
 				}
 			}
 		})
 	}
 }
 
-// A request that crosses the end of its connection goes out once more under its id; one whose connection was new is lost.
-func TestACrossing(t *testing.T) {
+// A request that crosses the close of a reused connection is sent once more under its ID. On a new connection it fails.
+func TestRequestCrossesConnectionClose(t *testing.T) {
 	good := func(line string) string {
 		v := standin.Value("k", 0, id(line), "s", 30)
 		return fmt.Sprintf("VA %d O%s\r\n%s\r\n", len(v), id(line), v)
@@ -144,11 +144,11 @@
 		return good(line)
 	})
 	log := seen.NewLog()
-	l := New(Options{Log: log, Seed: 1, Classes: classes, Nodes: []string{addr}, Life: func(int) int { return 0 }})
-	plan := []world.Arrival{{N: 0, Key: "k", Tenant: -1, Patience: 500 * ms, Tries: 1}, {N: 1, At: 100 * ms, Key: "k", Tenant: -1, Patience: 500 * ms, Tries: 1}}
+	l := New(Options{Log: log, Seed: 1, Classes: classes, NodeAddrs: []string{addr}, Generation: func(int) int { return 0 }})
+	plan := []world.Arrival{{N: 0, Key: "k", Tenant: -1, Timeout: 500 * ms, MaxTries: 1}, {N: 1, At: 100 * ms, Key: "k", Tenant: -1, Timeout: 500 * ms, MaxTries: 1}}
 	l.Run(context.Background(), log.Now(), plan)
-	log.Do(func(r *seen.Record) {
-		if x := r.Tries[1]; !x.Unread || x.Answer != seen.Served || !x.Right {
+	log.Update(func(r *seen.Record) {
+		if x := r.Tries[1]; !x.Resent || x.Answer != seen.Served || !x.Correct {
 			t.Errorf("%+v", x)
 		}
 	})
@@ -156,13 +156,13 @@
 		t.Errorf("%q", got)
 	}
 	addr, _ = server(t, func(int, string) string { return "" })
-	if tries := play(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.Tries = 1 }); tries[0].Ended == 0 || tries[0].Unread {
+	if tries := runArrival(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.MaxTries = 1 }); tries[0].ConnEndedAt == 0 || tries[0].Resent {
 		t.Errorf("%+v", tries[0])
 	}
 }
 
-// What comes beyond the one answer, another's value and silence are noted for what they are.
-func TestWhatAnswersAre(t *testing.T) {
+// Extra data, values of other requests and missing answers are recorded as such.
+func TestAnswerClassification(t *testing.T) {
 	value := func(key, request, as string) string {
 		v := standin.Value(key, 2, request, "s-1", 40)
 		return fmt.Sprintf("VA %d O%s\r\n%s\r\n", len(v), as, v)
@@ -174,48 +174,48 @@
 	}{
 		{"right", func(id string) string { return value("k", id, id) },
 			func(x *seen.Try) bool {
-				return x.Answer == seen.Served && x.Right && x.Server == "s-1" && x.Version == 2 && x.Extra == ""
+				return x.Answer == seen.Served && x.Correct && x.Server == "s-1" && x.Version == 2 && x.ExtraLine == ""
 			}},
 		{"another request's", func(id string) string { return value("k", "other", id) },
-			func(x *seen.Try) bool { return x.Answer == seen.Served && !x.Right }},
-		{"another key's", func(id string) string { return value("j", id, id) }, func(x *seen.Try) bool { return !x.Right }},
-		{"under another id", func(id string) string { return value("k", id, "x") }, func(x *seen.Try) bool { return !x.Right }},
-		{"twice", func(id string) string { return value("k", id, id) + value("k", id, id) }, func(x *seen.Try) bool { return x.Extra != "" }},
+			func(x *seen.Try) bool { return x.Answer == seen.Served && !x.Correct }},
+		{"another key's", func(id string) string { return value("j", id, id) }, func(x *seen.Try) bool { return !x.Correct }},
+		{"under another id", func(id string) string { return value("k", id, "x") }, func(x *seen.Try) bool { return !x.Correct }},
+		{"twice", func(id string) string { return value("k", id, id) + value("k", id, id) }, func(x *seen.Try) bool { return x.ExtraLine != "" }},
 		{"nothing", func(string) string { return "-" },
-			func(x *seen.Try) bool { return x.Answer == seen.None && x.Sent > 0 && x.Ended == 0 }},
+			func(x *seen.Try) bool { return x.Answer == seen.None && x.SentAt > 0 && x.ConnEndedAt == 0 }},
 		{"half of it", func(id string) string { return value("k", id, id)[:30] }, func(x *seen.Try) bool { return x.Answer == seen.None }},
 		{"refused", func(string) string { return "SERVER_ERROR busy 70\r\n" },
-			func(x *seen.Try) bool { return x.Answer == seen.Refused && x.ComeBack == 70*ms }},
+			func(x *seen.Try) bool { return x.Answer == seen.Refused && x.RetryAfter == 70*ms }},
 		{"nonsense", func(string) string { return "\r\n" }, func(x *seen.Try) bool { return x.Answer == seen.Failed }},
 	} {
 		addr, _ := server(t, func(_ int, line string) string { return c.answer(id(line)) })
-		if tries := play(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.Tries = 1 }); !c.holds(tries[0]) {
+		if tries := runArrival(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.MaxTries = 1 }); !c.holds(tries[0]) {
 			t.Errorf("%s: %+v", c.name, tries[0])
 		}
 	}
-	if tries := play(t, "127.0.0.1:1", 2, world.ClientSpec{Pause: ms}, nil); len(tries) != 3 || !tries[0].Nowhere {
+	if tries := runArrival(t, "127.0.0.1:1", 2, world.ClientSpec{RetryDelay: ms}, nil); len(tries) != 3 || !tries[0].ConnectFailed {
 		t.Errorf("a node that is not there: %d tries", len(tries))
 	}
 	addr, _ := server(t, func(int, string) string { return "-" })
-	if tries := play(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.Leave = 50 * ms }); len(tries) != 1 || tries[0].Left == 0 {
+	if tries := runArrival(t, addr, 0, world.ClientSpec{}, func(a *world.Arrival) { a.LeaveAfter = 50 * ms }); len(tries) != 1 || tries[0].LeftAt == 0 {
 		t.Errorf("a client that goes away: %+v", tries[0])
 	}
 }
 
-// Wishes go out when they are due, whatever has become of those before: a server that says nothing holds up nobody.
+// Arrivals are sent when they are due, whatever became of earlier ones: a server that does not answer delays none.
 func TestOpenLoop(t *testing.T) {
 	addr, lines := server(t, func(int, string) string { return "-" })
 	log := seen.NewLog()
-	l := New(Options{Log: log, Seed: 1, Classes: classes, Nodes: []string{addr}, Life: func(int) int { return 0 }})
+	l := New(Options{Log: log, Seed: 1, Classes: classes, NodeAddrs: []string{addr}, Generation: func(int) int { return 0 }})
 	var plan []world.Arrival
 	for i := range 100 {
-		plan = append(plan, world.Arrival{N: i, At: time.Duration(i) * ms, Key: "k", Tenant: -1, Patience: 300 * ms, Tries: 1})
+		plan = append(plan, world.Arrival{N: i, At: time.Duration(i) * ms, Key: "k", Tenant: -1, Timeout: 300 * ms, MaxTries: 1})
 	}
 	l.Run(context.Background(), log.Now(), plan)
 	if n := len(lines()); n != 100 {
-		t.Errorf("%d of 100 were sent", n)
+		t.Errorf("%d of 100 requests were sent", n)
 	}
-	if l.Late().TotalCount() != 100 {
-		t.Errorf("%d counted", l.Late().TotalCount())
+	if l.SendDelays().TotalCount() != 100 {
+		t.Errorf("%d send delays were recorded", l.SendDelays().TotalCount())
 	}
 }
--- a/lab/stage/list.go
+++ b/lab/stage/list.go
@@ -163,28 +163,28 @@
 // onRegistry breaks a registry.
 func (s *Stage) onRegistry(a fault.Action) error {
 	r := s.list.(*store)
-	end, on := a.End-1, a.X != 0
-	switch a.Verb {
-	case fault.RegDown:
+	end, on := a.Endpoint-1, a.Value != 0
+	switch a.Kind {
+	case fault.RegistryDown:
 		r.Down(end, on)
-	case fault.RegMute:
+	case fault.RegistryMute:
 		r.Mute(end, on)
-	case fault.RegGarble:
+	case fault.RegistryGarble:
 		r.Garble(end, on)
-	case fault.RegLag:
-		r.Registry.Lag(end, int64(a.X))
-	case fault.RegCompact:
+	case fault.RegistryLag:
+		r.Registry.Lag(end, int64(a.Value))
+	case fault.RegistryCompact:
 		r.Compact(0)
-	case fault.RegWipe:
+	case fault.RegistryWipe:
 		r.Wipe()
-	case fault.RegSave:
+	case fault.RegistrySave:
 		r.Save()
-	case fault.RegRestore:
+	case fault.RegistryRestore:
 		r.Restore()
-	case fault.RegTwice:
+	case fault.RegistryTwice:
 		r.Twice(on)
-	case fault.RegDrip:
-		r.Split(on, time.Duration(a.X*float64(time.Millisecond)))
+	case fault.RegistryDrip:
+		r.Split(on, time.Duration(a.Value*float64(time.Millisecond)))
 	}
 	return nil
 }
@@ -220,7 +220,7 @@
 
 // set makes a server's entry what it is now, or takes it out.
 func (k *keeper) set(name string, m world.Member) {
-	value := standin.EntryOf(k.stage.Log.Zero(), m)
+	value := standin.EntryOf(k.stage.Log.StartTime(), m)
 	k.loop.Post(func() {
 		k.mu.Lock()
 		defer k.mu.Unlock()
@@ -234,7 +234,7 @@
 			a.Change(value)
 		default:
 			a = registry.NewAnnouncer(k.loop, k.cfg, registryPrefix+m.ID, value, k.stage.X.List.Lease.D(), k.stage.X.Seed, func(event, why string) {
-				k.stage.Log.Mark(fmt.Sprintf("%s: %s %s", name, event, why))
+				k.stage.Log.AddEvent(fmt.Sprintf("%s: %s %s", name, event, why))
 			})
 			k.all[name] = a
 			a.Start()
--- a/lab/stage/stage.go
+++ b/lab/stage/stage.go
@@ -67,7 +67,7 @@
 	net    string // the first three numbers of its loopback addresses
 
 	mu     sync.Mutex
-	lames  map[int]*seen.Lame                        // drains of nodes that last
+	lames  map[int]*seen.LameDuckCheck               // drains of nodes that last
 	missed [2]map[string][]func(version, size int64) // by request, the newer generation first
 	turned time.Time
 	rules  judge.Rules
@@ -95,7 +95,7 @@
 
 // Open puts a deployment up; when it returns without an error, all nodes are ready.
 func Open(x *experiment.Experiment, opt Options) (*Stage, error) {
-	s := &Stage{X: x, Log: seen.NewLog(), opt: opt, caches: map[string]*standin.Cache{}, lames: map[int]*seen.Lame{}, quit: make(chan struct{}), rules: x.Rules(), plan: x.Plan()}
+	s := &Stage{X: x, Log: seen.NewLog(), opt: opt, caches: map[string]*standin.Cache{}, lames: map[int]*seen.LameDuckCheck{}, quit: make(chan struct{}), rules: x.Rules(), plan: x.Plan()}
 	s.net = fmt.Sprintf("127.%d.%d.", 10+rand.IntN(200), rand.IntN(250))
 	s.Common = standin.NewCommon(s.Log, x.Seed, x.Classes)
 	s.missed = [2]map[string][]func(version, size int64){{}, {}}
@@ -154,8 +154,8 @@
 	for _, n := range s.Nodes {
 		addrs = append(addrs, n.Addr())
 	}
-	s.load = load.New(load.Options{Log: s.Log, Seed: x.Seed, Spec: x.Source, Classes: x.Classes, Tenants: x.Tenants, Nodes: addrs,
-		Life: s.lifeOf})
+	s.load = load.New(load.Options{Log: s.Log, Seed: x.Seed, Spec: x.Source, Classes: x.Classes, Tenants: x.Tenants, NodeAddrs: addrs,
+		Generation: s.lifeOf})
 	return nil
 }
 
@@ -173,7 +173,7 @@
 		PerConn: x.Service.PerConn, MaxConns: v.Group.MaxConns, ConnIdle: x.Service.ConnIdle.D(), Tells: *x.Service.Hits,
 		Reports: *x.Service.Reports, Missed: s.noteMiss}
 	if spec.Through {
-		opt.Ask = func(a world.Ask, request, class string, answer func(world.Done)) {
+		opt.Ask = func(a world.OriginRequest, request, class string, answer func(world.Completion)) {
 			s.origin.Ask(a, request, class, answer)
 		}
 	}
@@ -198,7 +198,7 @@
 	room := map[string]int64{}
 	left := len(members)
 	for _, v := range x.Servers {
-		room[v.ID] = int64(part * float64(v.Spec.Memory))
+		room[v.ID] = int64(part * float64(v.Spec.MemoryBytes))
 		if v.Group.Cold {
 			room[v.ID] = 0
 		}
@@ -220,7 +220,7 @@
 		room[m.ID] -= size
 		s.caches[names[m.ID]].Do(func(now time.Duration, c *world.Cache) { c.Store(now, key, 0, size) })
 	}
-	keys := src.Popular(x.Clients.Keys)
+	keys := src.PopularKeys(x.Clients.Keys)
 	slices.Reverse(keys) // what is used last is kept longest
 	if x.Nodes.Direct {
 		for _, m := range members {
@@ -235,7 +235,7 @@
 		if left <= 0 {
 			break
 		}
-		if i := world.Top(k, members); i >= 0 {
+		if i := world.TopRanked(k, members); i >= 0 {
 			put(members[i], k)
 		}
 	}
@@ -264,7 +264,7 @@
 			}
 		}
 		opt := NodeOptions{Log: s.Log, Number: i, Command: s.opt.Command, Dir: s.opt.Dir, Listen: addr, List: s.list.Where(i)[0],
-			MemoryMB: x.Nodes.MemoryMB, Sockets: x.Nodes.Sockets, Seed: world.Stream(x.Seed, "node", fmt.Sprint(i)).Uint64(),
+			MemoryMB: x.Nodes.MemoryMB, Sockets: x.Nodes.Sockets, Seed: world.RandomStream(x.Seed, "node", fmt.Sprint(i)).Uint64(),
 			Settings: x.Settings(i), Longest: longest, Operated: true, Lasts: s.opt.Lasts}
 		if x.Nodes.Config != "" {
 			path := x.Nodes.Config
@@ -332,7 +332,7 @@
 	s.mu.Unlock()
 	go func() { // the origin holds its lock
 		for _, c := range all {
-			c.Do(func(_ time.Duration, m *world.Cache) { m.Void(key) })
+			c.Do(func(_ time.Duration, m *world.Cache) { m.Invalidate(key) })
 		}
 	}()
 }
@@ -379,23 +379,23 @@
 	}
 	ends.Wait()
 	r := &Result{Cut: ctx.Err() != nil, Plan: len(s.plan)}
-	s.Log.Do(func(rec *seen.Record) { r.Record = rec })
+	s.Log.Update(func(rec *seen.Record) { r.Record = rec })
 	plan := s.plan
 	if r.Cut { // only what was begun can be judged
 		n := 0
 		for _, t := range r.Record.Tries {
-			n = max(n, t.Arrival+1)
+			n = max(n, t.ArrivalNumber+1)
 		}
 		plan = plan[:n]
 	}
 	shift(r.Record, begin)
 	r.Verdict = judge.Judge(r.Record, s.rules, plan)
-	for _, l := range r.Record.Lives {
-		for name, v := range counters(l.Log) {
+	for _, l := range r.Record.NodeProcesses {
+		for name, v := range counters(l.LogFile) {
 			r.Verdict.Figures["said_"+name] += v
 		}
 	}
-	h := s.load.Late()
+	h := s.load.SendDelays()
 	most, mean := s.Common.Late()
 	ms := func(d time.Duration) float64 { return math.Round(float64(d)/float64(time.Microsecond)) / 1000 }
 	r.Lab = Lab{SendP50: judge.Millis(h, 50), SendP99: judge.Millis(h, 99), SendMax: float64(h.Max()) / 1000,
@@ -422,10 +422,10 @@
 		}
 	}
 	for _, t := range rec.Tries {
-		move(&t.Planned, &t.Sent, &t.Until, &t.At, &t.Ended, &t.Left)
+		move(&t.DueAt, &t.SentAt, &t.WaitsUntil, &t.AnsweredAt, &t.ConnEndedAt, &t.LeftAt)
 	}
 	for _, a := range rec.Attempts {
-		move(&a.First, &a.Last, &a.Answered, &a.Closed)
+		move(&a.FirstByteAt, &a.LastByteAt, &a.AnsweredAt, &a.ClosedAt)
 	}
 	members := func(list []world.Member) []world.Member {
 		list = slices.Clone(list)
@@ -434,33 +434,33 @@
 		}
 		return list
 	}
-	for i := range rec.Told {
-		move(&rec.Told[i].At)
-		rec.Told[i].Members = members(rec.Told[i].Members)
+	for i := range rec.ListUpdates {
+		move(&rec.ListUpdates[i].At)
+		rec.ListUpdates[i].Members = members(rec.ListUpdates[i].Members)
 	}
-	for _, c := range rec.Calls {
+	for _, c := range rec.ListCalls {
 		move(&c.From, &c.To)
 	}
-	for _, l := range rec.Lives {
-		move(&l.Start, &l.Ready, &l.Term, &l.End)
+	for _, l := range rec.NodeProcesses {
+		move(&l.StartedAt, &l.ReadyAt, &l.TerminatedAt, &l.EndedAt)
 		for i := range l.Frozen {
 			move(&l.Frozen[i][0], &l.Frozen[i][1])
 		}
-		l.Known = members(l.Known)
+		l.InitialList = members(l.InitialList)
 	}
-	for _, h := range rec.Hands {
+	for _, h := range rec.Bans {
 		move(&h.From, &h.To)
 	}
-	for _, l := range rec.Lames {
-		move(&l.From, &l.Looked)
+	for _, l := range rec.LameDuckChecks {
+		move(&l.From, &l.CheckedAt)
 	}
 	for i := range rec.Effects {
 		move(&rec.Effects[i].At)
 	}
-	for i := range rec.Starts {
-		move(&rec.Starts[i].At)
+	for i := range rec.ServerStarts {
+		move(&rec.ServerStarts[i].At)
 	}
-	for _, list := range [][]seen.Mark{rec.Falls, rec.Stops, rec.Marks, rec.Strange} {
+	for _, list := range [][]seen.Event{rec.FallOvers, rec.OriginStops, rec.Events, rec.ProtocolErrors} {
 		for i := range list {
 			move(&list[i].At)
 		}
@@ -495,11 +495,11 @@
 		case <-stop:
 			return
 		case <-t.C:
-			m := Moment{At: s.Log.Now() - begin, Length: s.X.Length.D(), Sent: s.load.Sent()}
-			s.Log.Do(func(r *seen.Record) {
+			m := Moment{At: s.Log.Now() - begin, Length: s.X.Length.D(), Sent: s.load.TriesSent()}
+			s.Log.Update(func(r *seen.Record) {
 				m.Attempts = len(r.Attempts)
-				if n := len(r.Marks); n > 0 {
-					m.Last = r.Marks[n-1].Text
+				if n := len(r.Events); n > 0 {
+					m.Last = r.Events[n-1].Text
 				}
 			})
 			s.opt.Progress(m)
@@ -516,50 +516,50 @@
 		case <-time.After(begin + a.At - s.Log.Now()):
 		}
 		if err := s.do(a); err != nil {
-			s.Log.Mark(fmt.Sprintf("%s failed: %v", a, err))
+			s.Log.AddEvent(fmt.Sprintf("%s failed: %v", a, err))
 			continue
 		}
-		s.Log.Mark(a.String())
+		s.Log.AddEvent(a.String())
 	}
 }
 
 // do carries out one action.
 func (s *Stage) do(a fault.Action) error {
 	switch {
-	case a.Verb == fault.Detach:
-		return s.detach(a.Node, a.Server, a.X != 0)
+	case a.Kind == fault.BanServer:
+		return s.detach(a.Node, a.Server, a.Value != 0)
 	case a.Server != "":
 		return s.onServer(a)
 	case a.Node >= 0:
 		return s.onNode(a)
 	}
-	on := a.X != 0
-	if a.Plan > 0 {
+	on := a.Value != 0
+	if a.Planner > 0 {
 		return s.onPlanner(a)
 	}
-	if strings.HasPrefix(string(a.Verb), "registry_") {
+	if strings.HasPrefix(string(a.Kind), "registry_") {
 		return s.onRegistry(a)
 	}
-	switch a.Verb {
+	switch a.Kind {
 	case fault.ListDown:
 		s.list.Fail(on)
 	case fault.ListGarble:
 		s.list.Nonsense(on)
 	case fault.ListLag:
-		s.list.Lag(time.Duration(a.X * float64(time.Second)))
+		s.list.Lag(time.Duration(a.Value * float64(time.Second)))
 	case fault.Rude:
-		s.load.Rude(int(a.X))
+		s.load.SetRudeClients(int(a.Value))
 	default:
 		if s.origin == nil {
 			return fmt.Errorf("there is no origin")
 		}
-		switch a.Verb {
+		switch a.Kind {
 		case fault.OriginSlow:
-			s.origin.Do(func(now time.Duration, m *world.Origin) { m.Slow(now, a.X) })
+			s.origin.Do(func(now time.Duration, m *world.Origin) { m.Slow(now, a.Value) })
 		case fault.OriginPause:
 			s.origin.Do(func(now time.Duration, m *world.Origin) { m.Pause(now, on) })
-		case fault.OriginSpoil:
-			s.origin.Spoil(a.X)
+		case fault.OriginGarble:
+			s.origin.Spoil(a.Value)
 		case fault.OriginStop:
 			return s.origin.Refuse(on)
 		}
@@ -568,12 +568,12 @@
 }
 
 func (s *Stage) onNode(a fault.Action) error {
-	if a.Verb == fault.ListCut {
-		s.list.Cut(a.Node, a.X != 0)
+	if a.Kind == fault.ListCut {
+		s.list.Cut(a.Node, a.Value != 0)
 		return nil
 	}
 	n := s.Nodes[a.Node]
-	switch a.Verb {
+	switch a.Kind {
 	case fault.NodeKill:
 		n.Kill()
 	case fault.NodeTerm:
@@ -585,17 +585,17 @@
 		}
 		n.Signal(syscall.SIGHUP)
 	case fault.NodeFreeze:
-		if a.X != 0 {
+		if a.Value != 0 {
 			n.Signal(syscall.SIGSTOP)
 		} else {
 			n.Signal(syscall.SIGCONT)
 		}
-	case fault.NodeLame:
-		return s.lameduck(a.Node, a.X != 0)
+	case fault.NodeLameDuck:
+		return s.lameduck(a.Node, a.Value != 0)
 	case fault.NodeUpgrade:
 		s.hands.Go(func() {
 			if err := s.upgrade(a.Node); err != nil {
-				s.Log.Mark(fmt.Sprintf("%s failed: %v", a, err))
+				s.Log.AddEvent(fmt.Sprintf("%s failed: %v", a, err))
 			}
 		})
 	case fault.NodeStart:
@@ -629,9 +629,9 @@
 
 func (s *Stage) onServer(a fault.Action) error {
 	c := s.cache(a.Server)
-	if a.Verb == fault.Join {
+	if a.Kind == fault.StartNew {
 		v := s.X.Server(a.Server)
-		if _, err := s.startCache(v, a.X != 0); err != nil {
+		if _, err := s.startCache(v, a.Value != 0); err != nil {
 			return err
 		}
 		s.set(a.Server, world.Serving, s.Log.Now())
@@ -640,17 +640,17 @@
 	if c == nil {
 		return fmt.Errorf("%s is not there", a.Server)
 	}
-	on := a.X != 0
-	switch a.Verb {
-	case fault.Die:
+	on := a.Value != 0
+	switch a.Kind {
+	case fault.Kill:
 		c.Die()
 		if s.keeper != nil { // its lease lapses
 			s.keeper.die(a.Server)
 		}
-	case fault.Rise:
+	case fault.Restart:
 		id, name := "", a.Server
-		if a.Text != "" {
-			name = a.Text
+		if a.NewName != "" {
+			name = a.NewName
 			id = s.X.Server(name).ID
 			s.mu.Lock()
 			s.caches[name] = c // the same place under another name
@@ -664,27 +664,27 @@
 			started = s.Log.Now()
 		}
 		s.set(name, world.Serving, started)
-	case fault.Silence:
+	case fault.Silent:
 		c.Silence(on)
 	case fault.Hang:
 		c.Hang(on)
 	case fault.Refuse:
 		return c.Refuse(on)
-	case fault.TurnAway:
+	case fault.AnswerBusy:
 		c.TurnAway(on)
 	case fault.Reset, fault.Garble, fault.Surplus:
-		c.Spoil(string(a.Verb), a.X)
+		c.Spoil(string(a.Kind), a.Value)
 	case fault.Slow:
-		c.Do(func(now time.Duration, m *world.Cache) { m.Slow(now, a.X) })
+		c.Do(func(now time.Duration, m *world.Cache) { m.Slow(now, a.Value) })
 	case fault.Steal:
-		c.Do(func(now time.Duration, m *world.Cache) { m.Steal(now, a.X) })
+		c.Do(func(now time.Duration, m *world.Cache) { m.Steal(now, a.Value) })
 	case fault.Pause:
 		c.Do(func(now time.Duration, m *world.Cache) { m.Pause(now, on) })
-	case fault.Void:
-		c.Do(func(_ time.Duration, m *world.Cache) { m.Flush(a.X) })
+	case fault.Flush:
+		c.Do(func(_ time.Duration, m *world.Cache) { m.Flush(a.Value) })
 	case fault.Drain:
 		s.set(a.Server, world.Draining, s.startedOf(c))
-	case fault.Leave:
+	case fault.ListRemove:
 		c.Do(func(now time.Duration, m *world.Cache) { m.Drain(now, true) }) // what still comes is turned away
 		s.set(a.Server, world.Deleted, 0)
 	}
@@ -694,7 +694,7 @@
 // startedOf is when a server's process started, as the list tells it.
 func (s *Stage) startedOf(c *standin.Cache) (at time.Duration) {
 	c.Do(func(_ time.Duration, m *world.Cache) {
-		if began, cold := m.Began(); cold {
+		if began, cold := m.Started(); cold {
 			at = began
 		}
 	})
--- a/lab/standin/cache.go
+++ b/lab/standin/cache.go
@@ -45,7 +45,7 @@
 	// Missed is told of each read that the cache lacked, with what stores the value there; nil: nobody is.
 	Missed func(request string, store func(version, size int64))
 	// Ask passes a request on to the origin, in through mode; answer may be called from any goroutine.
-	Ask func(a world.Ask, request string, class string, answer func(world.Done))
+	Ask func(a world.OriginRequest, request string, class string, answer func(world.Completion))
 }
 
 // Cache is a cache server on a socket.
@@ -81,7 +81,7 @@
 	try    *seen.Attempt
 	class  *world.Class
 	answer []byte
-	said   seen.Said
+	said   seen.ServerAnswer
 	size   int // of its value
 	begun  bool
 	ready  bool
@@ -103,7 +103,7 @@
 // NewCache starts a cache server.
 func NewCache(common *Common, opt CacheOptions) (*Cache, error) {
 	c := &Cache{Common: common, opt: opt, id: opt.ID, jobs: map[uint64]*slot{}, conns: map[*cacheConn]bool{},
-		rng: world.Stream(common.Seed, "standin", opt.Name), spoil: map[string]float64{}}
+		rng: world.RandomStream(common.Seed, "standin", opt.Name), spoil: map[string]float64{}}
 	c.timer = time.AfterFunc(time.Hour, c.ring)
 	if opt.Spec != nil {
 		c.model = world.NewCache(*opt.Spec, common.Seed)
@@ -123,11 +123,11 @@
 	if c.opt.Spec == nil {
 		return
 	}
-	s := seen.Start{Server: c.id, Name: c.opt.Name, Cold: cold, Capacity: float64(c.opt.Spec.Cores) * c.opt.Spec.Speed}
+	s := seen.ServerStart{Server: c.id, Name: c.opt.Name, Cold: cold, Capacity: float64(c.opt.Spec.Cores) * c.opt.Spec.Speed}
 	if cold {
 		s.At = c.Log.Now()
 	}
-	c.Log.Do(func(r *seen.Record) { r.Starts = append(r.Starts, s) })
+	c.Log.Update(func(r *seen.Record) { r.ServerStarts = append(r.ServerStarts, s) })
 }
 
 // Addr is where it listens.
@@ -213,11 +213,11 @@
 		conns = append(conns, k)
 	}
 	if on {
-		c.Log.Do(func(*seen.Record) {
+		c.Log.Update(func(*seen.Record) {
 			for _, k := range conns {
 				k.mu.Lock()
 				for _, s := range k.queue {
-					s.try.Blind = true
+					s.try.ConnStateUnknown = true
 				}
 				k.mu.Unlock()
 			}
@@ -305,16 +305,16 @@
 			continue
 		}
 		model := c.model
-		go c.opt.Ask(a, s.try.Request, s.try.Class, func(d world.Done) {
+		go c.opt.Ask(a, s.try.Request, s.try.Class, func(d world.Completion) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if c.model == model && !c.stopped {
-				model.Answer(c.Log.Now(), a.Token, d)
+				model.OriginAnswered(c.Log.Now(), a.Token, d)
 				c.look()
 			}
 		})
 	}
-	if c.model.Fell() {
+	if c.model.FellOver() {
 		c.fall(now)
 	}
 	at, ok := c.model.Next()
@@ -334,31 +334,31 @@
 	}
 	c.fallen = true
 	id := c.id
-	c.Log.Do(func(r *seen.Record) {
-		r.Falls = append(r.Falls, seen.Mark{At: now, Text: id})
-		r.Marks = append(r.Marks, seen.Mark{At: now, Text: c.opt.Name + " falls over"})
+	c.Log.Update(func(r *seen.Record) {
+		r.FallOvers = append(r.FallOvers, seen.Event{At: now, Text: id})
+		r.Events = append(r.Events, seen.Event{At: now, Text: c.opt.Name + " falls over"})
 	})
 	go c.Die()
 }
 
 // done makes the answer to a job that has ended.
-func (c *Cache) done(s *slot, d world.Done) {
+func (c *Cache) done(s *slot, d world.Completion) {
 	t := s.try
 	tail := "\r\n"
 	if c.opt.Reports {
-		r := c.model.Report(c.Log.Now())
-		tail = fmt.Sprintf(" Lutil=%g,queue=%d\r\n", r.Util, r.Queue)
+		r := c.model.LoadReport(c.Log.Now())
+		tail = fmt.Sprintf(" Lutil=%g,queue=%d\r\n", r.Utilization, r.Queue)
 	}
 	hit := ""
 	if c.opt.Tells {
 		hit = " h0"
-		if d.Ending == world.Hit {
+		if d.Outcome == world.Hit {
 			hit = " h1"
-		} else if d.Ending == world.Fetching {
+		} else if d.Outcome == world.Fetching {
 			hit = " h0 Z"
 		}
 	}
-	switch d.Ending {
+	switch d.Outcome {
 	case world.Hit, world.Fetched:
 		v := Value(t.Key, d.Version, t.Request, t.Server, world.SizeOf(c.Seed, s.class, t.Key))
 		t.Version = d.Version
@@ -379,21 +379,21 @@
 				})
 			})
 		}
-		s.fill(fmt.Appendf(nil, "EN O%s%s%s", t.Request, hit, tail), seen.Absent)
+		s.fill(fmt.Appendf(nil, "EN O%s%s%s", t.Request, hit, tail), seen.NoValue)
 	}
 }
 
 // fill gives a slot its answer, which goes out in its turn.
-func (s *slot) fill(answer []byte, said seen.Said) {
+func (s *slot) fill(answer []byte, said seen.ServerAnswer) {
 	c := s.conn.cache
 	p := c.spoil
 	switch x := c.rng.Float64(); {
 	case len(answer) == 0:
 	case x < p["reset"]:
-		answer, s.resets, said = answer[:c.rng.IntN(len(answer))], true, seen.Spoilt
+		answer, s.resets, said = answer[:c.rng.IntN(len(answer))], true, seen.Corrupt
 	case x < p["reset"]+p["garble"]:
 		answer, s.ends = garble(c.rng, answer)
-		said = seen.Spoilt
+		said = seen.Corrupt
 	case x < p["reset"]+p["garble"]+p["surplus"]:
 		if c.rng.IntN(2) == 0 {
 			answer = append(answer[:len(answer):len(answer)], answer...)
@@ -475,10 +475,10 @@
 	k.queue = nil
 	k.mu.Unlock()
 	now := c.Log.Now()
-	c.Log.Do(func(*seen.Record) {
+	c.Log.Update(func(*seen.Record) {
 		for _, s := range queue {
-			if s.try.Answered == 0 {
-				s.try.Closed = now
+			if s.try.AnsweredAt == 0 {
+				s.try.ClosedAt = now
 			}
 		}
 	})
@@ -561,7 +561,7 @@
 func (k *cacheConn) command(first time.Duration, line string, in *bufio.Reader) bool {
 	c := k.cache
 	words := strings.Fields(line)
-	s := &slot{conn: k, try: &seen.Attempt{Server: c.ID(), Conn: k.id, First: first}}
+	s := &slot{conn: k, try: &seen.Attempt{Server: c.ID(), Conn: k.id, FirstByteAt: first}}
 	t := s.try
 	var value []byte
 	good := len(words) >= 3 && (words[0] == "mg" || words[0] == "ms" && len(words) >= 4)
@@ -581,11 +581,11 @@
 		}
 		t.Class, t.Idem = info["c"], info["k"]
 		ms, err := strconv.ParseFloat(info["d"], 64)
-		t.Wait = time.Duration(ms * float64(time.Millisecond))
+		t.RemainingTime = time.Duration(ms * float64(time.Millisecond))
 		good = err == nil && t.Request != "" && t.Class != ""
 	}
 	if good {
-		c.Log.Do(func(r *seen.Record) { r.Attempts = append(r.Attempts, t) })
+		c.Log.Update(func(r *seen.Record) { r.Attempts = append(r.Attempts, t) })
 	}
 	if good && t.Write {
 		n, err := strconv.Atoi(words[2])
@@ -600,15 +600,15 @@
 	}
 	s.class = c.Classes[t.Class]
 	if k.script == nil && (!good || s.class == nil) {
-		c.Log.Do(func(r *seen.Record) {
-			r.Strange = append(r.Strange, seen.Mark{At: first, Text: fmt.Sprintf("server %s was sent %q", t.Server, line)})
+		c.Log.Update(func(r *seen.Record) {
+			r.ProtocolErrors = append(r.ProtocolErrors, seen.Event{At: first, Text: fmt.Sprintf("server %s was sent %q", t.Server, line)})
 		})
 		k.net.SetWriteDeadline(time.Now().Add(writeFor))
 		io.WriteString(k.net, "CLIENT_ERROR bad command\r\n")
 		return false
 	}
 	now := c.Log.Now()
-	c.Log.Do(func(*seen.Record) { t.Last = now })
+	c.Log.Update(func(*seen.Record) { t.LastByteAt = now })
 	s.size = len(value)
 	k.mu.Lock()
 	k.queue = append(k.queue, s)
@@ -648,7 +648,7 @@
 	now := c.Log.Now()
 	work := world.WorkOf(c.Seed, s.class, t.Request)
 	capacity, cold := c.model.Capacity(now), c.model.Cold(now)
-	c.Log.Do(func(*seen.Record) { t.Work, t.Capacity, t.Cold = work, capacity, cold })
+	c.Log.Update(func(*seen.Record) { t.Work, t.Capacity, t.Cold = work, capacity, cold })
 	if c.hangs || c.silent {
 		return
 	}
@@ -662,7 +662,7 @@
 	}
 	j := world.Job{Token: c.tokens, Key: t.Key, Work: work, Write: t.Write, Size: size, Idem: t.Idem}
 	switch c.model.Offer(now, j) {
-	case world.Taken:
+	case world.Accepted:
 		c.jobs[j.Token] = s
 	case world.Busy:
 		s.fill([]byte("SERVER_ERROR busy\r\n"), seen.Busy)
@@ -733,13 +733,13 @@
 			k.queue = k.queue[1:]
 		}
 		k.mu.Unlock()
-		c.Log.Do(func(*seen.Record) {
-			switch s.try.Said = s.said; {
-			case s.try.Closed > 0:
+		c.Log.Update(func(*seen.Record) {
+			switch s.try.Answer = s.said; {
+			case s.try.ClosedAt > 0:
 			case err == nil:
-				s.try.Answered = now
+				s.try.AnsweredAt = now
 			default: // the node has given it up, or this process has died
-				s.try.Closed = now
+				s.try.ClosedAt = now
 			}
 		})
 		if s.resets {
--- a/lab/standin/registry.go
+++ b/lab/standin/registry.go
@@ -106,7 +106,7 @@
 // NewRegistry starts one, with an empty store.
 func NewRegistry(common *Common, opt RegistryOptions) (*Registry, error) {
 	r := &Registry{Common: common, opt: opt, store: world.NewStore(), lags: make([]int64, opt.Endpoints), ends: make([]endState, opt.Endpoints),
-		cut: make([]chan struct{}, opt.Nodes), lives: make([]int, opt.Nodes), news: make(chan struct{}), shut: make(chan struct{}), rng: world.Stream(common.Seed, "registry")}
+		cut: make([]chan struct{}, opt.Nodes), lives: make([]int, opt.Nodes), news: make(chan struct{}), shut: make(chan struct{}), rng: world.RandomStream(common.Seed, "registry")}
 	r.timer = time.AfterFunc(time.Hour, r.lapse)
 	for end := range opt.Endpoints {
 		for node := range opt.Nodes {
@@ -141,13 +141,13 @@
 func (r *Registry) tell() {
 	close(r.news)
 	r.news = make(chan struct{})
-	if at, ok := r.store.NextLapse(); ok {
+	if at, ok := r.store.NextExpiry(); ok {
 		r.timer.Reset(max(0, at-r.Log.Now()) + time.Millisecond)
 	}
 }
 
 func (r *Registry) lapse() {
-	r.Do(func(now time.Duration, s *world.Store) { s.Lapse(now) })
+	r.Do(func(now time.Duration, s *world.Store) { s.ExpireLeases(now) })
 }
 
 // Set puts a server's entry, or takes it out.
@@ -156,7 +156,7 @@
 		if m.Phase == world.Deleted {
 			s.Delete(r.opt.Prefix + m.ID)
 		} else {
-			s.Put(r.opt.Prefix+m.ID, EntryOf(r.Log.Zero(), m), 0)
+			s.Put(r.opt.Prefix+m.ID, EntryOf(r.Log.StartTime(), m), 0)
 		}
 	})
 }
@@ -171,7 +171,7 @@
 func (r *Registry) members(rev int64) (all []world.Member) {
 	kvs, _, _ := r.store.Range(r.opt.Prefix, prefixEnd(r.opt.Prefix), rev, 0)
 	for _, kv := range kvs {
-		if m, ok := memberOf(r.Log.Zero(), kv.Value); ok {
+		if m, ok := memberOf(r.Log.StartTime(), kv.Value); ok {
 			all = append(all, m)
 		}
 	}
@@ -301,7 +301,7 @@
 	node int
 	w    http.ResponseWriter
 	q    *http.Request
-	call *seen.Call
+	call *seen.ListCall
 	from *world.Store // that it began with: a restore ends it
 	said bool         // a part of the answer is out
 }
@@ -310,9 +310,9 @@
 	r.mu.Lock()
 	r.calls++
 	x := &exchange{r: r, end: end, node: node, w: w, q: q, from: r.store,
-		call: &seen.Call{Node: node, Life: r.lives[node], From: r.Log.Now()}}
+		call: &seen.ListCall{Node: node, Generation: r.lives[node], From: r.Log.Now()}}
 	r.mu.Unlock()
-	r.Log.Do(func(rec *seen.Record) { rec.Calls = append(rec.Calls, x.call) })
+	r.Log.Update(func(rec *seen.Record) { rec.ListCalls = append(rec.ListCalls, x.call) })
 	body, err := io.ReadAll(io.LimitReader(q.Body, 1<<20))
 	if err != nil || !x.alive() {
 		return
@@ -329,7 +329,7 @@
 		x.etcd(body)
 	}
 	now := r.Log.Now()
-	r.Log.Do(func(*seen.Record) { x.call.To = now })
+	r.Log.Update(func(*seen.Record) { x.call.To = now })
 }
 
 // alive says nothing for as long as the endpoint is mute, and ends what is down or garbled; false: it is over.
@@ -420,9 +420,9 @@
 
 // told notes what a node has been told.
 func (x *exchange) told(rev int64, whole bool, members []world.Member) {
-	t := seen.Told{Node: x.node, Life: x.call.Life, At: x.r.Log.Now(), Revision: rev, Whole: whole, Members: members}
-	x.r.Log.Do(func(rec *seen.Record) {
-		rec.Told = append(rec.Told, t)
+	t := seen.ListUpdate{Node: x.node, Generation: x.call.Generation, At: x.r.Log.Now(), Revision: rev, Snapshot: whole, Members: members}
+	x.r.Log.Update(func(rec *seen.Record) {
+		rec.ListUpdates = append(rec.ListUpdates, t)
 		x.call.OK = true
 	})
 }
@@ -456,7 +456,7 @@
 			return
 		}
 		var id int64
-		r.Do(func(now time.Duration, s *world.Store) { id = s.Grant(now, time.Duration(in.TTL)*time.Second) })
+		r.Do(func(now time.Duration, s *world.Store) { id = s.GrantLease(now, time.Duration(in.TTL)*time.Second) })
 		x.done(map[string]any{"ID": strconv.FormatInt(id, 10), "TTL": strconv.FormatInt(in.TTL, 10)}, nil)
 	case "/v3/lease/keepalive":
 		id := leaseID(body)
@@ -521,7 +521,7 @@
 		}
 		return strconv.FormatInt(n, 10)
 	}
-	return wireKV{[]byte(kv.Key), num(kv.Create), num(kv.Mod), num(kv.Version), kv.Value, num(kv.Lease)}
+	return wireKV{[]byte(kv.Key), num(kv.CreateRevision), num(kv.ModRevision), num(kv.Version), kv.Value, num(kv.Lease)}
 }
 
 func (x *exchange) etcdRange(body []byte) {
@@ -606,7 +606,7 @@
 	for {
 		r.mu.Lock()
 		rev, news, twice := x.visible(), r.news, r.twice
-		events, err := r.store.Since(next, rev, string(in.Create.Key))
+		events, err := r.store.ChangesSince(next, rev, string(in.Create.Key))
 		compacted := r.store.Compacted()
 		broken := x.broken()
 		r.mu.Unlock()
@@ -625,10 +625,10 @@
 			var members []world.Member
 			for _, e := range events {
 				w := wireEvent{KV: wireOf(e.KV)}
-				if e.Gone {
+				if e.Deleted {
 					w.Type = "DELETE"
 					members = append(members, world.Member{ID: strings.TrimPrefix(e.KV.Key, r.opt.Prefix), Phase: world.Deleted})
-				} else if m, ok := memberOf(r.Log.Zero(), e.KV.Value); ok {
+				} else if m, ok := memberOf(r.Log.StartTime(), e.KV.Value); ok {
 					members = append(members, m)
 				}
 				list = append(list, w)
@@ -677,7 +677,7 @@
 			return
 		}
 		var id int64
-		r.Do(func(now time.Duration, s *world.Store) { id = s.Grant(now, ttl) })
+		r.Do(func(now time.Duration, s *world.Store) { id = s.GrantLease(now, ttl) })
 		fmt.Fprintf(x.w, `{"ID":"%d"}`, id)
 	case x.q.Method == "PUT" && strings.HasPrefix(path, "session/"):
 		verb, text, _ := strings.Cut(strings.TrimPrefix(path, "session/"), "/")
@@ -743,7 +743,7 @@
 			}
 			var list []item
 			for _, kv := range kvs {
-				list = append(list, item{Key: kv.Key, Value: kv.Value, CreateIndex: kv.Create, ModifyIndex: kv.Mod})
+				list = append(list, item{Key: kv.Key, Value: kv.Value, CreateIndex: kv.CreateRevision, ModifyIndex: kv.ModRevision})
 			}
 			text, _ := json.Marshal(list)
 			if x.send(text) == nil {
--- a/lab/world/budget.go
+++ b/lab/world/budget.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Budget counts the work that reaches a server against a multiple of what it can do: over any span of the stated length,
-// all that was sent, turned away or not, must stay under multiple x capacity x span. It is how a cold server falls over
-// and how an origin stops.
-type Budget struct {
+// WorkBudget limits the work that arrives at a server to a multiple of its capacity: over any window, all work sent to
+// it, rejected or not, must stay under Multiple x capacity x Window. A cold server that exceeds it falls over, and an
+// origin that exceeds it stops.
+type WorkBudget struct {
 	Multiple float64
-	Span     time.Duration
-	// Slack is work that may come beyond it by chance.
+	Window   time.Duration
+	// Slack is extra work allowed for random variation.
 	Slack time.Duration
 
-	entries []entry
-	work    float64 // of the entries
+	arrivals []workArrival
+	total    float64 // sum over arrivals
 }
 
-type entry struct {
-	at   time.Duration
-	work float64
-	mark bool
+type workArrival struct {
+	at     time.Duration
+	work   float64
+	marked bool
 }
 
-// Add counts work that comes while the server can do capacity seconds of work a second. It reports whether the budget is
-// spent, and which part of the work that spent it was marked by the caller.
-func (b *Budget) Add(now, work time.Duration, capacity float64, mark bool) (spent bool, marked float64) {
-	if b.Multiple <= 0 || b.Span <= 0 {
+// Add counts work that arrives while the server can do capacity seconds of work per second. It reports whether the
+// budget is exceeded and, if so, which fraction of the work in the window the caller had marked.
+func (b *WorkBudget) Add(now, work time.Duration, capacity float64, mark bool) (exceeded bool, marked float64) {
+	if b.Multiple <= 0 || b.Window <= 0 {
 		return false, 0
 	}
-	b.entries = append(b.entries, entry{now, work.Seconds(), mark})
-	b.work += work.Seconds()
+	b.arrivals = append(b.arrivals, workArrival{now, work.Seconds(), mark})
+	b.total += work.Seconds()
 	first := 0
-	for first < len(b.entries) && b.entries[first].at <= now-b.Span {
-		b.work -= b.entries[first].work
+	for first < len(b.arrivals) && b.arrivals[first].at <= now-b.Window {
+		b.total -= b.arrivals[first].work
 		first++
 	}
-	if b.entries = b.entries[first:]; b.work <= b.Multiple*capacity*b.Span.Seconds()+b.Slack.Seconds()+1e-9 {
+	if b.arrivals = b.arrivals[first:]; b.total <= b.Multiple*capacity*b.Window.Seconds()+b.Slack.Seconds()+1e-9 {
 		return false, 0
 	}
-	for _, e := range b.entries {
-		if e.mark {
+	for _, e := range b.arrivals {
+		if e.marked {
 			marked += e.work
 		}
 	}
-	return true, marked / b.work
+	return true, marked / b.total
 }
 
-// Reset forgets what was counted.
-func (b *Budget) Reset() { b.entries, b.work = nil, 0 }
+// Reset discards the counted work.
+func (b *WorkBudget) Reset() { b.arrivals, b.total = nil, 0 }
--- a/lab/world/cache.go
+++ b/lab/world/cache.go
@@ -8,201 +8,201 @@
 	"time"
 )
 
-// coldStep is how finely a changing speed is followed.
-const coldStep = 20 * time.Millisecond
+// warmUpStep is the interval at which the speed of a server that warms up is updated.
+const warmUpStep = 20 * time.Millisecond
 
-// CacheSpec is what a cache server is.
+// CacheSpec configures a cache server.
 type CacheSpec struct {
-	Name         string
-	Cores        int
-	Speed        float64 // of a core, in work a second
-	Slots        int     // requests in work at once
-	Room         int     // requests that wait beyond those
-	Memory       int64   // bytes of values kept; what was used longest ago goes first
-	WarmUp       time.Duration
-	ColdFrom     float64 // part of its capacity that it starts with
-	FallMultiple float64 // of its present capacity, which while cold makes it fall over; 0: never
-	FallWindow   time.Duration
-	ReportEvery  time.Duration // how often its load report is made anew
-	ReportNoise  float64       // relative
-	Handshake    time.Duration // work of a new connection
-	Through      bool          // it fetches what it lacks, and passes on writes, itself
-	Coalesce     bool          // fetches of one key are shared, in through mode
-	Lease        time.Duration // for so long a miss is told as another's fetch; 0: that is not told
-	KeepsWork    bool          // work goes on after a cancel
-}
-
-// Ending is how a job ended at a server.
-type Ending int
-
-// The endings.
+	Name           string
+	Cores          int
+	Speed          float64 // of a core, in seconds of work per second
+	Slots          int     // jobs that may run at once
+	QueueLimit     int     // jobs that may wait for a slot
+	MemoryBytes    int64   // memory for values; the least recently used are evicted first
+	WarmUp         time.Duration
+	ColdFrom       float64 // fraction of the capacity available at a cold start
+	FallMultiple   float64 // of the present capacity; a cold server that receives more work falls over; 0: never
+	FallWindow     time.Duration
+	ReportInterval time.Duration // how often the load report is refreshed
+	ReportNoise    float64       // relative standard deviation
+	HandshakeWork  time.Duration // work that a new connection costs
+	Through        bool          // through mode: it fetches missing values and forwards writes to the origin itself
+	Coalesce       bool          // in through mode, concurrent fetches of a key share one origin request
+	Lease          time.Duration // after a miss, other misses of the key are reported as Fetching for this long; 0: never
+	IgnoresCancel  bool          // running jobs continue after a cancel
+}
+
+// Outcome is how a job ended at a server.
+type Outcome int
+
+// Outcomes of jobs.
 const (
-	Hit     Ending = iota // a value that was kept
-	Fetched               // a value that was fetched for it, in through mode
-	Miss                  // there is none
+	Hit     Outcome = iota // the value was cached
+	Fetched                // the value was fetched from the origin, in through mode
+	Miss                   // no value is cached
 	Fetching
 	Stored // a write was carried out
-	Failed // it may have run
+	Failed // the job may have run
 )
 
-// Done is the end of a job.
-type Done struct {
+// Completion is the end of a job.
+type Completion struct {
 	Token   uint64
 	At      time.Duration
-	Ending  Ending
+	Outcome Outcome
 	Version int64  // of the value
 	Receipt string // of a write
-	Fresh   bool   // a write that took effect now, no repeat of one
+	Applied bool   // the write took effect now and is not a repeat of an earlier one
 	Key     string
 	Idem    string
 }
 
-// Ask is what a cache in through mode wants of the origin.
-type Ask struct {
-	Token uint64 // the job it is for
+// OriginRequest is a request that a cache in through mode sends to the origin.
+type OriginRequest struct {
+	Token uint64 // the job that it is for
 	At    time.Duration
 	Key   string
 	Write bool
 	Idem  string
 }
 
-// Report is a load report.
-type Report struct {
-	Util  float64 // part of the cores in use
-	Queue int     // jobs that wait
+// LoadReport is what a server reports of its load.
+type LoadReport struct {
+	Utilization float64 // fraction of the cores in use
+	Queue       int     // jobs that wait for a slot
 }
 
-// Cache is one cache server's process.
+// Cache models one process of a cache server. It is not safe for concurrent use.
 type Cache struct {
-	spec    CacheSpec
-	station station
-	rng     *rand.Rand
-	began   time.Duration // of this process
-	cold    bool          // it began empty and slow
-	up      bool
-	drains  bool
-	paused  bool
-	factor  float64 // slower by it
-	stolen  float64 // part of the machine that a neighbour takes
-	kept    map[string]*list.Element
-	used    *list.List // of *object, used last in front
-	bytes   int64
-	leases  map[string]time.Duration
-	gone    map[uint64]bool     // jobs that nobody waits for
-	fetches map[string][]uint64 // through: jobs that wait for a key
-	held    map[uint64]*Job     // through: jobs that hold their slot while the origin works
-	budget  Budget
-	fell    bool
-	report  Report
-	told    time.Duration
-	done    []Done
-	asks    []Ask
-}
-
-type object struct {
+	spec           CacheSpec
+	station        station
+	rng            *rand.Rand
+	startedAt      time.Duration // start of this process
+	startedCold    bool          // this process started empty and below full speed
+	running        bool
+	draining       bool
+	paused         bool
+	slowdown       float64 // all work takes this many times as long
+	stolenPart     float64 // fraction of the machine that a neighbour takes
+	values         map[string]*list.Element
+	lru            *list.List // of *cachedValue, most recently used first
+	bytes          int64
+	leases         map[string]time.Duration
+	cancelled      map[uint64]bool     // jobs whose requester went away
+	fetches        map[string][]uint64 // through mode: jobs that wait for the value of a key
+	atOrigin       map[uint64]*Job     // through mode: jobs that hold their slot while the origin works
+	coldBudget     WorkBudget
+	fellOver       bool
+	report         LoadReport
+	reportedAt     time.Duration
+	completions    []Completion
+	originRequests []OriginRequest
+}
+
+type cachedValue struct {
 	key     string
 	version int64
 	size    int64
 }
 
-// NewCache makes a cache that runs and is warm, with nothing kept.
+// NewCache returns a running, warm and empty cache.
 func NewCache(spec CacheSpec, seed uint64) *Cache {
-	c := &Cache{spec: spec, rng: Stream(seed, "cache", spec.Name), factor: 1}
-	c.budget = Budget{Multiple: spec.FallMultiple, Span: spec.FallWindow}
-	c.station = station{cores: float64(spec.Cores), slots: spec.Slots, room: spec.Room}
-	c.empty()
-	c.up = true
+	c := &Cache{spec: spec, rng: RandomStream(seed, "cache", spec.Name), slowdown: 1}
+	c.coldBudget = WorkBudget{Multiple: spec.FallMultiple, Window: spec.FallWindow}
+	c.station = station{cores: float64(spec.Cores), slots: spec.Slots, queueLimit: spec.QueueLimit}
+	c.clearState()
+	c.running = true
 	c.setSpeed(0)
 	return c
 }
 
-func (c *Cache) empty() {
-	c.kept, c.used, c.bytes = map[string]*list.Element{}, list.New(), 0
-	c.leases, c.gone = map[string]time.Duration{}, map[uint64]bool{}
-	c.fetches, c.held = map[string][]uint64{}, map[uint64]*Job{}
+func (c *Cache) clearState() {
+	c.values, c.lru, c.bytes = map[string]*list.Element{}, list.New(), 0
+	c.leases, c.cancelled = map[string]time.Duration{}, map[uint64]bool{}
+	c.fetches, c.atOrigin = map[string][]uint64{}, map[uint64]*Job{}
 }
 
-// Warmth is the part of its capacity that the process has reached by now, between 0 and 1.
-func (c *Cache) Warmth(now time.Duration) float64 {
-	if !c.cold || c.spec.WarmUp <= 0 || now-c.began >= c.spec.WarmUp {
+// WarmFraction returns the fraction of the capacity that the process has reached by now.
+func (c *Cache) WarmFraction(now time.Duration) float64 {
+	if !c.startedCold || c.spec.WarmUp <= 0 || now-c.startedAt >= c.spec.WarmUp {
 		return 1
 	}
-	part := float64(now-c.began) / float64(c.spec.WarmUp)
+	part := float64(now-c.startedAt) / float64(c.spec.WarmUp)
 	return c.spec.ColdFrom + (1-c.spec.ColdFrom)*max(0, part)
 }
 
-// Capacity is the work that it can do in a second now.
+// Capacity returns the seconds of work that it can do per second now.
 func (c *Cache) Capacity(now time.Duration) float64 {
-	return c.station.cores * c.spec.Speed * c.Warmth(now)
+	return c.station.cores * c.spec.Speed * c.WarmFraction(now)
 }
 
-// Cold reports whether it is still warming up.
-func (c *Cache) Cold(now time.Duration) bool { return c.Warmth(now) < 1 }
+// Cold reports whether the process is still warming up.
+func (c *Cache) Cold(now time.Duration) bool { return c.WarmFraction(now) < 1 }
 
-// Fell reports whether it was pushed over while cold; it stays down until Start.
-func (c *Cache) Fell() bool { return c.fell }
+// FellOver reports whether it failed under overload while cold. It stays down until Start.
+func (c *Cache) FellOver() bool { return c.fellOver }
 
 // Up reports whether the process runs.
-func (c *Cache) Up() bool { return c.up && !c.fell }
+func (c *Cache) Up() bool { return c.running && !c.fellOver }
 
 func (c *Cache) setSpeed(now time.Duration) {
 	c.station.speed = 0
-	if c.up && !c.fell && !c.paused {
-		c.station.speed = c.spec.Speed * c.Warmth(now) / c.factor * (1 - c.stolen)
+	if c.running && !c.fellOver && !c.paused {
+		c.station.speed = c.spec.Speed * c.WarmFraction(now) / c.slowdown * (1 - c.stolenPart)
 	}
 }
 
-// Offer brings a job.
-func (c *Cache) Offer(now time.Duration, j Job) Verdict {
+// Offer submits a job.
+func (c *Cache) Offer(now time.Duration, j Job) Admission {
 	c.advance(now)
 	if !c.Up() {
-		return Dead
+		return Down
 	}
 	if c.Cold(now) {
-		c.budget.Slack = max(c.budget.Slack, 2*j.Work)
-		if spent, _ := c.budget.Add(now, j.Work, c.Capacity(now), false); spent {
-			c.fell = true
-			c.end()
-			return Dead
+		c.coldBudget.Slack = max(c.coldBudget.Slack, 2*j.Work)
+		if spent, _ := c.coldBudget.Add(now, j.Work, c.Capacity(now), false); spent {
+			c.fellOver = true
+			c.discardJobs()
+			return Down
 		}
 	}
-	if c.drains || !c.station.offer(&j) {
+	if c.draining || !c.station.admit(&j) {
 		return Busy
 	}
-	return Taken
+	return Accepted
 }
 
-// Connect counts a new connection, which is work.
+// Connect accounts for the work of a new connection.
 func (c *Cache) Connect(now time.Duration) {
 	c.advance(now)
-	if c.spec.Handshake > 0 && c.Up() {
-		c.station.offer(&Job{Work: c.spec.Handshake})
+	if c.spec.HandshakeWork > 0 && c.Up() {
+		c.station.admit(&Job{Work: c.spec.HandshakeWork})
 	}
 }
 
-// Cancel notes that nobody waits for a job any more. It may go on; nothing is told of it.
+// Cancel records that the requester of a job went away. The job may continue, but its completion is not reported.
 func (c *Cache) Cancel(now time.Duration, token uint64) {
 	c.advance(now)
-	if !c.station.drop(token, true, !c.spec.KeepsWork) {
-		c.gone[token] = true
+	if !c.station.remove(token, true, !c.spec.IgnoresCancel) {
+		c.cancelled[token] = true
 	}
 }
 
-// Next is when something happens by itself, if nothing comes before.
+// Next returns the time of the next event if nothing is submitted before.
 func (c *Cache) Next() (time.Duration, bool) {
-	at, ok := c.station.next()
+	at, ok := c.station.nextCompletion()
 	if ok && (c.Cold(c.station.now) || c.paused) {
-		at = min(at, c.station.now+coldStep) // the speed changes under way
+		at = min(at, c.station.now+warmUpStep) // the speed changes before then
 	}
 	return at, ok
 }
 
-// Advance lets time pass and gives what has ended and what is wanted of the origin.
-func (c *Cache) Advance(now time.Duration) ([]Done, []Ask) {
+// Advance moves the time forward and returns the jobs completed and the origin requests made since the last call.
+func (c *Cache) Advance(now time.Duration) ([]Completion, []OriginRequest) {
 	c.advance(now)
-	done, asks := c.done, c.asks
-	c.done, c.asks = nil, nil
-	return done, asks
+	done, requests := c.completions, c.originRequests
+	c.completions, c.originRequests = nil, nil
+	return done, requests
 }
 
 func (c *Cache) advance(now time.Duration) {
@@ -210,61 +210,62 @@
 		c.setSpeed(c.station.now)
 		to := now
 		if c.Cold(c.station.now) {
-			to = min(to, c.station.now+coldStep)
+			to = min(to, c.station.now+warmUpStep)
 		}
 		c.station.advance(to, c.finish)
 	}
 	c.setSpeed(now)
 }
 
-// finish ends the work of a job; in through mode what the origin must do comes behind that, with the slot held.
+// finish handles a job whose work is done. In through mode, a job that needs the origin keeps its slot until
+// OriginAnswered.
 func (c *Cache) finish(at time.Duration, j *Job) {
 	if j.Token == 0 {
-		return // a handshake
+		return // the work of a connection
 	}
-	if c.gone[j.Token] && !j.Write {
-		delete(c.gone, j.Token)
+	if c.cancelled[j.Token] && !j.Write {
+		delete(c.cancelled, j.Token)
 		return
 	}
-	e, kept := c.kept[j.Key]
+	e, cached := c.values[j.Key]
 	switch {
 	case j.Write && c.spec.Through:
-		c.hold(at, j, true)
-	case j.Write: // only the origin takes writes
-		c.tell(Done{Token: j.Token, At: at, Ending: Miss, Key: j.Key})
-	case kept:
-		c.used.MoveToFront(e)
-		c.tell(Done{Token: j.Token, At: at, Ending: Hit, Version: e.Value.(*object).version, Key: j.Key})
+		c.holdForOrigin(at, j, true)
+	case j.Write: // only the origin accepts writes
+		c.complete(Completion{Token: j.Token, At: at, Outcome: Miss, Key: j.Key})
+	case cached:
+		c.lru.MoveToFront(e)
+		c.complete(Completion{Token: j.Token, At: at, Outcome: Hit, Version: e.Value.(*cachedValue).version, Key: j.Key})
 	case c.spec.Through:
-		c.hold(at, j, false)
+		c.holdForOrigin(at, j, false)
 	default:
-		ending := Miss
-		if until, out := c.leases[j.Key]; out && at < until {
-			ending = Fetching
+		outcome := Miss
+		if until, leased := c.leases[j.Key]; leased && at < until {
+			outcome = Fetching
 		} else if c.spec.Lease > 0 {
 			c.leases[j.Key] = at + c.spec.Lease
 		}
-		c.tell(Done{Token: j.Token, At: at, Ending: ending, Key: j.Key})
+		c.complete(Completion{Token: j.Token, At: at, Outcome: outcome, Key: j.Key})
 	}
 }
 
-func (c *Cache) hold(at time.Duration, j *Job, write bool) {
-	c.station.held++
-	c.held[j.Token] = j
+func (c *Cache) holdForOrigin(at time.Duration, j *Job, write bool) {
+	c.station.heldSlots++
+	c.atOrigin[j.Token] = j
 	if !write {
-		waits := c.fetches[j.Key]
-		c.fetches[j.Key] = append(waits, j.Token)
-		if len(waits) > 0 && c.spec.Coalesce {
+		waiting := c.fetches[j.Key]
+		c.fetches[j.Key] = append(waiting, j.Token)
+		if len(waiting) > 0 && c.spec.Coalesce {
 			return
 		}
 	}
-	c.asks = append(c.asks, Ask{Token: j.Token, At: at, Key: j.Key, Write: write, Idem: j.Idem})
+	c.originRequests = append(c.originRequests, OriginRequest{Token: j.Token, At: at, Key: j.Key, Write: write, Idem: j.Idem})
 }
 
-// Answer brings what the origin said to an Ask, in through mode.
-func (c *Cache) Answer(now time.Duration, token uint64, d Done) {
+// OriginAnswered delivers the origin's answer to an OriginRequest, in through mode.
+func (c *Cache) OriginAnswered(now time.Duration, token uint64, d Completion) {
 	c.advance(now)
-	j := c.held[token]
+	j := c.atOrigin[token]
 	if j == nil {
 		return
 	}
@@ -273,156 +274,156 @@
 		tokens = c.fetches[j.Key]
 		delete(c.fetches, j.Key)
 	}
-	if !j.Write && d.Ending != Failed {
+	if !j.Write && d.Outcome != Failed {
 		c.Store(now, j.Key, d.Version, int64(j.Size))
 	}
 	for _, t := range tokens {
-		delete(c.held, t)
-		c.station.held--
-		c.tell(Done{Token: t, At: now, Ending: d.Ending, Version: d.Version, Receipt: d.Receipt, Key: j.Key})
+		delete(c.atOrigin, t)
+		c.station.heldSlots--
+		c.complete(Completion{Token: t, At: now, Outcome: d.Outcome, Version: d.Version, Receipt: d.Receipt, Key: j.Key})
 	}
-	c.station.refill()
+	c.station.startQueued()
 }
 
-func (c *Cache) tell(d Done) {
-	if c.gone[d.Token] {
-		delete(c.gone, d.Token)
+func (c *Cache) complete(d Completion) {
+	if c.cancelled[d.Token] {
+		delete(c.cancelled, d.Token)
 		return
 	}
-	c.done = append(c.done, d)
+	c.completions = append(c.completions, d)
 }
 
-// Store keeps a value.
+// Store caches a value.
 func (c *Cache) Store(now time.Duration, key string, version, size int64) {
-	if !c.Up() || size > c.spec.Memory {
+	if !c.Up() || size > c.spec.MemoryBytes {
 		return
 	}
 	delete(c.leases, key)
-	if e := c.kept[key]; e != nil {
-		o := e.Value.(*object)
+	if e := c.values[key]; e != nil {
+		o := e.Value.(*cachedValue)
 		if version < o.version {
 			return
 		}
 		c.bytes += size - o.size
 		o.version, o.size = version, size
-		c.used.MoveToFront(e)
+		c.lru.MoveToFront(e)
 	} else {
-		c.kept[key] = c.used.PushFront(&object{key, version, size})
+		c.values[key] = c.lru.PushFront(&cachedValue{key, version, size})
 		c.bytes += size
 	}
-	for c.bytes > c.spec.Memory {
-		c.forget(c.used.Back().Value.(*object).key)
+	for c.bytes > c.spec.MemoryBytes {
+		c.evict(c.lru.Back().Value.(*cachedValue).key)
 	}
 }
 
-func (c *Cache) forget(key string) {
-	if e := c.kept[key]; e != nil {
-		c.bytes -= e.Value.(*object).size
-		c.used.Remove(e)
-		delete(c.kept, key)
+func (c *Cache) evict(key string) {
+	if e := c.values[key]; e != nil {
+		c.bytes -= e.Value.(*cachedValue).size
+		c.lru.Remove(e)
+		delete(c.values, key)
 	}
 }
 
-// Void drops the copy of a key.
-func (c *Cache) Void(key string) { c.forget(key) }
+// Invalidate removes the cached value of a key.
+func (c *Cache) Invalidate(key string) { c.evict(key) }
 
-// Flush drops that share of the copies, by chance.
+// Flush removes each cached value with the probability share.
 func (c *Cache) Flush(share float64) {
-	keys := make([]string, 0, len(c.kept))
-	for k := range c.kept {
+	keys := make([]string, 0, len(c.values))
+	for k := range c.values {
 		keys = append(keys, k)
 	}
 	slices.Sort(keys)
 	for _, k := range keys {
 		if c.rng.Float64() < share {
-			c.forget(k)
+			c.evict(k)
 		}
 	}
 }
 
-// Kept is the number of values kept and their bytes.
-func (c *Cache) Kept() (values int, bytes int64) { return len(c.kept), c.bytes }
+// Size returns the number of cached values and their bytes.
+func (c *Cache) Size() (values int, bytes int64) { return len(c.values), c.bytes }
 
-// Has reports whether a value is kept, and its version.
-func (c *Cache) Has(key string) (int64, bool) {
-	if e := c.kept[key]; e != nil {
-		return e.Value.(*object).version, true
+// CachedVersion returns the version of the cached value of a key, and whether there is one.
+func (c *Cache) CachedVersion(key string) (int64, bool) {
+	if e := c.values[key]; e != nil {
+		return e.Value.(*cachedValue).version, true
 	}
 	return 0, false
 }
 
-// Stop ends the process: what it had taken is gone. It gives the tokens of those jobs.
+// Stop ends the process and loses its jobs, whose tokens it returns.
 func (c *Cache) Stop(now time.Duration) []uint64 {
 	c.advance(now)
-	c.up = false
-	return c.end()
+	c.running = false
+	return c.discardJobs()
 }
 
-func (c *Cache) end() []uint64 {
+func (c *Cache) discardJobs() []uint64 {
 	tokens := c.station.clear()
-	for t := range c.held {
+	for t := range c.atOrigin {
 		tokens = append(tokens, t)
 	}
 	slices.Sort(tokens)
-	c.empty()
-	c.done, c.asks = nil, nil
+	c.clearState()
+	c.completions, c.originRequests = nil, nil
 	c.setSpeed(c.station.now)
 	return slices.DeleteFunc(tokens, func(t uint64) bool { return t == 0 })
 }
 
-// Start begins a new process: empty and, if cold is set, slow until it is warm.
+// Start starts a new process: empty and, if cold is set, below full speed until it is warm.
 func (c *Cache) Start(now time.Duration, cold bool) {
 	c.advance(now)
-	c.end()
-	c.budget.Reset()
-	c.up, c.fell, c.drains, c.paused, c.factor, c.stolen = true, false, false, false, 1, 0
-	c.began, c.cold = now, cold
+	c.discardJobs()
+	c.coldBudget.Reset()
+	c.running, c.fellOver, c.draining, c.paused, c.slowdown, c.stolenPart = true, false, false, false, 1, 0
+	c.startedAt, c.startedCold = now, cold
 	c.setSpeed(now)
 }
 
-// Began is when the process started, and whether it did so cold.
-func (c *Cache) Began() (at time.Duration, cold bool) { return c.began, c.cold }
+// Started returns when the process started and whether it started cold.
+func (c *Cache) Started() (at time.Duration, cold bool) { return c.startedAt, c.startedCold }
 
-// Drain makes it finish what it has and turn away what is new.
+// Drain makes the server finish its jobs and reject new ones, or ends that.
 func (c *Cache) Drain(now time.Duration, on bool) {
 	c.advance(now)
-	c.drains = on
+	c.draining = on
 }
 
-// Pause makes it stand still, or go on.
+// Pause suspends or resumes the process.
 func (c *Cache) Pause(now time.Duration, on bool) {
 	c.advance(now)
 	c.paused = on
 	c.setSpeed(now)
 }
 
-// Slow makes all its work take so many times as long; 1 is as ever.
+// Slow makes all work take factor times as long; 1 is normal.
 func (c *Cache) Slow(now time.Duration, factor float64) {
 	c.advance(now)
-	c.factor = max(factor, 1e-3)
+	c.slowdown = max(factor, 1e-3)
 	c.setSpeed(now)
 }
 
-// Steal gives a part of the machine to a neighbour; 0 is none.
+// Steal gives a fraction of the machine to a neighbour; 0 is none.
 func (c *Cache) Steal(now time.Duration, part float64) {
 	c.advance(now)
-	c.stolen = min(max(part, 0), 1)
+	c.stolenPart = min(max(part, 0), 1)
 	c.setSpeed(now)
 }
 
-// Report is the load report that it gives now: as old as its refreshing allows, and a little wrong.
-func (c *Cache) Report(now time.Duration) Report {
+// LoadReport returns the load report as the server gives it now: up to ReportInterval old, and with random errors.
+func (c *Cache) LoadReport(now time.Duration) LoadReport {
 	c.advance(now)
-	if c.told == 0 || now-c.told >= c.spec.ReportEvery {
+	if c.reportedAt == 0 || now-c.reportedAt >= c.spec.ReportInterval {
 		noise := func() float64 { return 1 + c.spec.ReportNoise*c.rng.NormFloat64() }
-		c.report = Report{Util: math.Round(100*min(1, max(0, c.station.load()*noise()))) / 100,
-			Queue: max(0, int(math.Round(float64(len(c.station.waiting))*noise())))}
-		c.told = now
+		c.report = LoadReport{Utilization: math.Round(100*min(1, max(0, c.station.utilization()*noise()))) / 100,
+			Queue: max(0, int(math.Round(float64(len(c.station.queue))*noise())))}
+		c.reportedAt = now
 	}
 	return c.report
 }
 
-// Holds is the number of jobs in work, holding a slot, and waiting.
-func (c *Cache) Holds() (working, waiting int) {
-	return len(c.station.work) + c.station.held, len(c.station.waiting)
+// JobCounts returns the number of jobs that hold a slot and of those that wait for one.
+func (c *Cache) JobCounts() (working, waiting int) {
+	return len(c.station.running) + c.station.heldSlots, len(c.station.queue)
 }
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -10,125 +10,125 @@
 	"time"
 )
 
-// ClientSpec is what the clients are.
+// ClientSpec configures the clients.
 type ClientSpec struct {
-	Rate       float64 // first tries a second
-	Keys       int     // how many there are
-	Zipf       float64 // popularity of the key of rank n is 1/(n+Offset)^Zipf
-	Offset     float64
-	Drift      float64 // part of the keys that is replaced by new ones each second
-	Patience   [2]float64
-	Retries    int           // further tries of a client, at most
-	Pause      time.Duration // before a further try
-	MarksRetry bool
-	Leaves     float64 // part of the tries whose client goes away before its time is up
-	Nodes      int
-	Skew       []float64 // traffic of each node; empty: all alike
-}
-
-// ShapeKind is a departure from even traffic.
+	Rate         float64 // first tries per second
+	Keys         int     // number of keys
+	Zipf         float64 // the popularity of the key of rank n is proportional to 1/(n+Offset)^Zipf
+	Offset       float64
+	Drift        float64       // fraction of the keys that is replaced by new ones each second
+	TimeoutRange [2]float64    // lowest and highest timeout of a try, as fractions of the class deadline
+	MaxRetries   int           // further tries per arrival
+	RetryDelay   time.Duration // minimum delay before a further try
+	MarksRetry   bool
+	LeaveShare   float64 // fraction of first tries whose client disconnects before its timeout
+	Nodes        int
+	NodeShares   []float64 // relative traffic of each node; empty: all equal
+}
+
+// ShapeKind is a kind of deviation from even traffic.
 type ShapeKind int
 
-// The kinds of shapes.
+// Kinds of shapes.
 const (
-	Surge     ShapeKind = iota // the rate is multiplied by Size
-	HotKeys                    // Count keys draw the part Size of all requests
-	HotTenant                  // the tenant numbered Who draws the part Size
-	HotNode                    // the node numbered Who is sent the part Size
+	Surge     ShapeKind = iota // the rate is multiplied by Magnitude
+	HotKeys                    // Count keys receive the fraction Magnitude of all requests
+	HotTenant                  // the tenant Index sends the fraction Magnitude
+	HotNode                    // the node Index receives the fraction Magnitude
 )
 
-// Shape is such a departure and when it acts.
+// Shape is a deviation from even traffic within an interval.
 type Shape struct {
-	Kind     ShapeKind
-	From, To time.Duration
-	Size     float64
-	Count    int
-	Who      int
+	Kind      ShapeKind
+	From, To  time.Duration
+	Magnitude float64
+	Count     int
+	Index     int
 }
 
-func (s Shape) acts(at time.Duration) bool { return at >= s.From && at < s.To }
+func (s Shape) active(at time.Duration) bool { return at >= s.From && at < s.To }
 
-// Arrival is a client's wish, drawn ahead: its first try and what it will do if that fails. Nothing that happens in a run
-// changes it.
+// Arrival is a request of a client, drawn before the run: its first try, and what the client does if that fails.
+// Nothing that happens in a run changes it.
 type Arrival struct {
-	N        int
-	At       time.Duration
-	Class    int
-	Tenant   int // -1: none
-	Node     int
-	Key      string
-	Size     int    // bytes of the value, for a write
-	Idem     string // idempotency key, of a keyed class
-	Patience time.Duration
-	Tries    int           // at most, the first included
-	Leave    time.Duration // after which the client goes away; 0: it stays
-	Over     bool          // beyond its tenant's quota
-}
-
-// ID is the id of one of its tries, from 0.
+	N          int
+	At         time.Duration
+	Class      int
+	Tenant     int // -1: none
+	Node       int
+	Key        string
+	Size       int    // bytes of the value of a write
+	Idem       string // idempotency key, for a keyed class
+	Timeout    time.Duration
+	MaxTries   int           // including the first
+	LeaveAfter time.Duration // after which the client disconnects; 0: it stays
+	OverQuota  bool          // beyond its tenant's quota
+}
+
+// ID returns the request ID of a try; try 0 is the first.
 func (a *Arrival) ID(seed uint64, try int) string {
-	return fmt.Sprintf("%016x", digest(seed, "id", strconv.Itoa(a.N), strconv.Itoa(try)))
+	return fmt.Sprintf("%016x", hash(seed, "id", strconv.Itoa(a.N), strconv.Itoa(try)))
 }
 
-// String is the arrival as a line of a plan.
+// String returns the arrival as a line of a plan.
 func (a *Arrival) String() string {
 	return fmt.Sprintf("%d at=%s class=%d tenant=%d node=%d key=%s size=%d idem=%s patience=%s tries=%d leave=%s over=%t",
-		a.N, a.At, a.Class, a.Tenant, a.Node, a.Key, a.Size, a.Idem, a.Patience, a.Tries, a.Leave, a.Over)
+		a.N, a.At, a.Class, a.Tenant, a.Node, a.Key, a.Size, a.Idem, a.Timeout, a.MaxTries, a.LeaveAfter, a.OverQuota)
 }
 
-// Source draws arrivals, in order. The same seed and figures give the same ones.
+// Source draws arrivals in order of time. Equal parameters and an equal seed give equal arrivals.
 type Source struct {
-	spec    ClientSpec
-	classes []Class
-	tenants []Tenant
-	shapes  []Shape
-	seed    uint64
-	end     time.Duration
-	now     time.Duration
-	n       int
-	most    float64 // the highest rate of the run
-	gaps    *rand.Rand
-	picks   *rand.Rand
-	zipf    []float64
-	shares  [3][]float64 // cumulative: classes, tenants, nodes
-	quota   []tally
-}
-
-// tally counts a tenant's requests of the present second.
-type tally struct {
+	spec             ClientSpec
+	classes          []Class
+	tenants          []Tenant
+	shapes           []Shape
+	seed             uint64
+	end              time.Duration
+	now              time.Duration
+	count            int
+	maxRate          float64 // highest rate of the run
+	gapRand          *rand.Rand
+	choiceRand       *rand.Rand
+	keyWeights       []float64    // cumulative, by rank
+	cumulativeShares [3][]float64 // of classes, tenants and nodes
+	quotaCounters    []quotaCounter
+}
+
+// quotaCounter counts a tenant's requests within one second.
+type quotaCounter struct {
 	second int64
 	count  float64
 }
 
-// NewSource makes a source that runs until end.
+// NewSource returns a source of arrivals from 0 until end.
 func NewSource(spec ClientSpec, classes []Class, tenants []Tenant, shapes []Shape, seed uint64, end time.Duration) *Source {
-	s := &Source{spec: spec, classes: classes, tenants: tenants, shapes: shapes, seed: seed, end: end, most: spec.Rate,
-		gaps: Stream(seed, "gaps"), picks: Stream(seed, "picks"), quota: make([]tally, len(tenants))}
+	s := &Source{spec: spec, classes: classes, tenants: tenants, shapes: shapes, seed: seed, end: end, maxRate: spec.Rate,
+		gapRand: RandomStream(seed, "gaps"), choiceRand: RandomStream(seed, "picks"), quotaCounters: make([]quotaCounter, len(tenants))}
 	for _, x := range shapes {
-		if x.Kind == Surge && x.Size > 1 {
-			s.most *= x.Size // shapes may overlap
+		if x.Kind == Surge && x.Magnitude > 1 {
+			s.maxRate *= x.Magnitude // shapes may overlap
 		}
 	}
-	s.zipf = make([]float64, max(1, spec.Keys))
+	s.keyWeights = make([]float64, max(1, spec.Keys))
 	sum := 0.0
-	for i := range s.zipf {
+	for i := range s.keyWeights {
 		sum += math.Pow(float64(i+1)+spec.Offset, -spec.Zipf)
-		s.zipf[i] = sum
+		s.keyWeights[i] = sum
 	}
 	for _, c := range classes {
-		s.shares[0] = append(s.shares[0], c.Share)
+		s.cumulativeShares[0] = append(s.cumulativeShares[0], c.Share)
 	}
 	for _, t := range tenants {
-		s.shares[1] = append(s.shares[1], t.Share)
+		s.cumulativeShares[1] = append(s.cumulativeShares[1], t.Share)
 	}
 	for i := range max(1, spec.Nodes) {
 		share := 1.0
-		if i < len(spec.Skew) {
-			share = spec.Skew[i]
+		if i < len(spec.NodeShares) {
+			share = spec.NodeShares[i]
 		}
-		s.shares[2] = append(s.shares[2], share)
+		s.cumulativeShares[2] = append(s.cumulativeShares[2], share)
 	}
-	for _, list := range s.shares {
+	for _, list := range s.cumulativeShares {
 		for i := 1; i < len(list); i++ {
 			list[i] += list[i-1]
 		}
@@ -136,109 +136,109 @@
 	return s
 }
 
-// Rate is the rate of arrivals at a time.
+// Rate returns the rate of arrivals at a time, per second.
 func (s *Source) Rate(at time.Duration) float64 {
 	r := s.spec.Rate
 	for _, x := range s.shapes {
-		if x.Kind == Surge && x.acts(at) {
-			r *= x.Size
+		if x.Kind == Surge && x.active(at) {
+			r *= x.Magnitude
 		}
 	}
 	return r
 }
 
-// draw picks from cumulative shares; -1 where there are none.
+// draw returns a random index, weighted by cumulative shares, or -1 if there are none.
 func (s *Source) draw(shares []float64) int {
 	if len(shares) == 0 {
 		return -1
 	}
-	x := s.picks.Float64() * shares[len(shares)-1]
+	x := s.choiceRand.Float64() * shares[len(shares)-1]
 	return min(sort.SearchFloat64s(shares, x), len(shares)-1)
 }
 
-// Next draws the next arrival; false when the run is over.
+// Next draws the next arrival. It returns false at the end of the run.
 func (s *Source) Next() (Arrival, bool) {
-	if s.most <= 0 {
+	if s.maxRate <= 0 {
 		return Arrival{}, false
 	}
 	for {
-		s.now += time.Duration(s.gaps.ExpFloat64() / s.most * float64(time.Second))
+		s.now += time.Duration(s.gapRand.ExpFloat64() / s.maxRate * float64(time.Second))
 		if s.now >= s.end {
 			return Arrival{}, false
 		}
-		if s.gaps.Float64()*s.most < s.Rate(s.now) {
+		if s.gapRand.Float64()*s.maxRate < s.Rate(s.now) {
 			break
 		}
 	}
-	a := Arrival{N: s.n, At: s.now, Class: s.draw(s.shares[0]), Tenant: s.draw(s.shares[1]), Node: s.draw(s.shares[2])}
-	s.n++
-	rank := sort.SearchFloat64s(s.zipf, s.picks.Float64()*s.zipf[len(s.zipf)-1])
-	key := s.key(min(rank, len(s.zipf)-1))
+	a := Arrival{N: s.count, At: s.now, Class: s.draw(s.cumulativeShares[0]), Tenant: s.draw(s.cumulativeShares[1]), Node: s.draw(s.cumulativeShares[2])}
+	s.count++
+	rank := sort.SearchFloat64s(s.keyWeights, s.choiceRand.Float64()*s.keyWeights[len(s.keyWeights)-1])
+	key := s.keyName(min(rank, len(s.keyWeights)-1))
 	for i, x := range s.shapes {
-		if x.Kind == Surge || !x.acts(s.now) || s.picks.Float64() >= x.Size {
+		if x.Kind == Surge || !x.active(s.now) || s.choiceRand.Float64() >= x.Magnitude {
 			continue
 		}
 		switch x.Kind {
 		case HotKeys:
-			key = fmt.Sprintf("hot%d-%d", i, s.picks.IntN(max(1, x.Count)))
+			key = fmt.Sprintf("hot%d-%d", i, s.choiceRand.IntN(max(1, x.Count)))
 		case HotTenant:
-			a.Tenant = x.Who
+			a.Tenant = x.Index
 		case HotNode:
-			a.Node = x.Who
+			a.Node = x.Index
 		}
 	}
 	c := &s.classes[a.Class]
-	a.Key = s.spell(key)
+	a.Key = s.keyText(key)
 	if c.Write {
 		a.Size = SizeOf(s.seed, c, a.Key)
 	}
 	if c.Effect == Keyed {
-		a.Idem = fmt.Sprintf("%016x", digest(s.seed, "idem", strconv.Itoa(a.N)))
+		a.Idem = fmt.Sprintf("%016x", hash(s.seed, "idem", strconv.Itoa(a.N)))
 	}
-	lo, hi := s.spec.Patience[0], s.spec.Patience[1]
-	a.Patience = max(time.Millisecond, time.Duration((lo+(hi-lo)*s.picks.Float64())*float64(c.Deadline)).Truncate(time.Millisecond))
-	a.Tries = 1 + s.spec.Retries
-	if leave, part := s.picks.Float64(), s.picks.Float64(); leave < s.spec.Leaves {
-		a.Leave = time.Duration(part * float64(a.Patience))
+	lo, hi := s.spec.TimeoutRange[0], s.spec.TimeoutRange[1]
+	a.Timeout = max(time.Millisecond, time.Duration((lo+(hi-lo)*s.choiceRand.Float64())*float64(c.Deadline)).Truncate(time.Millisecond))
+	a.MaxTries = 1 + s.spec.MaxRetries
+	if leave, part := s.choiceRand.Float64(), s.choiceRand.Float64(); leave < s.spec.LeaveShare {
+		a.LeaveAfter = time.Duration(part * float64(a.Timeout))
 	}
 	if a.Tenant >= 0 {
-		a.Over = s.over(a.Tenant)
+		a.OverQuota = s.exceedsQuota(a.Tenant)
 	}
 	return a, true
 }
 
-// spell is a key's text: what it begins with tells nothing of its rank.
-func (s *Source) spell(key string) string {
-	return fmt.Sprintf("%x-%s", digest(s.seed, "key", key)>>40, key)
+// keyText returns the text of a key. It begins with a hash, so that keys of similar rank share no prefix.
+func (s *Source) keyText(key string) string {
+	return fmt.Sprintf("%x-%s", hash(s.seed, "key", key)>>40, key)
 }
 
-// Popular gives the keys that are asked for when the run begins, the most popular first, at most so many.
-func (s *Source) Popular(most int) []string {
-	keys := make([]string, 0, min(most, len(s.zipf)))
-	for rank := range min(most, len(s.zipf)) {
-		keys = append(keys, s.spell(s.key(rank)))
+// PopularKeys returns the keys in use at the current time, the most popular first, at most limit of them.
+func (s *Source) PopularKeys(limit int) []string {
+	keys := make([]string, 0, min(limit, len(s.keyWeights)))
+	for rank := range min(limit, len(s.keyWeights)) {
+		keys = append(keys, s.keyText(s.keyName(rank)))
 	}
 	return keys
 }
 
-// key names the key of a rank; drift replaces it by and by, each at times of its own.
-func (s *Source) key(rank int) string {
+// keyName names the key of a rank. With drift, each rank changes its key periodically, at a phase of its own.
+func (s *Source) keyName(rank int) string {
 	if s.spec.Drift <= 0 {
 		return "k" + strconv.Itoa(rank)
 	}
-	turn := math.Floor(s.now.Seconds()*s.spec.Drift + unit(digest(s.seed, "turn", strconv.Itoa(rank))))
+	turn := math.Floor(s.now.Seconds()*s.spec.Drift + unitInterval(hash(s.seed, "turn", strconv.Itoa(rank))))
 	return fmt.Sprintf("k%d.%d", rank, int(turn))
 }
 
-// over counts a tenant's request and reports whether it is beyond the quota of its second.
-func (s *Source) over(tenant int) bool {
+// exceedsQuota counts a request of a tenant and reports whether it is beyond the quota of the current second.
+func (s *Source) exceedsQuota(tenant int) bool {
 	quota := s.tenants[tenant].Quota
 	if quota <= 0 {
 		return false
 	}
-	t := &s.quota[tenant]
+	t := &s.quotaCounters[tenant]
 	if second := int64(s.now / time.Second); second != t.second {
-		*t = tally{second: second}
+		*t = quotaCounter{second: second}
 	}
 	t.count++
 	return t.count > quota
--- a/lab/world/origin.go
+++ b/lab/world/origin.go
@@ -6,83 +6,84 @@
 	"time"
 )
 
-// OriginSpec is what the origin is.
+// OriginSpec configures the origin.
 type OriginSpec struct {
-	Cores        int
-	Slots, Room  int
-	Work         time.Duration // of a fetch, mean
-	Sigma        float64       // of its logarithm
-	WriteFactor  float64       // a write's work over a fetch's
-	FallMultiple float64       // of its capacity, which asked for over FallFor stops it; 0: never
-	FallFor      time.Duration
-	Down         time.Duration // how long it stops then
-	Window       time.Duration // how long it drops repeats of a keyed write
-	KeepsWork    bool          // work goes on when nobody waits for it any more
-}
-
-// Origin is what holds all values. It carries out writes, each idempotency key once within its window.
+	Cores             int
+	Slots, QueueLimit int
+	Work              time.Duration // mean work of a fetch
+	Sigma             float64       // standard deviation of the logarithm of the work
+	WriteFactor       float64       // work of a write relative to a fetch
+	FallMultiple      float64       // of its capacity; if more work arrives over FallWindow, it stops; 0: never
+	FallWindow        time.Duration
+	Downtime          time.Duration // how long an overloaded origin is stopped
+	DedupWindow       time.Duration // how long it drops repeats of a keyed write
+	IgnoresCancel     bool          // running jobs continue after a cancel
+}
+
+// Origin models the service that holds all values. It carries out the writes, each idempotency key once within its
+// window. It is not safe for concurrent use.
 type Origin struct {
-	spec     OriginSpec
-	station  station
-	rng      *rand.Rand
-	versions map[string]int64
-	seen     map[string]*effect
-	order    []string // of seen, the oldest first
-	jobs     map[uint64]*originJob
-	receipts int64
-	factor   float64
-	until    time.Duration // stopped until then
-	paused   bool
-	stops    int
-	budget   Budget
-	done     []Done
-	lost     []uint64
+	spec         OriginSpec
+	station      station
+	rng          *rand.Rand
+	versions     map[string]int64
+	effects      map[string]*effect
+	effectOrder  []string // keys of effects, the oldest first
+	jobs         map[uint64]*originJob
+	receipts     int64
+	slowdown     float64
+	stoppedUntil time.Duration
+	paused       bool
+	stops        int
+	budget       WorkBudget
+	completions  []Completion
+	lost         []uint64
 }
 
 type originJob struct {
 	Job
-	came time.Duration
-	gone bool
+	arrivedAt time.Duration
+	cancelled bool
 }
 
 type effect struct {
-	began   time.Duration // when the first attempt that may have run came
-	receipt string
-	version int64
+	firstArrival time.Duration // arrival of the first attempt that may have run
+	receipt      string
+	version      int64
 }
 
-// NewOrigin makes an origin that runs.
+// NewOrigin returns a running origin.
 func NewOrigin(spec OriginSpec, seed uint64) *Origin {
-	o := &Origin{spec: spec, rng: Stream(seed, "origin"), versions: map[string]int64{}, seen: map[string]*effect{},
-		jobs: map[uint64]*originJob{}, factor: 1}
-	o.station = station{cores: float64(spec.Cores), slots: spec.Slots, room: spec.Room}
-	o.budget = Budget{Multiple: spec.FallMultiple, Span: spec.FallFor}
+	o := &Origin{spec: spec, rng: RandomStream(seed, "origin"), versions: map[string]int64{}, effects: map[string]*effect{},
+		jobs: map[uint64]*originJob{}, slowdown: 1}
+	o.station = station{cores: float64(spec.Cores), slots: spec.Slots, queueLimit: spec.QueueLimit}
+	o.budget = WorkBudget{Multiple: spec.FallMultiple, Window: spec.FallWindow}
 	o.setSpeed(0)
 	return o
 }
 
 func (o *Origin) setSpeed(now time.Duration) {
-	o.station.speed = 1 / o.factor
-	if o.paused || now < o.until {
+	o.station.speed = 1 / o.slowdown
+	if o.paused || now < o.stoppedUntil {
 		o.station.speed = 0
 	}
 }
 
-// Capacity is the work that it can do in a second.
+// Capacity returns the seconds of work that it can do per second.
 func (o *Origin) Capacity() float64 { return float64(o.spec.Cores) }
 
-// Version is the present version of a key's value; that of one never written is 0.
+// Version returns the current version of a key's value; 0 if it was never written.
 func (o *Origin) Version(key string) int64 { return o.versions[key] }
 
-// Stops is how often it has stopped because too much was asked.
-func (o *Origin) Stops() int { return o.stops }
+// StopCount returns how often it stopped because of overload.
+func (o *Origin) StopCount() int { return o.stops }
 
 // Stopped reports whether it is stopped now.
-func (o *Origin) Stopped(now time.Duration) bool { return now < o.until }
+func (o *Origin) Stopped(now time.Duration) bool { return now < o.stoppedUntil }
 
-// Offer brings a job, whose work it draws itself; it gives that work too. Where the verdict is Dead it has stopped: the
-// jobs that it had are lost, see Lost.
-func (o *Origin) Offer(now time.Duration, j Job) (Verdict, time.Duration) {
+// Offer submits a job and returns the work that it drew for it. If the origin is stopped, or this job stops it, it
+// returns Down; TakeLost returns the jobs lost by a stop.
+func (o *Origin) Offer(now time.Duration, j Job) (Admission, time.Duration) {
 	o.advance(now)
 	j.Work = time.Duration(float64(o.spec.Work) * logNormal(o.rng.Uint64(), o.spec.Sigma))
 	if j.Write {
@@ -90,26 +91,26 @@
 	}
 	j.Work = max(j.Work, time.Microsecond)
 	if o.Stopped(now) {
-		return Dead, j.Work
+		return Down, j.Work
 	}
 	o.budget.Slack = 4 * o.spec.Work
 	if spent, _ := o.budget.Add(now, j.Work, o.Capacity(), false); spent {
-		o.Stop(now, o.spec.Down)
+		o.Stop(now, o.spec.Downtime)
 		o.stops++
-		return Dead, j.Work
+		return Down, j.Work
 	}
-	job := &originJob{Job: j, came: now}
-	if !o.station.offer(&job.Job) {
+	job := &originJob{Job: j, arrivedAt: now}
+	if !o.station.admit(&job.Job) {
 		return Busy, j.Work
 	}
 	o.jobs[j.Token] = job
-	return Taken, j.Work
+	return Accepted, j.Work
 }
 
-// Stop makes it lose what it has and answer nothing for a while.
+// Stop makes the origin lose its jobs and answer nothing for a while.
 func (o *Origin) Stop(now, length time.Duration) {
 	o.advance(now)
-	o.until = now + length
+	o.stoppedUntil = now + length
 	o.lost = append(o.lost, o.station.clear()...)
 	for _, t := range o.lost {
 		delete(o.jobs, t)
@@ -118,48 +119,48 @@
 	o.setSpeed(now)
 }
 
-// Lost gives the jobs that a stop has cost since it was last asked.
-func (o *Origin) Lost() []uint64 {
+// TakeLost returns the tokens of the jobs lost by stops since the last call.
+func (o *Origin) TakeLost() []uint64 {
 	l := o.lost
 	o.lost = nil
 	return l
 }
 
-// Cancel notes that nobody waits for a job. A write that is in work goes on.
+// Cancel records that the requester of a job went away. A running write continues.
 func (o *Origin) Cancel(now time.Duration, token uint64) {
 	o.advance(now)
 	j := o.jobs[token]
 	if j == nil {
 		return
 	}
-	if j.gone = true; o.station.drop(token, true, !o.spec.KeepsWork && !j.Write) {
+	if j.cancelled = true; o.station.remove(token, true, !o.spec.IgnoresCancel && !j.Write) {
 		delete(o.jobs, token)
 	}
 }
 
-// Slow makes its work take so many times as long; 1 is as ever.
+// Slow makes its work take factor times as long; 1 is normal.
 func (o *Origin) Slow(now time.Duration, factor float64) {
 	o.advance(now)
-	o.factor = max(factor, 1e-3)
+	o.slowdown = max(factor, 1e-3)
 	o.setSpeed(now)
 }
 
-// Pause makes it stand still, or go on.
+// Pause suspends or resumes the origin.
 func (o *Origin) Pause(now time.Duration, on bool) {
 	o.advance(now)
 	o.paused = on
 	o.setSpeed(now)
 }
 
-// Next is when something happens by itself, if nothing comes before.
-func (o *Origin) Next() (time.Duration, bool) { return o.station.next() }
+// Next returns the time of the next event if nothing is submitted before.
+func (o *Origin) Next() (time.Duration, bool) { return o.station.nextCompletion() }
 
-// Advance lets time pass and gives what has ended. What nobody waits for is given too, if it was a write that took
-// effect: its copies are void.
-func (o *Origin) Advance(now time.Duration) []Done {
+// Advance moves the time forward and returns the jobs completed since the last call. A cancelled write that took effect
+// is included, because it makes cached values stale.
+func (o *Origin) Advance(now time.Duration) []Completion {
 	o.advance(now)
-	d := o.done
-	o.done = nil
+	d := o.completions
+	o.completions = nil
 	return d
 }
 
@@ -167,8 +168,8 @@
 	for o.station.now < now {
 		o.setSpeed(o.station.now)
 		to := now
-		if o.station.now < o.until {
-			to = min(now, o.until)
+		if o.station.now < o.stoppedUntil {
+			to = min(now, o.stoppedUntil)
 		}
 		o.station.advance(to, o.finish)
 	}
@@ -181,39 +182,39 @@
 	if job == nil {
 		return
 	}
-	d := Done{Token: j.Token, At: at, Key: j.Key, Idem: j.Idem}
+	d := Completion{Token: j.Token, At: at, Key: j.Key, Idem: j.Idem}
 	if !j.Write {
-		if d.Ending, d.Version = Fetched, o.versions[j.Key]; !job.gone {
-			o.done = append(o.done, d)
+		if d.Outcome, d.Version = Fetched, o.versions[j.Key]; !job.cancelled {
+			o.completions = append(o.completions, d)
 		}
 		return
 	}
-	d.Ending = Stored
-	e := o.seen[j.Idem]
-	if j.Idem == "" || e == nil || job.came-e.began > o.spec.Window {
+	d.Outcome = Stored
+	e := o.effects[j.Idem]
+	if j.Idem == "" || e == nil || job.arrivedAt-e.firstArrival > o.spec.DedupWindow {
 		o.receipts++
 		o.versions[j.Key]++
-		e = &effect{began: job.came, receipt: fmt.Sprintf("R%d", o.receipts), version: o.versions[j.Key]}
+		e = &effect{firstArrival: job.arrivedAt, receipt: fmt.Sprintf("R%d", o.receipts), version: o.versions[j.Key]}
 		if j.Idem != "" {
-			o.remember(j.Idem, e)
+			o.rememberEffect(j.Idem, e)
 		}
-		d.Fresh = true
+		d.Applied = true
 	}
 	d.Receipt, d.Version = e.receipt, e.version
-	if d.Fresh || !job.gone {
-		o.done = append(o.done, d)
+	if d.Applied || !job.cancelled {
+		o.completions = append(o.completions, d)
 	}
 }
 
-// remember keeps an effect for its window, and no longer than needed.
-func (o *Origin) remember(idem string, e *effect) {
-	for len(o.order) > 0 {
-		if old := o.seen[o.order[0]]; old != nil && o.station.now-old.began <= 2*o.spec.Window {
+// rememberEffect keeps an effect for at least its window, and discards expired ones.
+func (o *Origin) rememberEffect(idem string, e *effect) {
+	for len(o.effectOrder) > 0 {
+		if old := o.effects[o.effectOrder[0]]; old != nil && o.station.now-old.firstArrival <= 2*o.spec.DedupWindow {
 			break
 		}
-		delete(o.seen, o.order[0])
-		o.order = o.order[1:]
+		delete(o.effects, o.effectOrder[0])
+		o.effectOrder = o.effectOrder[1:]
 	}
-	o.seen[idem] = e
-	o.order = append(o.order, idem)
+	o.effects[idem] = e
+	o.effectOrder = append(o.effectOrder, idem)
 }
