--- a/cmd/lapisshelf/planners_test.go
+++ b/cmd/lapisshelf/planners_test.go
@@ -277,7 +277,7 @@
 			var mu sync.Mutex
 			follower, old := follow.New(follow.Config{}), i%2 == 0
 			clients.Go(func() {
-				g := plan.NewGather(time.Duration(time.Now().UnixNano()), name)
+				g := plan.NewCollector(time.Duration(time.Now().UnixNano()), name)
 				for {
 					for j := range caches {
 						g.Request(fmt.Sprint("k", j), "acme")
--- a/decide/follow/change_test.go
+++ b/decide/follow/change_test.go
@@ -74,14 +74,14 @@
 func (w *talk) start(i int, history uint64) {
 	id := string(rune('a' + i))
 	w.tellers[i] = &teller{Planner: plan.New(plan.Config{ID: id, History: history}), id: id, history: history, holds: map[int]plan.Hold{}}
-	w.tellers[i].Roster(w.now, listed(6))
+	w.tellers[i].SetServers(w.now, listed(6))
 	w.make(i)
 }
 
 // make has a planner look, and notes what it tells from then on.
 func (w *talk) make(i int) {
 	p := w.tellers[i]
-	p.Make(w.now)
+	p.Update(w.now)
 	w.truths[fmt.Sprint(p.id, p.history, "/", p.Revision())] = wholeOf(p.View(w.now, w.now, "nobody").View)
 }
 
@@ -138,7 +138,7 @@
 					Tenants: []plan.Use{{Tenant: rapid.SampledFrom([]string{"t", "u"}).Draw(r, "tenant"), Asked: 100}}})
 				w.make(i)
 			case 3: // servers come and go
-				p.Roster(w.now, listed(rapid.IntRange(4, 6).Draw(r, "count")))
+				p.SetServers(w.now, listed(rapid.IntRange(4, 6).Draw(r, "count")))
 				w.make(i)
 			case 4, 5:
 				w.digests = append(w.digests, told{node, i, w.nodes[node].Hold(p.id)})
@@ -333,7 +333,7 @@
 		list := listed(6)
 		list[0].Started = now - sec
 		p := plan.New(plan.Config{ID: "a", Weighted: true, ColdFrom: 0.2, WarmUp: 20 * sec, FallMultiple: 3, FallWindow: 1500 * time.Millisecond})
-		p.Roster(now, list)
+		p.SetServers(now, list)
 		type message struct {
 			to    int
 			c     plan.Change
@@ -372,7 +372,7 @@
 				followers[node].Sent(now, seq)
 				heard[node].seq, heard[node].at = seq, now
 			case 3, 4:
-				p.Make(now)
+				p.Update(now)
 			case 5:
 				heard[node].seq = 0
 				followers[node] = New(Config{}) // a process that starts anew has another connection
@@ -389,7 +389,7 @@
 			case 7: // the server starts anew, or another is cold too
 				at := rapid.IntRange(0, 1).Draw(r, "server")
 				list[at].Started = now
-				p.Roster(now, list)
+				p.SetServers(now, list)
 			default:
 				if p.Revision() == 0 {
 					break
--- a/decide/follow/follow_test.go
+++ b/decide/follow/follow_test.go
@@ -123,7 +123,7 @@
 				r.Fatal("nobody made this view")
 			}
 			for _, s := range got.Servers {
-				if !(s.Factor >= plan.LeastFactor && s.Factor <= 1) {
+				if !(s.Factor >= plan.MinFactor && s.Factor <= 1) {
 					r.Fatalf("a factor of %v", s.Factor)
 				}
 			}
--- a/decide/follow/fresh.go
+++ b/decide/follow/fresh.go
@@ -31,7 +31,7 @@
 	for _, s := range f.sent {
 		if s.seq == seq {
 			way := now - s.at - after
-			return way >= -plan.MostTravel && way <= plan.MostTravel
+			return way >= -plan.MaxGrantTransit && way <= plan.MaxGrantTransit
 		}
 	}
 	return false
--- a/decide/plan/api.go
+++ b/decide/plan/api.go
@@ -21,16 +21,16 @@
 
 // Bounds of what is taken from others.
 const (
-	MostServers = 4096 // in a digest or a view
-	MostHot     = 64
-	MostTenants = 256
-	MostTimes   = 14    // parts of a sketch, up to 4 s and beyond
-	MostName    = 256   // bytes of an id
-	MostCount   = 1e6   // of anything in one digest
-	LeastFactor = 0.1   // of a server's weight
-	LeastAdmit  = 0.1   // of the reads that go to the origin
-	MostRate    = 1e9   // of anything a second
-	MostValid   = 10e10 // nanoseconds for which a view may say it is valid
+	MaxServers     = 4096 // in a digest or a view
+	MaxHotKeys     = 64
+	MaxTenants     = 256
+	LatencyBuckets = 14    // parts of a sketch, up to 4 s and beyond
+	MaxIDLength    = 256   // bytes of an id
+	MaxCount       = 1e6   // of anything in one digest
+	MinFactor      = 0.1   // of a server's weight
+	MinAdmit       = 0.1   // of the reads that go to the origin
+	MaxRate        = 1e9   // of anything a second
+	MaxValidity    = 10e10 // nanoseconds for which a view may say it is valid
 )
 
 // Load is what a forwarder saw of one server in a digest's span.
@@ -79,11 +79,11 @@
 	Past  int
 }
 
-func name(id string) bool { return id != "" && len(id) <= MostName }
+func name(id string) bool { return id != "" && len(id) <= MaxIDLength }
 
 func counts(list ...int) bool {
 	for _, n := range list {
-		if n < 0 || n > MostCount {
+		if n < 0 || n > MaxCount {
 			return false
 		}
 	}
@@ -91,7 +91,7 @@
 }
 
 func (l *Load) sound() bool {
-	return counts(l.Sends, l.Timely, l.Late, l.Full, l.Failed) && len(l.Times) <= MostTimes && counts(l.Times...)
+	return counts(l.Sends, l.Timely, l.Late, l.Full, l.Failed) && len(l.Times) <= LatencyBuckets && counts(l.Times...)
 }
 
 // bad is how many answers were late, full or failed.
@@ -102,7 +102,7 @@
 
 // timeOf is the part of a sketch that a time belongs to.
 func timeOf(took time.Duration) int {
-	return min(bits.Len64(uint64(max(0, took-1)/time.Millisecond)), MostTimes-1)
+	return min(bits.Len64(uint64(max(0, took-1)/time.Millisecond)), LatencyBuckets-1)
 }
 
 // Check says what is wrong with a digest; nil: it makes sense.
@@ -112,9 +112,9 @@
 		return errors.New("no name, or too long a one")
 	case d.Span <= 0 || d.Span > time.Minute:
 		return fmt.Errorf("a span of %v", d.Span)
-	case len(d.Servers) > MostServers || len(d.Bad) > MostServers || len(d.Hot) > MostHot || len(d.Tenants) > MostTenants:
+	case len(d.Servers) > MaxServers || len(d.Bad) > MaxServers || len(d.Hot) > MaxHotKeys || len(d.Tenants) > MaxTenants:
 		return errors.New("too many entries")
-	case !counts(d.Asked, d.Answered) || d.Past < 0 || d.Past > tenths*MostCount || !d.Origin.sound() || !d.Rest.sound():
+	case !counts(d.Asked, d.Answered) || d.Past < 0 || d.Past > tenths*MaxCount || !d.Origin.sound() || !d.Rest.sound():
 		return errors.New("absurd counts")
 	case !d.Brief && (len(d.Bad)+d.Past > 0 || d.Rest.answers() > 0):
 		return errors.New("a whole one with parts of a brief one")
@@ -154,18 +154,18 @@
 	policy.View
 }
 
-func rate(x float64) bool { return x >= 0 && x <= MostRate } // false for what is no number
+func rate(x float64) bool { return x >= 0 && x <= MaxRate } // false for what is no number
 
 // Check says what is wrong with a view by itself; nil: it makes sense.
 func (v *View) Check() error {
 	switch {
 	case !name(v.Planner):
 		return errors.New("no planner's name, or too long a one")
-	case v.Valid <= 0 || v.Valid > MostValid:
+	case v.Valid <= 0 || v.Valid > MaxValidity:
 		return fmt.Errorf("valid for %v", v.Valid)
-	case len(v.Servers) > MostServers || len(v.Hot) > MostHot || len(v.Tenants) > MostTenants:
+	case len(v.Servers) > MaxServers || len(v.Hot) > MaxHotKeys || len(v.Tenants) > MaxTenants:
 		return errors.New("too many entries")
-	case !(v.Admit == 0 || v.Admit >= LeastAdmit && v.Admit <= 1):
+	case !(v.Admit == 0 || v.Admit >= MinAdmit && v.Admit <= 1):
 		return errors.New("an absurd part of the reads")
 	}
 	seen := map[string]bool{}
@@ -173,7 +173,7 @@
 		switch {
 		case !name(s.ID) || seen[s.ID]:
 			return fmt.Errorf("server %.40q without a name, or named twice", s.ID)
-		case !(s.Factor >= LeastFactor && s.Factor <= 1):
+		case !(s.Factor >= MinFactor && s.Factor <= 1):
 			return fmt.Errorf("server %.40q: a factor of %v", s.ID, s.Factor)
 		case !rate(s.Allow):
 			return fmt.Errorf("server %.40q: an absurd rate", s.ID)
@@ -199,7 +199,7 @@
 	History    uint64        // which life of the planner this is: drawn at its start, so that no other life has the same; 0 counts as 1
 	Valid      time.Duration // of a view; 3 s
 	Silent     time.Duration // a forwarder unheard for so long is forgotten; 5 s
-	Memory     time.Duration // span in which what was seen fades; 3 s
+	DecayTime  time.Duration // span in which what was seen fades; 3 s
 	Move       float64       // most of the keys that weights move a second; 0.05
 	Forwarders int           // most that are followed; 4096
 	// As the forwarders' settings tell them.
@@ -213,7 +213,7 @@
 }
 
 // Reason tells why a server has the weight it has.
-type Reason struct {
+type Explanation struct {
 	ID       string
 	Weight   float64 // listed
 	Factor   float64
@@ -221,5 +221,5 @@
 	Bad      float64       // part of its answers that were late, full or failed
 	Answers  float64       // that this was told from
 	P50, P99 time.Duration // of its answer times, within a factor of two: the upper bounds of where they lie; 0: none are known
-	Word     string
+	Reason   string
 }
--- a/decide/plan/bench_test.go
+++ b/decide/plan/bench_test.go
@@ -10,7 +10,7 @@
 )
 
 // A node's digest as Gather makes it in the calm: so many requests over the servers, one in a hundred answered late.
-func calm(rng *rand.Rand, g *Gather, servers, requests int) {
+func calm(rng *rand.Rand, g *Collector, servers, requests int) {
 	for range requests {
 		took, timely := 3*time.Millisecond, rng.IntN(100) > 0
 		if !timely {
@@ -24,9 +24,9 @@
 // bench is a planner that has heard some seconds of forwarders, and digests of one more.
 func bench(b *testing.B, forwarders, servers, requests int, brief bool) (p *Planner, list []*Digest) {
 	p = New(config())
-	p.Roster(100*sec, fleet(servers))
+	p.SetServers(100*sec, fleet(servers))
 	rng := rand.New(rand.NewPCG(1, 2))
-	g := NewGather(100*sec, "")
+	g := NewCollector(100*sec, "")
 	var some []*Digest
 	for i := range 40 { // different ones are enough
 		calm(rng, g, servers, requests)
@@ -67,7 +67,7 @@
 			for i, d := range list {
 				if i == len(list)/2 {
 					now += sec / 2
-					p.Make(now)
+					p.Update(now)
 				}
 				d.Seq++
 				if err := p.Digest(now, *d); err != nil {
@@ -75,7 +75,7 @@
 				}
 			}
 			now += sec / 2
-			p.Make(now)
+			p.Update(now)
 		}
 	})
 }
@@ -91,11 +91,11 @@
 				p.Digest(now, *d)
 			}
 			now += sec / 2
-			p.Make(now)
+			p.Update(now)
 		}
 		for b.Loop() {
 			now += time.Microsecond
-			p.Make(now)
+			p.Update(now)
 		}
 	})
 }
@@ -112,7 +112,7 @@
 		}
 		for b.Loop() {
 			now += sec / 2
-			p.Make(now)
+			p.Update(now)
 			if brief {
 				p.Change(now, Hold{1, p.Revision(), true})
 			}
@@ -132,7 +132,7 @@
 	for _, x := range [][2]int{{80, 6}, {420, 842}} {
 		b.Run(fmt.Sprintf("%dservers,%drequests", x[0], x[1]), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 2))
-			g := NewGather(100*sec, "f")
+			g := NewCollector(100*sec, "f")
 			now := 100 * sec
 			for b.Loop() {
 				b.StopTimer()
--- a/decide/plan/brief.go
+++ b/decide/plan/brief.go
@@ -45,7 +45,7 @@
 }
 
 // remember adds the span to what is remembered and finds the exceptions.
-func (g *Gather) remember(now time.Duration) {
+func (g *Collector) remember(now time.Duration) {
 	left := math.Exp(-float64(max(0, now-g.pastAt)) / float64(gatherSpan))
 	g.pastAt = now
 	for id, p := range g.past {
@@ -58,7 +58,7 @@
 	for id, l := range g.servers {
 		p := g.past[id]
 		if p == nil {
-			if len(g.past) >= MostServers {
+			if len(g.past) >= MaxServers {
 				continue
 			}
 			p = &past{}
@@ -83,7 +83,7 @@
 }
 
 // turn is a number for a server, another one in each digest and at each node.
-func (g *Gather) turn(id string) uint64 {
+func (g *Collector) turn(id string) uint64 {
 	x := (xxhash.Sum64String(id) ^ xxhash.Sum64String(g.name)) + g.seq*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -120,7 +120,7 @@
 }
 
 // Brief gives in brief what the last Digest gave.
-func (g *Gather) Brief(d *Digest) *Digest {
+func (g *Collector) Brief(d *Digest) *Digest {
 	b := *d
 	b.Brief, b.Servers = true, nil
 	if len(d.Servers) <= mostBad {
@@ -142,10 +142,10 @@
 }
 
 // inTenths is a count as it is told.
-func inTenths(n float64) int { return int(math.Round(min(n, MostCount/tenths) * tenths)) }
+func inTenths(n float64) int { return int(math.Round(min(n, MaxCount/tenths) * tenths)) }
 
 // reduce sorts the servers of d into those that are told whole, those of which bad answers are told, and the rest.
-func (g *Gather) reduce(b, d *Digest) {
+func (g *Collector) reduce(b, d *Digest) {
 	var bad []*Load
 	sumBad, sumAll := 0.0, 0.0 // remembered
 	b.Past = inTenths(g.before)
--- a/decide/plan/brief_test.go
+++ b/decide/plan/brief_test.go
@@ -17,7 +17,7 @@
 type crowd struct {
 	rng          *rand.Rand
 	now          time.Duration
-	nodes        []*Gather
+	nodes        []*Collector
 	servers      int
 	requests     int                      // of a node, a second, by chance as many
 	bad          func(server int) float64 // part of its answers
@@ -31,10 +31,10 @@
 	c := &crowd{rng: rand.New(rand.NewPCG(seed, 1)), now: 100 * sec, servers: servers, requests: requests, whole: New(config()), brief: New(config()),
 		bad: func(int) float64 { return 0.01 }}
 	for i := range nodes {
-		c.nodes = append(c.nodes, NewGather(c.now, fmt.Sprintf("f%04d", i)))
+		c.nodes = append(c.nodes, NewCollector(c.now, fmt.Sprintf("f%04d", i)))
 	}
-	c.whole.Roster(c.now, fleet(servers))
-	c.brief.Roster(c.now, fleet(servers))
+	c.whole.SetServers(c.now, fleet(servers))
+	c.brief.SetServers(c.now, fleet(servers))
 	return c
 }
 
@@ -79,8 +79,8 @@
 		}
 	}
 	for range 2 {
-		c.whole.Make(c.now)
-		c.brief.Make(c.now)
+		c.whole.Update(c.now)
+		c.brief.Update(c.now)
 		c.now += sec / 2
 	}
 	c.now -= sec
@@ -198,9 +198,9 @@
 		}
 		return list
 	}
-	most := Load{ID: "c01", Sends: MostCount, Late: MostCount}
-	rest := Load{Sends: MostCount, Late: MostCount}
-	well := Load{Sends: MostCount, Timely: MostCount}
+	most := Load{ID: "c01", Sends: MaxCount, Late: MaxCount}
+	rest := Load{Sends: MaxCount, Late: MaxCount}
+	well := Load{Sends: MaxCount, Timely: MaxCount}
 	for name, lie := range map[string]func(d *Digest){
 		"bad answers of one": func(d *Digest) { d.Bad = []Load{most} },
 		"one told whole":     func(d *Digest) { d.Servers = []Load{most} },
@@ -216,13 +216,13 @@
 		},
 		"all is well":             func(d *Digest) { d.Rest = well },
 		"one is well":             func(d *Digest) { d.Servers, d.Rest = others("c01"), well },
-		"one is well, told whole": func(d *Digest) { d.Servers = []Load{{ID: "c01", Timely: MostCount}} },
+		"one is well, told whole": func(d *Digest) { d.Servers = []Load{{ID: "c01", Timely: MaxCount}} },
 		"hot keys": func(d *Digest) {
-			d.Asked = MostCount
-			for i := range MostHot {
-				d.Hot = append(d.Hot, Heat{Key: uint32(i), Asked: MostCount})
+			d.Asked = MaxCount
+			for i := range MaxHotKeys {
+				d.Hot = append(d.Hot, Heat{Key: uint32(i), Asked: MaxCount})
 			}
-			d.Tenants = []Use{{"a", MostCount}, {"b", MostCount}}
+			d.Tenants = []Use{{"a", MaxCount}, {"b", MaxCount}}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -275,7 +275,7 @@
 	lies := true
 	c.twist = func(node int, d *Digest) {
 		if lies && node == 0 && d.Brief {
-			d.Servers, d.Bad, d.Past = nil, []Load{{ID: "c01", Sends: MostCount, Late: 1}}, 100
+			d.Servers, d.Bad, d.Past = nil, []Load{{ID: "c01", Sends: MaxCount, Late: 1}}, 100
 		}
 	}
 	for range 5 {
@@ -292,21 +292,21 @@
 // A liar that is heard before all others, when there is no other to hold it against, is held against them once they are.
 func TestALiarThatIsFirst(t *testing.T) {
 	for name, lie := range map[string]Digest{
-		"whole":         {Servers: []Load{{ID: "c01", Late: MostCount}, {ID: "c02", Timely: 9}}},
-		"in part":       {Brief: true, Bad: []Load{{ID: "c01", Late: MostCount}}},
-		"by the others": {Brief: true, Rest: Load{Late: MostCount}, Servers: []Load{{ID: "c03"}}},
+		"whole":         {Servers: []Load{{ID: "c01", Late: MaxCount}, {ID: "c02", Timely: 9}}},
+		"in part":       {Brief: true, Bad: []Load{{ID: "c01", Late: MaxCount}}},
+		"by the others": {Brief: true, Rest: Load{Late: MaxCount}, Servers: []Load{{ID: "c03"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCrowd(6, 30, 40, 100)
 			c.bad = func(int) float64 { return 0 }
-			lie.From, lie.Span, lie.Asked, lie.Hot, lie.Tenants = "liar", sec, MostCount, []Heat{{Key: 8, Asked: MostCount}}, []Use{{Tenant: "t", Asked: MostCount}}
+			lie.From, lie.Span, lie.Asked, lie.Hot, lie.Tenants = "liar", sec, MaxCount, []Heat{{Key: 8, Asked: MaxCount}}, []Use{{Tenant: "t", Asked: MaxCount}}
 			for range 3 {
 				lie.Seq++
 				if err := c.brief.Digest(c.now, lie); err != nil {
 					t.Fatal(err)
 				}
 				c.now += sec / 2
-				c.brief.Make(c.now)
+				c.brief.Update(c.now)
 			}
 			c.second(t)
 			factor := c.brief.servers["c01"].factor // what it has done while there was no other
@@ -378,7 +378,7 @@
 // A server that stands out at a node is told whole, and for a memory's length after that; then it is one of the rest.
 func TestAnExceptionStaysNamed(t *testing.T) {
 	now := 100 * sec
-	g := NewGather(now, "f")
+	g := NewCollector(now, "f")
 	named := func(late int) bool {
 		for s := range 40 {
 			for i := range 10 {
@@ -408,7 +408,7 @@
 // Where more servers answer badly than are named, none is blamed for its name: of those that are alike each is named as often.
 func TestWhoIsNamedIsChance(t *testing.T) {
 	now := 100 * sec
-	g := NewGather(now, "f")
+	g := NewCollector(now, "f")
 	times := map[string]int{}
 	const rounds = 400
 	for range rounds {
@@ -437,7 +437,7 @@
 	var before []float64
 	for range 20 {
 		rng := rand.New(rand.NewPCG(3, 4))
-		g := NewGather(100*sec, "f")
+		g := NewCollector(100*sec, "f")
 		var list []*Digest
 		var sums []float64
 		for i := range 5 {
@@ -458,7 +458,7 @@
 
 // Keys are told where they are few, or bring a fair part of a cache's load here.
 func TestKeysInBrief(t *testing.T) {
-	g := NewGather(100*sec, "f")
+	g := NewCollector(100*sec, "f")
 	seen := func(keys, hot int) []Heat {
 		for i := range 400 {
 			g.Attempt(fmt.Sprintf("c%02d", i%40), false, policy.OK, time.Millisecond, true, false)
@@ -561,11 +561,11 @@
 			list = append(list, policy.Server{ID: fmt.Sprintf("c%d", id), Weight: 1})
 			snap.Factors[list[len(list)-1].ID] = 0.5
 		}
-		p.Roster(100*sec, list)
+		p.SetServers(100*sec, list)
 		p.Restore(1, sec, snap)
-		p.Make(100 * sec)
+		p.Update(100 * sec)
 		bases = append(bases, Hold{1, p.Revision(), true})
-		if n := len(p.told.factors); n > 2*MostServers+2000 {
+		if n := len(p.told.factors); n > 2*MaxServers+2000 {
 			t.Fatalf("%d servers are remembered", n)
 		}
 	}
--- a/decide/plan/change.go
+++ b/decide/plan/change.go
@@ -71,11 +71,11 @@
 		return errors.New("a whole state that leaves parts out")
 	case !c.HotSet && len(c.Hot) > 0 || !c.TenantsSet && len(c.Tenants) > 0:
 		return errors.New("parts that are not set")
-	case c.Count < 0 || c.Count > MostServers:
+	case c.Count < 0 || c.Count > MaxServers:
 		return fmt.Errorf("%d servers", c.Count)
 	case len(c.Grants) > 0 && (c.Answers == 0 || c.After < 0):
 		return errors.New("grants that answer no digest")
-	case len(c.Grants) > MostServers:
+	case len(c.Grants) > MaxServers:
 		return errors.New("too many entries")
 	}
 	seen := map[string]bool{}
@@ -141,7 +141,7 @@
 	changed := t.revision == 0
 	now := make(map[string]bool, len(t.factors))
 	for _, s := range serving {
-		f := math.Round(max(LeastFactor, min(1, s.factor))*factorSteps) / factorSteps
+		f := math.Round(max(MinFactor, min(1, s.factor))*factorSteps) / factorSteps
 		old, known := t.factors[s.ID]
 		now[s.ID] = true
 		if !known && f == 1 || known && old.factor == f {
@@ -154,7 +154,7 @@
 			t.factors[id], changed = toldFactor{1, next}, true
 		}
 	}
-	if a := math.Round(max(LeastAdmit, min(1, admit))*factorSteps) / factorSteps; a != cmp.Or(t.admit, 1) {
+	if a := math.Round(max(MinAdmit, min(1, admit))*factorSteps) / factorSteps; a != cmp.Or(t.admit, 1) {
 		if t.admit, changed = a, true; a == 1 {
 			t.admit = 0
 		}
@@ -180,7 +180,7 @@
 // forget keeps what is remembered of servers bounded: the oldest of those that nothing is told of go, and with them the
 // changes from before.
 func (t *told) forget() {
-	if len(t.factors) <= 2*MostServers {
+	if len(t.factors) <= 2*MaxServers {
 		return
 	}
 	var plain []uint64
@@ -216,7 +216,7 @@
 		moved = moved || !known || off > hotOff*was && off > chances*math.Sqrt(was/max(1, mean))
 		next = append(next, h)
 	}
-	next = next[:min(len(next), MostHot)]
+	next = next[:min(len(next), MaxHotKeys)]
 	return next, moved || len(next) != len(old)
 }
 
@@ -255,7 +255,7 @@
 func (p *Planner) Revision() uint64 { return p.told.revision }
 
 // Cold reports whether grants are to be told: a server is cold and has a budget.
-func (p *Planner) Cold() bool { return len(p.cold) > 0 }
+func (p *Planner) HasColdServers() bool { return len(p.cold) > 0 }
 
 // Change is what leads a forwarder that holds base to the present state, at this moment of the planner's clock; whole:
 // nothing can be counted from base, and all is told. It is the same for all that hold the same, but for the grants, which
--- a/decide/plan/gather.go
+++ b/decide/plan/gather.go
@@ -9,10 +9,10 @@
 	"lapisshelf/policy"
 )
 
-const mostKeys = 4 * MostHot // that are counted at once
+const mostKeys = 4 * MaxHotKeys // that are counted at once
 
 // Gather counts what a forwarder sees, for its digests. Its size is bounded whatever the traffic.
-type Gather struct {
+type Collector struct {
 	name     string
 	start    int64
 	seq      uint64
@@ -29,19 +29,19 @@
 }
 
 // NewGather begins to count for a forwarder that starts now.
-func NewGather(now time.Duration, name string) *Gather {
-	g := &Gather{name: name, start: int64(now), since: now, past: map[string]*past{}, pastAt: now}
+func NewCollector(now time.Duration, name string) *Collector {
+	g := &Collector{name: name, start: int64(now), since: now, past: map[string]*past{}, pastAt: now}
 	g.forget()
 	return g
 }
 
-func (g *Gather) forget() {
+func (g *Collector) forget() {
 	g.asked, g.answered, g.origin = 0, 0, Load{}
 	g.servers, g.hot, g.tenants = map[string]*Load{}, map[uint32]int{}, map[string]int{}
 }
 
 // Request counts a request that was taken.
-func (g *Gather) Request(key, tenant string) {
+func (g *Collector) Request(key, tenant string) {
 	g.asked++
 	if k := policy.Digest(key); key != "" {
 		if _, known := g.hot[k]; !known && len(g.hot) >= mostKeys {
@@ -54,18 +54,18 @@
 			g.hot[k]++
 		}
 	}
-	if _, known := g.tenants[tenant]; tenant != "" && (known || len(g.tenants) < MostTenants) {
+	if _, known := g.tenants[tenant]; tenant != "" && (known || len(g.tenants) < MaxTenants) {
 		g.tenants[tenant]++
 	}
 }
 
 // Attempt counts the end of an attempt. Timely: it was answered well within its aim, or is a write, which takes as long as
 // it takes. Own: its end tells nothing of the server.
-func (g *Gather) Attempt(server string, origin bool, o policy.Outcome, took time.Duration, timely, own bool) {
+func (g *Collector) Attempt(server string, origin bool, o policy.Outcome, took time.Duration, timely, own bool) {
 	l := &g.origin
 	if !origin {
 		if l = g.servers[server]; l == nil {
-			if len(g.servers) >= MostServers {
+			if len(g.servers) >= MaxServers {
 				return
 			}
 			l = &Load{ID: server}
@@ -99,7 +99,7 @@
 }
 
 // Digest is what was counted since the last one, and begins anew.
-func (g *Gather) Digest(now time.Duration) *Digest {
+func (g *Collector) Digest(now time.Duration) *Digest {
 	g.seq++
 	d := &Digest{From: g.name, Start: g.start, Seq: g.seq, Span: max(time.Millisecond, min(now-g.since, time.Minute)), Asked: g.asked, Answered: g.answered, Origin: g.origin}
 	for _, l := range g.servers {
@@ -110,7 +110,7 @@
 		d.Hot = append(d.Hot, Heat{Key: k, Asked: n})
 	}
 	slices.SortFunc(d.Hot, func(x, y Heat) int { return cmp.Or(cmp.Compare(y.Asked, x.Asked), cmp.Compare(x.Key, y.Key)) })
-	d.Hot = d.Hot[:min(len(d.Hot), MostHot)]
+	d.Hot = d.Hot[:min(len(d.Hot), MaxHotKeys)]
 	for t, n := range g.tenants {
 		d.Tenants = append(d.Tenants, Use{Tenant: t, Asked: n})
 	}
--- a/decide/plan/plan.go
+++ b/decide/plan/plan.go
@@ -41,7 +41,7 @@
 // New makes a planner that knows nothing.
 func New(cfg Config) *Planner {
 	cfg.Valid, cfg.Silent = cmp.Or(cfg.Valid, 3*time.Second), cmp.Or(cfg.Silent, 5*time.Second)
-	cfg.Memory, cfg.Move = cmp.Or(cfg.Memory, 3*time.Second), cmp.Or(cfg.Move, 0.05)
+	cfg.DecayTime, cfg.Move = cmp.Or(cfg.DecayTime, 3*time.Second), cmp.Or(cfg.Move, 0.05)
 	cfg.Forwarders = cmp.Or(cfg.Forwarders, 4096)
 	cfg.History = cmp.Or(cfg.History, 1)
 	return &Planner{state{cfg: cfg, admit: 1, servers: map[string]*server{}, forwarders: map[string]*forwarder{}, granted: map[string]*shared{},
@@ -49,7 +49,7 @@
 }
 
 // Roster takes the whole server list. What was learned of a server goes with it.
-func (p *Planner) Roster(now time.Duration, list []policy.Server) {
+func (p *Planner) SetServers(now time.Duration, list []policy.Server) {
 	p.settle(now) // by the list that it was told under
 	named := map[string]bool{}
 	for _, e := range list {
@@ -82,19 +82,21 @@
 
 // Candidate is a planner that keeps an entry of itself under a lease.
 type Candidate struct {
-	ID    string
-	Start time.Duration // when it took its lease, Unix time
+	ID         string
+	LeaseStart time.Duration // when it took its lease, Unix time
 }
 
 // Lead tells which planners hold a lease. The one that has held its longest leads, the lower id of two; the epoch is the
 // second in which it took the lease, and never goes back: a leader that is lost and comes back has a later lease. All
 // planners tell the epoch that they know of, so that nobody depends on the leader alone. None at all changes nothing.
-func (p *Planner) Lead(list []Candidate) (leader string) {
+func (p *Planner) ElectLeader(list []Candidate) (leader string) {
 	if len(list) == 0 {
 		return p.leader
 	}
-	first := slices.MinFunc(list, func(x, y Candidate) int { return cmp.Or(cmp.Compare(x.Start, y.Start), cmp.Compare(x.ID, y.ID)) })
-	p.leader, p.epoch = first.ID, max(p.epoch, uint64(max(0, first.Start/time.Second)))
+	first := slices.MinFunc(list, func(x, y Candidate) int {
+		return cmp.Or(cmp.Compare(x.LeaseStart, y.LeaseStart), cmp.Compare(x.ID, y.ID))
+	})
+	p.leader, p.epoch = first.ID, max(p.epoch, uint64(max(0, first.LeaseStart/time.Second)))
 	return p.leader
 }
 
@@ -129,7 +131,7 @@
 
 // Make looks at all that was told and settles weights, budgets and what is told. It is to be called a few times a second. It
 // takes O(forwarders + servers + grants that run), and for each digest since the last call O(servers that it names).
-func (p *Planner) Make(now time.Duration) {
+func (p *Planner) Update(now time.Duration) {
 	since := min(now-p.made, time.Second)
 	p.made = now
 	before := len(p.forwarders)
@@ -149,7 +151,7 @@
 	})
 	mean := p.asked / max(1, float64(len(p.serving)))
 	hot, use := p.heat(mean)
-	p.told.settle(p.serving, p.admit, hot, use, mean, p.cfg.Memory.Seconds())
+	p.told.settle(p.serving, p.admit, hot, use, mean, p.cfg.DecayTime.Seconds())
 }
 
 // settle brings all sums up to date: they fade, and the digests since the last time are counted, none of a forwarder for more
@@ -158,7 +160,7 @@
 func (p *Planner) settle(now time.Duration) {
 	left := 1.0
 	if now > p.settled {
-		left = math.Exp(-float64(now-p.settled) / float64(p.cfg.Memory))
+		left = math.Exp(-float64(now-p.settled) / float64(p.cfg.DecayTime))
 		p.settled = now
 	}
 	for _, f := range p.forwarders {
@@ -243,7 +245,7 @@
 // count adds a digest to the sums. It takes O(servers that the forwarder named of late).
 func (p *Planner) count(now time.Duration, f *forwarder, d *Digest) {
 	p.serial++
-	f.sweep(now, p.cfg.Memory)
+	f.sweep(now, p.cfg.DecayTime)
 	if f.named == nil {
 		f.named = map[string]*taken{}
 	}
@@ -327,7 +329,7 @@
 		h = &taken{when: now}
 		f.named[s.ID] = h
 	}
-	part := fits(n, p.share(s)-h.at(now, p.cfg.Memory).total-s.part*f.restBad)
+	part := fits(n, p.share(s)-h.at(now, p.cfg.DecayTime).total-s.part*f.restBad)
 	h.total += n * part
 	h.bad += bad * part
 	return part
@@ -340,7 +342,7 @@
 		for _, s := range p.servers {
 			x := tallied{total: s.part * f.rest * over, bad: s.part * f.restBad * over}
 			if h := f.named[s.ID]; h != nil {
-				h.at(now, p.cfg.Memory)
+				h.at(now, p.cfg.DecayTime)
 				x.total, x.bad = x.total+h.total*over, x.bad+h.bad*over
 				h.total, h.bad = h.total*(1-over), h.bad*(1-over)
 			}
@@ -359,7 +361,7 @@
 func (p *Planner) narrow(now time.Duration, f *forwarder, bad float64) {
 	for id, h := range f.named {
 		if s := p.servers[id]; s != nil && s.part > 0 && s.named != p.serial {
-			if over := h.at(now, p.cfg.Memory).total + s.part*f.restBad - p.share(s); over > 0 {
+			if over := h.at(now, p.cfg.DecayTime).total + s.part*f.restBad - p.share(s); over > 0 {
 				s.skip.bad += min(bad, over/s.part)
 			}
 		}
@@ -387,7 +389,7 @@
 	}
 	part = fits(n, most)
 	for _, u := range d.Tenants {
-		if _, known := p.users[u.Tenant]; known || len(p.users) < 4*MostTenants {
+		if _, known := p.users[u.Tenant]; known || len(p.users) < 4*MaxTenants {
 			p.users[u.Tenant] += float64(u.Asked) * part
 		}
 	}
@@ -408,10 +410,10 @@
 		p.fetches.plus(&f.origin, fits(f.origin.total, mostOrigin))
 	}
 	// Digests come a second apart: between them the sums fall, by more than what is told anew for tenants.
-	if now := p.asked / p.cfg.Memory.Seconds(); p.rate == 0 {
+	if now := p.asked / p.cfg.DecayTime.Seconds(); p.rate == 0 {
 		p.rate = now
 	} else {
-		p.rate += (now - p.rate) * (1 - math.Exp(-float64(since)/float64(p.cfg.Memory)))
+		p.rate += (now - p.rate) * (1 - math.Exp(-float64(since)/float64(p.cfg.DecayTime)))
 	}
 }
 
@@ -436,7 +438,7 @@
 		bad := s.pooled.badShare()
 		switch {
 		case s.pooled.total >= fewest && bad > usual+worse:
-			next[i], s.word = max(LeastFactor, s.factor*math.Pow(cutASec, seconds)), "answers worse than the fleet"
+			next[i], s.word = max(MinFactor, s.factor*math.Pow(cutASec, seconds)), "answers worse than the fleet"
 		case s.pooled.total < fewest && s.factor == 1:
 			s.word = "too few answers to tell"
 		case s.pooled.total < fewest || bad <= usual+well:
@@ -467,7 +469,7 @@
 
 // limit settles what the fleet may send a second to cold servers, and what part of the reads may go to the origin.
 func (p *Planner) limit(now time.Duration, seconds float64) {
-	perSecond := 1 / p.cfg.Memory.Seconds() // a fading count over its span is what comes in the span
+	perSecond := 1 / p.cfg.DecayTime.Seconds() // a fading count over its span is what comes in the span
 	sum := 0.0
 	for _, s := range p.serving {
 		sum += s.weight() * s.factor * p.warmth(now, s)
@@ -486,7 +488,7 @@
 	}
 	switch bad := p.fetches.badShare(); {
 	case p.fetches.total >= fewest && bad > strained && now >= p.admitNext:
-		p.admit, p.admitNext = max(LeastAdmit, p.admit*admitCut), now+p.cfg.Memory
+		p.admit, p.admitNext = max(MinAdmit, p.admit*admitCut), now+p.cfg.DecayTime
 	case bad <= strained/2:
 		p.admit = min(1, p.admit+admitBack*seconds)
 	}
@@ -515,7 +517,7 @@
 		}
 	}
 	slices.SortFunc(use, func(x, y policy.Use) int { return cmp.Or(cmp.Compare(y.Asked, x.Asked), cmp.Compare(x.Name, y.Name)) })
-	return hot, use[:min(len(use), MostTenants)]
+	return hot, use[:min(len(use), MaxTenants)]
 }
 
 // View gives what one forwarder is told now, at this moment of the planner's clock, all in one: for those that know no
@@ -571,7 +573,7 @@
 }
 
 // Outstanding is what all forwarders together may be sending a second to a server by the grants that run.
-func (p *Planner) Outstanding(now time.Duration, of string) (sum float64) {
+func (p *Planner) OutstandingGrants(now time.Duration, of string) (sum float64) {
 	if s := p.granted[of]; s != nil {
 		for _, to := range s.order {
 			sum += s.by[to].most(now)
@@ -581,13 +583,13 @@
 }
 
 // Explain tells why each ready server has the weight it has, by id.
-func (p *Planner) Explain() (list []Reason) {
+func (p *Planner) Explain() (list []Explanation) {
 	for _, s := range p.serving {
-		list = append(list, Reason{ID: s.ID, Weight: s.weight(), Factor: s.factor, Allow: s.allow, Bad: s.pooled.badShare(),
-			Answers: s.pooled.total, P50: s.pooled.within(0.5), P99: s.pooled.within(0.99), Word: s.word})
+		list = append(list, Explanation{ID: s.ID, Weight: s.weight(), Factor: s.factor, Allow: s.allow, Bad: s.pooled.badShare(),
+			Answers: s.pooled.total, P50: s.pooled.within(0.5), P99: s.pooled.within(0.99), Reason: s.word})
 	}
 	return list
 }
 
 // Followed is how many forwarders are heard.
-func (p *Planner) Followed() int { return len(p.forwarders) }
+func (p *Planner) ForwarderCount() int { return len(p.forwarders) }
--- a/decide/plan/plan_test.go
+++ b/decide/plan/plan_test.go
@@ -61,7 +61,7 @@
 		}
 		for range 2 {
 			w.now += sec / 2
-			w.p.Make(w.now)
+			w.p.Update(w.now)
 			if each != nil {
 				each()
 			}
@@ -80,7 +80,7 @@
 
 func small() *world {
 	w := &world{p: New(config()), now: 100 * sec, forwarders: 8, caches: 8, perSecond: 5}
-	w.p.Roster(w.now, fleet(8))
+	w.p.SetServers(w.now, fleet(8))
 	return w
 }
 
@@ -117,7 +117,7 @@
 		}
 	}
 	w.run(8, watch)
-	if f := w.factor("c03"); f > 0.3 || f < LeastFactor {
+	if f := w.factor("c03"); f > 0.3 || f < MinFactor {
 		t.Errorf("factor %v after eight bad seconds", f)
 	}
 	if f := w.factor("c02"); f != 1 {
@@ -152,24 +152,24 @@
 		}
 		for i := range d.Servers {
 			if d.Servers[i].ID == "c01" {
-				d.Servers[i] = Load{ID: "c01", Sends: MostCount, Late: MostCount}
+				d.Servers[i] = Load{ID: "c01", Sends: MaxCount, Late: MaxCount}
 			}
 		}
-		d.Hot = []Heat{{Key: 8, Asked: MostCount}}
+		d.Hot = []Heat{{Key: 8, Asked: MaxCount}}
 	}
 	w.run(10, nil)
 	// It counts for two in nine at most, which is beyond the middle by 0.22: hardly worse than chance, and never more.
-	if f := w.factor("c01"); f < LeastFactor {
+	if f := w.factor("c01"); f < MinFactor {
 		t.Errorf("factor %v by one liar", f)
 	}
 	w = &world{p: New(config()), now: 100 * sec, forwarders: 20, caches: 8, perSecond: 5, twist: w.twist}
-	w.p.Roster(w.now, fleet(8))
+	w.p.SetServers(w.now, fleet(8))
 	w.run(10, nil)
 	if f := w.factor("c01"); f != 1 {
 		t.Errorf("factor %v by one liar in twenty", f)
 	}
 	for _, d := range []Digest{{From: "x", Span: sec, Asked: -1}, {Span: sec}, {From: "x"}, {From: "x", Span: sec, Asked: 1e9},
-		{From: "x", Span: sec, Servers: []Load{{ID: "c01", Late: -5}}}, {From: "x", Span: sec, Servers: make([]Load, MostServers+1)}} {
+		{From: "x", Span: sec, Servers: []Load{{ID: "c01", Late: -5}}}, {From: "x", Span: sec, Servers: make([]Load, MaxServers+1)}} {
 		if w.p.Digest(w.now, d) == nil {
 			t.Errorf("taken: %+.60v", d)
 		}
@@ -213,7 +213,7 @@
 			last = got
 		}
 	})
-	if got := admit(); got >= 0.6 || got < LeastAdmit || steps > 5 {
+	if got := admit(); got >= 0.6 || got < MinAdmit || steps > 5 {
 		t.Errorf("%v of the reads after 12 s, in %d steps", got, steps)
 	}
 	w.origin = Load{Sends: 10, Timely: 10}
@@ -259,7 +259,7 @@
 			switch rapid.IntRange(0, 5).Draw(r, "what") {
 			case 0: // a server starts anew
 				list[0].Started = w.now
-				w.p.Roster(w.now, list)
+				w.p.SetServers(w.now, list)
 			case 1, 2:
 				w.seq += uint64(rapid.IntRange(0, 2).Draw(r, "lost"))
 				d := w.digest(rapid.IntRange(0, 3).Draw(r, "of"))
@@ -267,7 +267,7 @@
 				d.Origin = Load{Sends: 20, Late: rapid.IntRange(0, 20).Draw(r, "late"), Timely: 5}
 				w.p.Digest(w.now, d)
 			case 3:
-				w.p.Make(w.now)
+				w.p.Update(w.now)
 			default:
 				v := w.p.View(w.now, w.now, fmt.Sprintf("f%03d", rapid.IntRange(0, 3).Draw(r, "to")))
 				if err := v.Check(); err != nil {
@@ -279,7 +279,7 @@
 				stamp = v.Made
 			}
 			budgets = append(budgets, spell{w.now, w.p.servers["c00"].allowed()})
-			if got := w.p.Outstanding(w.now, "c00"); got > most(budgets)+1e-9 {
+			if got := w.p.OutstandingGrants(w.now, "c00"); got > most(budgets)+1e-9 {
 				r.Fatalf("%v a second granted to a cold server, of at most %v", got, most(budgets))
 			}
 		}
@@ -293,7 +293,7 @@
 	w.forwarders = 2
 	list := fleet(8)
 	list[1].Started = w.now
-	w.p.Roster(w.now, list)
+	w.p.SetServers(w.now, list)
 	digest := func(from string, asked int) {
 		w.seq++
 		if err := w.p.Digest(w.now, Digest{From: from, Start: 1, Seq: w.seq, Span: sec, Asked: asked, Answered: 200}); err != nil {
@@ -304,7 +304,7 @@
 	digest("first", 200)
 	digest("second", 0)
 	w.now += sec / 2
-	w.p.Make(w.now)
+	w.p.Update(w.now)
 	first, since := grant("first"), w.now
 	if first < 0.9*w.p.servers["c01"].allow {
 		t.Fatalf("%v of %v: not most of it", first, w.p.servers["c01"].allow)
@@ -312,7 +312,7 @@
 	for w.now < since+6*sec { // from here on the first is dead
 		w.now += sec / 4
 		digest("second", 2000)
-		w.p.Make(w.now)
+		w.p.Update(w.now)
 		got, all := grant("second"), w.p.servers["c01"].allow
 		if over := got + first - all; over > 1e-9 && w.now <= since+4*sec && got > leastGrant {
 			t.Errorf("%v after the grant: %v of %v for the second, %v may be with the first", w.now-since, got, all, first)
@@ -357,7 +357,7 @@
 	var planners []*world
 	for i := range 4 {
 		w := &world{p: New(config()), now: 100 * sec, forwarders: 400, caches: 20, perSecond: 1, seq: uint64(i)}
-		w.p.Roster(w.now, fleet(20))
+		w.p.SetServers(w.now, fleet(20))
 		w.twist = func(d *Digest) { // each hears other ones: a third is lost, at different moments
 			if (int(d.Seq)*7+len(d.From)*3+int(d.From[3])+i)%3 == 0 {
 				d.Seq = 0
@@ -404,7 +404,7 @@
 		{[]Candidate{{"d", 50 * sec}, {"b", 50 * sec}}, "b", 50},
 		{[]Candidate{{"d", -5 * sec}}, "d", 50},
 	} {
-		if got := p.Lead(c.list); got != c.leader || p.Epoch() != c.epoch {
+		if got := p.ElectLeader(c.list); got != c.leader || p.Epoch() != c.epoch {
 			t.Errorf("%d: %s leads, epoch %d", i, got, p.Epoch())
 		}
 	}
@@ -420,9 +420,9 @@
 	}
 	w := small()
 	w.forwarders = 0
-	var all []*Gather
+	var all []*Collector
 	for f := range 8 {
-		all = append(all, NewGather(w.now, fmt.Sprint("f", f)))
+		all = append(all, NewCollector(w.now, fmt.Sprint("f", f)))
 	}
 	for range 3 {
 		for f, g := range all {
@@ -474,8 +474,8 @@
 		now := 2 * time.Hour
 		p := New(Config{ColdFrom: 0.2, WarmUp: warmUp})
 		list := []policy.Server{{ID: "a", Weight: 1}}
-		p.Roster(now, list)
-		p.Roster(now, append(list, policy.Server{ID: "b", Weight: 1, Started: now + skew}))
+		p.SetServers(now, list)
+		p.SetServers(now, append(list, policy.Server{ID: "b", Weight: 1, Started: now + skew}))
 		if got := p.warmth(now, p.servers["b"]); got != 0.2 {
 			t.Errorf("skew %v: warmth %v as it starts", skew, got)
 		}
--- a/decide/plan/state.go
+++ b/decide/plan/state.go
@@ -193,7 +193,7 @@
 // tallied is the sum of loads, fading where it lasts.
 type tallied struct {
 	bad, total float64
-	times      [MostTimes]float64
+	times      [LatencyBuckets]float64
 }
 
 // add adds the part of a load that counts.
@@ -237,7 +237,7 @@
 			return time.Millisecond << i
 		}
 	}
-	return time.Millisecond << (MostTimes - 1)
+	return time.Millisecond << (LatencyBuckets - 1)
 }
 
 func (s *tallied) badShare() float64 {
@@ -298,11 +298,11 @@
 	}
 	p.stamp = max(p.stamp, s.Stamp)
 	for _, id := range slices.Sorted(maps.Keys(s.Factors)) {
-		if x, f := p.servers[id], s.Factors[id]; x != nil && f >= LeastFactor && f <= 1 {
+		if x, f := p.servers[id], s.Factors[id]; x != nil && f >= MinFactor && f <= 1 {
 			x.factor = f
 		}
 	}
-	if s.Admit >= LeastAdmit && s.Admit <= 1 {
+	if s.Admit >= MinAdmit && s.Admit <= 1 {
 		p.admit = s.Admit
 	}
 	return true
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -50,7 +50,7 @@
 	note     func(event, why string)
 	follower *follow.Follower
 	links    []*link
-	gather   *plan.Gather
+	gather   *plan.Collector
 	trust    float64 // in force
 	turns    uint64  // of the follower, at that time
 	noted    time.Duration
@@ -98,7 +98,7 @@
 func New(l *loop.Loop, cfg Config, ready func() []follow.Server, apply func(policy.View), note func(event, why string)) *Forwarder {
 	cfg.Every = cmp.Or(cfg.Every, time.Second)
 	f := &Forwarder{loop: l, cfg: cfg, ready: ready, apply: apply, note: note, follower: follow.New(follow.Config{Fade: cfg.Fade}),
-		gather: plan.NewGather(l.Now(), cfg.Name)}
+		gather: plan.NewCollector(l.Now(), cfg.Name)}
 	for i, addr := range cfg.Planners {
 		f.links = append(f.links, &link{f: f, number: i, addr: addr, wait: redialMin})
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-// Attempt counts the end of an attempt, see plan.Gather.
+// Attempt counts the end of an attempt, see plan.Collector.
 func (f *Forwarder) Attempt(server string, origin bool, o policy.Outcome, took time.Duration, timely, own bool) {
 	if f != nil {
 		f.gather.Attempt(server, origin, o, took, timely, own)
--- a/internal/operator/planners.go
+++ b/internal/operator/planners.go
@@ -86,14 +86,14 @@
 	}
 	at := func(key string, more ...any) []any { return append(tomlfile.At("planner", key), more...) }
 	if err := f.first(
-		rule{p.ID == "" || len(p.ID) > plan.MostName || strings.ContainsAny(p.ID, " \r\n\x00"), at("id"), "must be a name of its own, without spaces"},
+		rule{p.ID == "" || len(p.ID) > plan.MaxIDLength || strings.ContainsAny(p.ID, " \r\n\x00"), at("id"), "must be a name of its own, without spaces"},
 		rule{address(p.Listen), at("listen"), "must be an address and a port, such as 127.0.0.1:7400"},
 		rule{p.Gossip != "" && address(p.Gossip), at("gossip"), "must be an address and a port, such as 127.0.0.1:7401"},
 		rule{len(p.Join) > 0 && p.Gossip == "", at("join"), "needs gossip"},
 		rule{p.Gossip != "" && p.GossipKey == "", at("gossip"), "needs gossip_key_file: lapisshelf keys makes it"},
 		rule{p.CAFile == "" || p.CertFile == "" || p.KeyFile == "", at("cert_file"), "ca_file, cert_file and key_file are needed: lapisshelf keys makes them"},
 		rule{p.Every.D() < 50*time.Millisecond || p.Every.D() > 10*time.Second, at("every"), "must be 50ms to 10s"},
-		rule{p.Valid.D() < 2*p.Every.D() || p.Valid.D() > plan.MostValid, at("valid"), "must be twice every to 100s"},
+		rule{p.Valid.D() < 2*p.Every.D() || p.Valid.D() > plan.MaxValidity, at("valid"), "must be twice every to 100s"},
 		rule{p.Silent.D() < time.Second || p.Silent.D() > longest, at("silent"), "must be 1s to 1h"},
 		rule{!(p.Move > 0 && p.Move <= 1), at("move"), "must be above 0 and at most 1"},
 		rule{p.Forwarders < 1 || p.Forwarders > 100000, at("forwarders"), "must be 1 to 100000"},
--- a/internal/planner/grants_test.go
+++ b/internal/planner/grants_test.go
@@ -129,7 +129,7 @@
 	until("all are heard", func(int) bool {
 		heard := 0
 		for _, p := range planners {
-			p.on(func() { heard += p.plan.Followed() })
+			p.on(func() { heard += p.plan.ForwarderCount() })
 		}
 		return heard == 2*nodes
 	})
@@ -161,7 +161,7 @@
 		c.on(func() { c.list = append(append(c.list[:round:round], fresh), c.list[round+1:nodes]...) })
 		until("all are heard again", func(limited int) bool {
 			heard := 0
-			planners[i].on(func() { heard = planners[i].plan.Followed() })
+			planners[i].on(func() { heard = planners[i].plan.ForwarderCount() })
 			return heard == nodes && limited == nodes
 		})
 	}
--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -59,15 +59,15 @@
 		if e.State == policy.Gone {
 			delete(l.all, e.ID)
 		} else {
-			l.all[e.ID] = plan.Candidate{ID: e.ID, Start: e.Started}
+			l.all[e.ID] = plan.Candidate{ID: e.ID, LeaseStart: e.Started}
 		}
 	}
 	var list []plan.Candidate
 	for _, c := range l.all {
 		list = append(list, c)
 	}
-	was := l.p.plan.Lead(nil)
-	if now := l.p.plan.Lead(list); now != was {
+	was := l.p.plan.ElectLeader(nil)
+	if now := l.p.plan.ElectLeader(list); now != was {
 		l.p.note("leads", fmt.Sprintf("planner=%q epoch=%d", now, l.p.plan.Epoch()))
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -352,7 +352,7 @@
 	for _, id := range slices.Sorted(maps.Keys(p.entries)) {
 		list = append(list, p.entries[id].Server)
 	}
-	p.plan.Roster(p.loop.Now(), list)
+	p.plan.SetServers(p.loop.Now(), list)
 	if !p.restored && len(list) > 0 {
 		p.restored = true
 		p.restore()
@@ -362,7 +362,7 @@
 // tick makes what is told, and tells it.
 func (p *Planner) tick() {
 	now := p.loop.Now()
-	p.plan.Make(now)
+	p.plan.Update(now)
 	p.send(now)
 	p.loop.After(p.cfg.Every, p.tick)
 }
@@ -425,16 +425,16 @@
 // Status is the view that the planner makes and why each weight is what it is, in plain lines.
 func (p *Planner) Status() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "planner %s, %d forwarders heard, %d connected\n", p.cfg.Plan.ID, p.plan.Followed(), len(p.conns))
+	fmt.Fprintf(&b, "planner %s, %d forwarders heard, %d connected\n", p.cfg.Plan.ID, p.plan.ForwarderCount(), len(p.conns))
 	if p.plan.Epoch() > 0 {
-		fmt.Fprintf(&b, "epoch %d, %s leads\n", p.plan.Epoch(), p.plan.Lead(nil))
+		fmt.Fprintf(&b, "epoch %d, %s leads\n", p.plan.Epoch(), p.plan.ElectLeader(nil))
 	}
 	for _, m := range p.members.list() {
 		fmt.Fprintf(&b, "planners %s\n", m)
 	}
 	for _, r := range p.plan.Explain() {
 		fmt.Fprintf(&b, "server %s weight %.2f factor %.2f allow %.1f/s, %.0f%% of %.0f answers bad, half within %v, 99%% within %v: %s\n", r.ID, r.Weight, r.Factor, r.Allow, 100*r.Bad, r.Answers,
-			r.P50, r.P99, r.Word)
+			r.P50, r.P99, r.Reason)
 	}
 	v := p.plan.Snapshot(p.loop.Now())
 	if v.Admit < 1 {
@@ -451,7 +451,7 @@
 	for _, x := range []struct {
 		name, kind string
 		value      float64
-	}{{"app_planner_forwarders", "gauge", float64(p.plan.Followed())}, {"app_planner_connections", "gauge", float64(len(p.conns))},
+	}{{"app_planner_forwarders", "gauge", float64(p.plan.ForwarderCount())}, {"app_planner_connections", "gauge", float64(len(p.conns))},
 		{"app_planner_digests_total", "counter", float64(p.digests)}, {"app_planner_digests_brief_total", "counter", float64(p.briefs)},
 		{"app_planner_digests_refused_total", "counter", float64(p.forgotten + p.refusals())}, {"app_planner_connections_broken_total", "counter", float64(p.broken)},
 		{"app_planner_views_total", "counter", float64(o.views)}, {"app_planner_changes_total", "counter", float64(o.changes)},
--- a/internal/planner/send_test.go
+++ b/internal/planner/send_test.go
@@ -52,7 +52,7 @@
 		list = append(list, e)
 		s.entries[id] = roster.Entry{Server: e}
 	}
-	s.plan.Roster(s.now, list)
+	s.plan.SetServers(s.now, list)
 }
 
 // make has the planner look at what is so.
@@ -64,7 +64,7 @@
 	if s.off < 1 && !s.plan.Restore(s.now, time.Hour, shot) {
 		s.t.Fatal("the snapshot does not count")
 	}
-	s.plan.Make(s.now)
+	s.plan.Update(s.now)
 }
 
 // conn is a forwarder's connection whose frames the test takes.
@@ -318,7 +318,7 @@
 	for range 8 {
 		s.now += time.Second
 		digest()
-		s.plan.Make(s.now)
+		s.plan.Update(s.now)
 	}
 	s.roster(1)
 	s.tick()
@@ -360,7 +360,7 @@
 		m := planwire.Message{Digest: &plan.Digest{From: "a", Start: 1, Seq: 1, Span: time.Second}, Hold: &h}
 		before := s.refused["a"]
 		s.take(c, m)
-		if s.refused["a"] != before+1 || c.speech != unheard || c.hold != (plan.Hold{}) || s.plan.Followed() != 0 {
+		if s.refused["a"] != before+1 || c.speech != unheard || c.hold != (plan.Hold{}) || s.plan.ForwarderCount() != 0 {
 			t.Errorf("%+v: refused %d, %+v", h, s.refused["a"], c.hold)
 		}
 	}
--- a/internal/planner/talk.go
+++ b/internal/planner/talk.go
@@ -100,7 +100,7 @@
 	}
 	o := &p.out
 	o.made, o.view = map[plan.Hold]*made{}, nil
-	cold, revision := p.plan.Cold(), p.plan.Revision()
+	cold, revision := p.plan.HasColdServers(), p.plan.Revision()
 	beat := min(heartbeat, cmp.Or(p.cfg.Plan.Valid, 3*time.Second)/3)
 	for c := range p.conns {
 		switch {
--- a/internal/planner/talk_test.go
+++ b/internal/planner/talk_test.go
@@ -121,8 +121,8 @@
 	}
 	mu.Unlock()
 	p.on(func() {
-		if len(p.conns) != 3 || p.plan.Followed() != 3 || p.broken > 0 || p.refusals() > 0 || p.out.views == 0 || p.out.changes == 0 {
-			t.Errorf("%d connections, %d heard, %d broken, %v refused, %+v", len(p.conns), p.plan.Followed(), p.broken, p.refused, p.out)
+		if len(p.conns) != 3 || p.plan.ForwarderCount() != 3 || p.broken > 0 || p.refusals() > 0 || p.out.views == 0 || p.out.changes == 0 {
+			t.Errorf("%d connections, %d heard, %d broken, %v refused, %+v", len(p.conns), p.plan.ForwarderCount(), p.broken, p.refused, p.out)
 		}
 	})
 	bad.Clear()
@@ -273,7 +273,7 @@
 	for _, id := range r.ids {
 		list = append(list, policy.Server{ID: id, Kind: "m2", Weight: 1, State: policy.Ready})
 	}
-	s.plan.Roster(s.now, list)
+	s.plan.SetServers(s.now, list)
 	s.scripted = r.script(id, "", func(conn net.Conn) {
 		s.mu.Lock()
 		s.conn = conn
@@ -332,7 +332,7 @@
 		if err := s.plan.Digest(s.now, d); err != nil {
 			s.r.t.Error(err)
 		}
-		s.plan.Make(s.now)
+		s.plan.Update(s.now)
 	}
 }
 
@@ -561,7 +561,7 @@
 	c := r.crowd()
 	c.load = r.reads(&sync.Map{})
 	n := c.join("good", nil, p.Addr())
-	p.eventually("it is heard", func() bool { return p.plan.Followed() == 1 && p.out.states == 1 })
+	p.eventually("it is heard", func() bool { return p.plan.ForwarderCount() == 1 && p.out.states == 1 })
 	conn := r.dial("evil", p.Addr().String())
 	own := func() (h plan.Hold) {
 		p.on(func() { h = plan.Hold{History: p.cfg.Plan.History, Revision: p.plan.Revision()} })
@@ -587,8 +587,8 @@
 		p.eventually("it is refused", func() bool { return p.refused["evil"] == int64(i+1) })
 	}
 	p.on(func() {
-		if p.plan.Followed() != 1 || p.refused["good"] > 0 || p.broken > 0 || len(p.conns) != 2 {
-			t.Errorf("%d heard, %v refused, %d broken, %d connections", p.plan.Followed(), p.refused, p.broken, len(p.conns))
+		if p.plan.ForwarderCount() != 1 || p.refused["good"] > 0 || p.broken > 0 || len(p.conns) != 2 {
+			t.Errorf("%d heard, %v refused, %d broken, %d connections", p.plan.ForwarderCount(), p.refused, p.broken, len(p.conns))
 		}
 	})
 	if !r.noted("digest_refused", `from="evil" count=1 `, "what planners tell") || !r.noted("digest_refused", `from="evil" count=4 `, "holds revision 0 of history 3") {
@@ -596,7 +596,7 @@
 	}
 	// It can still speak.
 	conn.Write(frameOf(t, planwire.Message{Digest: digest(), Hold: &plan.Hold{}}))
-	p.eventually("it is heard", func() bool { return p.plan.Followed() == 2 })
+	p.eventually("it is heard", func() bool { return p.plan.ForwarderCount() == 2 })
 	// Frames that cannot be read.
 	for i, frame := range [][]byte{binary.BigEndian.AppendUint32(nil, 1<<30), {0, 0, 0, 1, 0xff}, append(binary.BigEndian.AppendUint32(nil, planwire.MostFrame+1), 1)} {
 		conn := r.dial("worse", p.Addr().String())
@@ -709,7 +709,7 @@
 	// The planner takes it to hold revisions that never went out.
 	p.eventually("doubt", func() bool {
 		was := p.plan.Revision()
-		if p.plan.Make(p.loop.Now()); p.out.doubts == doubts && p.plan.Revision() > was {
+		if p.plan.Update(p.loop.Now()); p.out.doubts == doubts && p.plan.Revision() > was {
 			for conn := range p.conns {
 				conn.hold.Revision, conn.sent = p.plan.Revision(), p.plan.Revision()
 			}
@@ -751,7 +751,7 @@
 		nodes = append(nodes, c.join(name, nil, a.Addr(), b.Addr()))
 	}
 	for _, p := range []*running{a, b} {
-		p.eventually("all are heard", func() bool { return p.plan.Followed() == len(nodes) })
+		p.eventually("all are heard", func() bool { return p.plan.ForwarderCount() == len(nodes) })
 	}
 	c.on(func() {
 		if alone == 0 {
@@ -766,6 +766,6 @@
 	at := a.Addr()
 	a.end()
 	n := c.join("late", nil, at, b.Addr())
-	b.eventually("it is heard though the other is gone", func() bool { return b.plan.Followed() == len(nodes)+1 })
+	b.eventually("it is heard though the other is gone", func() bool { return b.plan.ForwarderCount() == len(nodes)+1 })
 	c.eventually("and acts on a view", func() bool { return n.count > 0 })
 }
--- a/internal/planwire/planwire.go
+++ b/internal/planwire/planwire.go
@@ -132,7 +132,7 @@
 
 var (
 	encoder = must(cbor.CanonicalEncOptions().EncMode())
-	decoder = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 2 * plan.MostServers, MaxMapPairs: 32,
+	decoder = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 2 * plan.MaxServers, MaxMapPairs: 32,
 		MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode())
 )
 
--- a/internal/planwire/planwire_test.go
+++ b/internal/planwire/planwire_test.go
@@ -174,7 +174,7 @@
 // An old planner takes a new forwarder's whole digest, with what is held beside it; an old forwarder takes a new planner's
 // view; and what either writes is taken as one that knows no changes.
 func TestOldAndNew(t *testing.T) {
-	decode := must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 2 * plan.MostServers, MaxMapPairs: 32,
+	decode := must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 2 * plan.MaxServers, MaxMapPairs: 32,
 		MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode())
 	encode := must(cbor.CanonicalEncOptions().EncMode())
 	old := []oldMessage{
@@ -225,7 +225,7 @@
 	sizes := map[int]int{}
 	for _, servers := range []int{100, 420, 2000} {
 		rng := rand.New(rand.NewPCG(1, uint64(servers)))
-		g := plan.NewGather(100*time.Second, node)
+		g := plan.NewCollector(100*time.Second, node)
 		now := 100 * time.Second
 		worst := 0
 		for range 20 {
@@ -264,8 +264,8 @@
 		for i := range servers {
 			list = append(list, policy.Server{ID: fmt.Sprint("c", i)})
 		}
-		p.Roster(now, list)
-		p.Make(now)
+		p.SetServers(now, list)
+		p.Update(now)
 		for _, base := range []plan.Hold{{}, {History: math.MaxUint64, Revision: 1}} {
 			c, whole := p.Change(1764000000*time.Second, base)
 			frame, err := Append(nil, Message{Change: &c})
--- a/lab/fleet/planners.go
+++ b/lab/fleet/planners.go
@@ -34,7 +34,7 @@
 
 // forwarder is a node's side of the planners.
 type forwarder struct {
-	gather   *plan.Gather
+	gather   *plan.Collector
 	follower *follow.Follower
 	trust    float64
 	followed string // which planner's view is in force
@@ -78,7 +78,7 @@
 	for _, id := range slices.Sorted(maps.Keys(p.members)) {
 		all = append(all, p.members[id])
 	}
-	p.plan.Roster(p.sim.clock(), serversOf(all))
+	p.plan.SetServers(p.sim.clock(), serversOf(all))
 }
 
 func (p *planner) runs(life int) bool { return p.up && !p.frozen && p.life == life }
@@ -97,7 +97,7 @@
 		p.rev = at
 		p.take(changes)
 	}
-	p.plan.Make(s.clock())
+	p.plan.Update(s.clock())
 	if s.x.Planners.Talk == "whole" {
 		for _, n := range s.nodes {
 			if !n.parted[p.id] {
@@ -119,7 +119,7 @@
 			c, _ = p.plan.Change(s.clock(), base)
 			changes[base] = c
 		}
-		if beat := min(time.Second, s.x.Planners.Valid.D()/3); c.Base == c.Revision && !p.plan.Cold() && p.sent[n] > 0 && s.now-p.sent[n] < beat {
+		if beat := min(time.Second, s.x.Planners.Valid.D()/3); c.Base == c.Revision && !p.plan.HasColdServers() && p.sent[n] > 0 && s.now-p.sent[n] < beat {
 			continue // it holds all that there is to tell
 		}
 		p.sent[n] = s.now
@@ -146,7 +146,7 @@
 	if s.x.Planners.Count == 0 {
 		return
 	}
-	n.forwarder = &forwarder{gather: plan.NewGather(n.clock(), n.name()), follower: follow.New(follow.Config{Fade: s.x.Planners.Fade.D()})}
+	n.forwarder = &forwarder{gather: plan.NewCollector(n.clock(), n.name()), follower: follow.New(follow.Config{Fade: s.x.Planners.Fade.D()})}
 	life, every := n.lives, s.x.Planners.Every.D()
 	rng := world.Stream(s.x.Seed, "digest", n.name())
 	var tell, fade func()
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -256,7 +256,7 @@
 	size      Size
 	now       time.Duration
 	tables    *tables
-	nodes     []*plan.Gather
+	nodes     []*plan.Collector
 	followers []*follow.Follower
 	plan      *plan.Planner
 	ready     []follow.Server
@@ -271,9 +271,9 @@
 		list = append(list, policy.Server{ID: serverID(i), Kind: "cache", Weight: 1})
 		x.ready = append(x.ready, follow.Server{ID: serverID(i), Weight: 1})
 	}
-	x.plan.Roster(x.now, list)
+	x.plan.SetServers(x.now, list)
 	for i := range s.Nodes {
-		x.nodes, x.followers = append(x.nodes, plan.NewGather(x.now, nodeName(i))), append(x.followers, follow.New(follow.Config{}))
+		x.nodes, x.followers = append(x.nodes, plan.NewCollector(x.now, nodeName(i))), append(x.followers, follow.New(follow.Config{}))
 	}
 	x.sent = make([]int, s.Nodes)
 	return x
@@ -302,7 +302,7 @@
 			t.Fatal(err)
 		}
 	}
-	x.plan.Make(x.now)
+	x.plan.Update(x.now)
 	for i, f := range x.followers {
 		v := x.plan.View(x.now, x.now, nodeName(i))
 		frame, err := planwire.Append(nil, planwire.Message{View: &v})
@@ -380,7 +380,7 @@
 		}
 		holds[i] = *m.Hold
 	}
-	x.plan.Make(x.now)
+	x.plan.Update(x.now)
 	for i, f := range x.followers {
 		c, _ := x.plan.Change(x.now, holds[i])
 		raw, err := planwire.EncodeChange(c)
