--- a/cmd/lapisshelf/planners_test.go
+++ b/cmd/lapisshelf/planners_test.go
@@ -328,7 +328,7 @@
 						mu.Lock()
 						why, err := follower.TakeChange(time.Duration(time.Now().UnixNano()), *m.Change, ready)
 						mu.Unlock()
-						if why != follow.Taken {
+						if why != follow.Accepted {
 							t.Errorf("%s: %s, %v", name, why, err)
 						}
 					}
--- a/decide/follow/change_test.go
+++ b/decide/follow/change_test.go
@@ -90,7 +90,7 @@
 	return telling{node, c}
 }
 
-func (w *talk) deliver(t *rapid.T, m telling) Reason {
+func (w *talk) deliver(t *rapid.T, m telling) Outcome {
 	f := w.nodes[m.node]
 	why, _ := f.TakeChange(w.now, m.c, ready(6))
 	for id, s := range f.states { // followed or not
@@ -111,7 +111,7 @@
 // restarts; and one digest and one change that go through after the last event leave a node with what is so.
 // Guards against a factor that stands though its planner has given it up.
 func TestWhatChangesLeadTo(t *testing.T) {
-	seen, parts := map[Reason]int{}, 0
+	seen, parts := map[Outcome]int{}, 0
 	rapid.Check(t, func(r *rapid.T) {
 		w := &talk{now: 100 * sec, tellers: make([]*teller, 2), truths: map[string]whole{}}
 		history := uint64(0)
@@ -164,7 +164,7 @@
 					m := w.changes[at]
 					why := w.deliver(r, m)
 					seen[why]++
-					if why == Taken && m.c.Base > 0 && m.c.Base < m.c.Revision {
+					if why == Accepted && m.c.Base > 0 && m.c.Base < m.c.Revision {
 						parts++
 					}
 					if rapid.IntRange(0, 3).Draw(r, "again") > 0 {
@@ -194,7 +194,7 @@
 		}
 	})
 	t.Logf("%v, %d of them brought a state forward", seen, parts)
-	if seen[Doubt] == 0 || seen[Late] == 0 || seen[Another] == 0 || parts == 0 {
+	if seen[Mismatch] == 0 || seen[OutOfOrder] == 0 || seen[OtherPlanner] == 0 || parts == 0 {
 		t.Error("that tests too little")
 	}
 }
@@ -217,30 +217,30 @@
 	}
 	for name, x := range map[string]struct {
 		change  plan.Change // behind a whole state of revision 5, made at 50 s, factor 0.5
-		want    Reason
+		want    Outcome
 		factor  float64 // in force after it
 		holding uint64
 	}{
-		"the next":                                      {part(5, 6, 51*sec, 0.75), Taken, 0.75, 6},
-		"over some that were lost":                      {part(3, 9, 51*sec, 0.75), Taken, 0.75, 9},
-		"nothing new":                                   {with(part(5, 5, 51*sec, 0.5), func(c *plan.Change) { c.Servers = nil }), Taken, 0.5, 5},
-		"from one that was never held":                  {part(6, 7, 51*sec, 0.75), Doubt, 0.5, 0},
-		"of another life":                               {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.History = 8 }), Doubt, 0.5, 0},
-		"a whole one of another life":                   {with(whole(2, 51*sec, 0.75), func(c *plan.Change) { c.History = 8 }), Taken, 0.75, 2},
-		"back, by a life that counts as the one before": {part(2, 3, 51*sec, 0.75), Doubt, 0.5, 0},
-		"doubled, or out of order":                      {part(4, 6, 50*sec, 0.75), Late, 0.5, 5},
-		"of another planner":                            {with(whole(1, 51*sec, 0.75), func(c *plan.Change) { c.Planner = "b" }), Another, 0.5, 5},
-		"not what the planner has":                      {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Sum++ }), Doubt, 0.5, 0},
-		"a server lost on the way":                      {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Servers = nil }), Doubt, 0.5, 0},
+		"the next":                                      {part(5, 6, 51*sec, 0.75), Accepted, 0.75, 6},
+		"over some that were lost":                      {part(3, 9, 51*sec, 0.75), Accepted, 0.75, 9},
+		"nothing new":                                   {with(part(5, 5, 51*sec, 0.5), func(c *plan.Change) { c.Servers = nil }), Accepted, 0.5, 5},
+		"from one that was never held":                  {part(6, 7, 51*sec, 0.75), Mismatch, 0.5, 0},
+		"of another life":                               {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.History = 8 }), Mismatch, 0.5, 0},
+		"a whole one of another life":                   {with(whole(2, 51*sec, 0.75), func(c *plan.Change) { c.History = 8 }), Accepted, 0.75, 2},
+		"back, by a life that counts as the one before": {part(2, 3, 51*sec, 0.75), Mismatch, 0.5, 0},
+		"doubled, or out of order":                      {part(4, 6, 50*sec, 0.75), OutOfOrder, 0.5, 5},
+		"of another planner":                            {with(whole(1, 51*sec, 0.75), func(c *plan.Change) { c.Planner = "b" }), OtherPlanner, 0.5, 5},
+		"not what the planner has":                      {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Sum++ }), Mismatch, 0.5, 0},
+		"a server lost on the way":                      {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Servers = nil }), Mismatch, 0.5, 0},
 		"an older epoch":                                {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Epoch = 0 }), Epoch, 0.5, 6},
-		"hardly any server known":                       {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Count = 1 }), Absurd, 0.5, 6},
-		"no history":                                    {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.History = 0 }), Absurd, 0.5, 5},
-		"back to before its base":                       {with(part(5, 4, 51*sec, 0.75), func(c *plan.Change) {}), Absurd, 0.5, 5},
-		"no factor":                                     {part(5, 6, 51*sec, 0), Absurd, 0.5, 5},
-		"whole, but parts left out":                     {with(whole(6, 51*sec, 0.75), func(c *plan.Change) { c.HotSet = false }), Absurd, 0.5, 5},
-		"a grant of nothing":                            {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants, c.Answers = []plan.Grant{{ID: "c1"}}, 1 }), Absurd, 0.5, 5},
-		"a grant that answers nothing":                  {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants = []plan.Grant{{ID: "c1", Rate: 1}} }), Absurd, 0.5, 5},
-		"a grant that answers a digest to come":         {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants, c.Answers, c.After = []plan.Grant{{ID: "c1", Rate: 1}}, 1, -1 }), Absurd, 0.5, 5},
+		"hardly any server known":                       {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Count = 1 }), Invalid, 0.5, 6},
+		"no history":                                    {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.History = 0 }), Invalid, 0.5, 5},
+		"back to before its base":                       {with(part(5, 4, 51*sec, 0.75), func(c *plan.Change) {}), Invalid, 0.5, 5},
+		"no factor":                                     {part(5, 6, 51*sec, 0), Invalid, 0.5, 5},
+		"whole, but parts left out":                     {with(whole(6, 51*sec, 0.75), func(c *plan.Change) { c.HotSet = false }), Invalid, 0.5, 5},
+		"a grant of nothing":                            {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants, c.Answers = []plan.Grant{{ID: "c1"}}, 1 }), Invalid, 0.5, 5},
+		"a grant that answers nothing":                  {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants = []plan.Grant{{ID: "c1", Rate: 1}} }), Invalid, 0.5, 5},
+		"a grant that answers a digest to come":         {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants, c.Answers, c.After = []plan.Grant{{ID: "c1", Rate: 1}}, 1, -1 }), Invalid, 0.5, 5},
 		"more than three quarters cut": {with(whole(6, 51*sec, 0.1), func(c *plan.Change) {
 			factors := map[string]float64{}
 			c.Servers = nil
@@ -249,15 +249,15 @@
 				c.Servers, factors[id] = append(c.Servers, policy.Share{ID: id, Factor: 0.1}), 0.1
 			}
 			c.Sum = plan.Sum(factors, 0, nil, nil)
-		}), Absurd, 0.5, 6},
+		}), Invalid, 0.5, 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := New(Config{})
-			if why, err := f.TakeChange(100*sec, whole(5, 50*sec, 0.5), ready(4)); why != Taken {
+			if why, err := f.TakeChange(100*sec, whole(5, 50*sec, 0.5), ready(4)); why != Accepted {
 				t.Fatalf("%s, %v", why, err)
 			}
 			why, err := f.TakeChange(101*sec, x.change, ready(4))
-			if why != x.want || (err == nil) != (why == Taken) || f.Counts[x.want] == 0 {
+			if why != x.want || (err == nil) != (why == Accepted) || f.Counts[x.want] == 0 {
 				t.Errorf("%s, %v, want %s", why, err, x.want)
 			}
 			v, _ := f.Now(101 * sec)
@@ -277,23 +277,23 @@
 	c := plan.Change{Planner: "a", Made: 1, Valid: 3 * sec, History: 1, Revision: 1, Count: 4, HotSet: true, TenantsSet: true,
 		Servers: []policy.Share{{ID: "c1", Factor: 0.5}}, Grants: []plan.Grant{{ID: "c1", Rate: 2}, {ID: "c0", Rate: 8}}, Answers: 7}
 	c.Sum = plan.Sum(map[string]float64{"c1": 0.5}, 0, nil, nil)
-	f.Sent(100*sec, 7)
+	f.DigestSent(100*sec, 7)
 	f.TakeChange(100*sec, c, ready(4))
 	v, _ := f.Now(102 * sec)
 	if want := []policy.Share{{ID: "c0", Factor: 1, Allow: 8}, {ID: "c1", Factor: 0.5, Allow: 2}}; !slices.Equal(v.Servers, want) {
 		t.Errorf("%+v", v.Servers)
 	}
-	turns := f.Turns()
+	turns := f.Version()
 	c.Made, c.Base, c.Servers, c.HotSet, c.TenantsSet = 2, 1, nil, false, false
 	c.After = 2 * sec
-	if why, err := f.TakeChange(102*sec, c, ready(4)); why != Taken || f.Turns() != turns {
-		t.Errorf("%s, %v; turn %d after %d", why, err, f.Turns(), turns)
+	if why, err := f.TakeChange(102*sec, c, ready(4)); why != Accepted || f.Version() != turns {
+		t.Errorf("%s, %v; turn %d after %d", why, err, f.Version(), turns)
 	}
 	if v, trust := f.Now(105 * sec); trust != 1 || len(v.Servers) != 2 {
 		t.Errorf("%+v, trusted %v, though it was told again", v, trust)
 	}
 	c.Made, c.Grants, c.After = 3, c.Grants[:1], 3*sec
-	if f.TakeChange(103*sec, c, ready(4)); f.Turns() == turns {
+	if f.TakeChange(103*sec, c, ready(4)); f.Version() == turns {
 		t.Error("another grant is no news")
 	}
 	if v, _ := f.Now(103 * sec); len(v.Servers) != 1 {
@@ -316,7 +316,7 @@
 		}
 	}
 	c.Planner = "late"
-	if why, err := f.TakeChange(200*sec, c, ready(4)); why != Taken {
+	if why, err := f.TakeChange(200*sec, c, ready(4)); why != Accepted {
 		t.Errorf("%s, %v, when all have faded", why, err)
 	}
 }
@@ -369,7 +369,7 @@
 				asked := rapid.SampledFrom([]int{0, 5, 50, 500}).Draw(r, "asked")
 				p.Digest(now, plan.Digest{From: fmt.Sprint(node), Seq: seq, Span: sec, Asked: asked, Answered: asked})
 				holds[node] = followers[node].Hold("a")
-				followers[node].Sent(now, seq)
+				followers[node].DigestSent(now, seq)
 				heard[node].seq, heard[node].at = seq, now
 			case 3, 4:
 				p.Update(now)
--- a/decide/follow/dials.go
+++ b/decide/follow/dials.go
@@ -16,7 +16,7 @@
 // Dials decides when a forwarder opens its connections to planners: one after the other, so that no two handshakes and no two
 // first states come in one second. The next is opened over a second after the last one's planner has said its first word, at
 // once if that fails, and after three seconds in any case: N planners are all tried within 3N seconds of a start.
-type Dials struct {
+type Dialer struct {
 	rng     *rand.Rand
 	queue   []int           // wanted, the next first
 	opens   time.Duration   // when the next may be opened
@@ -27,8 +27,8 @@
 const forever = time.Duration(1<<63 - 1)
 
 // NewDials wants connections to so many planners, in a drawn order: each is followed by its part of the nodes.
-func NewDials(now time.Duration, planners int, rng *rand.Rand) *Dials {
-	d := &Dials{rng: rng, queue: rng.Perm(planners), opens: now + draw(rng, firstWithin), last: -1, awaited: make([]time.Duration, planners)}
+func NewDialer(now time.Duration, planners int, rng *rand.Rand) *Dialer {
+	d := &Dialer{rng: rng, queue: rng.Perm(planners), opens: now + draw(rng, firstWithin), last: -1, awaited: make([]time.Duration, planners)}
 	for i := range d.awaited {
 		d.awaited[i] = forever
 	}
@@ -40,7 +40,7 @@
 }
 
 // Want asks for a connection to a planner to be opened again; first: before all others that wait, it is the one followed.
-func (d *Dials) Want(now time.Duration, planner int, first bool) {
+func (d *Dialer) Enqueue(now time.Duration, planner int, first bool) {
 	if slices.Contains(d.queue, planner) {
 		return
 	}
@@ -55,7 +55,7 @@
 }
 
 // Next gives the planner to which a connection is to be opened now; -1: none for so long, which is negative if none is wanted.
-func (d *Dials) Next(now time.Duration) (planner int, wait time.Duration) {
+func (d *Dialer) Next(now time.Duration) (planner int, wait time.Duration) {
 	switch {
 	case len(d.queue) == 0:
 		return -1, -1
@@ -71,7 +71,7 @@
 }
 
 // Told notes a planner's first word on a connection.
-func (d *Dials) Told(now time.Duration, planner int) {
+func (d *Dialer) FirstMessage(now time.Duration, planner int) {
 	d.awaited[planner] = 0
 	if d.last == planner {
 		d.last, d.opens = -1, min(d.opens, now+dialsApart+draw(d.rng, dialsDrawn))
@@ -79,7 +79,7 @@
 }
 
 // Failed notes that a connection has ended.
-func (d *Dials) Failed(now time.Duration, planner int) {
+func (d *Dialer) Failed(now time.Duration, planner int) {
 	d.awaited[planner] = 0
 	if d.last == planner {
 		d.last, d.opens = -1, now
@@ -87,7 +87,7 @@
 }
 
 // Awaited is how many planners are not heard for no other reason than that their connections come one after the other.
-func (d *Dials) Awaited(now time.Duration) (count int) {
+func (d *Dialer) Awaited(now time.Duration) (count int) {
 	for _, until := range d.awaited {
 		if until > now {
 			count++
--- a/decide/follow/dials_test.go
+++ b/decide/follow/dials_test.go
@@ -19,7 +19,7 @@
 	order        []int
 }
 
-func dialAll(d *Dials, from time.Duration, takes []time.Duration, fails []bool, until time.Duration) (x dialled) {
+func dialAll(d *Dialer, from time.Duration, takes []time.Duration, fails []bool, until time.Duration) (x dialled) {
 	x.opened, x.told = make([]time.Duration, len(takes)), make([]time.Duration, len(takes))
 	for now := from; now <= until; now += dialStep {
 		for i, at := range x.opened {
@@ -29,7 +29,7 @@
 			if fails[i] {
 				d.Failed(now, i)
 			} else {
-				d.Told(now, i)
+				d.FirstMessage(now, i)
 				x.told[i] = now
 			}
 		}
@@ -48,7 +48,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const from = 100 * sec
 		n := rapid.IntRange(1, 5).Draw(t, "planners")
-		d := NewDials(from, n, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
+		d := NewDialer(from, n, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 		takes, fails := make([]time.Duration, n), make([]bool, n)
 		for i := range takes {
 			takes[i] = dialStep * time.Duration(rapid.SampledFrom([]int{0, 1, 40, 500, 2900, 3500}).Draw(t, "takes"))
@@ -82,7 +82,7 @@
 // A connection that was lost waits for its turn as well, the followed planner's first; one that is due alone is opened at once,
 // and the end of one that was heard lets none of the others come sooner.
 func TestConnectionsComeAgain(t *testing.T) {
-	d, now := NewDials(100*sec, 3, rand.New(rand.NewPCG(1, 2))), 100*sec
+	d, now := NewDialer(100*sec, 3, rand.New(rand.NewPCG(1, 2))), 100*sec
 	opens := func(want int) {
 		t.Helper()
 		if i, _ := d.Next(now); i != want {
@@ -96,17 +96,17 @@
 	for _, i := range []int{0, 1, 2} {
 		d.Failed(now, i)
 	}
-	d.Want(now, 0, false)
-	d.Want(now, 1, false)
-	d.Want(now, 1, false) // twice
-	d.Want(now, 2, true)
+	d.Enqueue(now, 0, false)
+	d.Enqueue(now, 1, false)
+	d.Enqueue(now, 1, false) // twice
+	d.Enqueue(now, 2, true)
 	if d.Awaited(now) != 2 {
 		t.Errorf("%d are awaited, not those that wait for the first", d.Awaited(now))
 	}
 	opens(2)
 	opens(-1)
 	now += 100 * dialStep
-	d.Told(now, 2)
+	d.FirstMessage(now, 2)
 	d.Failed(now, 2)
 	now += sec
 	opens(-1)
@@ -141,14 +141,14 @@
 		sum := 0.0
 		for i := range nodes {
 			f := New(Config{})
-			f.Sent(now, 1)
+			f.DigestSent(now, 1)
 			order := rapid.Permutation(rapid.Just([]int{0, 1, 2, 3}[:planners]).Draw(t, "all")).Draw(t, "order")
 			heard := rapid.IntRange(1, planners).Draw(t, "heard")
 			for k, p := range order[:heard] {
-				f.Awaits(planners - 1 - k)
+				f.SetAwaited(planners - 1 - k)
 				c := plan.Change{Planner: string(rune('a' + p)), Made: 1, Valid: 3 * sec, History: 1, Revision: 1, Count: 4, HotSet: true, TenantsSet: true,
 					Sum: plan.Sum(nil, 0, nil, nil), Grants: []plan.Grant{{ID: "c0", Rate: parts[p][i]}}, Answers: 1}
-				if why, err := f.TakeChange(now, c, ready(4)); why != Taken && why != Another {
+				if why, err := f.TakeChange(now, c, ready(4)); why != Accepted && why != OtherPlanner {
 					t.Fatal(why, err)
 				}
 			}
--- a/decide/follow/follow.go
+++ b/decide/follow/follow.go
@@ -39,32 +39,32 @@
 }
 
 // Reason names why a view was not taken.
-type Reason string
+type Outcome string
 
 // The reasons.
 const (
-	Taken   Reason = "taken"
-	Absurd  Reason = "absurd"  // by itself, or for the list
-	Epoch   Reason = "epoch"   // lower than one seen, or to come
-	Late    Reason = "late"    // made before the last of its planner
-	Another Reason = "another" // planner, while the followed one's view is valid
-	Doubt   Reason = "doubt"   // a change that leads from another state than the held one: all is wanted anew
+	Accepted     Outcome = "taken"
+	Invalid      Outcome = "absurd"  // by itself, or for the list
+	Epoch        Outcome = "epoch"   // lower than one seen, or to come
+	OutOfOrder   Outcome = "late"    // made before the last of its planner
+	OtherPlanner Outcome = "another" // planner, while the followed one's view is valid
+	Mismatch     Outcome = "doubt"   // a change that leads from another state than the held one: all is wanted anew
 )
 
 // Follower keeps the view in force. It is not safe for concurrent use.
 type Follower struct {
-	cfg    Config
-	epoch  uint64 // the highest taken
-	held   *plan.View
-	came   time.Duration   // when it did
-	at     place           // of held
-	turns  uint64          // how often what is in force became another
-	lasts  map[string]last // of planners
-	states map[string]*state
-	Counts map[Reason]int64 // of views, by what became of them
-	Stale  int64            // changes whose grants were too long on their way
-	sent   []sending        // of digests, the oldest first
-	await  int              // planners that are still to be heard
+	cfg         Config
+	epoch       uint64 // the highest taken
+	held        *plan.View
+	came        time.Duration   // when it did
+	at          place           // of held
+	turns       uint64          // how often what is in force became another
+	lasts       map[string]last // of planners
+	states      map[string]*state
+	Counts      map[Outcome]int64 // of views, by what became of them
+	StaleGrants int64             // changes whose grants were too long on their way
+	sent        []sending         // of digests, the oldest first
+	await       int               // planners that are still to be heard
 }
 
 // last is the last view taken of a planner.
@@ -88,11 +88,11 @@
 // New makes a follower that holds no view.
 func New(cfg Config) *Follower {
 	cfg.Fade = cmp.Or(cfg.Fade, 10*time.Second)
-	return &Follower{cfg: cfg, lasts: map[string]last{}, states: map[string]*state{}, Counts: map[Reason]int64{}}
+	return &Follower{cfg: cfg, lasts: map[string]last{}, states: map[string]*state{}, Counts: map[Outcome]int64{}}
 }
 
 // Take takes a view, or says why not. Ready are the servers that serve by the node's own list.
-func (f *Follower) Take(now time.Duration, v plan.View, ready []Server) (Reason, error) {
+func (f *Follower) TakeView(now time.Duration, v plan.View, ready []Server) (Outcome, error) {
 	named := map[string]bool{}
 	for _, s := range v.Servers {
 		named[s.ID] = true
@@ -105,7 +105,7 @@
 	}
 	why, err := f.judge(now, &v, count, ready)
 	f.Counts[why]++
-	if why == Taken {
+	if why == Accepted {
 		f.hold(now, v, place{})
 	}
 	return why, err
@@ -126,24 +126,24 @@
 }
 
 // Turns grows whenever what is in force becomes another: while it stays, so does all that Now says of a valid view.
-func (f *Follower) Turns() uint64 { return f.turns }
+func (f *Follower) Version() uint64 { return f.turns }
 
 // TakeChange takes what a planner tells of its state, or says why not. Doubt: all is wanted anew, and Hold says so. A change
 // of a planner that is not followed is kept too, so that it may be followed at once.
-func (f *Follower) TakeChange(now time.Duration, c plan.Change, ready []Server) (Reason, error) {
+func (f *Follower) TakeChange(now time.Duration, c plan.Change, ready []Server) (Outcome, error) {
 	why, err := f.bring(now, &c)
-	if why == Taken {
+	if why == Accepted {
 		st := f.states[c.Planner]
 		if len(c.Grants) > 0 && !f.fresh(now, c.Answers, c.After) {
 			c.Grants = nil
-			f.Stale++
+			f.StaleGrants++
 		}
 		st.grants = c.Grants
 		v := plan.View{Epoch: c.Epoch, Planner: c.Planner, Made: c.Made, Valid: c.Valid, View: st.view(f.least(now, st))}
 		switch why, err = f.judge(now, &v, c.Count, ready); why {
-		case Taken:
+		case Accepted:
 			f.hold(now, v, st.place)
-		case Another:
+		case OtherPlanner:
 			f.limit(now)
 		}
 	}
@@ -152,19 +152,19 @@
 }
 
 // bring brings a planner's state forward.
-func (f *Follower) bring(now time.Duration, c *plan.Change) (Reason, error) {
+func (f *Follower) bring(now time.Duration, c *plan.Change) (Outcome, error) {
 	if err := c.Check(); err != nil {
-		return Absurd, err
+		return Invalid, err
 	}
 	old := f.states[c.Planner]
 	switch {
 	case old == nil && len(f.states) >= mostPlanners && !f.room(now):
-		return Another, fmt.Errorf("over %d planners", mostPlanners)
+		return OtherPlanner, fmt.Errorf("over %d planners", mostPlanners)
 	case old != nil && c.Made <= old.made && now-old.came <= c.Valid+f.cfg.Fade:
-		return Late, fmt.Errorf("made before the last of %s", c.Planner)
+		return OutOfOrder, fmt.Errorf("made before the last of %s", c.Planner)
 	case c.Base > 0 && (old == nil || old.history != c.History || c.Base > old.revision || c.Revision < old.revision):
 		delete(f.states, c.Planner)
-		return Doubt, fmt.Errorf("from revision %d of history %d, which is not held", c.Base, c.History)
+		return Mismatch, fmt.Errorf("from revision %d of history %d, which is not held", c.Base, c.History)
 	}
 	st := &state{place: place{c.History, c.Revision}, factors: map[string]float64{}, admit: c.Admit, hot: c.Hot, tenants: c.Tenants, last: last{c.Made, now}, valid: c.Valid}
 	if c.Base > 0 {
@@ -183,10 +183,10 @@
 	}
 	if plan.Sum(st.factors, st.admit, st.hot, st.tenants) != c.Sum {
 		delete(f.states, c.Planner)
-		return Doubt, fmt.Errorf("revision %d of history %d is not what the planner has", c.Revision, c.History)
+		return Mismatch, fmt.Errorf("revision %d of history %d is not what the planner has", c.Revision, c.History)
 	}
 	f.states[c.Planner] = st
-	return Taken, nil
+	return Accepted, nil
 }
 
 // room drops the states that have faded, and reports whether one may come.
@@ -222,9 +222,9 @@
 }
 
 // judge says whether a view counts whose planner knows so many of the ready servers.
-func (f *Follower) judge(now time.Duration, v *plan.View, count int, ready []Server) (Reason, error) {
+func (f *Follower) judge(now time.Duration, v *plan.View, count int, ready []Server) (Outcome, error) {
 	if err := v.Check(); err != nil {
-		return Absurd, err
+		return Invalid, err
 	}
 	faded := f.held == nil || now-f.came > f.held.Valid+f.cfg.Fade
 	switch l, known := f.lasts[v.Planner]; {
@@ -233,18 +233,18 @@
 	case v.Epoch > uint64((now+mostAhead)/time.Second):
 		return Epoch, fmt.Errorf("epoch %d is to come", v.Epoch)
 	case known && v.Made <= l.made && now-l.came <= v.Valid+f.cfg.Fade:
-		return Late, fmt.Errorf("made before the last of %s", v.Planner)
+		return OutOfOrder, fmt.Errorf("made before the last of %s", v.Planner)
 	case !known && len(f.lasts) >= 2*mostPlanners:
-		return Another, fmt.Errorf("over %d planners", 2*mostPlanners)
+		return OtherPlanner, fmt.Errorf("over %d planners", 2*mostPlanners)
 	}
 	if err := fits(v, count, ready); err != nil {
-		return Absurd, err
+		return Invalid, err
 	}
 	// Guards against keys that move back and forth between what two planners think.
 	if h := f.held; !faded && h.Epoch == v.Epoch && h.Planner != v.Planner && now-f.came <= h.Valid {
-		return Another, fmt.Errorf("%s is followed", h.Planner)
+		return OtherPlanner, fmt.Errorf("%s is followed", h.Planner)
 	}
-	return Taken, nil
+	return Accepted, nil
 }
 
 // fits says what of a view can't be true of the list.
--- a/decide/follow/follow_test.go
+++ b/decide/follow/follow_test.go
@@ -35,22 +35,22 @@
 	for name, c := range map[string]struct {
 		views []plan.View
 		gap   time.Duration
-		want  []Reason
+		want  []Outcome
 	}{
-		"newer ones of one planner":        {[]plan.View{view("a", 1, 1*sec, 1, 1), view("a", 1, 2*sec, 1, 1)}, sec, []Reason{Taken, Taken}},
-		"doubled and in the wrong order":   {[]plan.View{view("a", 1, 2*sec, 1, 1), view("a", 1, 2*sec, 1, 1), view("a", 1, 1*sec, 1, 1)}, sec, []Reason{Taken, Late, Late}},
-		"its clock set back, when faded":   {[]plan.View{view("a", 1, 90*sec, 1, 1), view("a", 1, 2*sec, 1, 1)}, 14 * sec, []Reason{Taken, Taken}},
-		"another of the same epoch":        {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", 1, 9*sec, 1, 1)}, sec, []Reason{Taken, Another}},
-		"and when the first falls silent":  {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", 1, 9*sec, 1, 1)}, 4 * sec, []Reason{Taken, Taken}},
-		"a higher epoch at once":           {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", 2, 0, 1, 1), view("b", 1, 9*sec, 1, 1)}, sec, []Reason{Taken, Taken, Epoch}},
-		"an epoch to come":                 {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", math.MaxUint64, sec, 1, 1), view("b", 1, 9*sec, 1, 1)}, sec, []Reason{Taken, Epoch, Taken}},
-		"weights of zero":                  {[]plan.View{view("a", 1, sec, 0, 0)}, sec, []Reason{Absurd}},
-		"no numbers":                       {[]plan.View{view("a", 1, sec, math.NaN(), 1)}, sec, []Reason{Absurd}},
-		"weights above the list's":         {[]plan.View{view("a", 1, sec, 2, 1)}, sec, []Reason{Absurd}},
-		"one server named":                 {[]plan.View{view("a", 1, sec, 1)}, sec, []Reason{Absurd}},
-		"hardly any weight left":           {[]plan.View{view("a", 1, sec, 0.1, 0.1)}, sec, []Reason{Absurd}},
-		"a server that the list lacks too": {[]plan.View{view("a", 1, sec, 1, 1, 1, 1, 1)}, sec, []Reason{Taken}},
-		"no name":                          {[]plan.View{view("", 1, sec, 1, 1)}, sec, []Reason{Absurd}},
+		"newer ones of one planner":        {[]plan.View{view("a", 1, 1*sec, 1, 1), view("a", 1, 2*sec, 1, 1)}, sec, []Outcome{Accepted, Accepted}},
+		"doubled and in the wrong order":   {[]plan.View{view("a", 1, 2*sec, 1, 1), view("a", 1, 2*sec, 1, 1), view("a", 1, 1*sec, 1, 1)}, sec, []Outcome{Accepted, OutOfOrder, OutOfOrder}},
+		"its clock set back, when faded":   {[]plan.View{view("a", 1, 90*sec, 1, 1), view("a", 1, 2*sec, 1, 1)}, 14 * sec, []Outcome{Accepted, Accepted}},
+		"another of the same epoch":        {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", 1, 9*sec, 1, 1)}, sec, []Outcome{Accepted, OtherPlanner}},
+		"and when the first falls silent":  {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", 1, 9*sec, 1, 1)}, 4 * sec, []Outcome{Accepted, Accepted}},
+		"a higher epoch at once":           {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", 2, 0, 1, 1), view("b", 1, 9*sec, 1, 1)}, sec, []Outcome{Accepted, Accepted, Epoch}},
+		"an epoch to come":                 {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", math.MaxUint64, sec, 1, 1), view("b", 1, 9*sec, 1, 1)}, sec, []Outcome{Accepted, Epoch, Accepted}},
+		"weights of zero":                  {[]plan.View{view("a", 1, sec, 0, 0)}, sec, []Outcome{Invalid}},
+		"no numbers":                       {[]plan.View{view("a", 1, sec, math.NaN(), 1)}, sec, []Outcome{Invalid}},
+		"weights above the list's":         {[]plan.View{view("a", 1, sec, 2, 1)}, sec, []Outcome{Invalid}},
+		"one server named":                 {[]plan.View{view("a", 1, sec, 1)}, sec, []Outcome{Invalid}},
+		"hardly any weight left":           {[]plan.View{view("a", 1, sec, 0.1, 0.1)}, sec, []Outcome{Invalid}},
+		"a server that the list lacks too": {[]plan.View{view("a", 1, sec, 1, 1, 1, 1, 1)}, sec, []Outcome{Accepted}},
+		"no name":                          {[]plan.View{view("", 1, sec, 1, 1)}, sec, []Outcome{Invalid}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, now := New(Config{}), 100*sec
@@ -59,7 +59,7 @@
 				n = 2
 			}
 			for i, v := range c.views {
-				if got, err := f.Take(now, v, ready(n)); got != c.want[i] || (err == nil) != (got == Taken) {
+				if got, err := f.TakeView(now, v, ready(n)); got != c.want[i] || (err == nil) != (got == Accepted) {
 					t.Errorf("view %d: %s, %v, want %s", i, got, err, c.want[i])
 				}
 				now += c.gap
@@ -74,7 +74,7 @@
 	v := view("a", 1, sec, 0.5, 1)
 	v.Admit, v.Servers[1].Allow = 0.6, 2
 	v.Hot, v.Tenants = []policy.Heat{{Key: 4, Load: 3}}, []policy.Use{{Name: "x", Asked: 5}}
-	f.Take(100*sec, v, ready(2))
+	f.TakeView(100*sec, v, ready(2))
 	for _, c := range []struct{ age, trust, factor, admit, allow float64 }{{0, 1, 0.5, 0.6, 2}, {3, 1, 0.5, 0.6, 2}, {8, 0.5, 0.75, 0.8, 4}} {
 		got, trust := f.Now(100*sec + time.Duration(c.age*float64(sec)))
 		if math.Abs(trust-c.trust) > 1e-9 || math.Abs(got.Servers[0].Factor-c.factor) > 1e-9 || math.Abs(got.Admit-c.admit) > 1e-9 || math.Abs(got.Servers[1].Allow-c.allow) > 1e-9 {
@@ -103,8 +103,8 @@
 					now+time.Duration(rapid.IntRange(-9, 9).Draw(r, "skew"))*sec, rapid.Float64Range(0.5, 1).Draw(r, "factor"), 1, 1))
 			case 1, 2:
 				if len(made) > 0 {
-					why, _ := f.Take(now, rapid.SampledFrom(made).Draw(r, "which"), ready(3))
-					taken = why == Taken
+					why, _ := f.TakeView(now, rapid.SampledFrom(made).Draw(r, "which"), ready(3))
+					taken = why == Accepted
 				}
 			}
 			if f.Epoch() < epoch {
--- a/decide/follow/fresh.go
+++ b/decide/follow/fresh.go
@@ -16,7 +16,7 @@
 const mostSent = 64 // digests of which the time is remembered: over 6 s at the shortest interval
 
 // Sent notes that the digest of that number goes out now. Numbers grow.
-func (f *Follower) Sent(now time.Duration, seq uint64) {
+func (f *Follower) DigestSent(now time.Duration, seq uint64) {
 	if len(f.sent) == mostSent {
 		f.sent = append(f.sent[:0], f.sent[1:]...)
 	}
@@ -38,7 +38,7 @@
 }
 
 // Awaits tells how many planners are not heard yet but are about to be: the connections to them come one after the other.
-func (f *Follower) Awaits(planners int) { f.await = planners }
+func (f *Follower) SetAwaited(planners int) { f.await = planners }
 
 // least are the grants of the planner that a state is of, each no larger than what the others that are heard grant now.
 // Guards against planners that hear all and each share out the whole budget, while some nodes follow the one and some the
--- a/decide/follow/fresh_test.go
+++ b/decide/follow/fresh_test.go
@@ -33,7 +33,7 @@
 		at := 100 * sec
 		for seq := range uint64(70) {
 			at += sec
-			f.Sent(at, seq+1)
+			f.DigestSent(at, seq+1)
 		}
 		c := plan.Change{Planner: "a", Made: 1, Valid: 3 * sec, History: 1, Revision: 1, Count: 4, HotSet: true, TenantsSet: true,
 			Servers: []policy.Share{{ID: "c1", Factor: 0.5}}, Grants: []plan.Grant{{ID: "c0", Rate: 8}}, Answers: x.answers, After: x.after}
@@ -41,8 +41,8 @@
 		why, err := f.TakeChange(at+x.comes, c, ready(4))
 		v, _ := f.Now(at + x.comes)
 		granted := v.Servers[0].Allow == 8
-		if why != Taken || granted != x.fresh || (f.Stale == 0) != x.fresh || v.Servers[len(v.Servers)-1] != (policy.Share{ID: "c1", Factor: 0.5}) {
-			t.Errorf("%s: %s, %v, %+v, %d stale", name, why, err, v.Servers, f.Stale)
+		if why != Accepted || granted != x.fresh || (f.StaleGrants == 0) != x.fresh || v.Servers[len(v.Servers)-1] != (policy.Share{ID: "c1", Factor: 0.5}) {
+			t.Errorf("%s: %s, %v, %+v, %d stale", name, why, err, v.Servers, f.StaleGrants)
 		}
 		if len(f.sent) > mostSent {
 			t.Errorf("%d digests remembered", len(f.sent))
@@ -58,13 +58,13 @@
 	made := map[string]time.Duration{}
 	tell := func(planner string, grants ...plan.Grant) {
 		t.Helper()
-		f.Sent(now, uint64(now/sec))
+		f.DigestSent(now, uint64(now/sec))
 		made[planner]++
 		c := plan.Change{Planner: planner, Made: made[planner], Valid: 3 * sec, History: 1, Revision: 1, Count: 4, HotSet: true, TenantsSet: true,
 			Sum: plan.Sum(nil, 0, nil, nil), Grants: grants, Answers: uint64(now / sec)}
-		want := Taken
+		want := Accepted
 		if planner != "a" {
-			want = Another
+			want = OtherPlanner
 		}
 		if why, err := f.TakeChange(now, c, ready(4)); why != want {
 			t.Fatal(why, err)
@@ -79,14 +79,14 @@
 	share := func(id string, allow float64) policy.Share { return policy.Share{ID: id, Factor: 1, Allow: allow} }
 	tell("a", plan.Grant{ID: "c0", Rate: 8})
 	is(share("c0", 8))
-	turns := f.Turns()
+	turns := f.Version()
 	tell("b", plan.Grant{ID: "c0", Rate: 3}, plan.Grant{ID: "c1", Rate: 1})
-	if is(share("c0", 3)); f.Turns() == turns {
+	if is(share("c0", 3)); f.Version() == turns {
 		t.Error("less is no news")
 	}
-	turns = f.Turns()
+	turns = f.Version()
 	tell("b", plan.Grant{ID: "c0", Rate: 9})
-	if is(share("c0", 8)); f.Turns() == turns {
+	if is(share("c0", 8)); f.Version() == turns {
 		t.Error("more is no news")
 	}
 	tell("b", plan.Grant{ID: "c0", Rate: 2})
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -56,7 +56,7 @@
 	noted    time.Duration
 	closed   bool
 	timers   []*loop.Timer
-	dials    *follow.Dials
+	dials    *follow.Dialer
 	dialer   *loop.Timer
 	// Digests are how many went, Wholes how many of these named all servers; Views are how many views and changes came;
 	// Errors, connections that ended.
@@ -102,7 +102,7 @@
 	for i, addr := range cfg.Planners {
 		f.links = append(f.links, &link{f: f, number: i, addr: addr, wait: redialMin})
 	}
-	f.dials = follow.NewDials(l.Now(), len(f.links), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	f.dials = follow.NewDialer(l.Now(), len(f.links), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	f.dial()
 	f.timers = []*loop.Timer{nil, nil}
 	f.tell()
@@ -131,7 +131,7 @@
 	}
 	now := f.loop.Now()
 	whole := f.gather.Digest(now)
-	f.follower.Sent(now, whole.Seq)
+	f.follower.DigestSent(now, whole.Seq)
 	brief := f.gather.Brief(whole)
 	frames := map[kind][]byte{} // planners that are alike get the same
 	for _, l := range f.links {
@@ -153,7 +153,7 @@
 			}
 			if k.hello {
 				d = f.gather.Hello()
-				f.follower.Sent(now, d.Seq)
+				f.follower.DigestSent(now, d.Seq)
 			}
 			var err error
 			if frame, err = planwire.Append(nil, planwire.Message{Digest: d, Hold: k.told(), Next: k.next}); err != nil {
@@ -221,7 +221,7 @@
 		if trust == 0 || trust < 1 && f.trust == 1 {
 			f.note("view_fades", fmt.Sprintf("trust=%.2f", trust))
 		}
-		f.trust, f.turns = trust, f.follower.Turns()
+		f.trust, f.turns = trust, f.follower.Version()
 		f.apply(v)
 	}
 	f.timers[1] = f.loop.After(fadeStep, f.fade)
@@ -232,12 +232,12 @@
 	now := f.loop.Now()
 	f.Views++
 	if l.talk == unknown {
-		f.dials.Told(now, l.number)
+		f.dials.FirstMessage(now, l.number)
 		f.dial()
 	}
-	f.follower.Awaits(f.dials.Awaited(now))
+	f.follower.SetAwaited(f.dials.Awaited(now))
 	held, _ := f.follower.Held()
-	var why follow.Reason
+	var why follow.Outcome
 	var err error
 	if c := m.Change; c != nil {
 		l.changes++
@@ -247,19 +247,19 @@
 		if l.planner = m.View.Planner; l.talk == unknown {
 			l.talk = views
 		}
-		why, err = f.follower.Take(now, *m.View, f.ready())
+		why, err = f.follower.TakeView(now, *m.View, f.ready())
 	}
 	v, _ := f.follower.Held()
-	turns := f.follower.Turns()
+	turns := f.follower.Version()
 	news := turns != f.turns // also by what a planner grants that is not followed
-	if why == follow.Taken && f.trust != 1 {
+	if why == follow.Accepted && f.trust != 1 {
 		f.trust, news = 1, true
 	}
 	if f.turns = turns; news {
 		f.apply(v.View)
 	}
-	if why != follow.Taken {
-		if why != follow.Another && (f.noted == 0 || now-f.noted > noteEvery) {
+	if why != follow.Accepted {
+		if why != follow.OtherPlanner && (f.noted == 0 || now-f.noted > noteEvery) {
 			f.noted = now
 			f.note("view_refused", fmt.Sprintf("planner=%q addr=%s reason=%s why=%q", l.planner, l.addr, why, err))
 		}
@@ -328,10 +328,10 @@
 	for _, h := range v.Hot {
 		fmt.Fprintf(&b, "hot key %08x load %.1f\n", h.Key, h.Load)
 	}
-	for _, r := range []follow.Reason{follow.Taken, follow.Absurd, follow.Epoch, follow.Late, follow.Another, follow.Doubt} {
+	for _, r := range []follow.Outcome{follow.Accepted, follow.Invalid, follow.Epoch, follow.OutOfOrder, follow.OtherPlanner, follow.Mismatch} {
 		fmt.Fprintf(&b, "views %s %d\n", r, f.follower.Counts[r])
 	}
-	fmt.Fprintf(&b, "grants too late %d\n", f.follower.Stale)
+	fmt.Fprintf(&b, "grants too late %d\n", f.follower.StaleGrants)
 	fmt.Fprintf(&b, "digests %d, %d of them whole; bytes in %d, out %d\n", f.Digests, f.Wholes, f.BytesIn, f.BytesOut)
 	return b.String()
 }
@@ -357,7 +357,7 @@
 func (l *link) again(after time.Duration) {
 	l.retry = l.f.loop.After(after, func() {
 		held, _ := l.f.follower.Held()
-		l.f.dials.Want(l.f.loop.Now(), l.number, held != nil && held.Planner == l.planner)
+		l.f.dials.Enqueue(l.f.loop.Now(), l.number, held != nil && held.Planner == l.planner)
 		l.f.dial()
 	})
 }
@@ -371,7 +371,7 @@
 		return
 	}
 	k, d := l.kind(), l.f.gather.Hello()
-	l.f.follower.Sent(now, d.Seq)
+	l.f.follower.DigestSent(now, d.Seq)
 	if frame, err := planwire.Append(nil, planwire.Message{Digest: d, Hold: k.told(), Next: k.next}); err == nil {
 		l.send(k, frame)
 	}
--- a/internal/planner/send_test.go
+++ b/internal/planner/send_test.go
@@ -374,7 +374,7 @@
 			ready = append(ready, follow.Server{ID: id, Weight: 1})
 		}
 		for _, m := range s.read(s.got(c)...) {
-			if why, err := f.TakeChange(s.now, *m.Change, ready); why != follow.Taken {
+			if why, err := f.TakeChange(s.now, *m.Change, ready); why != follow.Accepted {
 				t.Error(why, err)
 			}
 		}
--- a/lab/fleet/planners.go
+++ b/lab/fleet/planners.go
@@ -159,7 +159,7 @@
 			if changes {
 				d = n.forwarder.gather.Brief(d)
 			}
-			n.forwarder.follower.Sent(n.clock(), d.Seq)
+			n.forwarder.follower.DigestSent(n.clock(), d.Seq)
 			for _, p := range s.planners {
 				if !n.parted[p.id] {
 					to, hold := p.life, n.forwarder.follower.Hold(p.id)
@@ -208,7 +208,7 @@
 // view has a view judged, and puts it in force.
 func (n *node) view(v plan.View) {
 	if f := n.forwarder; f != nil && n.up && !n.frozen {
-		why, err := f.follower.Take(n.clock(), v, n.ready())
+		why, err := f.follower.TakeView(n.clock(), v, n.ready())
 		n.judged(v.Planner, why, err)
 	}
 }
@@ -221,10 +221,10 @@
 	}
 }
 
-func (n *node) judged(planner string, why follow.Reason, err error) {
+func (n *node) judged(planner string, why follow.Outcome, err error) {
 	f := n.forwarder
-	if why != follow.Taken {
-		if why == follow.Absurd {
+	if why != follow.Accepted {
+		if why == follow.Invalid {
 			n.sim.logs = append(n.sim.logs, fmt.Sprintf("%v node %d: view refused: %v", n.sim.now, n.number+1, err))
 		}
 		return
@@ -233,10 +233,10 @@
 		f.followed = planner
 		n.sim.logs = append(n.sim.logs, fmt.Sprintf("%v node %d: follows %s", n.sim.now, n.number+1, planner))
 	}
-	if f.trust == 1 && f.turns == f.follower.Turns() {
+	if f.trust == 1 && f.turns == f.follower.Version() {
 		return // it is in force
 	}
-	f.trust, f.turns = 1, f.follower.Turns()
+	f.trust, f.turns = 1, f.follower.Version()
 	v, _ := f.follower.Now(n.clock())
 	n.policy.View(n.clock(), v)
 	n.settle()
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -314,7 +314,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if why, err := f.Take(x.now, *m.View, x.ready); why != follow.Taken {
+		if why, err := f.TakeView(x.now, *m.View, x.ready); why != follow.Accepted {
 			t.Fatal(why, err)
 		}
 	}
@@ -396,7 +396,7 @@
 		if err != nil || used != len(frame) {
 			t.Fatal(used, err)
 		}
-		if why, err := f.TakeChange(x.now, *m.Change, x.ready); why != follow.Taken {
+		if why, err := f.TakeChange(x.now, *m.Change, x.ready); why != follow.Accepted {
 			t.Fatal(why, err)
 		}
 	}
