--- a/decide/plan/api.go
+++ b/decide/plan/api.go
@@ -79,9 +79,9 @@
 	Past  int
 }
 
-func name(id string) bool { return id != "" && len(id) <= MaxIDLength }
+func validID(id string) bool { return id != "" && len(id) <= MaxIDLength }
 
-func counts(list ...int) bool {
+func validCounts(list ...int) bool {
 	for _, n := range list {
 		if n < 0 || n > MaxCount {
 			return false
@@ -90,8 +90,8 @@
 	return true
 }
 
-func (l *Load) sound() bool {
-	return counts(l.Sends, l.Timely, l.Late, l.Full, l.Failed) && len(l.Times) <= LatencyBuckets && counts(l.Times...)
+func (l *Load) valid() bool {
+	return validCounts(l.Sends, l.Timely, l.Late, l.Full, l.Failed) && len(l.Times) <= LatencyBuckets && validCounts(l.Times...)
 }
 
 // bad is how many answers were late, full or failed.
@@ -101,20 +101,20 @@
 func (l *Load) answers() int { return l.Timely + l.bad() }
 
 // timeOf is the part of a sketch that a time belongs to.
-func timeOf(took time.Duration) int {
+func latencyBucket(took time.Duration) int {
 	return min(bits.Len64(uint64(max(0, took-1)/time.Millisecond)), LatencyBuckets-1)
 }
 
 // Check says what is wrong with a digest; nil: it makes sense.
 func (d *Digest) Check() error {
 	switch {
-	case !name(d.From):
+	case !validID(d.From):
 		return errors.New("no name, or too long a one")
 	case d.Span <= 0 || d.Span > time.Minute:
 		return fmt.Errorf("a span of %v", d.Span)
 	case len(d.Servers) > MaxServers || len(d.Bad) > MaxServers || len(d.Hot) > MaxHotKeys || len(d.Tenants) > MaxTenants:
 		return errors.New("too many entries")
-	case !counts(d.Asked, d.Answered) || d.Past < 0 || d.Past > tenths*MaxCount || !d.Origin.sound() || !d.Rest.sound():
+	case !validCounts(d.Asked, d.Answered) || d.Past < 0 || d.Past > pastScale*MaxCount || !d.Origin.valid() || !d.Rest.valid():
 		return errors.New("absurd counts")
 	case !d.Brief && (len(d.Bad)+d.Past > 0 || d.Rest.answers() > 0):
 		return errors.New("a whole one with parts of a brief one")
@@ -123,7 +123,7 @@
 	for _, list := range [][]Load{d.Servers, d.Bad} {
 		for i := range list {
 			l := &list[i]
-			if !name(l.ID) || !l.sound() {
+			if !validID(l.ID) || !l.valid() {
 				return fmt.Errorf("absurd counts of server %.40q", l.ID)
 			}
 			if seen[l.ID] {
@@ -133,12 +133,12 @@
 		}
 	}
 	for _, h := range d.Hot {
-		if !counts(h.Asked) {
+		if !validCounts(h.Asked) {
 			return errors.New("absurd counts of keys")
 		}
 	}
 	for _, u := range d.Tenants {
-		if !name(u.Tenant) || !counts(u.Asked) {
+		if !validID(u.Tenant) || !validCounts(u.Asked) {
 			return errors.New("absurd counts of tenants")
 		}
 	}
@@ -154,12 +154,12 @@
 	policy.View
 }
 
-func rate(x float64) bool { return x >= 0 && x <= MaxRate } // false for what is no number
+func validRate(x float64) bool { return x >= 0 && x <= MaxRate } // false for what is no number
 
 // Check says what is wrong with a view by itself; nil: it makes sense.
 func (v *View) Check() error {
 	switch {
-	case !name(v.Planner):
+	case !validID(v.Planner):
 		return errors.New("no planner's name, or too long a one")
 	case v.Valid <= 0 || v.Valid > MaxValidity:
 		return fmt.Errorf("valid for %v", v.Valid)
@@ -171,22 +171,22 @@
 	seen := map[string]bool{}
 	for _, s := range v.Servers {
 		switch {
-		case !name(s.ID) || seen[s.ID]:
+		case !validID(s.ID) || seen[s.ID]:
 			return fmt.Errorf("server %.40q without a name, or named twice", s.ID)
 		case !(s.Factor >= MinFactor && s.Factor <= 1):
 			return fmt.Errorf("server %.40q: a factor of %v", s.ID, s.Factor)
-		case !rate(s.Allow):
+		case !validRate(s.Allow):
 			return fmt.Errorf("server %.40q: an absurd rate", s.ID)
 		}
 		seen[s.ID] = true
 	}
 	for _, h := range v.Hot {
-		if !rate(h.Load) {
+		if !validRate(h.Load) {
 			return errors.New("an absurd load of a key")
 		}
 	}
 	for _, t := range v.Tenants {
-		if !name(t.Name) || !rate(t.Asked) {
+		if !validID(t.Name) || !validRate(t.Asked) {
 			return errors.New("an absurd use of a tenant")
 		}
 	}
--- a/decide/plan/bench_test.go
+++ b/decide/plan/bench_test.go
@@ -10,7 +10,7 @@
 )
 
 // A node's digest as Gather makes it in the calm: so many requests over the servers, one in a hundred answered late.
-func calm(rng *rand.Rand, g *Collector, servers, requests int) {
+func countCalmSecond(rng *rand.Rand, g *Collector, servers, requests int) {
 	for range requests {
 		took, timely := 3*time.Millisecond, rng.IntN(100) > 0
 		if !timely {
@@ -22,14 +22,14 @@
 }
 
 // bench is a planner that has heard some seconds of forwarders, and digests of one more.
-func bench(b *testing.B, forwarders, servers, requests int, brief bool) (p *Planner, list []*Digest) {
+func newBenchmark(b *testing.B, forwarders, servers, requests int, brief bool) (p *Planner, list []*Digest) {
 	p = New(config())
-	p.SetServers(100*sec, fleet(servers))
+	p.SetServers(100*sec, serverList(servers))
 	rng := rand.New(rand.NewPCG(1, 2))
 	g := NewCollector(100*sec, "")
 	var some []*Digest
 	for i := range 40 { // different ones are enough
-		calm(rng, g, servers, requests)
+		countCalmSecond(rng, g, servers, requests)
 		d := g.Digest(100*sec + time.Duration(i+1)*sec)
 		if brief {
 			d = g.Brief(d)
@@ -46,7 +46,7 @@
 }
 
 // sizes are the measured ones: nodes, servers, requests a second of a node.
-func sizes(b *testing.B, run func(b *testing.B, forwarders, servers, requests int, brief bool)) {
+func forSizes(b *testing.B, run func(b *testing.B, forwarders, servers, requests int, brief bool)) {
 	for _, x := range [][3]int{{400, 80, 6}, {475, 105, 842}, {1900, 420, 842}} {
 		for _, brief := range []bool{false, true} {
 			name := fmt.Sprintf("%dx%d/whole", x[0], x[1])
@@ -60,8 +60,8 @@
 
 // What a second's digests of all forwarders cost, counted in two looks.
 func BenchmarkDigests(b *testing.B) {
-	sizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
-		p, list := bench(b, forwarders, servers, requests, brief)
+	forSizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
+		p, list := newBenchmark(b, forwarders, servers, requests, brief)
 		now := 100 * sec
 		for b.Loop() {
 			for i, d := range list {
@@ -82,8 +82,8 @@
 
 // A look by itself, with nothing new told.
 func BenchmarkMake(b *testing.B) {
-	sizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
-		p, list := bench(b, forwarders, servers, requests, brief)
+	forSizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
+		p, list := newBenchmark(b, forwarders, servers, requests, brief)
 		now := 100 * sec
 		for range 3 {
 			for _, d := range list {
@@ -103,8 +103,8 @@
 // What telling all forwarders costs: a whole view for each, or one change for all and each one's grants, of which there are
 // none in the calm.
 func BenchmarkViews(b *testing.B) {
-	sizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
-		p, list := bench(b, forwarders, servers, requests, brief)
+	forSizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
+		p, list := newBenchmark(b, forwarders, servers, requests, brief)
 		now := 100 * sec
 		for _, d := range list {
 			d.Seq++
@@ -136,7 +136,7 @@
 			now := 100 * sec
 			for b.Loop() {
 				b.StopTimer()
-				calm(rng, g, x[0], x[1])
+				countCalmSecond(rng, g, x[0], x[1])
 				b.StartTimer()
 				now += sec
 				g.Brief(g.Digest(now))
--- a/decide/plan/brief.go
+++ b/decide/plan/brief.go
@@ -18,26 +18,26 @@
 // told whole and there is no rest.
 
 const (
-	mostBad    = 16              // servers in Digest.Bad; as many servers are told whole, if there are no others
-	tenths     = 10              // of an answer, in which what is remembered is told
-	mostHotBy  = 16              // keys in a brief digest
-	gatherSpan = 3 * time.Second // in which what was seen of a server fades; it stays named for so long
-	leastBad   = 0.02            // part of a server's answers that is ordinary anywhere
-	standsOut  = worse / 2       // beyond the middle by that part, a server is an exception; half of what planners act on
-	rarely     = 6.9             // -log of the chance, one in a thousand, under which a deviation is no chance
-	hotFew     = 3.0             // times that a key was asked for in a span, below which it says nothing
-	hotPart    = hotLeast / 2    // of a cache's mean load at this node that a key must bring
+	maxBadOnly       = 16              // servers in Digest.Bad; as many servers are told whole, if there are no others
+	pastScale        = 10              // of an answer, in which what is remembered is told
+	maxBriefKeys     = 16              // keys in a brief digest
+	collectorDecay   = 3 * time.Second // in which what was seen of a server fades; it stays named for so long
+	minUsualBad      = 0.02            // part of a server's answers that is ordinary anywhere
+	outlierMargin    = badMargin / 2   // beyond the middle by that part, a server is an exception; half of what planners act on
+	outlierLogChance = 6.9             // -log of the chance, one in a thousand, under which a deviation is no chance
+	minKeyRequests   = 3.0             // times that a key was asked for in a span, below which it says nothing
+	briefKeyLoad     = hotMinLoad / 2  // of a cache's mean load at this node that a key must bring
 )
 
 // past is what was seen of a server, fading.
-type past struct {
+type history struct {
 	answers, bad float64
 	before       float64       // answers, before the last span
-	until        time.Duration // it is told whole until then
+	outlierUntil time.Duration // it is told whole until then
 }
 
 // worst is how many bad answers it had of late beyond what is usual at the node; of a server that is not remembered, nothing.
-func (p *past) worst(usual float64) float64 {
+func (p *history) excessBad(usual float64) float64 {
 	if p == nil {
 		return 0
 	}
@@ -45,45 +45,45 @@
 }
 
 // remember adds the span to what is remembered and finds the exceptions.
-func (g *Collector) remember(now time.Duration) {
-	left := math.Exp(-float64(max(0, now-g.pastAt)) / float64(gatherSpan))
-	g.pastAt = now
-	for id, p := range g.past {
-		p.answers *= left
+func (g *Collector) updateHistory(now time.Duration) {
+	decay := math.Exp(-float64(max(0, now-g.historyAt)) / float64(collectorDecay))
+	g.historyAt = now
+	for id, p := range g.history {
+		p.answers *= decay
 		p.before = p.answers
-		if p.bad *= left; p.answers < 0.05 && g.servers[id] == nil && p.until < now {
-			delete(g.past, id)
+		if p.bad *= decay; p.answers < 0.05 && g.servers[id] == nil && p.outlierUntil < now {
+			delete(g.history, id)
 		}
 	}
 	for id, l := range g.servers {
-		p := g.past[id]
+		p := g.history[id]
 		if p == nil {
-			if len(g.past) >= MaxServers {
+			if len(g.history) >= MaxServers {
 				continue
 			}
-			p = &past{}
-			g.past[id] = p
+			p = &history{}
+			g.history[id] = p
 		}
 		p.answers += float64(l.answers())
 		p.bad += float64(l.bad())
 	}
 	g.before = 0
-	list := make([]*past, 0, len(g.past))
-	for _, id := range slices.Sorted(maps.Keys(g.past)) { // sums of the same figures are the same to the last bit
-		p := g.past[id]
+	list := make([]*history, 0, len(g.history))
+	for _, id := range slices.Sorted(maps.Keys(g.history)) { // sums of the same figures are the same to the last bit
+		p := g.history[id]
 		g.before += p.before
 		list = append(list, p)
 	}
-	usual := usualOf(list)
+	usual := usualBadShare(list)
 	for _, p := range list {
-		if stands(p.bad, p.answers, usual) {
-			p.until = now + gatherSpan
+		if isOutlier(p.bad, p.answers, usual) {
+			p.outlierUntil = now + collectorDecay
 		}
 	}
 }
 
 // turn is a number for a server, another one in each digest and at each node.
-func (g *Collector) turn(id string) uint64 {
+func (g *Collector) tieBreak(id string) uint64 {
 	x := (xxhash.Sum64String(id) ^ xxhash.Sum64String(g.name)) + g.seq*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -91,48 +91,48 @@
 }
 
 // usualOf is the part of bad answers in the better half of the servers: rather too little, so that rather too many are named.
-func usualOf(list []*past) float64 {
-	list = slices.DeleteFunc(slices.Clone(list), func(p *past) bool { return p.answers <= 0 })
-	slices.SortStableFunc(list, func(x, y *past) int { return cmp.Compare(x.bad*y.answers, y.bad*x.answers) })
+func usualBadShare(list []*history) float64 {
+	list = slices.DeleteFunc(slices.Clone(list), func(p *history) bool { return p.answers <= 0 })
+	slices.SortStableFunc(list, func(x, y *history) int { return cmp.Compare(x.bad*y.answers, y.bad*x.answers) })
 	bad, answers := 0.0, 0.0
 	for _, p := range list[:(len(list)+1)/2] {
 		bad += p.bad
 		answers += p.answers
 	}
-	return min(1, max(leastBad, bad/max(1, answers)))
+	return min(1, max(minUsualBad, bad/max(1, answers)))
 }
 
 // stands reports whether so many bad answers of all are an exception where usual is the ordinary part: by Chernoff's bound of
 // the binomial tail.
-func stands(bad, answers, usual float64) bool {
+func isOutlier(bad, answers, usual float64) bool {
 	if answers <= 0 || usual >= 1 {
 		return false
 	}
 	part := min(1, bad/answers)
-	if part <= usual+standsOut {
+	if part <= usual+outlierMargin {
 		return false
 	}
-	far := part * math.Log(part/usual)
+	divergence := part * math.Log(part/usual)
 	if part < 1 {
-		far += (1 - part) * math.Log((1-part)/(1-usual))
+		divergence += (1 - part) * math.Log((1-part)/(1-usual))
 	}
-	return answers*far > rarely
+	return answers*divergence > outlierLogChance
 }
 
 // Brief gives in brief what the last Digest gave.
 func (g *Collector) Brief(d *Digest) *Digest {
 	b := *d
 	b.Brief, b.Servers = true, nil
-	if len(d.Servers) <= mostBad {
+	if len(d.Servers) <= maxBadOnly {
 		b.Servers = d.Servers
 	} else {
-		g.reduce(&b, d)
+		g.summarize(&b, d)
 	}
-	if len(d.Hot) > mostHotBy {
-		least := max(hotFew, hotPart*float64(d.Asked)/float64(max(1, len(g.past))))
-		b.Hot = d.Hot[:mostHotBy] // most first
+	if len(d.Hot) > maxBriefKeys {
+		minRequests := max(minKeyRequests, briefKeyLoad*float64(d.Asked)/float64(max(1, len(g.history))))
+		b.Hot = d.Hot[:maxBriefKeys] // most first
 		for i, h := range b.Hot {
-			if float64(h.Asked) < least {
+			if float64(h.Asked) < minRequests {
 				b.Hot = b.Hot[:i]
 				break
 			}
@@ -142,13 +142,13 @@
 }
 
 // inTenths is a count as it is told.
-func inTenths(n float64) int { return int(math.Round(min(n, MaxCount/tenths) * tenths)) }
+func scaledPast(n float64) int { return int(math.Round(min(n, MaxCount/pastScale) * pastScale)) }
 
 // reduce sorts the servers of d into those that are told whole, those of which bad answers are told, and the rest.
-func (g *Collector) reduce(b, d *Digest) {
+func (g *Collector) summarize(b, d *Digest) {
 	var bad []*Load
 	sumBad, sumAll := 0.0, 0.0 // remembered
-	b.Past = inTenths(g.before)
+	b.Past = scaledPast(g.before)
 	sum := func(l *Load) {
 		b.Rest.Sends += l.Sends
 		b.Rest.Timely += l.Timely
@@ -161,11 +161,11 @@
 	}
 	for i := range d.Servers {
 		l := &d.Servers[i]
-		if p := g.past[l.ID]; p != nil && p.until >= g.pastAt {
+		if p := g.history[l.ID]; p != nil && p.outlierUntil >= g.historyAt {
 			b.Servers = append(b.Servers, *l)
 			continue
 		}
-		if p := g.past[l.ID]; p != nil {
+		if p := g.history[l.ID]; p != nil {
 			sumBad, sumAll = sumBad+p.bad, sumAll+p.answers
 		}
 		if sum(l); l.bad() > 0 {
@@ -176,15 +176,15 @@
 	// Guards against servers that seem worse than others since their names come first: which of those that are alike are told
 	// is another choice each time.
 	slices.SortFunc(bad, func(x, y *Load) int {
-		return cmp.Or(cmp.Compare(g.past[y.ID].worst(usual), g.past[x.ID].worst(usual)), cmp.Compare(g.turn(x.ID), g.turn(y.ID)))
+		return cmp.Or(cmp.Compare(g.history[y.ID].excessBad(usual), g.history[x.ID].excessBad(usual)), cmp.Compare(g.tieBreak(x.ID), g.tieBreak(y.ID)))
 	})
 	for i, l := range bad {
-		if i < mostBad {
+		if i < maxBadOnly {
 			known := 0.0
-			if p := g.past[l.ID]; p != nil {
+			if p := g.history[l.ID]; p != nil {
 				known = p.before
 			}
-			b.Bad = append(b.Bad, Load{ID: l.ID, Sends: inTenths(known), Late: l.Late, Full: l.Full, Failed: l.Failed})
+			b.Bad = append(b.Bad, Load{ID: l.ID, Sends: scaledPast(known), Late: l.Late, Full: l.Full, Failed: l.Failed})
 			continue
 		}
 		b.Rest.Late += l.Late
--- a/decide/plan/brief_test.go
+++ b/decide/plan/brief_test.go
@@ -14,45 +14,45 @@
 )
 
 // crowd is nodes that see random answers, and two planners: one that is told all of it and one that is told it in brief.
-type crowd struct {
-	rng          *rand.Rand
-	now          time.Duration
-	nodes        []*Collector
-	servers      int
-	requests     int                      // of a node, a second, by chance as many
-	bad          func(server int) float64 // part of its answers
-	whole, brief *Planner
-	named        int // servers in the last second's digests
-	twist        func(node int, d *Digest)
-	pull         func(server int) float64 // of the requests, against what its weight tells; nil: 1
+type briefRig struct {
+	rng           *rand.Rand
+	now           time.Duration
+	nodes         []*Collector
+	servers       int
+	requests      int                      // of a node, a second, by chance as many
+	bad           func(server int) float64 // part of its answers
+	whole, brief  *Planner
+	namedServers  int // servers in the last second's digests
+	alter         func(node int, d *Digest)
+	requestFactor func(server int) float64 // of the requests, against what its weight tells; nil: 1
 }
 
-func newCrowd(seed uint64, nodes, servers, requests int) *crowd {
-	c := &crowd{rng: rand.New(rand.NewPCG(seed, 1)), now: 100 * sec, servers: servers, requests: requests, whole: New(config()), brief: New(config()),
+func newBriefRig(seed uint64, nodes, servers, requests int) *briefRig {
+	c := &briefRig{rng: rand.New(rand.NewPCG(seed, 1)), now: 100 * sec, servers: servers, requests: requests, whole: New(config()), brief: New(config()),
 		bad: func(int) float64 { return 0.01 }}
 	for i := range nodes {
 		c.nodes = append(c.nodes, NewCollector(c.now, fmt.Sprintf("f%04d", i)))
 	}
-	c.whole.SetServers(c.now, fleet(servers))
-	c.brief.SetServers(c.now, fleet(servers))
+	c.whole.SetServers(c.now, serverList(servers))
+	c.brief.SetServers(c.now, serverList(servers))
 	return c
 }
 
 // second plays one: requests go by the weights that are told in brief, as nodes would send them.
-func (c *crowd) second(t *testing.T) {
+func (c *briefRig) runSecond(t *testing.T) {
 	t.Helper()
 	sum := make([]float64, c.servers)
 	all := 0.0
 	for i, s := range c.brief.serving {
-		pull := 1.0
-		if c.pull != nil {
-			pull = c.pull(i)
+		requestFactor := 1.0
+		if c.requestFactor != nil {
+			requestFactor = c.requestFactor(i)
 		}
-		all += s.factor * pull
+		all += s.factor * requestFactor
 		sum[i] = all
 	}
 	c.now += sec
-	c.named = 0
+	c.namedServers = 0
 	for i, g := range c.nodes {
 		for range c.requests {
 			server, _ := slices.BinarySearch(sum, c.rng.Float64()*all)
@@ -66,11 +66,11 @@
 		}
 		d := g.Digest(c.now)
 		b := g.Brief(d)
-		if c.twist != nil {
-			c.twist(i, d)
-			c.twist(i, b)
+		if c.alter != nil {
+			c.alter(i, d)
+			c.alter(i, b)
 		}
-		c.named += len(b.Servers) + len(b.Bad)
+		c.namedServers += len(b.Servers) + len(b.Bad)
 		if err := c.whole.Digest(c.now, *d); err != nil {
 			t.Fatal(err)
 		}
@@ -92,8 +92,8 @@
 }
 
 // shares are the parts of bad answers that both planners know of.
-func (c *crowd) shares(server int) (whole, brief float64) {
-	return c.whole.serving[server].pooled.badShare(), c.brief.serving[server].pooled.badShare()
+func (c *briefRig) badShares(server int) (whole, brief float64) {
+	return c.whole.serving[server].answerTally.badShare(), c.brief.serving[server].answerTally.badShare()
 }
 
 // What a planner infers from brief digests, against what whole ones of the same events tell: the part of bad answers of a
@@ -105,7 +105,7 @@
 	}{{400, 80, 6}, {40, 80, 842}, {30, 420, 842}, {100, 80, 60}} {
 		for _, usual := range []float64{0.01, 0.15} {
 			for _, jam := range []float64{1, 0.5, 0.3} {
-				c := newCrowd(uint64(x.requests)+uint64(100*jam), x.nodes, x.servers, x.requests)
+				c := newBriefRig(uint64(x.requests)+uint64(100*jam), x.nodes, x.servers, x.requests)
 				jammed := false
 				c.bad = func(s int) float64 {
 					if jammed && s == 3 {
@@ -114,26 +114,26 @@
 					return usual
 				}
 				for range 4 {
-					c.second(t)
+					c.runSecond(t)
 				}
 				jammed = true
-				c.second(t)
-				c.second(t)
-				whole, brief := c.shares(3) // before the weights differ
+				c.runSecond(t)
+				c.runSecond(t)
+				whole, brief := c.badShares(3) // before the weights differ
 				for range 6 {
-					c.second(t)
+					c.runSecond(t)
 				}
 				off, worst := 0.0, 0.0
 				for s := range x.servers {
 					if s != 3 {
-						w, b := c.shares(s)
+						w, b := c.badShares(s)
 						off = max(off, math.Abs(b-w))
 						worst = max(worst, b)
 					}
 				}
 				fw, fb := c.whole.serving[3].factor, c.brief.serving[3].factor
 				t.Logf("%4d x %3d, %3d requests/s, usual %.2f, jam %.2f: after 2 s whole %.3f brief %.3f; factors after 8 s %.2f %.2f; healthy ones off by at most %.3f, worst %.3f; %.1f named a digest",
-					x.nodes, x.servers, x.requests, usual, jam, whole, brief, fw, fb, off, worst, float64(c.named)/float64(x.nodes))
+					x.nodes, x.servers, x.requests, usual, jam, whole, brief, fw, fb, off, worst, float64(c.namedServers)/float64(x.nodes))
 				if jam >= 0.5 && (fw > 0.5 || fb > 0.5) {
 					t.Errorf("%v, usual %v: a server that answers %v badly has factor %.2f by whole and %.2f by brief digests", x, usual, jam, fw, fb)
 				}
@@ -155,22 +155,22 @@
 // Guards against a hot server that loses its weight while all answer badly.
 func TestKeysAreNotAskedForAlike(t *testing.T) {
 	for _, x := range []struct{ nodes, servers, requests int }{{40, 80, 842}, {100, 80, 60}, {100, 420, 842}} {
-		c := newCrowd(2, x.nodes, x.servers, x.requests)
-		c.pull = func(s int) float64 {
+		c := newBriefRig(2, x.nodes, x.servers, x.requests)
+		c.requestFactor = func(s int) float64 {
 			return map[int]float64{2: 3, 4: 0.5}[s] + map[bool]float64{true: 1}[s != 2 && s != 4]
 		}
 		for _, bad := range []float64{0.02, 0.25} {
 			c.bad = func(int) float64 { return bad }
 			for range 15 {
-				c.second(t)
+				c.runSecond(t)
 			}
 		}
 		for _, s := range []int{2, 4, 6} {
-			whole, brief := c.shares(s)
-			if got := c.brief.serving[s].skew(); math.Abs(got-c.pull(s)) > c.pull(s)/4 || math.Abs(whole-brief) > 0.06 {
-				t.Errorf("%v: asked %.1f times its part, taken for %.2f; %.3f bad, taken for %.3f", x, c.pull(s), got, whole, brief)
+			whole, brief := c.badShares(s)
+			if got := c.brief.serving[s].skew(); math.Abs(got-c.requestFactor(s)) > c.requestFactor(s)/4 || math.Abs(whole-brief) > 0.06 {
+				t.Errorf("%v: asked %.1f times its part, taken for %.2f; %.3f bad, taken for %.3f", x, c.requestFactor(s), got, whole, brief)
 			}
-			t.Logf("%v: asked %.1f times its part: whole %.3f brief %.3f, taken for %.2f", x, c.pull(s), whole, brief, c.brief.serving[s].skew())
+			t.Logf("%v: asked %.1f times its part: whole %.3f brief %.3f, taken for %.2f", x, c.requestFactor(s), whole, brief, c.brief.serving[s].skew())
 		}
 		for _, s := range c.brief.serving {
 			if s.factor != 1 {
@@ -179,7 +179,7 @@
 		}
 		c.bad = func(s int) float64 { return map[bool]float64{true: 0.9, false: 0.05}[s == 4] }
 		for range 12 {
-			c.second(t)
+			c.runSecond(t)
 		}
 		if f := c.brief.serving[4].factor; f > 0.5 {
 			t.Errorf("%v: the jammed one has %.2f", x, f)
@@ -226,37 +226,37 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCrowd(5, 30, 40, 200)
+			c := newBriefRig(5, 30, 40, 200)
 			c.bad = func(int) float64 { return 0 }
-			c.twist = func(node int, d *Digest) {
+			c.alter = func(node int, d *Digest) {
 				if node == 0 && d.Brief {
 					d.Servers, d.Bad, d.Rest, d.Hot = nil, nil, Load{}, nil
 					lie(d)
 				}
 			}
 			for range 10 {
-				c.second(t)
+				c.runSecond(t)
 				p := c.brief
 				for _, s := range p.serving {
-					most := p.share(s)
-					if s.pooled.bad > 1.001*most {
-						t.Fatalf("%s: %.1f bad answers by one liar, twice the middle one's are %.1f", s.ID, s.pooled.bad, most)
+					most := p.forwarderBound(s)
+					if s.answerTally.bad > 1.001*most {
+						t.Fatalf("%s: %.1f bad answers by one liar, twice the middle one's are %.1f", s.ID, s.answerTally.bad, most)
 					}
 					// Good answers of the rest may be spread over half of the servers: twice as much again.
-					if honest := most / 2 * float64(len(c.nodes)); s.pooled.total > 1.3*honest+2*most {
-						t.Fatalf("%s: %.1f answers with one liar, %.1f is what the others bring", s.ID, s.pooled.total, honest)
+					if honest := most / 2 * float64(len(c.nodes)); s.answerTally.total > 1.3*honest+2*most {
+						t.Fatalf("%s: %.1f answers with one liar, %.1f is what the others bring", s.ID, s.answerTally.total, honest)
 					}
 				}
 				asked := 0.0
-				for _, n := range p.keys {
+				for _, n := range p.keyRequests {
 					asked += n
 				}
 				used := 0.0
-				for _, n := range p.users {
+				for _, n := range p.tenantRequests {
 					used += n
 				}
-				if asked > 1.001*p.middleAsk || used > 1.001*p.middleAsk {
-					t.Fatalf("%.0f requests for keys and %.0f of tenants by one liar, twice the middle one's are %.0f", asked, used, p.middleAsk)
+				if asked > 1.001*p.requestBound || used > 1.001*p.requestBound {
+					t.Fatalf("%.0f requests for keys and %.0f of tenants by one liar, twice the middle one's are %.0f", asked, used, p.requestBound)
 				}
 			}
 			for _, s := range c.brief.serving {
@@ -270,19 +270,19 @@
 
 // What a forwarder says that it remembers counts for no more than a server could get: with others heard it is soon outweighed.
 func TestALiarsMemory(t *testing.T) {
-	c := newCrowd(7, 30, 40, 200)
+	c := newBriefRig(7, 30, 40, 200)
 	c.bad = func(int) float64 { return 0.05 }
 	lies := true
-	c.twist = func(node int, d *Digest) {
+	c.alter = func(node int, d *Digest) {
 		if lies && node == 0 && d.Brief {
 			d.Servers, d.Bad, d.Past = nil, []Load{{ID: "c01", Sends: MaxCount, Late: 1}}, 100
 		}
 	}
 	for range 5 {
-		c.second(t)
+		c.runSecond(t)
 	}
 	for lies = false; c.now < 120*sec; {
-		c.second(t)
+		c.runSecond(t)
 	}
 	if got := c.brief.servers["c01"].skew(); math.Abs(got-1) > 0.3 {
 		t.Errorf("taken for %.2f times its part, ten seconds after the last lie", got)
@@ -297,7 +297,7 @@
 		"by the others": {Brief: true, Rest: Load{Late: MaxCount}, Servers: []Load{{ID: "c03"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCrowd(6, 30, 40, 100)
+			c := newBriefRig(6, 30, 40, 100)
 			c.bad = func(int) float64 { return 0 }
 			lie.From, lie.Span, lie.Asked, lie.Hot, lie.Tenants = "liar", sec, MaxCount, []Heat{{Key: 8, Asked: MaxCount}}, []Use{{Tenant: "t", Asked: MaxCount}}
 			for range 3 {
@@ -308,13 +308,13 @@
 				c.now += sec / 2
 				c.brief.Update(c.now)
 			}
-			c.second(t)
+			c.runSecond(t)
 			factor := c.brief.servers["c01"].factor // what it has done while there was no other
 			for range 5 {
-				c.second(t)
+				c.runSecond(t)
 				for _, s := range c.brief.serving {
-					if s.pooled.bad > slack*c.brief.share(s) || s.factor < factor {
-						t.Errorf("%s: %.1f bad answers, factor %.2f", s.ID, s.pooled.bad, s.factor)
+					if s.answerTally.bad > boundSlack*c.brief.forwarderBound(s) || s.factor < factor {
+						t.Errorf("%s: %.1f bad answers, factor %.2f", s.ID, s.answerTally.bad, s.factor)
 					}
 				}
 			}
@@ -328,7 +328,7 @@
 // What brief digests tell is counted once: all servers' answers, and bad ones, are as many in sum as by whole digests.
 func TestBriefDigestsCountOnce(t *testing.T) {
 	for _, usual := range []float64{0.01, 0.4} { // few bad answers, and more than are named
-		c := newCrowd(4, 20, 80, 842)
+		c := newBriefRig(4, 20, 80, 842)
 		c.bad = func(s int) float64 {
 			if s == 5 {
 				return 1
@@ -336,11 +336,11 @@
 			return usual
 		}
 		for range 6 {
-			c.second(t)
-			var whole, brief tallied
+			c.runSecond(t)
+			var whole, brief tally
 			for i, s := range c.whole.serving {
-				whole.plus(&s.pooled, 1)
-				brief.plus(&c.brief.serving[i].pooled, 1)
+				whole.addScaled(&s.answerTally, 1)
+				brief.addScaled(&c.brief.serving[i].answerTally, 1)
 			}
 			if math.Abs(brief.total-whole.total) > 0.01*whole.total || math.Abs(brief.bad-whole.bad) > 0.01*whole.bad {
 				t.Errorf("usual %v: %.0f answers, %.0f bad by brief ones, %.0f and %.0f by whole ones", usual, brief.total, brief.bad, whole.total, whole.bad)
@@ -352,7 +352,7 @@
 // Bad answers are told by name and all answers may be inferred: there are never more bad ones than all.
 func TestNoMoreBadThanAll(t *testing.T) {
 	for _, x := range []struct{ bad, total, want float64 }{{9, 5, 1}, {2, 5, 0.4}, {1, 0, 0}, {0, -1e-12, 0}} {
-		if got := (&tallied{bad: x.bad, total: x.total}).badShare(); got != x.want {
+		if got := (&tally{bad: x.bad, total: x.total}).badShare(); got != x.want {
 			t.Errorf("%v of %v: %v", x.bad, x.total, got)
 		}
 	}
@@ -361,11 +361,11 @@
 // What is kept of each forwarder is what it named of late, whatever the number of servers.
 // Guards against sums over forwarders times servers.
 func TestWhatIsKeptOfAForwarder(t *testing.T) {
-	c := newCrowd(3, 10, 400, 842)
+	c := newBriefRig(3, 10, 400, 842)
 	for range 20 {
-		c.second(t)
+		c.runSecond(t)
 		for name, f := range c.brief.forwarders {
-			if len(f.named) > 8*mostBad {
+			if len(f.named) > 8*maxBadOnly {
 				t.Fatalf("%s: %d servers are kept", name, len(f.named))
 			}
 		}
@@ -417,7 +417,7 @@
 		}
 		now += sec
 		d := g.Brief(g.Digest(now))
-		if len(d.Bad) != mostBad || len(d.Servers) > 0 || d.Rest.bad() != 64-mostBad {
+		if len(d.Bad) != maxBadOnly || len(d.Servers) > 0 || d.Rest.bad() != 64-maxBadOnly {
 			t.Fatalf("%d told whole, %d in part, %+v", len(d.Servers), len(d.Bad), d.Rest)
 		}
 		for _, l := range d.Bad {
@@ -485,7 +485,7 @@
 
 // In the calm, with the noise that random traffic brings, all that is told stays as it is: no new revision.
 func TestCalmIsNoNews(t *testing.T) {
-	c := newCrowd(9, 20, 40, 0)
+	c := newBriefRig(9, 20, 40, 0)
 	feed := func() {
 		for _, g := range c.nodes {
 			for range 300 {
@@ -500,7 +500,7 @@
 				g.Attempt(fmt.Sprintf("c%02d", c.rng.IntN(40)), false, policy.OK, time.Millisecond, c.rng.IntN(50) > 0, false)
 			}
 		}
-		c.second(t)
+		c.runSecond(t)
 	}
 	for range 15 {
 		feed()
@@ -542,7 +542,7 @@
 		{heat(4), heat(5), 10, 1, false}, // ten requests are a cache's load: chance
 		{heat(1), heat(1, 1), 1e6, 2, true},
 	} {
-		if got, news := nextHot(c.old, c.now, c.mean); news != c.news || len(got) != c.told {
+		if got, news := nextHotKeys(c.old, c.now, c.mean); news != c.news || len(got) != c.told {
 			t.Errorf("%d: %+v, %v", i, got, news)
 		}
 	}
@@ -565,7 +565,7 @@
 		p.Restore(1, sec, snap)
 		p.Update(100 * sec)
 		bases = append(bases, Hold{1, p.Revision(), true})
-		if n := len(p.told.factors); n > 2*MaxServers+2000 {
+		if n := len(p.published.factors); n > 2*MaxServers+2000 {
 			t.Fatalf("%d servers are remembered", n)
 		}
 	}
--- a/decide/plan/change.go
+++ b/decide/plan/change.go
@@ -18,11 +18,11 @@
 // What all forwarders are told alike is a state with a revision; a Change leads from one revision to another.
 
 const (
-	factorSteps = 1000 // of a factor from 0 to 1, as it is told
-	hotStays    = 0.75 // part of hotLeast down to which a key that was told stays told
-	hotOff      = 1.0 / 8
-	useOff      = 1.0 / 10
-	chances     = 5.0 // square roots of a count that are chance: five standard deviations of the difference of two fading counts
+	factorSteps     = 1000 // of a factor from 0 to 1, as it is told
+	hotKeepRatio    = 0.75 // part of hotLeast down to which a key that was told stays told
+	hotTolerance    = 1.0 / 8
+	tenantTolerance = 1.0 / 10
+	noiseDeviations = 5.0 // square roots of a count that are chance: five standard deviations of the difference of two fading counts
 )
 
 // Change is what a planner tells a forwarder that holds one of its revisions.
@@ -80,7 +80,7 @@
 	}
 	seen := map[string]bool{}
 	for _, g := range c.Grants {
-		if !name(g.ID) || seen[g.ID] || !rate(g.Rate) || g.Rate == 0 {
+		if !validID(g.ID) || seen[g.ID] || !validRate(g.Rate) || g.Rate == 0 {
 			return fmt.Errorf("server %.40q: an absurd grant", g.ID)
 		}
 		seen[g.ID] = true
@@ -117,26 +117,26 @@
 }
 
 // told is the state that forwarders are told, with the revisions at which its parts last changed.
-type told struct {
-	revision uint64
-	oldest   uint64 // changes are known from here on
-	factors  map[string]toldFactor
-	admit    float64
-	hot      []policy.Heat
-	hotAt    uint64
-	tenants  []policy.Use
-	useAt    uint64
-	sum      uint32
+type published struct {
+	revision        uint64
+	oldestBase      uint64 // changes are known from here on
+	factors         map[string]publishedFactor
+	admit           float64
+	hot             []policy.Heat
+	hotRevision     uint64
+	tenants         []policy.Use
+	tenantsRevision uint64
+	checksum        uint32
 }
 
-type toldFactor struct {
-	factor float64
-	at     uint64
+type publishedFactor struct {
+	factor    float64
+	changedAt uint64
 }
 
 // settle brings the told state in line with what is so, by steps: while what is so hardly moves there is no new revision.
 // It is called once a Make.
-func (t *told) settle(serving []*server, admit float64, hot []policy.Heat, use []policy.Use, mean, memory float64) {
+func (t *published) refresh(serving []*server, admit float64, hot []policy.Heat, use []policy.Use, mean, memory float64) {
 	next := t.revision + 1
 	changed := t.revision == 0
 	now := make(map[string]bool, len(t.factors))
@@ -147,11 +147,11 @@
 		if !known && f == 1 || known && old.factor == f {
 			continue
 		}
-		t.factors[s.ID], changed = toldFactor{f, next}, true
+		t.factors[s.ID], changed = publishedFactor{f, next}, true
 	}
 	for id, old := range t.factors { // what serves no more is told of no more
 		if !now[id] && old.factor != 1 {
-			t.factors[id], changed = toldFactor{1, next}, true
+			t.factors[id], changed = publishedFactor{1, next}, true
 		}
 	}
 	if a := math.Round(max(MinAdmit, min(1, admit))*factorSteps) / factorSteps; a != cmp.Or(t.admit, 1) {
@@ -159,47 +159,47 @@
 			t.admit = 0
 		}
 	}
-	if h, is := nextHot(t.hot, hot, mean); is {
-		t.hot, t.hotAt, changed = h, next, true
+	if h, is := nextHotKeys(t.hot, hot, mean); is {
+		t.hot, t.hotRevision, changed = h, next, true
 	}
-	if u, is := nextUse(t.tenants, use, memory); is {
-		t.tenants, t.useAt, changed = u, next, true
+	if u, is := nextTenants(t.tenants, use, memory); is {
+		t.tenants, t.tenantsRevision, changed = u, next, true
 	}
 	if !changed {
 		return
 	}
 	t.revision = next
-	t.forget()
+	t.prune()
 	factors := make(map[string]float64, len(t.factors))
 	for id, f := range t.factors {
 		factors[id] = f.factor
 	}
-	t.sum = Sum(factors, t.admit, t.hot, t.tenants)
+	t.checksum = Sum(factors, t.admit, t.hot, t.tenants)
 }
 
 // forget keeps what is remembered of servers bounded: the oldest of those that nothing is told of go, and with them the
 // changes from before.
-func (t *told) forget() {
+func (t *published) prune() {
 	if len(t.factors) <= 2*MaxServers {
 		return
 	}
 	var plain []uint64
 	for _, f := range t.factors {
 		if f.factor == 1 {
-			plain = append(plain, f.at)
+			plain = append(plain, f.changedAt)
 		}
 	}
 	if len(plain) == 0 {
 		return
 	}
 	slices.Sort(plain)
-	t.oldest = plain[len(plain)/2]
-	maps.DeleteFunc(t.factors, func(_ string, f toldFactor) bool { return f.factor == 1 && f.at <= t.oldest })
+	t.oldestBase = plain[len(plain)/2]
+	maps.DeleteFunc(t.factors, func(_ string, f publishedFactor) bool { return f.factor == 1 && f.changedAt <= t.oldestBase })
 }
 
 // nextHot says what is to be told of hot keys, and whether that is new: other keys, or a load off by over an eighth and by
 // more than chance. Mean is a cache's mean load, in requests of the planner's memory.
-func nextHot(old, hot []policy.Heat, mean float64) ([]policy.Heat, bool) {
+func nextHotKeys(old, hot []policy.Heat, mean float64) ([]policy.Heat, bool) {
 	before := map[uint32]float64{}
 	for _, h := range old {
 		before[h.Key] = h.Load
@@ -208,12 +208,12 @@
 	moved := false
 	for _, h := range hot {
 		was, known := before[h.Key]
-		if !known && h.Load < hotLeast {
+		if !known && h.Load < hotMinLoad {
 			continue
 		}
-		h.Load = coarse(h.Load)
+		h.Load = roundToWire(h.Load)
 		off := math.Abs(h.Load - was)
-		moved = moved || !known || off > hotOff*was && off > chances*math.Sqrt(was/max(1, mean))
+		moved = moved || !known || off > hotTolerance*was && off > noiseDeviations*math.Sqrt(was/max(1, mean))
 		next = append(next, h)
 	}
 	next = next[:min(len(next), MaxHotKeys)]
@@ -222,7 +222,7 @@
 
 // nextUse says what is to be told of tenants, and whether that is new: others, or a rate off by over a tenth and by more
 // than chance. Memory is the planner's, in seconds.
-func nextUse(old, use []policy.Use, memory float64) ([]policy.Use, bool) {
+func nextTenants(old, use []policy.Use, memory float64) ([]policy.Use, bool) {
 	before := map[string]float64{}
 	for _, u := range old {
 		before[u.Name] = u.Asked
@@ -231,28 +231,28 @@
 	moved := len(use) != len(old)
 	for _, u := range use {
 		was, known := before[u.Name]
-		u.Asked = coarse(u.Asked)
+		u.Asked = roundToWire(u.Asked)
 		off := math.Abs(u.Asked - was)
-		moved = moved || !known || off > useOff*was && off > chances*math.Sqrt(max(was, u.Asked)/memory)
+		moved = moved || !known || off > tenantTolerance*was && off > noiseDeviations*math.Sqrt(max(was, u.Asked)/memory)
 		next = append(next, u)
 	}
 	return next, moved
 }
 
 // coarse rounds to eight bits, which are short on the wire.
-func coarse(x float64) float64 {
+func roundToWire(x float64) float64 {
 	part, exp := math.Frexp(x)
 	return math.Ldexp(math.Round(part*256)/256, exp)
 }
 
 // floor is coarse, never above x.
-func floor(x float64) float64 {
+func floorToWire(x float64) float64 {
 	part, exp := math.Frexp(x)
 	return math.Ldexp(math.Floor(part*256)/256, exp)
 }
 
 // Revision is that of the state that is told now; 0 before the first Make.
-func (p *Planner) Revision() uint64 { return p.told.revision }
+func (p *Planner) Revision() uint64 { return p.published.revision }
 
 // Cold reports whether grants are to be told: a server is cold and has a budget.
 func (p *Planner) HasColdServers() bool { return len(p.cold) > 0 }
@@ -261,23 +261,23 @@
 // nothing can be counted from base, and all is told. It is the same for all that hold the same, but for the grants, which
 // are not in it. It takes O(servers whose factor ever changed). Only after a Make.
 func (p *Planner) Change(clock time.Duration, base Hold) (c Change, whole bool) {
-	t := &p.told
-	p.stamp = max(p.stamp+1, clock)
-	c = Change{Epoch: p.epoch, Planner: p.cfg.ID, Made: p.stamp, Valid: p.cfg.Valid, History: p.cfg.History, Base: base.Revision, Revision: t.revision,
-		Count: len(p.serving), Admit: t.admit, Sum: t.sum}
-	if whole = base.History != p.cfg.History || base.Revision == 0 || base.Revision < t.oldest || base.Revision > t.revision; whole {
+	t := &p.published
+	p.lastStamp = max(p.lastStamp+1, clock)
+	c = Change{Epoch: p.epoch, Planner: p.cfg.ID, Made: p.lastStamp, Valid: p.cfg.Valid, History: p.cfg.History, Base: base.Revision, Revision: t.revision,
+		Count: len(p.serving), Admit: t.admit, Sum: t.checksum}
+	if whole = base.History != p.cfg.History || base.Revision == 0 || base.Revision < t.oldestBase || base.Revision > t.revision; whole {
 		c.Base = 0
 	}
 	for id, f := range t.factors {
-		if f.at > c.Base && !(whole && f.factor == 1) {
+		if f.changedAt > c.Base && !(whole && f.factor == 1) {
 			c.Servers = append(c.Servers, policy.Share{ID: id, Factor: f.factor})
 		}
 	}
 	slices.SortFunc(c.Servers, func(x, y policy.Share) int { return cmp.Compare(x.ID, y.ID) })
-	if c.HotSet = whole || t.hotAt > c.Base; c.HotSet {
+	if c.HotSet = whole || t.hotRevision > c.Base; c.HotSet {
 		c.Hot = slices.Clone(t.hot)
 	}
-	if c.TenantsSet = whole || t.useAt > c.Base; c.TenantsSet {
+	if c.TenantsSet = whole || t.tenantsRevision > c.Base; c.TenantsSet {
 		c.Tenants = slices.Clone(t.tenants)
 	}
 	return c, whole
--- a/decide/plan/gather.go
+++ b/decide/plan/gather.go
@@ -9,42 +9,42 @@
 	"lapisshelf/policy"
 )
 
-const mostKeys = 4 * MaxHotKeys // that are counted at once
+const maxCountedKeys = 4 * MaxHotKeys // that are counted at once
 
 // Gather counts what a forwarder sees, for its digests. Its size is bounded whatever the traffic.
 type Collector struct {
-	name     string
-	start    int64
-	seq      uint64
-	since    time.Duration // the last digest
-	asked    int
-	answered int
-	servers  map[string]*Load
-	origin   Load
-	hot      map[uint32]int
-	tenants  map[string]int
-	past     map[string]*past // by server
-	pastAt   time.Duration    // when past was brought up to date
-	before   float64          // answers of all servers that were remembered before the last span
+	name          string
+	start         int64
+	seq           uint64
+	spanStart     time.Duration // the last digest
+	requests      int
+	readsAnswered int
+	servers       map[string]*Load
+	origin        Load
+	hot           map[uint32]int
+	tenants       map[string]int
+	history       map[string]*history // by server
+	historyAt     time.Duration       // when past was brought up to date
+	before        float64             // answers of all servers that were remembered before the last span
 }
 
 // NewGather begins to count for a forwarder that starts now.
 func NewCollector(now time.Duration, name string) *Collector {
-	g := &Collector{name: name, start: int64(now), since: now, past: map[string]*past{}, pastAt: now}
-	g.forget()
+	g := &Collector{name: name, start: int64(now), spanStart: now, history: map[string]*history{}, historyAt: now}
+	g.reset()
 	return g
 }
 
-func (g *Collector) forget() {
-	g.asked, g.answered, g.origin = 0, 0, Load{}
+func (g *Collector) reset() {
+	g.requests, g.readsAnswered, g.origin = 0, 0, Load{}
 	g.servers, g.hot, g.tenants = map[string]*Load{}, map[uint32]int{}, map[string]int{}
 }
 
 // Request counts a request that was taken.
 func (g *Collector) Request(key, tenant string) {
-	g.asked++
+	g.requests++
 	if k := policy.Digest(key); key != "" {
-		if _, known := g.hot[k]; !known && len(g.hot) >= mostKeys {
+		if _, known := g.hot[k]; !known && len(g.hot) >= maxCountedKeys {
 			for other, n := range g.hot { // those asked for once make room, the rest count one less: the frequent stay
 				if g.hot[other] = n - 1; n <= 1 {
 					delete(g.hot, other)
@@ -76,7 +76,7 @@
 	switch {
 	case own || o == policy.Cancelled || o == policy.Moot:
 	case o == policy.OK || o == policy.Miss:
-		at := timeOf(took)
+		at := latencyBucket(took)
 		for len(l.Times) <= at {
 			l.Times = append(l.Times, 0)
 		}
@@ -87,7 +87,7 @@
 			l.Late++
 		}
 		if o == policy.OK {
-			g.answered++
+			g.readsAnswered++
 		}
 	case o == policy.TimedOut:
 		l.Late++
@@ -101,7 +101,7 @@
 // Digest is what was counted since the last one, and begins anew.
 func (g *Collector) Digest(now time.Duration) *Digest {
 	g.seq++
-	d := &Digest{From: g.name, Start: g.start, Seq: g.seq, Span: max(time.Millisecond, min(now-g.since, time.Minute)), Asked: g.asked, Answered: g.answered, Origin: g.origin}
+	d := &Digest{From: g.name, Start: g.start, Seq: g.seq, Span: max(time.Millisecond, min(now-g.spanStart, time.Minute)), Asked: g.requests, Answered: g.readsAnswered, Origin: g.origin}
 	for _, l := range g.servers {
 		d.Servers = append(d.Servers, *l)
 	}
@@ -115,8 +115,8 @@
 		d.Tenants = append(d.Tenants, Use{Tenant: t, Asked: n})
 	}
 	slices.SortFunc(d.Tenants, func(x, y Use) int { return strings.Compare(x.Tenant, y.Tenant) })
-	g.since = now
-	g.remember(now)
-	g.forget()
+	g.spanStart = now
+	g.updateHistory(now)
+	g.reset()
 	return d
 }
--- a/decide/plan/hello.go
+++ b/decide/plan/hello.go
@@ -11,4 +11,4 @@
 
 // MostTravel is for how long a grant may be on its way. A planner counts a grant as running for so long beyond its validity,
 // which counts from when it comes; a forwarder takes none that may have been longer.
-const MaxGrantTransit = travels
+const MaxGrantTransit = maxTransit
--- a/decide/plan/plan.go
+++ b/decide/plan/plan.go
@@ -12,25 +12,25 @@
 )
 
 const ( // each for a reason that holds anywhere
-	worse      = 0.2  // beyond the fleet's middle by that part, a server's answers are no chance
-	well       = 0.05 // within it by that part, it has recovered
-	fewest     = 10.0 // answers below which nothing is said of a server
-	cutASec    = 0.5  // what is left of a factor after a second of being worse
-	backASec   = 1.25 // what it grows by in a second of being well
-	coldSafety = 0.5  // as the module's: part of the fall budget that is used
-	strained   = 1.0 / 3
-	admitCut   = 0.8 // of the part of the reads that may go to a strained origin
-	admitBack  = 0.2 // more of them in a second of its being well
-	hotLeast   = 0.5 // caches' mean loads that make a key worth naming
-	mostTimes  = 2.0 // what one forwarder counts for, against the middle one
-	slack      = 1.5 // by which it may be over that while what is in the middle falls
-	leastSkew  = 0.5 // of the requests that a server gets, against what it should; a liar moves it no further
-	mostSkew   = 4.0
-	unknown    = 5.0         // answers that count as if it got what it should, beside what is known
-	longer     = 4           // times the memory in which that fades: what a server gets changes slowly
-	leastPart  = 0.5         // of all servers' parts, over which a digest's rest is spread at least
-	keysHeld   = 1 << 14     // that are counted at once
-	travels    = time.Second // for which a view is on its way at most; it counts from when it comes, and so do grants
+	badMargin             = 0.2  // beyond the fleet's middle by that part, a server's answers are no chance
+	recoveredMargin       = 0.05 // within it by that part, it has recovered
+	minAnswers            = 10.0 // answers below which nothing is said of a server
+	factorCutPerSecond    = 0.5  // what is left of a factor after a second of being worse
+	factorGrowthPerSecond = 1.25 // what it grows by in a second of being well
+	coldBudgetPart        = 0.5  // as the module's: part of the fall budget that is used
+	originStrainedShare   = 1.0 / 3
+	admitCut              = 0.8 // of the part of the reads that may go to a strained origin
+	admitGrowthPerSecond  = 0.2 // more of them in a second of its being well
+	hotMinLoad            = 0.5 // caches' mean loads that make a key worth naming
+	maxOfMedian           = 2.0 // what one forwarder counts for, against the middle one
+	boundSlack            = 1.5 // by which it may be over that while what is in the middle falls
+	minSkew               = 0.5 // of the requests that a server gets, against what it should; a liar moves it no further
+	maxSkew               = 4.0
+	skewPrior             = 5.0         // answers that count as if it got what it should, beside what is known
+	skewDecayFactor       = 4           // times the memory in which that fades: what a server gets changes slowly
+	minSpreadPart         = 0.5         // of all servers' parts, over which a digest's rest is spread at least
+	maxTrackedKeys        = 1 << 14     // that are counted at once
+	maxTransit            = time.Second // for which a view is on its way at most; it counts from when it comes, and so do grants
 )
 
 // Planner makes views. It is not safe for concurrent use.
@@ -44,13 +44,13 @@
 	cfg.DecayTime, cfg.Move = cmp.Or(cfg.DecayTime, 3*time.Second), cmp.Or(cfg.Move, 0.05)
 	cfg.Forwarders = cmp.Or(cfg.Forwarders, 4096)
 	cfg.History = cmp.Or(cfg.History, 1)
-	return &Planner{state{cfg: cfg, admit: 1, servers: map[string]*server{}, forwarders: map[string]*forwarder{}, granted: map[string]*shared{},
-		keys: map[uint32]float64{}, users: map[string]float64{}, told: told{factors: map[string]toldFactor{}}}}
+	return &Planner{state{cfg: cfg, admit: 1, servers: map[string]*server{}, forwarders: map[string]*forwarder{}, grantsByServer: map[string]*serverGrants{},
+		keyRequests: map[uint32]float64{}, tenantRequests: map[string]float64{}, published: published{factors: map[string]publishedFactor{}}}}
 }
 
 // Roster takes the whole server list. What was learned of a server goes with it.
 func (p *Planner) SetServers(now time.Duration, list []policy.Server) {
-	p.settle(now) // by the list that it was told under
+	p.refresh(now) // by the list that it was told under
 	named := map[string]bool{}
 	for _, e := range list {
 		if p.cfg.OriginKind != "" && e.Kind == p.cfg.OriginKind {
@@ -58,17 +58,17 @@
 		}
 		s := p.servers[e.ID]
 		if s == nil {
-			s = &server{factor: 1, begun: p.starts.Begun(now, e.ID, e.Started)}
+			s = &server{factor: 1, startedAt: p.starts.Begun(now, e.ID, e.Started)}
 			p.servers[e.ID] = s
 		} else if e.Started != s.Started { // what was learned of the process before is void, whatever its clock says
-			s.factor, s.pooled, s.known, s.due, s.begun = 1, tallied{}, 0, 0, p.starts.Begun(now, e.ID, e.Started)
+			s.factor, s.answerTally, s.knownAnswers, s.dueAnswers, s.startedAt = 1, tally{}, 0, 0, p.starts.Begun(now, e.ID, e.Started)
 		}
 		s.Server, named[e.ID] = e, true
 	}
 	p.starts.Watched()
 	maps.DeleteFunc(p.servers, func(id string, s *server) bool {
 		if !named[id] {
-			p.starts.Left(id, s.Started, s.begun)
+			p.starts.Left(id, s.Started, s.startedAt)
 		}
 		return !named[id]
 	})
@@ -115,16 +115,16 @@
 	case f == nil:
 		f = &forwarder{start: d.Start}
 		p.forwarders[d.From], p.order = f, nil
-	case f.before != 0 && d.Start == f.before, d.Start == f.start && d.Seq <= f.seq:
+	case f.previousStart != 0 && d.Start == f.previousStart, d.Start == f.start && d.Seq <= f.seq:
 		return fmt.Errorf("older than what it said before")
 	}
 	if d.Start != f.start { // a restart, also where the wall clock was set back before it
-		f.before = f.start
+		f.previousStart = f.start
 	}
 	// A restart changes nothing else: what it said before fades, and its grants run on, for they may have been used.
-	f.start, f.seq, f.heard = d.Start, d.Seq, now
-	if p.pending = append(p.pending, heardOf{f, d}); len(p.pending) >= 64+2*len(p.forwarders) {
-		p.settle(now)
+	f.start, f.seq, f.heardAt = d.Start, d.Seq, now
+	if p.pending = append(p.pending, pendingDigest{f, d}); len(p.pending) >= 64+2*len(p.forwarders) {
+		p.refresh(now)
 	}
 	return nil
 }
@@ -132,91 +132,91 @@
 // Make looks at all that was told and settles weights, budgets and what is told. It is to be called a few times a second. It
 // takes O(forwarders + servers + grants that run), and for each digest since the last call O(servers that it names).
 func (p *Planner) Update(now time.Duration) {
-	since := min(now-p.made, time.Second)
-	p.made = now
+	since := min(now-p.updatedAt, time.Second)
+	p.updatedAt = now
 	before := len(p.forwarders)
-	maps.DeleteFunc(p.forwarders, func(_ string, f *forwarder) bool { return now-f.heard > p.cfg.Silent })
+	maps.DeleteFunc(p.forwarders, func(_ string, f *forwarder) bool { return now-f.heardAt > p.cfg.Silent })
 	if len(p.forwarders) != before {
 		p.order = nil
 	}
-	p.settle(now)
-	p.pool(since)
+	p.refresh(now)
+	p.sumForwarders(since)
 	if since > 0 {
-		p.weigh(since.Seconds())
-		p.limit(now, since.Seconds())
+		p.updateFactors(since.Seconds())
+		p.updateBudgets(now, since.Seconds())
 	}
-	maps.DeleteFunc(p.granted, func(_ string, s *shared) bool {
-		s.renew(now - travels)
-		return len(s.by) == 0
+	maps.DeleteFunc(p.grantsByServer, func(_ string, s *serverGrants) bool {
+		s.expire(now - maxTransit)
+		return len(s.byForwarder) == 0
 	})
-	mean := p.asked / max(1, float64(len(p.serving)))
-	hot, use := p.heat(mean)
-	p.told.settle(p.serving, p.admit, hot, use, mean, p.cfg.DecayTime.Seconds())
+	mean := p.requests / max(1, float64(len(p.serving)))
+	hot, use := p.hotKeysAndTenants(mean)
+	p.published.refresh(p.serving, p.admit, hot, use, mean, p.cfg.DecayTime.Seconds())
 }
 
 // settle brings all sums up to date: they fade, and the digests since the last time are counted, none of a forwarder for more
 // than twice the middle one.
 // Guards against a forwarder whose absurd digests would decide for all.
-func (p *Planner) settle(now time.Duration) {
-	left := 1.0
-	if now > p.settled {
-		left = math.Exp(-float64(now-p.settled) / float64(p.cfg.DecayTime))
-		p.settled = now
+func (p *Planner) refresh(now time.Duration) {
+	decay := 1.0
+	if now > p.decayedAt {
+		decay = math.Exp(-float64(now-p.decayedAt) / float64(p.cfg.DecayTime))
+		p.decayedAt = now
 	}
 	for _, f := range p.forwarders {
-		f.fade(left)
+		f.fade(decay)
 	}
-	for k := range p.keys {
-		p.keys[k] *= left
+	for k := range p.keyRequests {
+		p.keyRequests[k] *= decay
 	}
-	for t := range p.users {
-		p.users[t] *= left
+	for t := range p.tenantRequests {
+		p.tenantRequests[t] *= decay
 	}
-	p.parts, p.bases = 0, 0
-	leftLong := math.Pow(left, 1.0/longer)
+	p.partSum, p.baseSum = 0, 0
+	skewDecay := math.Pow(decay, 1.0/skewDecayFactor)
 	for _, s := range p.servers {
 		s.base, s.part = 0, 0
-		s.pooled.fade(left)
-		s.known, s.due = s.known*leftLong, s.due*leftLong
+		s.answerTally.fade(decay)
+		s.knownAnswers, s.dueAnswers = s.knownAnswers*skewDecay, s.dueAnswers*skewDecay
 	}
 	for _, s := range p.serving {
 		s.base = s.weight() * s.factor * p.warmth(now, s)
 		s.part = s.base * s.skew()
-		p.bases += s.base
-		p.parts += s.part
+		p.baseSum += s.base
+		p.partSum += s.part
 	}
 	if len(p.pending) == 0 {
 		return
 	}
 	for i := range p.pending {
-		p.pending[i].by.hear(&p.pending[i].d)
+		p.pending[i].from.addReported(&p.pending[i].digest)
 	}
-	var said, asked []float64
+	var reported, requests []float64
 	for _, f := range p.forwarders {
-		said, asked = append(said, f.said), append(asked, f.asked)
+		reported, requests = append(reported, f.reported), append(requests, f.requests)
 	}
-	p.middle, p.middleAsk = bound(said), bound(asked)
-	for _, f := range p.ordered() {
-		p.takeBack(now, f)
+	p.answerBound, p.requestBound = medianBound(reported), medianBound(requests)
+	for _, f := range p.byName() {
+		p.clampForwarder(now, f)
 	}
 	for i := range p.pending {
-		p.count(now, p.pending[i].by, &p.pending[i].d)
+		p.countDigest(now, p.pending[i].from, &p.pending[i].digest)
 	}
 	clear(p.pending)
 	p.pending = p.pending[:0]
 	for _, s := range p.servers { // each gets its part of the rest of those that did not name it
-		s.pooled.plus(&p.rest, s.part)
-		s.pooled.plus(&s.skip, -s.part)
-		s.skip = tallied{}
+		s.answerTally.addScaled(&p.rest, s.part)
+		s.answerTally.addScaled(&s.restExcluded, -s.part)
+		s.restExcluded = tally{}
 	}
-	p.rest = tallied{}
+	p.rest = tally{}
 }
 
 // hear adds up what a forwarder says, as it says it.
-func (f *forwarder) hear(d *Digest) {
-	f.asked += float64(d.Asked)
-	f.answered += float64(d.Answered)
-	f.said += float64(d.answers())
+func (f *forwarder) addReported(d *Digest) {
+	f.requests += float64(d.Asked)
+	f.readsAnswered += float64(d.Answered)
+	f.reported += float64(d.answers())
 	// Guards against reads turned away while the origin is merely slow: a read that is not fetched is missed again
 	// (fleet model, 400 nodes, an origin six times slower: service 0.943 with late answers counted, 0.955 without views).
 	f.origin.add(&Load{Timely: d.Origin.Timely + d.Origin.Late, Full: d.Origin.Full, Failed: d.Origin.Failed}, 1)
@@ -235,36 +235,36 @@
 }
 
 // fits is the part of n that still fits under most.
-func fits(n, most float64) float64 {
-	if n <= most {
+func partWithin(n, limit float64) float64 {
+	if n <= limit {
 		return 1
 	}
-	return max(0, most) / n
+	return max(0, limit) / n
 }
 
 // count adds a digest to the sums. It takes O(servers that the forwarder named of late).
-func (p *Planner) count(now time.Duration, f *forwarder, d *Digest) {
-	p.serial++
+func (p *Planner) countDigest(now time.Duration, f *forwarder, d *Digest) {
+	p.digestCount++
 	f.sweep(now, p.cfg.DecayTime)
 	if f.named == nil {
-		f.named = map[string]*taken{}
+		f.named = map[string]*accepted{}
 	}
 	all := float64(d.answers())
-	part := fits(all, p.middle-f.taken)
-	f.taken += all * part
+	part := partWithin(all, p.answerBound-f.accepted)
+	f.accepted += all * part
 
 	// The rest is spread over the servers of which not all is told, by their parts; its bad answers over those of which
 	// nothing is.
-	open := p.parts
+	open := p.partSum
 	for i := range d.Servers {
 		if s := p.servers[d.Servers[i].ID]; s != nil {
-			s.named = p.serial
+			s.named = p.digestCount
 			open -= s.part
 		}
 	}
-	var rest tallied
-	if d.Brief && p.parts > 0 {
-		open = max(open, leastPart*p.parts)
+	var rest tally
+	if d.Brief && p.partSum > 0 {
+		open = max(open, minSpreadPart*p.partSum)
 		quiet := open
 		sum := d.Rest
 		for i := range d.Bad { // told by name; that they were answers stays in sum
@@ -273,63 +273,63 @@
 				quiet -= s.part
 			}
 		}
-		bad := float64(d.Rest.bad()) * part / max(quiet, leastPart*p.parts)
-		cut := fits(bad, p.middle/p.parts-f.restBad)
+		bad := float64(d.Rest.bad()) * part / max(quiet, minSpreadPart*p.partSum)
+		cut := partWithin(bad, p.answerBound/p.partSum-f.restBad)
 		rest.add(&sum, part*cut/open)
 		rest.bad = bad * cut
 		f.rest += rest.total
 		f.restBad += rest.bad
-		past := float64(d.Past) / tenths
-		keep := fits(past, p.middle)
+		past := float64(d.Past) / pastScale
+		keep := partWithin(past, p.answerBound)
 		for i := range d.Bad {
 			if s := p.servers[d.Bad[i].ID]; s != nil {
-				s.named = p.serial
-				s.skip.bad += rest.bad
-				due := keep * past * s.base / p.bases
-				s.due += due
-				s.known += min(keep*float64(d.Bad[i].Sends)/tenths, 2*mostSkew*due) // what lies beyond is a lie
+				s.named = p.digestCount
+				s.restExcluded.bad += rest.bad
+				dueAnswers := keep * past * s.base / p.baseSum
+				s.dueAnswers += dueAnswers
+				s.knownAnswers += min(keep*float64(d.Bad[i].Sends)/pastScale, 2*maxSkew*dueAnswers) // what lies beyond is a lie
 			}
 		}
 		if rest.bad > 0 {
-			p.narrow(now, f, rest.bad)
+			p.limitRest(now, f, rest.bad)
 		}
-		p.rest.plus(&rest, 1)
+		p.rest.addScaled(&rest, 1)
 	}
 	for i := range d.Servers {
 		if s := p.servers[d.Servers[i].ID]; s != nil { // the list alone says who there is
-			s.skip.plus(&rest, 1)
+			s.restExcluded.addScaled(&rest, 1)
 			l := &d.Servers[i]
-			s.pooled.add(l, p.name(now, f, s, float64(l.answers())*part, float64(l.bad())*part)*part)
+			s.answerTally.add(l, p.acceptNamed(now, f, s, float64(l.answers())*part, float64(l.bad())*part)*part)
 		}
 	}
 	for i := range d.Bad {
 		if s := p.servers[d.Bad[i].ID]; s != nil {
 			n := float64(d.Bad[i].bad()) * part
-			s.pooled.bad += n * p.name(now, f, s, n, n)
+			s.answerTally.bad += n * p.acceptNamed(now, f, s, n, n)
 		}
 	}
-	p.ask(f, d)
+	p.countRequests(f, d)
 }
 
 // share is what one forwarder's answers of a server count for at most.
-func (p *Planner) share(s *server) float64 {
-	if p.parts == 0 {
-		return mostTimes
+func (p *Planner) forwarderBound(s *server) float64 {
+	if p.partSum == 0 {
+		return maxOfMedian
 	}
-	return max(mostTimes, p.middle*s.part/p.parts)
+	return max(maxOfMedian, p.answerBound*s.part/p.partSum)
 }
 
 // name gives the part that counts of n answers of a server told by name, so many of them bad.
-func (p *Planner) name(now time.Duration, f *forwarder, s *server, n, bad float64) float64 {
+func (p *Planner) acceptNamed(now time.Duration, f *forwarder, s *server, n, bad float64) float64 {
 	if n == 0 {
 		return 0
 	}
 	h := f.named[s.ID]
 	if h == nil {
-		h = &taken{when: now}
+		h = &accepted{when: now}
 		f.named[s.ID] = h
 	}
-	part := fits(n, p.share(s)-h.at(now, p.cfg.DecayTime).total-s.part*f.restBad)
+	part := partWithin(n, p.forwarderBound(s)-h.at(now, p.cfg.DecayTime).total-s.part*f.restBad)
 	h.total += n * part
 	h.bad += bad * part
 	return part
@@ -337,117 +337,117 @@
 
 // takeBack takes back what a forwarder has counted for beyond twice the middle one.
 // Guards against a forwarder that is heard before the others, when what is in the middle is what it says itself.
-func (p *Planner) takeBack(now time.Duration, f *forwarder) {
-	if over := 1 - p.middle/f.taken; f.taken > slack*p.middle {
+func (p *Planner) clampForwarder(now time.Duration, f *forwarder) {
+	if over := 1 - p.answerBound/f.accepted; f.accepted > boundSlack*p.answerBound {
 		for _, s := range p.servers {
-			x := tallied{total: s.part * f.rest * over, bad: s.part * f.restBad * over}
+			x := tally{total: s.part * f.rest * over, bad: s.part * f.restBad * over}
 			if h := f.named[s.ID]; h != nil {
 				h.at(now, p.cfg.DecayTime)
 				x.total, x.bad = x.total+h.total*over, x.bad+h.bad*over
 				h.total, h.bad = h.total*(1-over), h.bad*(1-over)
 			}
-			s.pooled.total, s.pooled.bad = max(0, s.pooled.total-x.total), max(0, s.pooled.bad-x.bad)
+			s.answerTally.total, s.answerTally.bad = max(0, s.answerTally.total-x.total), max(0, s.answerTally.bad-x.bad)
 		}
-		f.taken, f.rest, f.restBad = p.middle, f.rest*(1-over), f.restBad*(1-over)
+		f.accepted, f.rest, f.restBad = p.answerBound, f.rest*(1-over), f.restBad*(1-over)
 	}
-	if f.askedTaken > slack*p.middleAsk { // whose keys they were is not known
-		f.askedTaken = p.middleAsk
-		clear(p.keys)
-		clear(p.users)
+	if f.acceptedRequests > boundSlack*p.requestBound { // whose keys they were is not known
+		f.acceptedRequests = p.requestBound
+		clear(p.keyRequests)
+		clear(p.tenantRequests)
 	}
 }
 
 // narrow takes from servers what of a rest's bad answers would bring a forwarder over its share of them: it has named them.
-func (p *Planner) narrow(now time.Duration, f *forwarder, bad float64) {
+func (p *Planner) limitRest(now time.Duration, f *forwarder, bad float64) {
 	for id, h := range f.named {
-		if s := p.servers[id]; s != nil && s.part > 0 && s.named != p.serial {
-			if over := h.at(now, p.cfg.DecayTime).total + s.part*f.restBad - p.share(s); over > 0 {
-				s.skip.bad += min(bad, over/s.part)
+		if s := p.servers[id]; s != nil && s.part > 0 && s.named != p.digestCount {
+			if over := h.at(now, p.cfg.DecayTime).total + s.part*f.restBad - p.forwarderBound(s); over > 0 {
+				s.restExcluded.bad += min(bad, over/s.part)
 			}
 		}
 	}
 }
 
 // ask adds up keys and tenants: together no more than the requests that count.
-func (p *Planner) ask(f *forwarder, d *Digest) {
-	part := fits(float64(d.Asked), p.middleAsk-f.askedTaken)
-	f.askedTaken += float64(d.Asked) * part
-	most := float64(d.Asked) * part
+func (p *Planner) countRequests(f *forwarder, d *Digest) {
+	part := partWithin(float64(d.Asked), p.requestBound-f.acceptedRequests)
+	f.acceptedRequests += float64(d.Asked) * part
+	limit := float64(d.Asked) * part
 	n := 0.0
 	for _, h := range d.Hot {
 		n += float64(h.Asked)
 	}
-	part = fits(n, most)
+	part = partWithin(n, limit)
 	for _, h := range d.Hot {
-		if _, known := p.keys[h.Key]; known || len(p.keys) < keysHeld {
-			p.keys[h.Key] += float64(h.Asked) * part
+		if _, known := p.keyRequests[h.Key]; known || len(p.keyRequests) < maxTrackedKeys {
+			p.keyRequests[h.Key] += float64(h.Asked) * part
 		}
 	}
 	n = 0
 	for _, u := range d.Tenants {
 		n += float64(u.Asked)
 	}
-	part = fits(n, most)
+	part = partWithin(n, limit)
 	for _, u := range d.Tenants {
-		if _, known := p.users[u.Tenant]; known || len(p.users) < 4*MaxTenants {
-			p.users[u.Tenant] += float64(u.Asked) * part
+		if _, known := p.tenantRequests[u.Tenant]; known || len(p.tenantRequests) < 4*MaxTenants {
+			p.tenantRequests[u.Tenant] += float64(u.Asked) * part
 		}
 	}
 }
 
 // pool adds up what all forwarders told of their requests and of the origin.
-func (p *Planner) pool(since time.Duration) {
-	p.answered, p.asked, p.demand, p.fetches = 0, 0, 0, tallied{}
-	var answered, origin []float64
+func (p *Planner) sumForwarders(since time.Duration) {
+	p.readsAnswered, p.requests, p.demand, p.originAnswers = 0, 0, 0, tally{}
+	var readsAnswered, origin []float64
 	for _, f := range p.forwarders {
-		answered, origin = append(answered, f.answered), append(origin, f.origin.total)
+		readsAnswered, origin = append(readsAnswered, f.readsAnswered), append(origin, f.origin.total)
 	}
-	mostAnswered, mostOrigin := bound(answered), bound(origin)
-	for _, f := range p.ordered() {
-		p.answered += min(f.answered, mostAnswered)
-		p.asked += min(f.asked, p.middleAsk)
-		p.demand += 1 + f.asked
-		p.fetches.plus(&f.origin, fits(f.origin.total, mostOrigin))
+	mostAnswered, mostOrigin := medianBound(readsAnswered), medianBound(origin)
+	for _, f := range p.byName() {
+		p.readsAnswered += min(f.readsAnswered, mostAnswered)
+		p.requests += min(f.requests, p.requestBound)
+		p.demand += 1 + f.requests
+		p.originAnswers.addScaled(&f.origin, partWithin(f.origin.total, mostOrigin))
 	}
 	// Digests come a second apart: between them the sums fall, by more than what is told anew for tenants.
-	if now := p.asked / p.cfg.DecayTime.Seconds(); p.rate == 0 {
-		p.rate = now
+	if now := p.requests / p.cfg.DecayTime.Seconds(); p.requestRate == 0 {
+		p.requestRate = now
 	} else {
-		p.rate += (now - p.rate) * (1 - math.Exp(-float64(since)/float64(p.cfg.DecayTime)))
+		p.requestRate += (now - p.requestRate) * (1 - math.Exp(-float64(since)/float64(p.cfg.DecayTime)))
 	}
 }
 
 // bound is what one forwarder counts for at most.
-func bound(list []float64) float64 {
-	return mostTimes * middle(slices.DeleteFunc(list, func(x float64) bool { return x <= 0 }))
+func medianBound(list []float64) float64 {
+	return maxOfMedian * median(slices.DeleteFunc(list, func(x float64) bool { return x <= 0 }))
 }
 
 // weigh settles the factors, by so many seconds since the last time.
-func (p *Planner) weigh(seconds float64) {
+func (p *Planner) updateFactors(seconds float64) {
 	ready := p.serving
 	var shares []float64
 	for _, s := range ready {
-		if s.pooled.total >= fewest {
-			shares = append(shares, s.pooled.badShare())
+		if s.answerTally.total >= minAnswers {
+			shares = append(shares, s.answerTally.badShare())
 		}
 	}
-	usual := middle(shares)
+	usual := median(shares)
 	next, before, after := make([]float64, len(ready)), 0.0, 0.0
 	for i, s := range ready {
 		next[i] = s.factor
-		bad := s.pooled.badShare()
+		bad := s.answerTally.badShare()
 		switch {
-		case s.pooled.total >= fewest && bad > usual+worse:
-			next[i], s.word = max(MinFactor, s.factor*math.Pow(cutASec, seconds)), "answers worse than the fleet"
-		case s.pooled.total < fewest && s.factor == 1:
-			s.word = "too few answers to tell"
-		case s.pooled.total < fewest || bad <= usual+well:
-			next[i], s.word = min(1, s.factor*math.Pow(backASec, seconds)), "as well as the fleet"
+		case s.answerTally.total >= minAnswers && bad > usual+badMargin:
+			next[i], s.reason = max(MinFactor, s.factor*math.Pow(factorCutPerSecond, seconds)), "answers worse than the fleet"
+		case s.answerTally.total < minAnswers && s.factor == 1:
+			s.reason = "too few answers to tell"
+		case s.answerTally.total < minAnswers || bad <= usual+recoveredMargin:
+			next[i], s.reason = min(1, s.factor*math.Pow(factorGrowthPerSecond, seconds)), "as well as the fleet"
 			if next[i] < 1 {
-				s.word = "recovers"
+				s.reason = "recovers"
 			}
 		default:
-			s.word = "stays as it is"
+			s.reason = "stays as it is"
 		}
 		before += s.weight() * s.factor
 		after += s.weight() * next[i]
@@ -468,7 +468,7 @@
 }
 
 // limit settles what the fleet may send a second to cold servers, and what part of the reads may go to the origin.
-func (p *Planner) limit(now time.Duration, seconds float64) {
+func (p *Planner) updateBudgets(now time.Duration, seconds float64) {
 	perSecond := 1 / p.cfg.DecayTime.Seconds() // a fading count over its span is what comes in the span
 	sum := 0.0
 	for _, s := range p.serving {
@@ -480,40 +480,40 @@
 	}
 	for _, s := range p.serving {
 		if p.cfg.FallMultiple > 0 && sum > 0 && p.warmth(now, s) < 1 {
-			s.allow = coldSafety * p.cfg.FallMultiple * p.answered * perSecond * s.weight() * s.factor * p.warmth(now, s) / sum
+			s.allow = coldBudgetPart * p.cfg.FallMultiple * p.readsAnswered * perSecond * s.weight() * s.factor * p.warmth(now, s) / sum
 		}
 		if s.allow > 0 {
 			p.cold = append(p.cold, s)
 		}
 	}
-	switch bad := p.fetches.badShare(); {
-	case p.fetches.total >= fewest && bad > strained && now >= p.admitNext:
-		p.admit, p.admitNext = max(MinAdmit, p.admit*admitCut), now+p.cfg.DecayTime
-	case bad <= strained/2:
-		p.admit = min(1, p.admit+admitBack*seconds)
+	switch bad := p.originAnswers.badShare(); {
+	case p.originAnswers.total >= minAnswers && bad > originStrainedShare && now >= p.nextAdmitCut:
+		p.admit, p.nextAdmitCut = max(MinAdmit, p.admit*admitCut), now+p.cfg.DecayTime
+	case bad <= originStrainedShare/2:
+		p.admit = min(1, p.admit+admitGrowthPerSecond*seconds)
 	}
 }
 
 // heat finds the keys that bring at least half a cache's mean load, or nearly so, and what tenants use, each most first.
-func (p *Planner) heat(mean float64) (hot []policy.Heat, use []policy.Use) {
-	mean = max(mean, fewest)
+func (p *Planner) hotKeysAndTenants(mean float64) (hot []policy.Heat, use []policy.Use) {
+	mean = max(mean, minAnswers)
 	least := 0.1
-	if len(p.keys) > keysHeld/2 { // those that are far from hot make room
-		least = max(least, hotLeast*mean/16)
+	if len(p.keyRequests) > maxTrackedKeys/2 { // those that are far from hot make room
+		least = max(least, hotMinLoad*mean/16)
 	}
-	for k, n := range p.keys {
+	for k, n := range p.keyRequests {
 		if n < least {
-			delete(p.keys, k)
-		} else if load := n / mean; load >= hotStays*hotLeast {
+			delete(p.keyRequests, k)
+		} else if load := n / mean; load >= hotKeepRatio*hotMinLoad {
 			hot = append(hot, policy.Heat{Key: k, Load: load})
 		}
 	}
 	slices.SortFunc(hot, func(x, y policy.Heat) int { return cmp.Or(cmp.Compare(y.Load, x.Load), cmp.Compare(x.Key, y.Key)) })
-	for t, n := range p.users {
+	for t, n := range p.tenantRequests {
 		if n < 0.1 {
-			delete(p.users, t)
+			delete(p.tenantRequests, t)
 		} else {
-			use = append(use, policy.Use{Name: t, Asked: n / max(n, p.asked) * p.rate})
+			use = append(use, policy.Use{Name: t, Asked: n / max(n, p.requests) * p.requestRate})
 		}
 	}
 	slices.SortFunc(use, func(x, y policy.Use) int { return cmp.Or(cmp.Compare(y.Asked, x.Asked), cmp.Compare(x.Name, y.Name)) })
@@ -523,13 +523,13 @@
 // View gives what one forwarder is told now, at this moment of the planner's clock, all in one: for those that know no
 // changes. It grants that forwarder its part of the budgets for as long as the view is valid.
 func (p *Planner) View(now, clock time.Duration, to string) View {
-	p.stamp = max(p.stamp+1, clock)
-	v := View{Epoch: p.epoch, Planner: p.cfg.ID, Made: p.stamp, Valid: p.cfg.Valid}
-	v.Admit, v.Hot, v.Tenants = p.told.admit, slices.Clone(p.told.hot), slices.Clone(p.told.tenants)
+	p.lastStamp = max(p.lastStamp+1, clock)
+	v := View{Epoch: p.epoch, Planner: p.cfg.ID, Made: p.lastStamp, Valid: p.cfg.Valid}
+	v.Admit, v.Hot, v.Tenants = p.published.admit, slices.Clone(p.published.hot), slices.Clone(p.published.tenants)
 	grants := p.Grants(now, to)
 	for _, s := range p.serving {
 		share := policy.Share{ID: s.ID, Factor: 1}
-		if f, is := p.told.factors[s.ID]; is {
+		if f, is := p.published.factors[s.ID]; is {
 			share.Factor = f.factor
 		}
 		if len(grants) > 0 && grants[0].ID == s.ID {
@@ -541,7 +541,7 @@
 }
 
 // leastGrant is told where nothing is left, since 0 means no limit: one send in a thousand seconds.
-const leastGrant = 0.001
+const minGrant = 0.001
 
 // Grants gives a forwarder its part of the cold servers' budgets, by id, for as long as a change or view is valid that it is
 // told now: by what it asks for, and no more than the others' running grants leave, those included that came late. None to one that was not heard of late:
@@ -555,28 +555,28 @@
 		if p.servers[s.ID] != s || s.State != policy.Ready {
 			continue // it left since the last look
 		}
-		of := p.granted[s.ID]
+		of := p.grantsByServer[s.ID]
 		if of == nil {
-			of = &shared{by: map[string]*grants{}}
-			p.granted[s.ID] = of
+			of = &serverGrants{byForwarder: map[string]*forwarderGrants{}}
+			p.grantsByServer[s.ID] = of
 		}
 		others := of.sum
-		if mine := of.by[to]; mine != nil {
+		if mine := of.byForwarder[to]; mine != nil {
 			others -= mine.count
 		}
-		part := s.allow * (1 + f.asked) / max(p.demand, 1+f.asked)
-		got := floor(max(0, min(part, s.allow-others)))
-		of.hold(now-travels, to, grant{got, now + p.cfg.Valid})
-		list = append(list, Grant{s.ID, max(leastGrant, got)})
+		part := s.allow * (1 + f.requests) / max(p.demand, 1+f.requests)
+		got := floorToWire(max(0, min(part, s.allow-others)))
+		of.add(now-maxTransit, to, grant{got, now + p.cfg.Valid})
+		list = append(list, Grant{s.ID, max(minGrant, got)})
 	}
 	return list
 }
 
 // Outstanding is what all forwarders together may be sending a second to a server by the grants that run.
 func (p *Planner) OutstandingGrants(now time.Duration, of string) (sum float64) {
-	if s := p.granted[of]; s != nil {
+	if s := p.grantsByServer[of]; s != nil {
 		for _, to := range s.order {
-			sum += s.by[to].most(now)
+			sum += s.byForwarder[to].maxRate(now)
 		}
 	}
 	return sum
@@ -585,8 +585,8 @@
 // Explain tells why each ready server has the weight it has, by id.
 func (p *Planner) Explain() (list []Explanation) {
 	for _, s := range p.serving {
-		list = append(list, Explanation{ID: s.ID, Weight: s.weight(), Factor: s.factor, Allow: s.allow, Bad: s.pooled.badShare(),
-			Answers: s.pooled.total, P50: s.pooled.within(0.5), P99: s.pooled.within(0.99), Reason: s.word})
+		list = append(list, Explanation{ID: s.ID, Weight: s.weight(), Factor: s.factor, Allow: s.allow, Bad: s.answerTally.badShare(),
+			Answers: s.answerTally.total, P50: s.answerTally.quantile(0.5), P99: s.answerTally.quantile(0.99), Reason: s.reason})
 	}
 	return list
 }
--- a/decide/plan/plan_test.go
+++ b/decide/plan/plan_test.go
@@ -13,7 +13,7 @@
 
 const sec = time.Second
 
-func fleet(n int) (list []policy.Server) {
+func serverList(n int) (list []policy.Server) {
 	for i := range n {
 		list = append(list, policy.Server{ID: fmt.Sprintf("c%02d", i), Weight: 1})
 	}
@@ -25,7 +25,7 @@
 }
 
 // world feeds a planner with what forwarders see, a digest a second each.
-type world struct {
+type rig struct {
 	p          *Planner
 	now        time.Duration
 	seq        uint64
@@ -34,10 +34,10 @@
 	perSecond  int // sends of a forwarder to each cache
 	bad        func(forwarder, cache int) float64
 	origin     Load
-	twist      func(d *Digest)
+	alter      func(d *Digest)
 }
 
-func (w *world) digest(f int) Digest {
+func (w *rig) digest(f int) Digest {
 	d := Digest{From: fmt.Sprintf("f%03d", f), Start: 1, Seq: w.seq, Span: sec, Asked: w.perSecond * w.caches, Answered: w.perSecond * w.caches, Origin: w.origin}
 	for c := range w.caches {
 		bad := 0
@@ -46,14 +46,14 @@
 		}
 		d.Servers = append(d.Servers, Load{ID: fmt.Sprintf("c%02d", c), Sends: w.perSecond, Timely: w.perSecond - bad, Late: bad})
 	}
-	if w.twist != nil {
-		w.twist(&d)
+	if w.alter != nil {
+		w.alter(&d)
 	}
 	return d
 }
 
 // run plays seconds; each is one digest a forwarder and two looks.
-func (w *world) run(seconds int, each func()) {
+func (w *rig) run(seconds int, each func()) {
 	for range seconds {
 		w.seq++
 		for f := range w.forwarders {
@@ -69,7 +69,7 @@
 	}
 }
 
-func (w *world) factor(id string) float64 {
+func (w *rig) factor(id string) float64 {
 	for _, r := range w.p.Explain() {
 		if r.ID == id {
 			return r.Factor
@@ -78,16 +78,16 @@
 	return -1
 }
 
-func small() *world {
-	w := &world{p: New(config()), now: 100 * sec, forwarders: 8, caches: 8, perSecond: 5}
-	w.p.SetServers(w.now, fleet(8))
+func smallRig() *rig {
+	w := &rig{p: New(config()), now: 100 * sec, forwarders: 8, caches: 8, perSecond: 5}
+	w.p.SetServers(w.now, serverList(8))
 	return w
 }
 
 // A cache that answers late loses its weight step by step, no more than the stated part of the keys a second, and gets it
 // back when it is well; the others keep theirs.
 func TestAJammedCacheLosesWeight(t *testing.T) {
-	w := small()
+	w := smallRig()
 	w.run(3, nil)
 	jammed := true
 	w.bad = func(_, c int) float64 {
@@ -133,7 +133,7 @@
 // When all answer badly nobody is worse than the middle: weights stay. Guards against a strained origin, or an overload,
 // that takes the weight of whoever is asked most.
 func TestAllBadIsNobodysFault(t *testing.T) {
-	w := small()
+	w := smallRig()
 	w.bad = func(int, int) float64 { return 0.8 }
 	w.run(10, nil)
 	for _, r := range w.p.Explain() {
@@ -145,8 +145,8 @@
 
 // One forwarder that lies, at any volume, takes no server's weight.
 func TestALiarDecidesNothing(t *testing.T) {
-	w := small()
-	w.twist = func(d *Digest) {
+	w := smallRig()
+	w.alter = func(d *Digest) {
 		if d.From != "f000" {
 			return
 		}
@@ -162,8 +162,8 @@
 	if f := w.factor("c01"); f < MinFactor {
 		t.Errorf("factor %v by one liar", f)
 	}
-	w = &world{p: New(config()), now: 100 * sec, forwarders: 20, caches: 8, perSecond: 5, twist: w.twist}
-	w.p.SetServers(w.now, fleet(8))
+	w = &rig{p: New(config()), now: 100 * sec, forwarders: 20, caches: 8, perSecond: 5, alter: w.alter}
+	w.p.SetServers(w.now, serverList(8))
 	w.run(10, nil)
 	if f := w.factor("c01"); f != 1 {
 		t.Errorf("factor %v by one liar in twenty", f)
@@ -178,7 +178,7 @@
 
 // A late, doubled or reordered digest counts once; a restart under the name begins anew.
 func TestDigestsCountOnce(t *testing.T) {
-	w := small()
+	w := smallRig()
 	d := w.digest(0)
 	d.Seq = 5
 	for i, c := range []struct {
@@ -196,7 +196,7 @@
 // An origin that turns away or fails has the reads thinned out, little by little, and gets them back; one that is merely
 // slow does not.
 func TestTheOriginsReads(t *testing.T) {
-	w := small()
+	w := smallRig()
 	admit := func() float64 { return w.p.View(w.now, w.now, "f000").Admit }
 	w.origin = Load{Sends: 10, Timely: 2, Late: 8}
 	w.run(8, nil)
@@ -225,8 +225,8 @@
 
 // Keys that outrun a cache are named, with their load.
 func TestHotKeys(t *testing.T) {
-	w := small()
-	w.twist = func(d *Digest) { d.Hot = []Heat{{Key: 4, Asked: 10}, {Key: 8, Asked: 1}} } // of 40 requests, 5 a cache
+	w := smallRig()
+	w.alter = func(d *Digest) { d.Hot = []Heat{{Key: 4, Asked: 10}, {Key: 8, Asked: 1}} } // of 40 requests, 5 a cache
 	w.run(10, nil)
 	v := w.p.View(w.now, w.now, "f001")
 	if len(v.Hot) != 1 || v.Hot[0].Key != 4 || math.Abs(v.Hot[0].Load-2) > 0.2 {
@@ -238,7 +238,7 @@
 // run never exceed the largest budget of a view's validity, and no two views of a planner have one stamp.
 func TestBudgetsHoldUnderAnyBreaks(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		w := &world{p: New(config()), now: 100 * sec, caches: 6, perSecond: rapid.IntRange(0, 20).Draw(r, "rate")}
+		w := &rig{p: New(config()), now: 100 * sec, caches: 6, perSecond: rapid.IntRange(0, 20).Draw(r, "rate")}
 		type spell struct {
 			at     time.Duration
 			budget float64
@@ -253,7 +253,7 @@
 			}
 			return most
 		}
-		list := fleet(6)
+		list := serverList(6)
 		for range rapid.IntRange(10, 60).Draw(r, "steps") {
 			w.now += time.Duration(rapid.IntRange(0, 1500).Draw(r, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 5).Draw(r, "what") {
@@ -289,9 +289,9 @@
 // A grant that was on its way for a second runs a second longer at its forwarder: until then others get what it leaves. One
 // forwarder that dies holds back its part no longer than that.
 func TestALateGrantCounts(t *testing.T) {
-	w := small()
+	w := smallRig()
 	w.forwarders = 2
-	list := fleet(8)
+	list := serverList(8)
 	list[1].Started = w.now
 	w.p.SetServers(w.now, list)
 	digest := func(from string, asked int) {
@@ -314,7 +314,7 @@
 		digest("second", 2000)
 		w.p.Update(w.now)
 		got, all := grant("second"), w.p.servers["c01"].allow
-		if over := got + first - all; over > 1e-9 && w.now <= since+4*sec && got > leastGrant {
+		if over := got + first - all; over > 1e-9 && w.now <= since+4*sec && got > minGrant {
 			t.Errorf("%v after the grant: %v of %v for the second, %v may be with the first", w.now-since, got, all, first)
 		}
 		if w.now > since+5*sec && got < all/2 {
@@ -332,7 +332,7 @@
 
 // A snapshot is taken up when it is young enough, and only as far as it makes sense.
 func TestSnapshots(t *testing.T) {
-	w := small()
+	w := smallRig()
 	w.bad = func(_, c int) float64 { return map[int]float64{3: 0.9}[c] }
 	w.run(8, nil)
 	s := w.p.Snapshot(1000 * sec)
@@ -341,7 +341,7 @@
 		clock time.Duration
 		taken bool
 	}{{1005 * sec, true}, {1100 * sec, false}, {999 * sec, false}} {
-		x := small()
+		x := smallRig()
 		if got := x.p.Restore(c.clock, 30*sec, s); got != c.taken || got != (x.factor("c03") < 1) {
 			t.Errorf("after %v: %v, %v", c.clock-s.Clock, got, x.factor("c03"))
 		}
@@ -354,11 +354,11 @@
 // Four planners and 400 forwarders, digests lost, late, doubled and in any order: all planners come to the same view of a
 // cache that jams, within seconds of each other.
 func TestPlannersConverge(t *testing.T) {
-	var planners []*world
+	var planners []*rig
 	for i := range 4 {
-		w := &world{p: New(config()), now: 100 * sec, forwarders: 400, caches: 20, perSecond: 1, seq: uint64(i)}
-		w.p.SetServers(w.now, fleet(20))
-		w.twist = func(d *Digest) { // each hears other ones: a third is lost, at different moments
+		w := &rig{p: New(config()), now: 100 * sec, forwarders: 400, caches: 20, perSecond: 1, seq: uint64(i)}
+		w.p.SetServers(w.now, serverList(20))
+		w.alter = func(d *Digest) { // each hears other ones: a third is lost, at different moments
 			if (int(d.Seq)*7+len(d.From)*3+int(d.From[3])+i)%3 == 0 {
 				d.Seq = 0
 			}
@@ -414,11 +414,11 @@
 func TestSketches(t *testing.T) {
 	for took, want := range map[time.Duration]int{0: 0, time.Millisecond: 0, time.Millisecond + 1: 1, 2 * time.Millisecond: 1, 3 * time.Millisecond: 2, 4 * time.Millisecond: 2,
 		time.Second: 10, 5 * time.Second: 13, time.Hour: 13} {
-		if got := timeOf(took); got != want {
+		if got := latencyBucket(took); got != want {
 			t.Errorf("%v is in part %d, want %d", took, got, want)
 		}
 	}
-	w := small()
+	w := smallRig()
 	w.forwarders = 0
 	var all []*Collector
 	for f := range 8 {
--- a/decide/plan/state.go
+++ b/decide/plan/state.go
@@ -13,57 +13,57 @@
 // What a planner remembers, and its plain upkeep. Nothing is decided here.
 
 type state struct {
-	starts     starts.Book // of servers, as far as they were seen
-	cfg        Config
-	epoch      uint64
-	leader     string // by the leases; empty: nobody is known to hold one
-	servers    map[string]*server
-	serving    []*server // those that serve by the list, by id
-	parts      float64   // of the serving ones in sum
-	bases      float64   // alike
-	rest       tallied   // what was told in sum since the last look, for each unit of a server's part
-	serial     uint64    // of digests counted
-	forwarders map[string]*forwarder
-	order      []*forwarder // by name; nil: to be made anew
-	pending    []heardOf
-	settled    time.Duration // when the sums were brought up to date: all fade alike
-	middle     float64       // of what forwarders told of servers
-	middleAsk  float64       // of the requests that they took
-	made       time.Duration // the last Make
-	stamp      time.Duration // of the last view
-	asked      float64       // requests of all forwarders in the span
-	answered   float64       // reads answered
-	rate       float64       // requests a second, evened out
-	demand     float64       // of budgets, by all forwarders
-	fetches    tallied       // of the origin
-	admit      float64       // part of the reads that may go to the origin
-	admitNext  time.Duration // when it may be cut again
-	cold       []*server     // with a budget, by id
-	granted    map[string]*shared
-	keys       map[uint32]float64 // how often they were asked for
-	users      map[string]float64 // of tenants
-	told       told
+	starts         starts.Book // of servers, as far as they were seen
+	cfg            Config
+	epoch          uint64
+	leader         string // by the leases; empty: nobody is known to hold one
+	servers        map[string]*server
+	serving        []*server // those that serve by the list, by id
+	partSum        float64   // of the serving ones in sum
+	baseSum        float64   // alike
+	rest           tally     // what was told in sum since the last look, for each unit of a server's part
+	digestCount    uint64    // of digests counted
+	forwarders     map[string]*forwarder
+	order          []*forwarder // by name; nil: to be made anew
+	pending        []pendingDigest
+	decayedAt      time.Duration // when the sums were brought up to date: all fade alike
+	answerBound    float64       // of what forwarders told of servers
+	requestBound   float64       // of the requests that they took
+	updatedAt      time.Duration // the last Make
+	lastStamp      time.Duration // of the last view
+	requests       float64       // requests of all forwarders in the span
+	readsAnswered  float64       // reads answered
+	requestRate    float64       // requests a second, evened out
+	demand         float64       // of budgets, by all forwarders
+	originAnswers  tally         // of the origin
+	admit          float64       // part of the reads that may go to the origin
+	nextAdmitCut   time.Duration // when it may be cut again
+	cold           []*server     // with a budget, by id
+	grantsByServer map[string]*serverGrants
+	keyRequests    map[uint32]float64 // how often they were asked for
+	tenantRequests map[string]float64 // of tenants
+	published      published
 }
 
 // heardOf is a digest that waits for the next look.
-type heardOf struct {
-	by *forwarder
-	d  Digest
+type pendingDigest struct {
+	from   *forwarder
+	digest Digest
 }
 
 type server struct {
-	begun time.Duration // its start as it counts here, see decide/starts
+	startedAt time.Duration // its start as it counts here, see decide/starts
 	policy.Server
-	factor float64
-	base   float64 // of the requests that it should get: weight, factor and warmth; 0: it does not serve
-	part   float64 // of those that it gets, by what forwarders remember
-	known  float64 // answers of it that they remembered, when they told of bad ones; fading
-	due    float64 // how many that should be by its base; fading
-	allow  float64 // sends a second that the fleet may make; 0: no limit
-	pooled tallied // all forwarders', fading
-	skip   tallied // of state.rest: what was told by those that named it
-	named  uint64  // the digest that named it last, by state.serial
-	word   string  // why
+	factor       float64
+	base         float64 // of the requests that it should get: weight, factor and warmth; 0: it does not serve
+	part         float64 // of those that it gets, by what forwarders remember
+	knownAnswers float64 // answers of it that they remembered, when they told of bad ones; fading
+	dueAnswers   float64 // how many that should be by its base; fading
+	allow        float64 // sends a second that the fleet may make; 0: no limit
+	answerTally  tally   // all forwarders', fading
+	restExcluded tally   // of state.rest: what was told by those that named it
+	named        uint64  // the digest that named it last, by state.serial
+	reason       string  // why
 }
 
 func (s *server) weight() float64 {
@@ -75,11 +75,11 @@
 
 // skew is how many times what its base tells a server gets, as far as is known.
 func (s *server) skew() float64 {
-	return max(leastSkew, min(mostSkew, (s.known+unknown)/(s.due+unknown)))
+	return max(minSkew, min(maxSkew, (s.knownAnswers+skewPrior)/(s.dueAnswers+skewPrior)))
 }
 
 // ordered are the forwarders by name: sums of the same figures are the same to the last bit.
-func (st *state) ordered() []*forwarder {
+func (st *state) byName() []*forwarder {
 	if st.order == nil {
 		for _, name := range slices.Sorted(maps.Keys(st.forwarders)) {
 			st.order = append(st.order, st.forwarders[name])
@@ -90,8 +90,8 @@
 
 // warmth is the part of its capacity that a server is sure to have by now, as in policy.
 func (st *state) warmth(now time.Duration, s *server) float64 {
-	age := now - s.begun
-	if s.begun == 0 || age >= st.cfg.WarmUp {
+	age := now - s.startedAt
+	if s.startedAt == 0 || age >= st.cfg.WarmUp {
 		return 1
 	}
 	return st.cfg.ColdFrom + (1-st.cfg.ColdFrom)*max(0, float64(age)/float64(st.cfg.WarmUp))
@@ -99,35 +99,35 @@
 
 // forwarder is what one told. Its counts fade.
 type forwarder struct {
-	start      int64 // of its process, by that one's clock: a name for it
-	before     int64 // of the process before that; 0: none is known
-	seq        uint64
-	heard      time.Duration
-	asked      float64 // requests
-	askedTaken float64 // those that count
-	answered   float64
-	origin     tallied
-	said       float64           // answers of servers
-	taken      float64           // those that count
-	rest       float64           // those that count of the rest, for each unit of a server's part
-	restBad    float64           // and of them the bad ones
-	named      map[string]*taken // those that count of servers told by name
-	swept      time.Duration     // when what had faded was dropped from it
+	start            int64 // of its process, by that one's clock: a name for it
+	previousStart    int64 // of the process before that; 0: none is known
+	seq              uint64
+	heardAt          time.Duration
+	requests         float64 // requests
+	acceptedRequests float64 // those that count
+	readsAnswered    float64
+	origin           tally
+	reported         float64              // answers of servers
+	accepted         float64              // those that count
+	rest             float64              // those that count of the rest, for each unit of a server's part
+	restBad          float64              // and of them the bad ones
+	named            map[string]*accepted // those that count of servers told by name
+	sweptAt          time.Duration        // when what had faded was dropped from it
 }
 
-func (f *forwarder) fade(left float64) {
-	for _, x := range []*float64{&f.asked, &f.askedTaken, &f.answered, &f.said, &f.taken, &f.rest, &f.restBad, &f.origin.bad, &f.origin.total} {
-		*x *= left
+func (f *forwarder) fade(decay float64) {
+	for _, x := range []*float64{&f.requests, &f.acceptedRequests, &f.readsAnswered, &f.reported, &f.accepted, &f.rest, &f.restBad, &f.origin.bad, &f.origin.total} {
+		*x *= decay
 	}
 }
 
 // sweep forgets servers of which hardly anything is left.
 func (f *forwarder) sweep(now, span time.Duration) {
-	if now-f.swept < span {
+	if now-f.sweptAt < span {
 		return
 	}
-	f.swept = now
-	maps.DeleteFunc(f.named, func(_ string, h *taken) bool { return h.at(now, span).total < 0.05 })
+	f.sweptAt = now
+	maps.DeleteFunc(f.named, func(_ string, h *accepted) bool { return h.at(now, span).total < 0.05 })
 }
 
 // grant is what a forwarder may send a second, until then.
@@ -137,67 +137,67 @@
 }
 
 // shared is what is granted of one server's budget.
-type shared struct {
-	sum   float64 // of each forwarder's largest grant that ran when it was last looked at
-	by    map[string]*grants
-	order []string // of by, as they came: sums of the same figures are the same to the last bit
+type serverGrants struct {
+	sum         float64 // of each forwarder's largest grant that ran when it was last looked at
+	byForwarder map[string]*forwarderGrants
+	order       []string // of by, as they came: sums of the same figures are the same to the last bit
 }
 
 // grants are one forwarder's.
-type grants struct {
+type forwarderGrants struct {
 	list  []grant
 	count float64 // what it is in shared.sum
 }
 
 // most is the largest that runs at a time. The older ones run on: the view that told the new one may be lost.
-func (g *grants) most(now time.Duration) (most float64) {
+func (g *forwarderGrants) maxRate(now time.Duration) (maxRate float64) {
 	if g == nil {
 		return 0
 	}
 	for _, x := range g.list {
 		if x.until >= now {
-			most = max(most, x.rate)
+			maxRate = max(maxRate, x.rate)
 		}
 	}
-	return most
+	return maxRate
 }
 
 // hold notes a grant.
-func (s *shared) hold(now time.Duration, to string, g grant) {
-	mine := s.by[to]
+func (s *serverGrants) add(now time.Duration, to string, g grant) {
+	mine := s.byForwarder[to]
 	if mine == nil {
-		mine = &grants{}
-		s.by[to], s.order = mine, append(s.order, to)
+		mine = &forwarderGrants{}
+		s.byForwarder[to], s.order = mine, append(s.order, to)
 	}
 	// One that is no larger and ends no later is covered by the new one.
 	mine.list = append(slices.DeleteFunc(mine.list, func(o grant) bool { return o.until < now || o.rate <= g.rate && o.until <= g.until }), g)
 	s.sum -= mine.count
-	mine.count = mine.most(now)
+	mine.count = mine.maxRate(now)
 	s.sum += mine.count
 }
 
 // renew drops the grants that have run out, and adds the others up anew.
-func (s *shared) renew(now time.Duration) {
+func (s *serverGrants) expire(now time.Duration) {
 	s.sum = 0
 	s.order = slices.DeleteFunc(s.order, func(to string) bool {
-		g := s.by[to]
+		g := s.byForwarder[to]
 		g.list = slices.DeleteFunc(g.list, func(o grant) bool { return o.until < now })
-		g.count = g.most(now)
+		g.count = g.maxRate(now)
 		if s.sum += g.count; len(g.list) == 0 {
-			delete(s.by, to)
+			delete(s.byForwarder, to)
 		}
 		return len(g.list) == 0
 	})
 }
 
 // tallied is the sum of loads, fading where it lasts.
-type tallied struct {
+type tally struct {
 	bad, total float64
 	times      [LatencyBuckets]float64
 }
 
 // add adds the part of a load that counts.
-func (s *tallied) add(l *Load, part float64) {
+func (s *tally) add(l *Load, part float64) {
 	s.total += float64(l.answers()) * part
 	s.bad += float64(l.bad()) * part
 	for i, n := range l.Times {
@@ -206,7 +206,7 @@
 }
 
 // plus adds x so many times.
-func (s *tallied) plus(x *tallied, by float64) {
+func (s *tally) addScaled(x *tally, by float64) {
 	s.total += x.total * by
 	s.bad += x.bad * by
 	for i := range x.times {
@@ -214,16 +214,16 @@
 	}
 }
 
-func (s *tallied) fade(left float64) {
-	s.total *= left
-	s.bad *= left
+func (s *tally) fade(decay float64) {
+	s.total *= decay
+	s.bad *= decay
 	for i := range s.times {
-		s.times[i] *= left
+		s.times[i] *= decay
 	}
 }
 
 // within is the time by which that part of the answers had come, as far as the sketch tells.
-func (s *tallied) within(part float64) time.Duration {
+func (s *tally) quantile(part float64) time.Duration {
 	all := 0.0
 	for _, n := range s.times {
 		all += n
@@ -240,7 +240,7 @@
 	return time.Millisecond << (LatencyBuckets - 1)
 }
 
-func (s *tallied) badShare() float64 {
+func (s *tally) badShare() float64 {
 	if s.total <= 0 {
 		return 0
 	}
@@ -248,21 +248,21 @@
 }
 
 // taken is what counts of a forwarder's answers of a server, fading.
-type taken struct {
+type accepted struct {
 	total, bad float64
 	when       time.Duration
 }
 
-func (t *taken) at(now, span time.Duration) *taken {
+func (t *accepted) at(now, span time.Duration) *accepted {
 	if now > t.when {
-		left := math.Exp(-float64(now-t.when) / float64(span))
-		t.total, t.bad, t.when = t.total*left, t.bad*left, now
+		decay := math.Exp(-float64(now-t.when) / float64(span))
+		t.total, t.bad, t.when = t.total*decay, t.bad*decay, now
 	}
 	return t
 }
 
 // middle is the median; 0 of nothing.
-func middle(list []float64) float64 {
+func median(list []float64) float64 {
 	if len(list) == 0 {
 		return 0
 	}
@@ -281,7 +281,7 @@
 
 // Snapshot takes one.
 func (p *Planner) Snapshot(clock time.Duration) Snapshot {
-	s := Snapshot{Clock: clock, Stamp: p.stamp, Admit: p.admit, Factors: map[string]float64{}}
+	s := Snapshot{Clock: clock, Stamp: p.lastStamp, Admit: p.admit, Factors: map[string]float64{}}
 	for id, x := range p.servers {
 		if x.factor < 1 {
 			s.Factors[id] = x.factor
@@ -296,7 +296,7 @@
 	if age := clock - s.Clock; age < 0 || age > oldest {
 		return false
 	}
-	p.stamp = max(p.stamp, s.Stamp)
+	p.lastStamp = max(p.lastStamp, s.Stamp)
 	for _, id := range slices.Sorted(maps.Keys(s.Factors)) {
 		if x, f := p.servers[id], s.Factors[id]; x != nil && f >= MinFactor && f <= 1 {
 			x.factor = f
