--- a/decide/follow/change_test.go
+++ b/decide/follow/change_test.go
@@ -13,7 +13,7 @@
 	"lapisshelf/policy"
 )
 
-func listed(n int) (list []policy.Server) {
+func serverList(n int) (list []policy.Server) {
 	for i := range n {
 		list = append(list, policy.Server{ID: fmt.Sprintf("c%d", i), Weight: 1})
 	}
@@ -21,19 +21,19 @@
 }
 
 // state as it is told, without grants.
-type whole struct {
+type sharedState struct {
 	Factors map[string]float64
 	Admit   float64
 	Hot     []policy.Heat
 	Tenants []policy.Use
 }
 
-func (w whole) equal(o whole) bool {
+func (w sharedState) equal(o sharedState) bool {
 	return maps.Equal(w.Factors, o.Factors) && w.Admit == o.Admit && slices.Equal(w.Hot, o.Hot) && slices.Equal(w.Tenants, o.Tenants)
 }
 
-func wholeOf(v policy.View) whole {
-	w := whole{Factors: map[string]float64{}, Admit: v.Admit, Hot: v.Hot, Tenants: v.Tenants}
+func sharedStateOf(v policy.View) sharedState {
+	w := sharedState{Factors: map[string]float64{}, Admit: v.Admit, Hot: v.Hot, Tenants: v.Tenants}
 	for _, s := range v.Servers {
 		if s.Factor != 1 {
 			w.Factors[s.ID] = s.Factor
@@ -43,54 +43,54 @@
 }
 
 // teller is a planner's process, and what it believes that nodes hold.
-type teller struct {
+type plannerProcess struct {
 	*plan.Planner
-	id      string
-	history uint64
-	holds   map[int]plan.Hold
+	id         string
+	history    uint64
+	heldByNode map[int]plan.Hold
 }
 
 // talk is planners and nodes between which anything may happen to messages.
-type talk struct {
-	now     time.Duration
-	tellers []*teller
-	nodes   []*Follower
-	seq     uint64
-	truths  map[string]whole // by planner, history and revision
-	digests []told
-	changes []telling
+type network struct {
+	now       time.Duration
+	planners  []*plannerProcess
+	nodes     []*Follower
+	seq       uint64
+	published map[string]sharedState // by planner, history and revision
+	digests   []digestInFlight
+	changes   []changeInFlight
 }
 
-type told struct {
-	node, teller int
-	hold         plan.Hold
+type digestInFlight struct {
+	node, plannerProcess int
+	hold                 plan.Hold
 }
 
-type telling struct {
+type changeInFlight struct {
 	node int
 	c    plan.Change
 }
 
-func (w *talk) start(i int, history uint64) {
+func (w *network) startPlanner(i int, history uint64) {
 	id := string(rune('a' + i))
-	w.tellers[i] = &teller{Planner: plan.New(plan.Config{ID: id, History: history}), id: id, history: history, holds: map[int]plan.Hold{}}
-	w.tellers[i].SetServers(w.now, listed(6))
+	w.planners[i] = &plannerProcess{Planner: plan.New(plan.Config{ID: id, History: history}), id: id, history: history, heldByNode: map[int]plan.Hold{}}
+	w.planners[i].SetServers(w.now, serverList(6))
 	w.make(i)
 }
 
 // make has a planner look, and notes what it tells from then on.
-func (w *talk) make(i int) {
-	p := w.tellers[i]
+func (w *network) make(i int) {
+	p := w.planners[i]
 	p.Update(w.now)
-	w.truths[fmt.Sprint(p.id, p.history, "/", p.Revision())] = wholeOf(p.View(w.now, w.now, "nobody").View)
+	w.published[fmt.Sprint(p.id, p.history, "/", p.Revision())] = sharedStateOf(p.View(w.now, w.now, "nobody").View)
 }
 
-func (w *talk) change(i, node int) telling {
-	c, _ := w.tellers[i].Change(w.now, w.tellers[i].holds[node])
-	return telling{node, c}
+func (w *network) change(i, node int) changeInFlight {
+	c, _ := w.planners[i].Change(w.now, w.planners[i].heldByNode[node])
+	return changeInFlight{node, c}
 }
 
-func (w *talk) deliver(t *rapid.T, m telling) Outcome {
+func (w *network) deliver(t *rapid.T, m changeInFlight) Outcome {
 	f := w.nodes[m.node]
 	why, _ := f.TakeChange(w.now, m.c, ready(6))
 	for id, s := range f.states { // followed or not
@@ -99,8 +99,8 @@
 				t.Fatalf("%s is kept, of which nothing is told", server)
 			}
 		}
-		want, known := w.truths[fmt.Sprint(id, s.history, "/", s.revision)]
-		if got := wholeOf(s.view(nil)); !known || !got.equal(want) {
+		want, known := w.published[fmt.Sprint(id, s.history, "/", s.revision)]
+		if got := sharedStateOf(s.view(nil)); !known || !got.equal(want) {
 			t.Fatalf("node %d holds revision %d of %s's history %d as %+v, it is %+v", m.node, s.revision, id, s.history, got, want)
 		}
 	}
@@ -113,17 +113,17 @@
 func TestWhatChangesLeadTo(t *testing.T) {
 	seen, parts := map[Outcome]int{}, 0
 	rapid.Check(t, func(r *rapid.T) {
-		w := &talk{now: 100 * sec, tellers: make([]*teller, 2), truths: map[string]whole{}}
+		w := &network{now: 100 * sec, planners: make([]*plannerProcess, 2), published: map[string]sharedState{}}
 		history := uint64(0)
-		for i := range w.tellers {
+		for i := range w.planners {
 			history++
-			w.start(i, history)
+			w.startPlanner(i, history)
 		}
 		w.nodes = []*Follower{New(Config{}), New(Config{})}
 		for range rapid.IntRange(60, 300).Draw(r, "steps") {
 			w.now += time.Duration(rapid.IntRange(1, 700).Draw(r, "ms")) * time.Millisecond
 			i, node := rapid.IntRange(0, 1).Draw(r, "planner"), rapid.IntRange(0, 1).Draw(r, "node")
-			p := w.tellers[i]
+			p := w.planners[i]
 			switch rapid.IntRange(0, 9).Draw(r, "what") {
 			case 0, 1: // factors and the origin's part change
 				snap := plan.Snapshot{Clock: w.now, Admit: rapid.SampledFrom([]float64{1, 0.8, 0.64}).Draw(r, "admit"), Factors: map[string]float64{}}
@@ -138,15 +138,15 @@
 					Tenants: []plan.Use{{Tenant: rapid.SampledFrom([]string{"t", "u"}).Draw(r, "tenant"), Asked: 100}}})
 				w.make(i)
 			case 3: // servers come and go
-				p.SetServers(w.now, listed(rapid.IntRange(4, 6).Draw(r, "count")))
+				p.SetServers(w.now, serverList(rapid.IntRange(4, 6).Draw(r, "count")))
 				w.make(i)
 			case 4, 5:
-				w.digests = append(w.digests, told{node, i, w.nodes[node].Hold(p.id)})
+				w.digests = append(w.digests, digestInFlight{node, i, w.nodes[node].Hold(p.id)})
 			case 6, 7:
 				w.changes = append(w.changes, w.change(i, node))
 			case 8: // a new life counts anew, from the same numbers
 				history++
-				w.start(i, history)
+				w.startPlanner(i, history)
 			case 9:
 				w.nodes[node] = New(Config{})
 			}
@@ -154,7 +154,7 @@
 				if n := len(w.digests); n > 0 {
 					at := rapid.IntRange(0, n-1).Draw(r, "digest")
 					d := w.digests[at]
-					w.tellers[d.teller].holds[d.node] = d.hold
+					w.planners[d.plannerProcess].heldByNode[d.node] = d.hold
 					if rapid.IntRange(0, 3).Draw(r, "again") > 0 {
 						w.digests = slices.Delete(w.digests, at, at+1)
 					}
@@ -175,18 +175,18 @@
 		}
 		// What goes through now, in either order of planners.
 		for _, i := range rapid.Permutation([]int{0, 1}).Draw(r, "order") {
-			p := w.tellers[i]
+			p := w.planners[i]
 			for node, f := range w.nodes {
 				w.now += time.Millisecond
-				p.holds[node] = f.Hold(p.id)
+				p.heldByNode[node] = f.Hold(p.id)
 				m := w.change(i, node)
 				w.deliver(r, m)
-				s, want := f.states[p.id], wholeOf(p.View(w.now, w.now, "nobody").View)
-				if s == nil || !wholeOf(s.view(nil)).equal(want) {
+				s, want := f.states[p.id], sharedStateOf(p.View(w.now, w.now, "nobody").View)
+				if s == nil || !sharedStateOf(s.view(nil)).equal(want) {
 					r.Fatalf("after an exchange node %d holds %+v of %s, it is %+v", node, s, p.id, want)
 				}
 				if held, _ := f.Held(); held != nil && held.Planner == p.id {
-					if got := wholeOf(held.View); !got.equal(want) {
+					if got := sharedStateOf(held.View); !got.equal(want) {
 						r.Fatalf("after an exchange node %d acts on %+v, it is %+v", node, got, want)
 					}
 				}
@@ -311,8 +311,8 @@
 	for i := range 1000 {
 		c.Planner, c.Made = fmt.Sprint("p", i), time.Duration(i+1)
 		f.TakeChange(100*sec+time.Duration(i)*time.Millisecond, c, ready(4))
-		if len(f.states) > mostPlanners || len(f.lasts) > 2*mostPlanners {
-			t.Fatalf("%d states, %d planners", len(f.states), len(f.lasts))
+		if len(f.states) > maxPlanners || len(f.lastViews) > 2*maxPlanners {
+			t.Fatalf("%d states, %d planners", len(f.states), len(f.lastViews))
 		}
 	}
 	c.Planner = "late"
@@ -330,7 +330,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		const nodes, valid, travels = 4, 3 * sec, sec
 		now := 100 * sec
-		list := listed(6)
+		list := serverList(6)
 		list[0].Started = now - sec
 		p := plan.New(plan.Config{ID: "a", Weighted: true, ColdFrom: 0.2, WarmUp: 20 * sec, FallMultiple: 3, FallWindow: 1500 * time.Millisecond})
 		p.SetServers(now, list)
--- a/decide/follow/dials_test.go
+++ b/decide/follow/dials_test.go
@@ -14,13 +14,13 @@
 
 // dialled plays a node with so many planners on a moved clock: each connection has its first word after takes (0: never), or
 // fails after it. It gives when each was opened, had its word, and what was awaited at the end.
-type dialled struct {
-	opened, told []time.Duration
-	order        []int
+type dialResult struct {
+	opened, firstMessage []time.Duration
+	order                []int
 }
 
-func dialAll(d *Dialer, from time.Duration, takes []time.Duration, fails []bool, until time.Duration) (x dialled) {
-	x.opened, x.told = make([]time.Duration, len(takes)), make([]time.Duration, len(takes))
+func dialAll(d *Dialer, from time.Duration, takes []time.Duration, fails []bool, until time.Duration) (x dialResult) {
+	x.opened, x.firstMessage = make([]time.Duration, len(takes)), make([]time.Duration, len(takes))
 	for now := from; now <= until; now += dialStep {
 		for i, at := range x.opened {
 			if at == 0 || takes[i] == 0 || now != at+takes[i] {
@@ -30,7 +30,7 @@
 				d.Failed(now, i)
 			} else {
 				d.FirstMessage(now, i)
-				x.told[i] = now
+				x.firstMessage[i] = now
 			}
 		}
 		if i, _ := d.Next(now); i >= 0 {
@@ -54,16 +54,16 @@
 			takes[i] = dialStep * time.Duration(rapid.SampledFrom([]int{0, 1, 40, 500, 2900, 3500}).Draw(t, "takes"))
 			fails[i] = rapid.Bool().Draw(t, "fails")
 		}
-		x := dialAll(d, from, takes, fails, from+time.Duration(n+1)*mostDial)
-		if len(x.order) != n || x.opened[x.order[0]] > from+firstWithin {
+		x := dialAll(d, from, takes, fails, from+time.Duration(n+1)*dialTimeout)
+		if len(x.order) != n || x.opened[x.order[0]] > from+maxFirstDelay {
 			t.Fatalf("opened %v in the order of %v", x.opened, x.order)
 		}
 		for k, i := range x.order[1:] {
 			last := x.order[k]
 			after := x.opened[i] - x.opened[last]
 			switch took := takes[last]; {
-			case took == 0 || took > mostDial:
-				if after != mostDial {
+			case took == 0 || took > dialTimeout:
+				if after != dialTimeout {
 					t.Errorf("%v after one of which nothing is heard", after)
 				}
 			case fails[last]:
@@ -71,7 +71,7 @@
 					t.Errorf("%v after one that failed after %v", after, took)
 				}
 			default: // seen with the clock's next step
-				if min(after-took, mostDial-took) <= sec && after != mostDial || after-took >= dialsApart+dialsDrawn+dialStep || after > mostDial {
+				if min(after-took, dialTimeout-took) <= sec && after != dialTimeout || after-took >= dialInterval+dialJitter+dialStep || after > dialTimeout {
 					t.Errorf("%v after one that was heard after %v", after, took)
 				}
 			}
@@ -115,8 +115,8 @@
 	now += 5 * dialStep
 	d.Failed(now, 0)
 	opens(1)
-	if d.Awaited(now) != 1 || d.Awaited(now+mostDial) != 0 {
-		t.Errorf("%d awaited, %d after three seconds", d.Awaited(now), d.Awaited(now+mostDial))
+	if d.Awaited(now) != 1 || d.Awaited(now+dialTimeout) != 0 {
+		t.Errorf("%d awaited, %d after three seconds", d.Awaited(now), d.Awaited(now+dialTimeout))
 	}
 }
 
--- a/decide/follow/follow.go
+++ b/decide/follow/follow.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	mostAhead    = time.Hour // that an epoch may be ahead of the own clock; one absurd epoch must not lock all others out
-	leastNamed   = 0.5       // part of the ready servers that a view names
-	mostCut      = 0.75      // part of the weight that a view may take away
-	mostPlanners = 64        // that are remembered
+	maxEpochAhead = time.Hour // that an epoch may be ahead of the own clock; one absurd epoch must not lock all others out
+	minKnownPart  = 0.5       // part of the ready servers that a view names
+	maxWeightCut  = 0.75      // part of the weight that a view may take away
+	maxPlanners   = 64        // that are remembered
 )
 
 // Config is what a follower is told. A zero Fade takes 10 s.
@@ -53,34 +53,34 @@
 
 // Follower keeps the view in force. It is not safe for concurrent use.
 type Follower struct {
-	cfg         Config
-	epoch       uint64 // the highest taken
-	held        *plan.View
-	came        time.Duration   // when it did
-	at          place           // of held
-	turns       uint64          // how often what is in force became another
-	lasts       map[string]last // of planners
-	states      map[string]*state
-	Counts      map[Outcome]int64 // of views, by what became of them
-	StaleGrants int64             // changes whose grants were too long on their way
-	sent        []sending         // of digests, the oldest first
-	await       int               // planners that are still to be heard
+	cfg             Config
+	epoch           uint64 // the highest taken
+	held            *plan.View
+	receivedAt      time.Duration        // when it did
+	heldPosition    position             // of held
+	version         uint64               // how often what is in force became another
+	lastViews       map[string]viewTimes // of planners
+	states          map[string]*state
+	Counts          map[Outcome]int64 // of views, by what became of them
+	StaleGrants     int64             // changes whose grants were too long on their way
+	sentDigests     []sentDigest      // of digests, the oldest first
+	awaitedPlanners int               // planners that are still to be heard
 }
 
 // last is the last view taken of a planner.
-type last struct{ made, came time.Duration }
+type viewTimes struct{ made, receivedAt time.Duration }
 
 // place is where a planner's counting is; the zero one: with a view, which has none.
-type place struct{ history, revision uint64 }
+type position struct{ history, revision uint64 }
 
 // state is what a planner tells, as its changes have brought it.
 type state struct {
-	place
+	position
 	factors map[string]float64 // those that are not 1
 	admit   float64
 	hot     []policy.Heat
 	tenants []policy.Use
-	last
+	viewTimes
 	valid  time.Duration
 	grants []plan.Grant // the last, which run for as long as the state is valid
 }
@@ -88,7 +88,7 @@
 // New makes a follower that holds no view.
 func New(cfg Config) *Follower {
 	cfg.Fade = cmp.Or(cfg.Fade, 10*time.Second)
-	return &Follower{cfg: cfg, lasts: map[string]last{}, states: map[string]*state{}, Counts: map[Outcome]int64{}}
+	return &Follower{cfg: cfg, lastViews: map[string]viewTimes{}, states: map[string]*state{}, Counts: map[Outcome]int64{}}
 }
 
 // Take takes a view, or says why not. Ready are the servers that serve by the node's own list.
@@ -103,48 +103,48 @@
 			count++
 		}
 	}
-	why, err := f.judge(now, &v, count, ready)
+	why, err := f.checkView(now, &v, count, ready)
 	f.Counts[why]++
 	if why == Accepted {
-		f.hold(now, v, place{})
+		f.adopt(now, v, position{})
 	}
 	return why, err
 }
 
 // hold puts a view in force.
-func (f *Follower) hold(now time.Duration, v plan.View, at place) {
+func (f *Follower) adopt(now time.Duration, v plan.View, heldPosition position) {
 	h := f.held
-	same := h != nil && at.revision > 0 && at == f.at && h.Planner == v.Planner && now-f.came <= h.Valid && slices.Equal(h.Servers, v.Servers)
+	same := h != nil && heldPosition.revision > 0 && heldPosition == f.heldPosition && h.Planner == v.Planner && now-f.receivedAt <= h.Valid && slices.Equal(h.Servers, v.Servers)
 	if !same {
-		f.turns++
+		f.version++
 	}
 	f.epoch = max(f.epoch, v.Epoch)
-	f.held, f.came, f.at = &v, now, at
-	if f.lasts[v.Planner] = (last{v.Made, now}); len(f.lasts) > mostPlanners {
-		maps.DeleteFunc(f.lasts, func(_ string, l last) bool { return now-l.came > v.Valid+f.cfg.Fade })
+	f.held, f.receivedAt, f.heldPosition = &v, now, heldPosition
+	if f.lastViews[v.Planner] = (viewTimes{v.Made, now}); len(f.lastViews) > maxPlanners {
+		maps.DeleteFunc(f.lastViews, func(_ string, l viewTimes) bool { return now-l.receivedAt > v.Valid+f.cfg.Fade })
 	}
 }
 
 // Turns grows whenever what is in force becomes another: while it stays, so does all that Now says of a valid view.
-func (f *Follower) Version() uint64 { return f.turns }
+func (f *Follower) Version() uint64 { return f.version }
 
 // TakeChange takes what a planner tells of its state, or says why not. Doubt: all is wanted anew, and Hold says so. A change
 // of a planner that is not followed is kept too, so that it may be followed at once.
 func (f *Follower) TakeChange(now time.Duration, c plan.Change, ready []Server) (Outcome, error) {
-	why, err := f.bring(now, &c)
+	why, err := f.applyChange(now, &c)
 	if why == Accepted {
 		st := f.states[c.Planner]
-		if len(c.Grants) > 0 && !f.fresh(now, c.Answers, c.After) {
+		if len(c.Grants) > 0 && !f.grantsFresh(now, c.Answers, c.After) {
 			c.Grants = nil
 			f.StaleGrants++
 		}
 		st.grants = c.Grants
-		v := plan.View{Epoch: c.Epoch, Planner: c.Planner, Made: c.Made, Valid: c.Valid, View: st.view(f.least(now, st))}
-		switch why, err = f.judge(now, &v, c.Count, ready); why {
+		v := plan.View{Epoch: c.Epoch, Planner: c.Planner, Made: c.Made, Valid: c.Valid, View: st.view(f.minGrants(now, st))}
+		switch why, err = f.checkView(now, &v, c.Count, ready); why {
 		case Accepted:
-			f.hold(now, v, st.place)
+			f.adopt(now, v, st.position)
 		case OtherPlanner:
-			f.limit(now)
+			f.limitGrants(now)
 		}
 	}
 	f.Counts[why]++
@@ -152,21 +152,21 @@
 }
 
 // bring brings a planner's state forward.
-func (f *Follower) bring(now time.Duration, c *plan.Change) (Outcome, error) {
+func (f *Follower) applyChange(now time.Duration, c *plan.Change) (Outcome, error) {
 	if err := c.Check(); err != nil {
 		return Invalid, err
 	}
 	old := f.states[c.Planner]
 	switch {
-	case old == nil && len(f.states) >= mostPlanners && !f.room(now):
-		return OtherPlanner, fmt.Errorf("over %d planners", mostPlanners)
-	case old != nil && c.Made <= old.made && now-old.came <= c.Valid+f.cfg.Fade:
+	case old == nil && len(f.states) >= maxPlanners && !f.hasRoom(now):
+		return OtherPlanner, fmt.Errorf("over %d planners", maxPlanners)
+	case old != nil && c.Made <= old.made && now-old.receivedAt <= c.Valid+f.cfg.Fade:
 		return OutOfOrder, fmt.Errorf("made before the last of %s", c.Planner)
 	case c.Base > 0 && (old == nil || old.history != c.History || c.Base > old.revision || c.Revision < old.revision):
 		delete(f.states, c.Planner)
 		return Mismatch, fmt.Errorf("from revision %d of history %d, which is not held", c.Base, c.History)
 	}
-	st := &state{place: place{c.History, c.Revision}, factors: map[string]float64{}, admit: c.Admit, hot: c.Hot, tenants: c.Tenants, last: last{c.Made, now}, valid: c.Valid}
+	st := &state{position: position{c.History, c.Revision}, factors: map[string]float64{}, admit: c.Admit, hot: c.Hot, tenants: c.Tenants, viewTimes: viewTimes{c.Made, now}, valid: c.Valid}
 	if c.Base > 0 {
 		st.factors = old.factors // what follows either is whole or has the state dropped
 		if !c.HotSet {
@@ -190,9 +190,9 @@
 }
 
 // room drops the states that have faded, and reports whether one may come.
-func (f *Follower) room(now time.Duration) bool {
-	maps.DeleteFunc(f.states, func(_ string, s *state) bool { return now-s.came > s.valid+f.cfg.Fade })
-	return len(f.states) < mostPlanners
+func (f *Follower) hasRoom(now time.Duration) bool {
+	maps.DeleteFunc(f.states, func(_ string, s *state) bool { return now-s.receivedAt > s.valid+f.cfg.Fade })
+	return len(f.states) < maxPlanners
 }
 
 // view is the state and one's own grants, by id.
@@ -222,33 +222,33 @@
 }
 
 // judge says whether a view counts whose planner knows so many of the ready servers.
-func (f *Follower) judge(now time.Duration, v *plan.View, count int, ready []Server) (Outcome, error) {
+func (f *Follower) checkView(now time.Duration, v *plan.View, count int, ready []Server) (Outcome, error) {
 	if err := v.Check(); err != nil {
 		return Invalid, err
 	}
-	faded := f.held == nil || now-f.came > f.held.Valid+f.cfg.Fade
-	switch l, known := f.lasts[v.Planner]; {
+	faded := f.held == nil || now-f.receivedAt > f.held.Valid+f.cfg.Fade
+	switch l, known := f.lastViews[v.Planner]; {
 	case v.Epoch < f.epoch:
 		return Epoch, fmt.Errorf("epoch %d after %d", v.Epoch, f.epoch)
-	case v.Epoch > uint64((now+mostAhead)/time.Second):
+	case v.Epoch > uint64((now+maxEpochAhead)/time.Second):
 		return Epoch, fmt.Errorf("epoch %d is to come", v.Epoch)
-	case known && v.Made <= l.made && now-l.came <= v.Valid+f.cfg.Fade:
+	case known && v.Made <= l.made && now-l.receivedAt <= v.Valid+f.cfg.Fade:
 		return OutOfOrder, fmt.Errorf("made before the last of %s", v.Planner)
-	case !known && len(f.lasts) >= 2*mostPlanners:
-		return OtherPlanner, fmt.Errorf("over %d planners", 2*mostPlanners)
+	case !known && len(f.lastViews) >= 2*maxPlanners:
+		return OtherPlanner, fmt.Errorf("over %d planners", 2*maxPlanners)
 	}
-	if err := fits(v, count, ready); err != nil {
+	if err := checkServers(v, count, ready); err != nil {
 		return Invalid, err
 	}
 	// Guards against keys that move back and forth between what two planners think.
-	if h := f.held; !faded && h.Epoch == v.Epoch && h.Planner != v.Planner && now-f.came <= h.Valid {
+	if h := f.held; !faded && h.Epoch == v.Epoch && h.Planner != v.Planner && now-f.receivedAt <= h.Valid {
 		return OtherPlanner, fmt.Errorf("%s is followed", h.Planner)
 	}
 	return Accepted, nil
 }
 
 // fits says what of a view can't be true of the list.
-func fits(v *plan.View, count int, ready []Server) error {
+func checkServers(v *plan.View, count int, ready []Server) error {
 	factors := map[string]float64{}
 	for _, s := range v.Servers {
 		factors[s.ID] = s.Factor
@@ -267,9 +267,9 @@
 		left += w * factor
 	}
 	switch {
-	case float64(count) < leastNamed*float64(len(ready)):
+	case float64(count) < minKnownPart*float64(len(ready)):
 		return fmt.Errorf("knows %d of %d ready servers", count, len(ready))
-	case left < (1-mostCut)*all:
+	case left < (1-maxWeightCut)*all:
 		return fmt.Errorf("leaves %.2f of the weight", left/all)
 	}
 	return nil
@@ -282,7 +282,7 @@
 		return policy.View{}, 0
 	}
 	trust := 1.0
-	if age := now - f.came - f.held.Valid; age > 0 {
+	if age := now - f.receivedAt - f.held.Valid; age > 0 {
 		trust = max(0, 1-float64(age)/float64(f.cfg.Fade))
 	}
 	if trust == 0 {
@@ -305,7 +305,7 @@
 }
 
 // Held is the view that was taken last, and when it came; nil: none was.
-func (f *Follower) Held() (*plan.View, time.Duration) { return f.held, f.came }
+func (f *Follower) Held() (*plan.View, time.Duration) { return f.held, f.receivedAt }
 
 // Epoch is the highest that was taken.
 func (f *Follower) Epoch() uint64 { return f.epoch }
--- a/decide/follow/fresh_test.go
+++ b/decide/follow/fresh_test.go
@@ -44,8 +44,8 @@
 		if why != Accepted || granted != x.fresh || (f.StaleGrants == 0) != x.fresh || v.Servers[len(v.Servers)-1] != (policy.Share{ID: "c1", Factor: 0.5}) {
 			t.Errorf("%s: %s, %v, %+v, %d stale", name, why, err, v.Servers, f.StaleGrants)
 		}
-		if len(f.sent) > mostSent {
-			t.Errorf("%d digests remembered", len(f.sent))
+		if len(f.sentDigests) > maxSentDigests {
+			t.Errorf("%d digests remembered", len(f.sentDigests))
 		}
 	}
 }
