--- a/decide/plan/api.go
+++ b/decide/plan/api.go
@@ -1,13 +1,14 @@
-// Package plan decides what a planner tells forwarders: from their digests of what they saw, and the server list, it makes a
-// view of the whole fleet: factors of the servers' weights, what may be sent to cold servers and to the origin, how hot
-// keys are, what tenants use.
+// Package plan computes what a planner sends to forwarders. From the forwarders' digests and the server list it builds a
+// view of the whole fleet: factors for the servers' weights, limits on sends to cold servers and on reads that go to the
+// origin, the load of hot keys, and the tenants' request rates.
 //
-// The ordinary path: all is well, every factor is 1 and nothing is limited. The departures: a server that answers worse
-// than the middle of the fleet loses weight, step by step (weigh); cold servers and a strained origin get a budget that is
-// shared out by grants that run out (grant); keys that outrun a server are named (heat).
+// Normally every factor is 1 and nothing is limited. There are three exceptions: a server whose share of bad answers is
+// well above the fleet's median loses weight step by step (updateFactors); cold servers and an overloaded origin get a
+// budget, which is divided among the forwarders by grants that expire (updateBudgets, Grants); keys whose load exceeds
+// half a cache's mean load are reported (hotKeysAndTenants).
 //
-// It does no I/O and reads no clock: the caller passes the time (since any fixed zero) with each event. It names no server
-// for a key: the shared ranking decides, with the weights that a view sets.
+// The package does no I/O and reads no clock: the caller passes the time, counted from any fixed zero, with each event. It
+// assigns no server to a key: the shared ranking does that, with the weights that a view sets.
 package plan
 
 import (
@@ -19,60 +20,61 @@
 	"lapisshelf/policy"
 )
 
-// Bounds of what is taken from others.
+// Limits on received messages.
 const (
 	MaxServers     = 4096 // in a digest or a view
 	MaxHotKeys     = 64
 	MaxTenants     = 256
-	LatencyBuckets = 14    // parts of a sketch, up to 4 s and beyond
-	MaxIDLength    = 256   // bytes of an id
-	MaxCount       = 1e6   // of anything in one digest
+	LatencyBuckets = 14    // of a latency histogram, up to 4 s and beyond
+	MaxIDLength    = 256   // bytes
+	MaxCount       = 1e6   // of any count in one digest
 	MinFactor      = 0.1   // of a server's weight
 	MinAdmit       = 0.1   // of the reads that go to the origin
-	MaxRate        = 1e9   // of anything a second
-	MaxValidity    = 10e10 // nanoseconds for which a view may say it is valid
+	MaxRate        = 1e9   // per second, of anything
+	MaxValidity    = 10e10 // ns, of a view
 )
 
-// Load is what a forwarder saw of one server in a digest's span.
+// Load holds a forwarder's counts for one server, or for the origin, over a digest's span.
 type Load struct {
 	ID     string
-	Sends  int // attempts begun
+	Sends  int // attempts started
 	Timely int // answered within half of the class's aim
-	Late   int // answered after that, or not in time
-	Full   int // turned away
-	Failed int // connection or answer broken
-	// Times is a sketch of its answer times: how many came within 1 ms, 2 ms, 4 ms and so on, the last: all later ones. What
-	// is left out behind is 0.
+	Late   int // answered later than that, or timed out
+	Full   int // refused as overloaded
+	Failed int // connection or answer failed
+	// Times is a latency histogram: the number of answers within 1 ms, 2 ms, 4 ms and so on; the last bucket takes all
+	// slower ones. Trailing zero buckets may be omitted.
 	Times []int
 }
 
-// Heat is how often a key was asked for; Key is policy.Digest of it.
+// Heat is the number of requests for a key; Key is its policy.Digest.
 type Heat struct {
 	Key   uint32
 	Asked int
 }
 
-// Use is what a tenant asked for.
+// Use is the number of a tenant's requests.
 type Use struct {
 	Tenant string
 	Asked  int
 }
 
-// Digest is what a forwarder saw in a span. Lost and doubled ones are harmless.
+// Digest reports what a forwarder saw in a span of time. Lost or duplicated digests do no harm.
 type Digest struct {
 	From     string        // the forwarder's name
-	Start    int64         // when it started, Unix time in ns: a later one is a restart under the name
-	Seq      uint64        // grows with each digest since then
-	Span     time.Duration // that it tells of
+	Start    int64         // when the forwarder's process started, Unix time in ns; a different value under the same name means a restart
+	Seq      uint64        // increases with each digest of the process
+	Span     time.Duration // the time that the counts cover
 	Asked    int           // requests taken
 	Answered int           // reads answered
 	Servers  []Load
 	Origin   Load
 	Hot      []Heat
 	Tenants  []Use
-	// A brief one names few servers: in Servers those of which all is told, in Bad those of which the bad answers alone are
-	// told, and as Sends how many answers of it are remembered from before the span, in tenths; Past is that of all servers in
-	// sum. Rest is all others' answers in sum, and the good ones of those in Bad. See Gather.Brief.
+	// A brief digest (see Collector.Brief) names few servers. Servers holds those reported in full. Bad holds those of which
+	// only the bad answers are reported; its Sends is the number of answers remembered from before the span, in tenths. Past
+	// is the sum of that number over all servers. Rest is the sum of all other answers, including the good ones of the
+	// servers in Bad.
 	Brief bool
 	Rest  Load
 	Bad   []Load
@@ -94,18 +96,18 @@
 	return validCounts(l.Sends, l.Timely, l.Late, l.Full, l.Failed) && len(l.Times) <= LatencyBuckets && validCounts(l.Times...)
 }
 
-// bad is how many answers were late, full or failed.
+// bad returns the number of late, refused and failed answers.
 func (l *Load) bad() int { return l.Late + l.Full + l.Failed }
 
-// answers is how many there were, good or bad.
+// answers returns the number of answers, good and bad.
 func (l *Load) answers() int { return l.Timely + l.bad() }
 
-// timeOf is the part of a sketch that a time belongs to.
+// latencyBucket returns the index of the histogram bucket for a latency.
 func latencyBucket(took time.Duration) int {
 	return min(bits.Len64(uint64(max(0, took-1)/time.Millisecond)), LatencyBuckets-1)
 }
 
-// Check says what is wrong with a digest; nil: it makes sense.
+// Check returns an error if the digest is malformed.
 func (d *Digest) Check() error {
 	switch {
 	case !validID(d.From):
@@ -145,18 +147,18 @@
 	return nil
 }
 
-// View is what a planner tells one forwarder.
+// View is the complete state that a planner sends to one forwarder.
 type View struct {
-	Epoch   uint64        // Unix second in which who leads took its lease; 0: there is none
-	Planner string        // who made it
-	Made    time.Duration // by the planner's clock, Unix time; grows with each view of a planner
-	Valid   time.Duration // how long it holds from when it comes
+	Epoch   uint64        // Unix second in which the leader took its lease; 0: there is no leader
+	Planner string        // the sender
+	Made    time.Duration // Unix time by the planner's clock; increases with each view of a planner
+	Valid   time.Duration // validity, counted from arrival
 	policy.View
 }
 
-func validRate(x float64) bool { return x >= 0 && x <= MaxRate } // false for what is no number
+func validRate(x float64) bool { return x >= 0 && x <= MaxRate } // false for NaN
 
-// Check says what is wrong with a view by itself; nil: it makes sense.
+// Check returns an error if the view is malformed. It does not compare the view with a server list.
 func (v *View) Check() error {
 	switch {
 	case !validID(v.Planner):
@@ -193,16 +195,16 @@
 	return nil
 }
 
-// Config is what a planner is told at its start. Zero figures take the defaults told with them.
+// Config configures a planner. A zero value of a field with a stated default takes the default.
 type Config struct {
 	ID         string
-	History    uint64        // which life of the planner this is: drawn at its start, so that no other life has the same; 0 counts as 1
-	Valid      time.Duration // of a view; 3 s
-	Silent     time.Duration // a forwarder unheard for so long is forgotten; 5 s
-	DecayTime  time.Duration // span in which what was seen fades; 3 s
-	Move       float64       // most of the keys that weights move a second; 0.05
-	Forwarders int           // most that are followed; 4096
-	// As the forwarders' settings tell them.
+	History    uint64        // identifies one run of the planner: drawn at its start, so that no two runs share it; 0 counts as 1
+	Valid      time.Duration // validity of a view; 3 s
+	Silent     time.Duration // a forwarder that sends nothing for this long is forgotten; 5 s
+	DecayTime  time.Duration // time constant of the exponential decay of all counts; 3 s
+	Move       float64       // largest part of the keys that changes of weights may move in a second; 0.05
+	Forwarders int           // largest number of forwarders; 4096
+	// The same as in the forwarders' settings.
 	Mode         policy.Mode
 	OriginKind   string
 	Weighted     bool
@@ -212,14 +214,14 @@
 	FallWindow   time.Duration
 }
 
-// Reason tells why a server has the weight it has.
+// Explanation reports a server's weight and the reason for it.
 type Explanation struct {
 	ID       string
-	Weight   float64 // listed
+	Weight   float64 // as listed
 	Factor   float64
-	Allow    float64       // sends a second that the fleet may make; 0: no limit
-	Bad      float64       // part of its answers that were late, full or failed
-	Answers  float64       // that this was told from
-	P50, P99 time.Duration // of its answer times, within a factor of two: the upper bounds of where they lie; 0: none are known
+	Allow    float64       // sends per second allowed to the whole fleet; 0: no limit
+	Bad      float64       // share of its answers that were late, refused or failed
+	Answers  float64       // number of answers behind Bad, decayed
+	P50, P99 time.Duration // upper bounds of the latency quantiles, exact to a factor of two; 0: unknown
 	Reason   string
 }
--- a/decide/plan/brief.go
+++ b/decide/plan/brief.go
@@ -10,33 +10,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A brief digest names few servers, however many there are. Those whose answers the node's middle does not explain by chance
-// are told whole. Of the others that answered badly in its span the bad answers are told, at most of mostBad servers; all else
-// is a sum, which the planner spreads over the servers by their parts. Keys are not asked for alike, and a server that is asked
-// more has more bad answers: beside them stands what part of the node's answers were its before the span, on which the span's
-// bad ones do not depend. Where a node sent to few servers in the span, all are
-// told whole and there is no rest.
+// The size of a brief digest does not grow with the number of servers. Servers whose share of bad answers is a statistical
+// outlier at this node are reported in full. Of the others that answered badly in the span, the bad answers are reported,
+// for at most maxBadOnly servers. Everything else is a sum, which the planner spreads over the servers by the share of
+// requests that each receives. Keys differ in popularity, and a server that receives more requests has more bad answers.
+// Its past number of answers is therefore reported along with the bad ones: it is from before the span, so it is
+// independent of the bad answers in the span. A node that sent to few servers in the span reports all of them in full, and
+// Rest is empty.
 
 const (
-	maxBadOnly       = 16              // servers in Digest.Bad; as many servers are told whole, if there are no others
-	pastScale        = 10              // of an answer, in which what is remembered is told
+	maxBadOnly       = 16              // servers in Digest.Bad; a node that used no more servers than that reports all in full
+	pastScale        = 10              // units per answer in Digest.Past and in the Sends of Digest.Bad
 	maxBriefKeys     = 16              // keys in a brief digest
-	collectorDecay   = 3 * time.Second // in which what was seen of a server fades; it stays named for so long
-	minUsualBad      = 0.02            // part of a server's answers that is ordinary anywhere
-	outlierMargin    = badMargin / 2   // beyond the middle by that part, a server is an exception; half of what planners act on
-	outlierLogChance = 6.9             // -log of the chance, one in a thousand, under which a deviation is no chance
-	minKeyRequests   = 3.0             // times that a key was asked for in a span, below which it says nothing
-	briefKeyLoad     = hotMinLoad / 2  // of a cache's mean load at this node that a key must bring
+	collectorDecay   = 3 * time.Second // time constant of the history's decay, and how long an outlier is reported in full
+	minUsualBad      = 0.02            // share of bad answers that is ordinary at any server
+	outlierMargin    = badMargin / 2   // above the usual share by this much a server is an outlier; half of the margin that planners act on
+	outlierLogChance = 6.9             // -ln of the probability, 1 in 1000, below which a deviation is not put down to chance
+	minKeyRequests   = 3.0             // requests in a span below which a key is not significant
+	briefKeyLoad     = hotMinLoad / 2  // least load of a reported key, in a cache's mean load at this node
 )
 
-// past is what was seen of a server, fading.
+// history holds a server's exponentially decayed counts.
 type history struct {
 	answers, bad float64
-	before       float64       // answers, before the last span
-	outlierUntil time.Duration // it is told whole until then
+	before       float64       // answers up to the start of the last span
+	outlierUntil time.Duration // reported in full until then
 }
 
-// worst is how many bad answers it had of late beyond what is usual at the node; of a server that is not remembered, nothing.
+// excessBad returns how many recent bad answers exceed the node's usual share; 0 for a server with no history.
 func (p *history) excessBad(usual float64) float64 {
 	if p == nil {
 		return 0
@@ -44,7 +45,7 @@
 	return p.bad - usual*p.answers
 }
 
-// remember adds the span to what is remembered and finds the exceptions.
+// updateHistory adds the current span to the history and marks the outliers.
 func (g *Collector) updateHistory(now time.Duration) {
 	decay := math.Exp(-float64(max(0, now-g.historyAt)) / float64(collectorDecay))
 	g.historyAt = now
@@ -69,7 +70,7 @@
 	}
 	g.before = 0
 	list := make([]*history, 0, len(g.history))
-	for _, id := range slices.Sorted(maps.Keys(g.history)) { // sums of the same figures are the same to the last bit
+	for _, id := range slices.Sorted(maps.Keys(g.history)) { // a fixed order of summation gives the same result to the last bit
 		p := g.history[id]
 		g.before += p.before
 		list = append(list, p)
@@ -82,7 +83,7 @@
 	}
 }
 
-// turn is a number for a server, another one in each digest and at each node.
+// tieBreak returns a hash of a server's id that differs from digest to digest and from node to node.
 func (g *Collector) tieBreak(id string) uint64 {
 	x := (xxhash.Sum64String(id) ^ xxhash.Sum64String(g.name)) + g.seq*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -90,7 +91,8 @@
 	return x ^ x>>31
 }
 
-// usualOf is the part of bad answers in the better half of the servers: rather too little, so that rather too many are named.
+// usualBadShare returns the share of bad answers in the better half of the servers. It errs on the low side, so that
+// rather too many servers are reported than too few.
 func usualBadShare(list []*history) float64 {
 	list = slices.DeleteFunc(slices.Clone(list), func(p *history) bool { return p.answers <= 0 })
 	slices.SortStableFunc(list, func(x, y *history) int { return cmp.Compare(x.bad*y.answers, y.bad*x.answers) })
@@ -102,8 +104,8 @@
 	return min(1, max(minUsualBad, bad/max(1, answers)))
 }
 
-// stands reports whether so many bad answers of all are an exception where usual is the ordinary part: by Chernoff's bound of
-// the binomial tail.
+// isOutlier reports whether so many bad answers are significantly above the usual share, by the Chernoff bound of the
+// binomial tail.
 func isOutlier(bad, answers, usual float64) bool {
 	if answers <= 0 || usual >= 1 {
 		return false
@@ -119,7 +121,7 @@
 	return answers*divergence > outlierLogChance
 }
 
-// Brief gives in brief what the last Digest gave.
+// Brief returns a brief form of d, which must be the latest result of Digest.
 func (g *Collector) Brief(d *Digest) *Digest {
 	b := *d
 	b.Brief, b.Servers = true, nil
@@ -130,7 +132,7 @@
 	}
 	if len(d.Hot) > maxBriefKeys {
 		minRequests := max(minKeyRequests, briefKeyLoad*float64(d.Asked)/float64(max(1, len(g.history))))
-		b.Hot = d.Hot[:maxBriefKeys] // most first
+		b.Hot = d.Hot[:maxBriefKeys] // sorted by descending count
 		for i, h := range b.Hot {
 			if float64(h.Asked) < minRequests {
 				b.Hot = b.Hot[:i]
@@ -141,13 +143,13 @@
 	return &b
 }
 
-// inTenths is a count as it is told.
+// scaledPast returns a past number of answers in the unit of the message, tenths.
 func scaledPast(n float64) int { return int(math.Round(min(n, MaxCount/pastScale) * pastScale)) }
 
-// reduce sorts the servers of d into those that are told whole, those of which bad answers are told, and the rest.
+// summarize divides the servers of d into those reported in full, those of which bad answers are reported, and the rest.
 func (g *Collector) summarize(b, d *Digest) {
 	var bad []*Load
-	sumBad, sumAll := 0.0, 0.0 // remembered
+	sumBad, sumAll := 0.0, 0.0 // decayed sums from the history
 	b.Past = scaledPast(g.before)
 	sum := func(l *Load) {
 		b.Rest.Sends += l.Sends
@@ -173,8 +175,8 @@
 		}
 	}
 	usual := sumBad / max(1, sumAll)
-	// Guards against servers that seem worse than others since their names come first: which of those that are alike are told
-	// is another choice each time.
+	// Equal servers are reported in a different order each time: a fixed order by id would make the first ones look worse
+	// than the others.
 	slices.SortFunc(bad, func(x, y *Load) int {
 		return cmp.Or(cmp.Compare(g.history[y.ID].excessBad(usual), g.history[x.ID].excessBad(usual)), cmp.Compare(g.tieBreak(x.ID), g.tieBreak(y.ID)))
 	})
--- a/decide/plan/collector.go
+++ b/decide/plan/collector.go
@@ -9,14 +9,14 @@
 	"lapisshelf/policy"
 )
 
-const maxCountedKeys = 4 * MaxHotKeys // that are counted at once
+const maxCountedKeys = 4 * MaxHotKeys // tracked at once
 
-// Gather counts what a forwarder sees, for its digests. Its size is bounded whatever the traffic.
+// Collector counts what a forwarder sees, for its digests. Its size is bounded whatever the traffic.
 type Collector struct {
 	name          string
 	start         int64
 	seq           uint64
-	spanStart     time.Duration // the last digest
+	spanStart     time.Duration // when the current span began
 	requests      int
 	readsAnswered int
 	servers       map[string]*Load
@@ -24,11 +24,11 @@
 	hot           map[uint32]int
 	tenants       map[string]int
 	history       map[string]*history // by server
-	historyAt     time.Duration       // when past was brought up to date
-	before        float64             // answers of all servers that were remembered before the last span
+	historyAt     time.Duration       // when history was last decayed
+	before        float64             // sum of history.before over all servers
 }
 
-// NewGather begins to count for a forwarder that starts now.
+// NewCollector returns a Collector for a forwarder that starts now.
 func NewCollector(now time.Duration, name string) *Collector {
 	g := &Collector{name: name, start: int64(now), spanStart: now, history: map[string]*history{}, historyAt: now}
 	g.reset()
@@ -45,7 +45,7 @@
 	g.requests++
 	if k := policy.Digest(key); key != "" {
 		if _, known := g.hot[k]; !known && len(g.hot) >= maxCountedKeys {
-			for other, n := range g.hot { // those asked for once make room, the rest count one less: the frequent stay
+			for other, n := range g.hot { // frequent-items counting: every tracked key loses one, and those at zero make room
 				if g.hot[other] = n - 1; n <= 1 {
 					delete(g.hot, other)
 				}
@@ -59,8 +59,8 @@
 	}
 }
 
-// Attempt counts the end of an attempt. Timely: it was answered well within its aim, or is a write, which takes as long as
-// it takes. Own: its end tells nothing of the server.
+// Attempt counts the end of an attempt. timely: it was answered well within its aim, or it is a write, whose latency is not
+// judged. own: the outcome says nothing about the server.
 func (g *Collector) Attempt(server string, origin bool, o policy.Outcome, took time.Duration, timely, own bool) {
 	l := &g.origin
 	if !origin {
@@ -98,7 +98,7 @@
 	}
 }
 
-// Digest is what was counted since the last one, and begins anew.
+// Digest returns the counts since the previous digest, and starts a new span.
 func (g *Collector) Digest(now time.Duration) *Digest {
 	g.seq++
 	d := &Digest{From: g.name, Start: g.start, Seq: g.seq, Span: max(time.Millisecond, min(now-g.spanStart, time.Minute)), Asked: g.requests, Answered: g.readsAnswered, Origin: g.origin}
--- a/decide/plan/hello.go
+++ b/decide/plan/hello.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Hello is a digest that tells nothing yet but who speaks; what is counted so far is left for the next Digest. With it a
-// forwarder asks a planner that it has just reached what it speaks, in a few bytes.
+// Hello returns a digest that carries only the sender's identity; the counts collected so far stay for the next Digest.
+// A forwarder sends it to a planner that it has just connected to, to learn in a few bytes which protocol it speaks.
 func (g *Collector) Hello() *Digest {
 	g.seq++
 	return &Digest{From: g.name, Start: g.start, Seq: g.seq, Span: time.Millisecond}
 }
 
-// MostTravel is for how long a grant may be on its way. A planner counts a grant as running for so long beyond its validity,
-// which counts from when it comes; a forwarder takes none that may have been longer.
+// MaxGrantTransit is the longest time that a grant may be in transit. A planner counts a grant as outstanding for this long
+// beyond its validity, which counts from arrival; a forwarder discards grants that may have been in transit for longer.
 const MaxGrantTransit = maxTransit
