--- a/decide/plan/api.go
+++ b/decide/plan/api.go
@@ -111,37 +111,37 @@
 func (d *Digest) Check() error {
 	switch {
 	case !validID(d.From):
-		return errors.New("no name, or too long a one")
+		return errors.New("sender name is missing or too long")
 	case d.Span <= 0 || d.Span > time.Minute:
-		return fmt.Errorf("a span of %v", d.Span)
+		return fmt.Errorf("span %v is out of range", d.Span)
 	case len(d.Servers) > MaxServers || len(d.Bad) > MaxServers || len(d.Hot) > MaxHotKeys || len(d.Tenants) > MaxTenants:
 		return errors.New("too many entries")
 	case !validCounts(d.Asked, d.Answered) || d.Past < 0 || d.Past > pastScale*MaxCount || !d.Origin.valid() || !d.Rest.valid():
-		return errors.New("absurd counts")
+		return errors.New("counts are out of range")
 	case !d.Brief && (len(d.Bad)+d.Past > 0 || d.Rest.answers() > 0):
-		return errors.New("a whole one with parts of a brief one")
+		return errors.New("full digest with fields of a brief one")
 	}
 	seen := make(map[string]bool, len(d.Servers)+len(d.Bad))
 	for _, list := range [][]Load{d.Servers, d.Bad} {
 		for i := range list {
 			l := &list[i]
 			if !validID(l.ID) || !l.valid() {
-				return fmt.Errorf("absurd counts of server %.40q", l.ID)
+				return fmt.Errorf("server %.40q: id or counts are invalid", l.ID)
 			}
 			if seen[l.ID] {
-				return fmt.Errorf("server %.40q named twice", l.ID)
+				return fmt.Errorf("server %.40q is listed twice", l.ID)
 			}
 			seen[l.ID] = true
 		}
 	}
 	for _, h := range d.Hot {
 		if !validCounts(h.Asked) {
-			return errors.New("absurd counts of keys")
+			return errors.New("counts of keys are out of range")
 		}
 	}
 	for _, u := range d.Tenants {
 		if !validID(u.Tenant) || !validCounts(u.Asked) {
-			return errors.New("absurd counts of tenants")
+			return errors.New("tenant with an invalid name or count")
 		}
 	}
 	return nil
@@ -162,34 +162,34 @@
 func (v *View) Check() error {
 	switch {
 	case !validID(v.Planner):
-		return errors.New("no planner's name, or too long a one")
+		return errors.New("planner name is missing or too long")
 	case v.Valid <= 0 || v.Valid > MaxValidity:
-		return fmt.Errorf("valid for %v", v.Valid)
+		return fmt.Errorf("validity %v is out of range", v.Valid)
 	case len(v.Servers) > MaxServers || len(v.Hot) > MaxHotKeys || len(v.Tenants) > MaxTenants:
 		return errors.New("too many entries")
 	case !(v.Admit == 0 || v.Admit >= MinAdmit && v.Admit <= 1):
-		return errors.New("an absurd part of the reads")
+		return errors.New("part of the reads admitted to the origin is out of range")
 	}
 	seen := map[string]bool{}
 	for _, s := range v.Servers {
 		switch {
 		case !validID(s.ID) || seen[s.ID]:
-			return fmt.Errorf("server %.40q without a name, or named twice", s.ID)
+			return fmt.Errorf("server %.40q: id is invalid or listed twice", s.ID)
 		case !(s.Factor >= MinFactor && s.Factor <= 1):
-			return fmt.Errorf("server %.40q: a factor of %v", s.ID, s.Factor)
+			return fmt.Errorf("server %.40q: factor %v is out of range", s.ID, s.Factor)
 		case !validRate(s.Allow):
-			return fmt.Errorf("server %.40q: an absurd rate", s.ID)
+			return fmt.Errorf("server %.40q: rate is out of range", s.ID)
 		}
 		seen[s.ID] = true
 	}
 	for _, h := range v.Hot {
 		if !validRate(h.Load) {
-			return errors.New("an absurd load of a key")
+			return errors.New("load of a key is out of range")
 		}
 	}
 	for _, t := range v.Tenants {
 		if !validID(t.Name) || !validRate(t.Asked) {
-			return errors.New("an absurd use of a tenant")
+			return errors.New("tenant with an invalid name or rate")
 		}
 	}
 	return nil
--- a/decide/plan/change.go
+++ b/decide/plan/change.go
@@ -15,73 +15,74 @@
 	"lapisshelf/policy"
 )
 
-// What all forwarders are told alike is a state with a revision; a Change leads from one revision to another.
+// The part of a view that is the same for all forwarders is a state with a revision. A Change leads from one revision to
+// another.
 
 const (
-	factorSteps     = 1000 // of a factor from 0 to 1, as it is told
-	hotKeepRatio    = 0.75 // part of hotLeast down to which a key that was told stays told
+	factorSteps     = 1000 // steps of a published factor from 0 to 1
+	hotKeepRatio    = 0.75 // part of hotMinLoad down to which a key that was published stays published
 	hotTolerance    = 1.0 / 8
 	tenantTolerance = 1.0 / 10
-	noiseDeviations = 5.0 // square roots of a count that are chance: five standard deviations of the difference of two fading counts
+	noiseDeviations = 5.0 // square roots of a count that are noise: five standard deviations of the difference of two decaying counts
 )
 
-// Change is what a planner tells a forwarder that holds one of its revisions.
+// Change is what a planner sends to a forwarder that holds one of its revisions.
 type Change struct {
 	Epoch      uint64         // as in View
 	Planner    string         // as in View
 	Made       time.Duration  // as in View
 	Valid      time.Duration  // as in View
-	History    uint64         // which life of the planner's counting; never 0
-	Base       uint64         // the revision that it counts from; 0: none, all is told
-	Revision   uint64         // what is held after it; never 0
-	Count      int            // servers that serve by the planner's list
-	Servers    []policy.Share // ID and Factor alone, in steps of a thousandth: what changed since Base; 1: nothing is told of it any more
-	Admit      float64        // part of the reads that may go to the origin, in thousandths; 0: all. Always told
-	Hot        []policy.Heat  // if HotSet: the whole new set
-	HotSet     bool           // always with Base 0
-	Tenants    []policy.Use   // if TenantsSet: the whole new set
-	TenantsSet bool           // always with Base 0
+	History    uint64         // the Config.History of the planner's run; never 0
+	Base       uint64         // the revision that the change starts from; 0: none, the change is the full state
+	Revision   uint64         // the revision that it leads to; never 0
+	Count      int            // ready servers in the planner's list
+	Servers    []policy.Share // ID and Factor only, in thousandths: those that changed since Base; Factor 1 removes the server's entry
+	Admit      float64        // part of the reads that may go to the origin, in thousandths; 0: all. Sent with every change
+	Hot        []policy.Heat  // if HotSet: the complete new set
+	HotSet     bool           // always set with Base 0
+	Tenants    []policy.Use   // if TenantsSet: the complete new set
+	TenantsSet bool           // always set with Base 0
 	Sum        uint32         // of the state at Revision, see Sum
-	Grants     []Grant        // for this forwarder alone
-	// With grants: the number of the last digest of this forwarder that the planner has had, and how long it has had that.
-	// By them a forwarder knows how long the grants may have been on their way, see MostTravel.
+	Grants     []Grant        // for this forwarder only
+	// With grants: the number of the latest digest that the planner has received from this forwarder, and the time since it
+	// arrived. They let the forwarder bound the time that the grants were in transit, see MaxGrantTransit.
 	Answers uint64
 	After   time.Duration
 }
 
-// Grant is how many sends a second a forwarder may make to a cold server, for as long as the change is valid.
+// Grant is how many sends per second a forwarder may make to a cold server while the change is valid.
 type Grant struct {
 	ID   string
 	Rate float64
 }
 
-// Hold is what a forwarder holds of a planner's states; the zero one: nothing, it wants all.
+// Hold is the state of a planner that a forwarder holds. The zero Hold stands for none: the forwarder needs the full state.
 type Hold struct {
 	History  uint64
 	Revision uint64
-	Follows  bool // this planner's is in force
+	Follows  bool // the forwarder acts on this planner's state
 }
 
-// Check says what is wrong with a change by itself; nil: it makes sense.
+// Check returns an error if the change is malformed. It does not compare it with a held state.
 func (c *Change) Check() error {
 	switch {
 	case c.History == 0 || c.Revision == 0 || c.Base > c.Revision:
-		return fmt.Errorf("from revision %d to %d of history %d", c.Base, c.Revision, c.History)
+		return fmt.Errorf("invalid revisions: from %d to %d of history %d", c.Base, c.Revision, c.History)
 	case c.Base == 0 && !(c.HotSet && c.TenantsSet):
-		return errors.New("a whole state that leaves parts out")
+		return errors.New("full state without its hot keys or tenants")
 	case !c.HotSet && len(c.Hot) > 0 || !c.TenantsSet && len(c.Tenants) > 0:
-		return errors.New("parts that are not set")
+		return errors.New("hot keys or tenants without their set flag")
 	case c.Count < 0 || c.Count > MaxServers:
-		return fmt.Errorf("%d servers", c.Count)
+		return fmt.Errorf("server count %d is out of range", c.Count)
 	case len(c.Grants) > 0 && (c.Answers == 0 || c.After < 0):
-		return errors.New("grants that answer no digest")
+		return errors.New("grants without a valid digest number and age")
 	case len(c.Grants) > MaxServers:
-		return errors.New("too many entries")
+		return errors.New("too many grants")
 	}
 	seen := map[string]bool{}
 	for _, g := range c.Grants {
 		if !validID(g.ID) || seen[g.ID] || !validRate(g.Rate) || g.Rate == 0 {
-			return fmt.Errorf("server %.40q: an absurd grant", g.ID)
+			return fmt.Errorf("server %.40q: grant is invalid or listed twice", g.ID)
 		}
 		seen[g.ID] = true
 	}
@@ -90,8 +91,8 @@
 	return v.Check()
 }
 
-// Sum is a hash of a state: the factors that are not 1, the origin's part, hot keys and tenants, in any order of the servers
-// and in the told order of the others.
+// Sum returns a hash of a state: the factors other than 1 in the order of the ids, the part of the reads admitted to the
+// origin, and the hot keys and tenants in the order given.
 func Sum(factors map[string]float64, admit float64, hot []policy.Heat, tenants []policy.Use) uint32 {
 	var buf []byte
 	text := func(s string) { buf = append(binary.AppendUvarint(buf, uint64(len(s))), s...) }
@@ -116,10 +117,10 @@
 	return uint32(xxhash.Sum64(buf))
 }
 
-// told is the state that forwarders are told, with the revisions at which its parts last changed.
+// published is the state that is sent to forwarders, with the revisions at which its parts last changed.
 type published struct {
 	revision        uint64
-	oldestBase      uint64 // changes are known from here on
+	oldestBase      uint64 // the lowest revision that a change may start from
 	factors         map[string]publishedFactor
 	admit           float64
 	hot             []policy.Heat
@@ -134,8 +135,7 @@
 	changedAt uint64
 }
 
-// settle brings the told state in line with what is so, by steps: while what is so hardly moves there is no new revision.
-// It is called once a Make.
+// refresh updates the published state, in steps: small movements do not make a new revision. It is called once per Update.
 func (t *published) refresh(serving []*server, admit float64, hot []policy.Heat, use []policy.Use, mean, memory float64) {
 	next := t.revision + 1
 	changed := t.revision == 0
@@ -149,7 +149,7 @@
 		}
 		t.factors[s.ID], changed = publishedFactor{f, next}, true
 	}
-	for id, old := range t.factors { // what serves no more is told of no more
+	for id, old := range t.factors { // a server that is no longer ready has no factor
 		if !now[id] && old.factor != 1 {
 			t.factors[id], changed = publishedFactor{1, next}, true
 		}
@@ -177,8 +177,8 @@
 	t.checksum = Sum(factors, t.admit, t.hot, t.tenants)
 }
 
-// forget keeps what is remembered of servers bounded: the oldest of those that nothing is told of go, and with them the
-// changes from before.
+// prune bounds the number of remembered servers: it drops the older half of those with factor 1. Changes from revisions
+// before that are no longer possible.
 func (t *published) prune() {
 	if len(t.factors) <= 2*MaxServers {
 		return
@@ -197,8 +197,8 @@
 	maps.DeleteFunc(t.factors, func(_ string, f publishedFactor) bool { return f.factor == 1 && f.changedAt <= t.oldestBase })
 }
 
-// nextHot says what is to be told of hot keys, and whether that is new: other keys, or a load off by over an eighth and by
-// more than chance. Mean is a cache's mean load, in requests of the planner's memory.
+// nextHotKeys returns the hot keys to publish, and whether that is a change: the set of keys differs, or a load differs by
+// over an eighth and by more than noise. mean is a cache's mean load, in requests per DecayTime.
 func nextHotKeys(old, hot []policy.Heat, mean float64) ([]policy.Heat, bool) {
 	before := map[uint32]float64{}
 	for _, h := range old {
@@ -220,8 +220,8 @@
 	return next, moved || len(next) != len(old)
 }
 
-// nextUse says what is to be told of tenants, and whether that is new: others, or a rate off by over a tenth and by more
-// than chance. Memory is the planner's, in seconds.
+// nextTenants returns the tenants to publish, and whether that is a change: the set of tenants differs, or a rate differs
+// by over a tenth and by more than noise. memory is Config.DecayTime in seconds.
 func nextTenants(old, use []policy.Use, memory float64) ([]policy.Use, bool) {
 	before := map[string]float64{}
 	for _, u := range old {
@@ -239,27 +239,28 @@
 	return next, moved
 }
 
-// coarse rounds to eight bits, which are short on the wire.
+// roundToWire rounds to eight significant bits, which have a short encoding on the wire.
 func roundToWire(x float64) float64 {
 	part, exp := math.Frexp(x)
 	return math.Ldexp(math.Round(part*256)/256, exp)
 }
 
-// floor is coarse, never above x.
+// floorToWire is like roundToWire, but never returns more than x.
 func floorToWire(x float64) float64 {
 	part, exp := math.Frexp(x)
 	return math.Ldexp(math.Floor(part*256)/256, exp)
 }
 
-// Revision is that of the state that is told now; 0 before the first Make.
+// Revision returns the revision of the published state; 0 before the first Update.
 func (p *Planner) Revision() uint64 { return p.published.revision }
 
-// Cold reports whether grants are to be told: a server is cold and has a budget.
+// HasColdServers reports whether there are grants to send: some server is cold and has a budget.
 func (p *Planner) HasColdServers() bool { return len(p.cold) > 0 }
 
-// Change is what leads a forwarder that holds base to the present state, at this moment of the planner's clock; whole:
-// nothing can be counted from base, and all is told. It is the same for all that hold the same, but for the grants, which
-// are not in it. It takes O(servers whose factor ever changed). Only after a Make.
+// Change returns the change from base to the published state, stamped with clock, the present time of the planner's wall
+// clock. If whole is true, no change can start from base, and the result is the full state. The result has no grants and
+// is the same for all forwarders with the same base. It takes O(servers whose factor ever changed). Update must have been
+// called before.
 func (p *Planner) Change(clock time.Duration, base Hold) (c Change, whole bool) {
 	t := &p.published
 	p.lastStamp = max(p.lastStamp+1, clock)
--- a/decide/plan/plan.go
+++ b/decide/plan/plan.go
@@ -11,34 +11,34 @@
 	"lapisshelf/policy"
 )
 
-const ( // each for a reason that holds anywhere
-	badMargin             = 0.2  // beyond the fleet's middle by that part, a server's answers are no chance
-	recoveredMargin       = 0.05 // within it by that part, it has recovered
-	minAnswers            = 10.0 // answers below which nothing is said of a server
-	factorCutPerSecond    = 0.5  // what is left of a factor after a second of being worse
-	factorGrowthPerSecond = 1.25 // what it grows by in a second of being well
-	coldBudgetPart        = 0.5  // as the module's: part of the fall budget that is used
+const (
+	badMargin             = 0.2  // margin over the fleet's median share of bad answers at which a server loses weight
+	recoveredMargin       = 0.05 // margin at or below which it regains weight
+	minAnswers            = 10.0 // answers below which a server's share of bad ones is not judged
+	factorCutPerSecond    = 0.5  // multiplies the factor for each second over badMargin
+	factorGrowthPerSecond = 1.25 // multiplies the factor for each second within recoveredMargin
+	coldBudgetPart        = 0.5  // part of the fall budget that is used, as in the forwarder
 	originStrainedShare   = 1.0 / 3
-	admitCut              = 0.8 // of the part of the reads that may go to a strained origin
-	admitGrowthPerSecond  = 0.2 // more of them in a second of its being well
-	hotMinLoad            = 0.5 // caches' mean loads that make a key worth naming
-	maxOfMedian           = 2.0 // what one forwarder counts for, against the middle one
-	boundSlack            = 1.5 // by which it may be over that while what is in the middle falls
-	minSkew               = 0.5 // of the requests that a server gets, against what it should; a liar moves it no further
+	admitCut              = 0.8 // multiplies the part of the reads admitted to an overloaded origin
+	admitGrowthPerSecond  = 0.2 // added to that part for each second in which the origin is well
+	hotMinLoad            = 0.5 // least load of a hot key, in a cache's mean loads
+	maxOfMedian           = 2.0 // what one forwarder counts for at most, in medians of all forwarders
+	boundSlack            = 1.5 // times that bound, beyond which counts are taken back; the bound falls with the median
+	minSkew               = 0.5 // limits of a server's ratio of actual to expected requests; they bound what a lying forwarder can do
 	maxSkew               = 4.0
-	skewPrior             = 5.0         // answers that count as if it got what it should, beside what is known
-	skewDecayFactor       = 4           // times the memory in which that fades: what a server gets changes slowly
-	minSpreadPart         = 0.5         // of all servers' parts, over which a digest's rest is spread at least
-	maxTrackedKeys        = 1 << 14     // that are counted at once
-	maxTransit            = time.Second // for which a view is on its way at most; it counts from when it comes, and so do grants
+	skewPrior             = 5.0         // answers added to both sides of that ratio, so that few answers leave it near 1
+	skewDecayFactor       = 4           // times DecayTime: the decay of that ratio's counts, which change slowly
+	minSpreadPart         = 0.5         // least part of all servers' share of requests over which a digest's Rest is spread
+	maxTrackedKeys        = 1 << 14     // tracked at once
+	maxTransit            = time.Second // see MaxGrantTransit; views and grants are valid from their arrival
 )
 
-// Planner makes views. It is not safe for concurrent use.
+// Planner computes views. It is not safe for concurrent use.
 type Planner struct {
 	state
 }
 
-// New makes a planner that knows nothing.
+// New returns a planner with no servers and no forwarders.
 func New(cfg Config) *Planner {
 	cfg.Valid, cfg.Silent = cmp.Or(cfg.Valid, 3*time.Second), cmp.Or(cfg.Silent, 5*time.Second)
 	cfg.DecayTime, cfg.Move = cmp.Or(cfg.DecayTime, 3*time.Second), cmp.Or(cfg.Move, 0.05)
@@ -48,9 +48,9 @@
 		keyRequests: map[uint32]float64{}, tenantRequests: map[string]float64{}, published: published{factors: map[string]publishedFactor{}}}}
 }
 
-// Roster takes the whole server list. What was learned of a server goes with it.
+// SetServers sets the complete server list. What is known of a server that has left the list is dropped.
 func (p *Planner) SetServers(now time.Duration, list []policy.Server) {
-	p.refresh(now) // by the list that it was told under
+	p.refresh(now) // counts received so far belong to the old list
 	named := map[string]bool{}
 	for _, e := range list {
 		if p.cfg.OriginKind != "" && e.Kind == p.cfg.OriginKind {
@@ -60,7 +60,7 @@
 		if s == nil {
 			s = &server{factor: 1, startedAt: p.starts.Begun(now, e.ID, e.Started)}
 			p.servers[e.ID] = s
-		} else if e.Started != s.Started { // what was learned of the process before is void, whatever its clock says
+		} else if e.Started != s.Started { // a new process, whatever its clock says: nothing learned before holds
 			s.factor, s.answerTally, s.knownAnswers, s.dueAnswers, s.startedAt = 1, tally{}, 0, 0, p.starts.Begun(now, e.ID, e.Started)
 		}
 		s.Server, named[e.ID] = e, true
@@ -80,15 +80,16 @@
 	}
 }
 
-// Candidate is a planner that keeps an entry of itself under a lease.
+// Candidate is a planner that keeps an entry of itself in the registry under a lease.
 type Candidate struct {
 	ID         string
 	LeaseStart time.Duration // when it took its lease, Unix time
 }
 
-// Lead tells which planners hold a lease. The one that has held its longest leads, the lower id of two; the epoch is the
-// second in which it took the lease, and never goes back: a leader that is lost and comes back has a later lease. All
-// planners tell the epoch that they know of, so that nobody depends on the leader alone. None at all changes nothing.
+// ElectLeader takes the planners that hold a lease, and returns the leader: the one that has held its lease longest, or the
+// lower id of two. The epoch is the second in which the leader took its lease, and never decreases: a leader that is lost
+// and returns has a later lease. All planners send the epoch that they know, so that forwarders do not depend on the leader
+// alone. An empty list changes nothing.
 func (p *Planner) ElectLeader(list []Candidate) (leader string) {
 	if len(list) == 0 {
 		return p.leader
@@ -100,10 +101,10 @@
 	return p.leader
 }
 
-// Epoch is the one that views tell.
+// Epoch returns the epoch that views carry.
 func (p *Planner) Epoch() uint64 { return p.epoch }
 
-// Digest takes what a forwarder saw. An error says why it counts for nothing.
+// Digest takes a forwarder's digest. It returns an error if the digest is not counted.
 func (p *Planner) Digest(now time.Duration, d Digest) error {
 	if err := d.Check(); err != nil {
 		return err
@@ -111,17 +112,17 @@
 	f := p.forwarders[d.From]
 	switch {
 	case f == nil && len(p.forwarders) >= p.cfg.Forwarders:
-		return fmt.Errorf("%d forwarders already", len(p.forwarders))
+		return fmt.Errorf("limit of %d forwarders is reached", len(p.forwarders))
 	case f == nil:
 		f = &forwarder{start: d.Start}
 		p.forwarders[d.From], p.order = f, nil
 	case f.previousStart != 0 && d.Start == f.previousStart, d.Start == f.start && d.Seq <= f.seq:
-		return fmt.Errorf("older than what it said before")
+		return fmt.Errorf("digest is older than one already received")
 	}
-	if d.Start != f.start { // a restart, also where the wall clock was set back before it
+	if d.Start != f.start { // a restart, even if the wall clock was set back before it
 		f.previousStart = f.start
 	}
-	// A restart changes nothing else: what it said before fades, and its grants run on, for they may have been used.
+	// Nothing else changes in a restart: the earlier counts decay, and grants stay outstanding, since they may be in use.
 	f.start, f.seq, f.heardAt = d.Start, d.Seq, now
 	if p.pending = append(p.pending, pendingDigest{f, d}); len(p.pending) >= 64+2*len(p.forwarders) {
 		p.refresh(now)
@@ -129,8 +130,8 @@
 	return nil
 }
 
-// Make looks at all that was told and settles weights, budgets and what is told. It is to be called a few times a second. It
-// takes O(forwarders + servers + grants that run), and for each digest since the last call O(servers that it names).
+// Update counts the digests received since the last call, and updates weights, budgets and the published state. It should be
+// called a few times a second. It takes O(forwarders + servers + outstanding grants), plus O(named servers) per new digest.
 func (p *Planner) Update(now time.Duration) {
 	since := min(now-p.updatedAt, time.Second)
 	p.updatedAt = now
@@ -154,9 +155,8 @@
 	p.published.refresh(p.serving, p.admit, hot, use, mean, p.cfg.DecayTime.Seconds())
 }
 
-// settle brings all sums up to date: they fade, and the digests since the last time are counted, none of a forwarder for more
-// than twice the middle one.
-// Guards against a forwarder whose absurd digests would decide for all.
+// refresh decays all sums and counts the pending digests. Of a forwarder no more is counted than twice the median forwarder,
+// so that one with absurd counts cannot decide for all.
 func (p *Planner) refresh(now time.Duration) {
 	decay := 1.0
 	if now > p.decayedAt {
@@ -204,7 +204,7 @@
 	}
 	clear(p.pending)
 	p.pending = p.pending[:0]
-	for _, s := range p.servers { // each gets its part of the rest of those that did not name it
+	for _, s := range p.servers { // each gets its part of the Rest of the digests that did not name it
 		s.answerTally.addScaled(&p.rest, s.part)
 		s.answerTally.addScaled(&s.restExcluded, -s.part)
 		s.restExcluded = tally{}
@@ -212,17 +212,18 @@
 	p.rest = tally{}
 }
 
-// hear adds up what a forwarder says, as it says it.
+// addReported adds up a forwarder's counts as reported, without a bound.
 func (f *forwarder) addReported(d *Digest) {
 	f.requests += float64(d.Asked)
 	f.readsAnswered += float64(d.Answered)
 	f.reported += float64(d.answers())
-	// Guards against reads turned away while the origin is merely slow: a read that is not fetched is missed again
-	// (fleet model, 400 nodes, an origin six times slower: service 0.943 with late answers counted, 0.955 without views).
+	// Late answers of the origin count as good. Otherwise reads are refused while the origin is merely slow, and a read that
+	// is not fetched is missed again (simulation with 400 nodes and an origin six times slower: service 0.943 with late
+	// answers counted as bad, 0.955 without views).
 	f.origin.add(&Load{Timely: d.Origin.Timely + d.Origin.Late, Full: d.Origin.Full, Failed: d.Origin.Failed}, 1)
 }
 
-// answers is how many the digest tells of, the origin's left out.
+// answers returns the number of answers in the digest, without those of the origin.
 func (d *Digest) answers() int {
 	n := d.Rest.answers()
 	for i := range d.Servers {
@@ -234,7 +235,7 @@
 	return n
 }
 
-// fits is the part of n that still fits under most.
+// partWithin returns the part of n that is within the limit.
 func partWithin(n, limit float64) float64 {
 	if n <= limit {
 		return 1
@@ -242,7 +243,7 @@
 	return max(0, limit) / n
 }
 
-// count adds a digest to the sums. It takes O(servers that the forwarder named of late).
+// countDigest adds a digest to the sums. It takes O(servers that the forwarder named recently).
 func (p *Planner) countDigest(now time.Duration, f *forwarder, d *Digest) {
 	p.digestCount++
 	f.sweep(now, p.cfg.DecayTime)
@@ -253,8 +254,8 @@
 	part := partWithin(all, p.answerBound-f.accepted)
 	f.accepted += all * part
 
-	// The rest is spread over the servers of which not all is told, by their parts; its bad answers over those of which
-	// nothing is.
+	// Rest is spread over the servers that are not reported in full, by their share of the requests; its bad answers are
+	// spread over those that are not named at all.
 	open := p.partSum
 	for i := range d.Servers {
 		if s := p.servers[d.Servers[i].ID]; s != nil {
@@ -267,7 +268,7 @@
 		open = max(open, minSpreadPart*p.partSum)
 		quiet := open
 		sum := d.Rest
-		for i := range d.Bad { // told by name; that they were answers stays in sum
+		for i := range d.Bad { // their bad answers are reported by name; sum counts them as answers only
 			sum.Timely += d.Bad[i].bad()
 			if s := p.servers[d.Bad[i].ID]; s != nil {
 				quiet -= s.part
@@ -287,7 +288,7 @@
 				s.restExcluded.bad += rest.bad
 				dueAnswers := keep * past * s.base / p.baseSum
 				s.dueAnswers += dueAnswers
-				s.knownAnswers += min(keep*float64(d.Bad[i].Sends)/pastScale, 2*maxSkew*dueAnswers) // what lies beyond is a lie
+				s.knownAnswers += min(keep*float64(d.Bad[i].Sends)/pastScale, 2*maxSkew*dueAnswers) // more than that cannot be true
 			}
 		}
 		if rest.bad > 0 {
@@ -296,7 +297,7 @@
 		p.rest.addScaled(&rest, 1)
 	}
 	for i := range d.Servers {
-		if s := p.servers[d.Servers[i].ID]; s != nil { // the list alone says who there is
+		if s := p.servers[d.Servers[i].ID]; s != nil { // only servers of the list count
 			s.restExcluded.addScaled(&rest, 1)
 			l := &d.Servers[i]
 			s.answerTally.add(l, p.acceptNamed(now, f, s, float64(l.answers())*part, float64(l.bad())*part)*part)
@@ -311,7 +312,7 @@
 	p.countRequests(f, d)
 }
 
-// share is what one forwarder's answers of a server count for at most.
+// forwarderBound returns the largest number of a server's answers that one forwarder may count for.
 func (p *Planner) forwarderBound(s *server) float64 {
 	if p.partSum == 0 {
 		return maxOfMedian
@@ -319,7 +320,7 @@
 	return max(maxOfMedian, p.answerBound*s.part/p.partSum)
 }
 
-// name gives the part that counts of n answers of a server told by name, so many of them bad.
+// acceptNamed counts n answers of a server that the digest names, some of them bad, and returns the part that is accepted.
 func (p *Planner) acceptNamed(now time.Duration, f *forwarder, s *server, n, bad float64) float64 {
 	if n == 0 {
 		return 0
@@ -335,8 +336,8 @@
 	return part
 }
 
-// takeBack takes back what a forwarder has counted for beyond twice the middle one.
-// Guards against a forwarder that is heard before the others, when what is in the middle is what it says itself.
+// clampForwarder takes back what a forwarder counts for beyond twice the median one. This happens to a forwarder that is
+// heard before the others, when the median is its own count.
 func (p *Planner) clampForwarder(now time.Duration, f *forwarder) {
 	if over := 1 - p.answerBound/f.accepted; f.accepted > boundSlack*p.answerBound {
 		for _, s := range p.servers {
@@ -350,14 +351,15 @@
 		}
 		f.accepted, f.rest, f.restBad = p.answerBound, f.rest*(1-over), f.restBad*(1-over)
 	}
-	if f.acceptedRequests > boundSlack*p.requestBound { // whose keys they were is not known
+	if f.acceptedRequests > boundSlack*p.requestBound { // the sums do not tell which requests are its own
 		f.acceptedRequests = p.requestBound
 		clear(p.keyRequests)
 		clear(p.tenantRequests)
 	}
 }
 
-// narrow takes from servers what of a rest's bad answers would bring a forwarder over its share of them: it has named them.
+// limitRest excludes servers that the forwarder has named recently from the bad answers of its Rest, as far as these would
+// exceed its bound for the server.
 func (p *Planner) limitRest(now time.Duration, f *forwarder, bad float64) {
 	for id, h := range f.named {
 		if s := p.servers[id]; s != nil && s.part > 0 && s.named != p.digestCount {
@@ -368,7 +370,7 @@
 	}
 }
 
-// ask adds up keys and tenants: together no more than the requests that count.
+// countRequests adds a digest's keys and tenants, at most as many requests of each as are accepted of the forwarder.
 func (p *Planner) countRequests(f *forwarder, d *Digest) {
 	part := partWithin(float64(d.Asked), p.requestBound-f.acceptedRequests)
 	f.acceptedRequests += float64(d.Asked) * part
@@ -395,7 +397,7 @@
 	}
 }
 
-// pool adds up what all forwarders told of their requests and of the origin.
+// sumForwarders adds up the requests and the origin's answers over all forwarders.
 func (p *Planner) sumForwarders(since time.Duration) {
 	p.readsAnswered, p.requests, p.demand, p.originAnswers = 0, 0, 0, tally{}
 	var readsAnswered, origin []float64
@@ -409,7 +411,8 @@
 		p.demand += 1 + f.requests
 		p.originAnswers.addScaled(&f.origin, partWithin(f.origin.total, mostOrigin))
 	}
-	// Digests come a second apart: between them the sums fall, by more than what is told anew for tenants.
+	// The rate is smoothed: digests come a second apart, and between them the sums decay by more than the tolerance for
+	// publishing a tenant's rate.
 	if now := p.requests / p.cfg.DecayTime.Seconds(); p.requestRate == 0 {
 		p.requestRate = now
 	} else {
@@ -417,12 +420,12 @@
 	}
 }
 
-// bound is what one forwarder counts for at most.
+// medianBound returns the bound on what one forwarder counts for.
 func medianBound(list []float64) float64 {
 	return maxOfMedian * median(slices.DeleteFunc(list, func(x float64) bool { return x <= 0 }))
 }
 
-// weigh settles the factors, by so many seconds since the last time.
+// updateFactors moves the servers' factors by a time step in seconds.
 func (p *Planner) updateFactors(seconds float64) {
 	ready := p.serving
 	var shares []float64
@@ -467,9 +470,9 @@
 	}
 }
 
-// limit settles what the fleet may send a second to cold servers, and what part of the reads may go to the origin.
+// updateBudgets sets the fleet's send rates for cold servers, and the part of the reads that may go to the origin.
 func (p *Planner) updateBudgets(now time.Duration, seconds float64) {
-	perSecond := 1 / p.cfg.DecayTime.Seconds() // a fading count over its span is what comes in the span
+	perSecond := 1 / p.cfg.DecayTime.Seconds() // a decaying count, divided by its time constant, is a rate
 	sum := 0.0
 	for _, s := range p.serving {
 		sum += s.weight() * s.factor * p.warmth(now, s)
@@ -494,11 +497,11 @@
 	}
 }
 
-// heat finds the keys that bring at least half a cache's mean load, or nearly so, and what tenants use, each most first.
+// hotKeysAndTenants returns the keys whose load is at or near hotMinLoad, and the tenants' rates, both in descending order.
 func (p *Planner) hotKeysAndTenants(mean float64) (hot []policy.Heat, use []policy.Use) {
 	mean = max(mean, minAnswers)
 	least := 0.1
-	if len(p.keyRequests) > maxTrackedKeys/2 { // those that are far from hot make room
+	if len(p.keyRequests) > maxTrackedKeys/2 { // make room by dropping keys that are far from hot
 		least = max(least, hotMinLoad*mean/16)
 	}
 	for k, n := range p.keyRequests {
@@ -520,8 +523,8 @@
 	return hot, use[:min(len(use), MaxTenants)]
 }
 
-// View gives what one forwarder is told now, at this moment of the planner's clock, all in one: for those that know no
-// changes. It grants that forwarder its part of the budgets for as long as the view is valid.
+// View returns the full state for one forwarder, for those that do not support changes. It is stamped with clock, the
+// present time of the planner's wall clock, and grants the forwarder its part of the budgets while the view is valid.
 func (p *Planner) View(now, clock time.Duration, to string) View {
 	p.lastStamp = max(p.lastStamp+1, clock)
 	v := View{Epoch: p.epoch, Planner: p.cfg.ID, Made: p.lastStamp, Valid: p.cfg.Valid}
@@ -540,12 +543,12 @@
 	return v
 }
 
-// leastGrant is told where nothing is left, since 0 means no limit: one send in a thousand seconds.
+// minGrant is granted where no budget is left, since 0 would mean no limit: one send in a thousand seconds.
 const minGrant = 0.001
 
-// Grants gives a forwarder its part of the cold servers' budgets, by id, for as long as a change or view is valid that it is
-// told now: by what it asks for, and no more than the others' running grants leave, those included that came late. None to one that was not heard of late:
-// its own bound holds.
+// Grants returns a forwarder's part of the cold servers' budgets, by id, valid as long as a change or view sent now. The
+// part is proportional to the forwarder's requests and at most what the outstanding grants of the others leave, including
+// those that may have arrived late. A forwarder that has not been heard recently gets none: its own limit applies.
 func (p *Planner) Grants(now time.Duration, to string) (list []Grant) {
 	f := p.forwarders[to]
 	if f == nil {
@@ -553,7 +556,7 @@
 	}
 	for _, s := range p.cold {
 		if p.servers[s.ID] != s || s.State != policy.Ready {
-			continue // it left since the last look
+			continue // it left since the last Update
 		}
 		of := p.grantsByServer[s.ID]
 		if of == nil {
@@ -572,7 +575,7 @@
 	return list
 }
 
-// Outstanding is what all forwarders together may be sending a second to a server by the grants that run.
+// OutstandingGrants returns the rate at which all forwarders together may send to a server by the outstanding grants.
 func (p *Planner) OutstandingGrants(now time.Duration, of string) (sum float64) {
 	if s := p.grantsByServer[of]; s != nil {
 		for _, to := range s.order {
@@ -582,7 +585,7 @@
 	return sum
 }
 
-// Explain tells why each ready server has the weight it has, by id.
+// Explain returns each ready server's weight and the reason for it, by id.
 func (p *Planner) Explain() (list []Explanation) {
 	for _, s := range p.serving {
 		list = append(list, Explanation{ID: s.ID, Weight: s.weight(), Factor: s.factor, Allow: s.allow, Bad: s.answerTally.badShare(),
@@ -591,5 +594,5 @@
 	return list
 }
 
-// Followed is how many forwarders are heard.
+// ForwarderCount returns the number of forwarders that were heard recently.
 func (p *Planner) ForwarderCount() int { return len(p.forwarders) }
--- a/decide/plan/state.go
+++ b/decide/plan/state.go
@@ -10,60 +10,60 @@
 	"lapisshelf/policy"
 )
 
-// What a planner remembers, and its plain upkeep. Nothing is decided here.
+// The state of a Planner, and the bookkeeping on it.
 
 type state struct {
-	starts         starts.Book // of servers, as far as they were seen
+	starts         starts.Book // start times of servers, by this planner's clock where it saw them start
 	cfg            Config
 	epoch          uint64
-	leader         string // by the leases; empty: nobody is known to hold one
+	leader         string // of the leases; empty: none is known
 	servers        map[string]*server
-	serving        []*server // those that serve by the list, by id
-	partSum        float64   // of the serving ones in sum
-	baseSum        float64   // alike
-	rest           tally     // what was told in sum since the last look, for each unit of a server's part
-	digestCount    uint64    // of digests counted
+	serving        []*server // ready by the list, by id
+	partSum        float64   // sum of part over serving
+	baseSum        float64   // sum of base over serving
+	rest           tally     // from Rest of the digests counted in this refresh, per unit of a server's part
+	digestCount    uint64    // digests counted so far
 	forwarders     map[string]*forwarder
-	order          []*forwarder // by name; nil: to be made anew
+	order          []*forwarder // by name; nil: to be rebuilt
 	pending        []pendingDigest
-	decayedAt      time.Duration // when the sums were brought up to date: all fade alike
-	answerBound    float64       // of what forwarders told of servers
-	requestBound   float64       // of the requests that they took
-	updatedAt      time.Duration // the last Make
-	lastStamp      time.Duration // of the last view
-	requests       float64       // requests of all forwarders in the span
-	readsAnswered  float64       // reads answered
-	requestRate    float64       // requests a second, evened out
-	demand         float64       // of budgets, by all forwarders
-	originAnswers  tally         // of the origin
+	decayedAt      time.Duration // when the sums were last decayed
+	answerBound    float64       // most answers of servers that one forwarder counts for
+	requestBound   float64       // most requests that one forwarder counts for
+	updatedAt      time.Duration // of the last Update
+	lastStamp      time.Duration // Made of the last view or change
+	requests       float64       // of all forwarders, decayed
+	readsAnswered  float64       // the same of reads answered
+	requestRate    float64       // requests per second, smoothed
+	demand         float64       // the weights, in sum, by which budgets are divided among forwarders
+	originAnswers  tally         // of all forwarders
 	admit          float64       // part of the reads that may go to the origin
-	nextAdmitCut   time.Duration // when it may be cut again
-	cold           []*server     // with a budget, by id
+	nextAdmitCut   time.Duration // earliest time of the next cut of admit
+	cold           []*server     // those with a budget, by id
 	grantsByServer map[string]*serverGrants
-	keyRequests    map[uint32]float64 // how often they were asked for
-	tenantRequests map[string]float64 // of tenants
+	keyRequests    map[uint32]float64 // by policy.Digest of the key, decayed
+	tenantRequests map[string]float64 // by tenant, decayed
 	published      published
 }
 
-// heardOf is a digest that waits for the next look.
+// pendingDigest is a digest that the next refresh counts.
 type pendingDigest struct {
 	from   *forwarder
 	digest Digest
 }
 
 type server struct {
-	startedAt time.Duration // its start as it counts here, see decide/starts
+	startedAt time.Duration // by this planner's clock, see decide/starts
 	policy.Server
 	factor       float64
-	base         float64 // of the requests that it should get: weight, factor and warmth; 0: it does not serve
-	part         float64 // of those that it gets, by what forwarders remember
-	knownAnswers float64 // answers of it that they remembered, when they told of bad ones; fading
-	dueAnswers   float64 // how many that should be by its base; fading
-	allow        float64 // sends a second that the fleet may make; 0: no limit
-	answerTally  tally   // all forwarders', fading
-	restExcluded tally   // of state.rest: what was told by those that named it
-	named        uint64  // the digest that named it last, by state.serial
-	reason       string  // why
+	base         float64 // weight × factor × warmth: the share of the requests that it should get; 0: it is not ready
+	part         float64 // base × skew: the share of the requests that it gets, by the reported past answers
+	knownAnswers float64 // past answers reported along with its bad ones, decayed
+	dueAnswers   float64 // what knownAnswers would be at its base, decayed
+	allow        float64 // sends per second allowed to the whole fleet; 0: no limit
+	answerTally  tally   // of all forwarders, decayed
+	restExcluded tally   // what it does not get of state.rest, per unit of part: from digests that named it
+	named        uint64  // state.digestCount at the last digest that named it
+	reason       string  // for its factor, see Explanation
 }
 
 func (s *server) weight() float64 {
@@ -73,12 +73,12 @@
 	return 1
 }
 
-// skew is how many times what its base tells a server gets, as far as is known.
+// skew returns the estimated ratio of the requests that a server gets to those that its base predicts.
 func (s *server) skew() float64 {
 	return max(minSkew, min(maxSkew, (s.knownAnswers+skewPrior)/(s.dueAnswers+skewPrior)))
 }
 
-// ordered are the forwarders by name: sums of the same figures are the same to the last bit.
+// byName returns the forwarders by name: a fixed order of summation gives the same result to the last bit.
 func (st *state) byName() []*forwarder {
 	if st.order == nil {
 		for _, name := range slices.Sorted(maps.Keys(st.forwarders)) {
@@ -88,7 +88,7 @@
 	return st.order
 }
 
-// warmth is the part of its capacity that a server is sure to have by now, as in policy.
+// warmth returns the part of its capacity that a server has surely reached, computed as in policy.
 func (st *state) warmth(now time.Duration, s *server) float64 {
 	age := now - s.startedAt
 	if s.startedAt == 0 || age >= st.cfg.WarmUp {
@@ -97,22 +97,22 @@
 	return st.cfg.ColdFrom + (1-st.cfg.ColdFrom)*max(0, float64(age)/float64(st.cfg.WarmUp))
 }
 
-// forwarder is what one told. Its counts fade.
+// forwarder holds what one forwarder has reported. Its counts decay.
 type forwarder struct {
-	start            int64 // of its process, by that one's clock: a name for it
-	previousStart    int64 // of the process before that; 0: none is known
+	start            int64 // when its process started, by its own clock; only identifies the process
+	previousStart    int64 // the same of the process before that; 0: unknown
 	seq              uint64
 	heardAt          time.Duration
-	requests         float64 // requests
-	acceptedRequests float64 // those that count
+	requests         float64 // as reported
+	acceptedRequests float64 // accepted within requestBound
 	readsAnswered    float64
 	origin           tally
-	reported         float64              // answers of servers
-	accepted         float64              // those that count
-	rest             float64              // those that count of the rest, for each unit of a server's part
-	restBad          float64              // and of them the bad ones
-	named            map[string]*accepted // those that count of servers told by name
-	sweptAt          time.Duration        // when what had faded was dropped from it
+	reported         float64              // answers of servers, as reported
+	accepted         float64              // answers of servers, accepted within answerBound
+	rest             float64              // accepted answers from Rest, per unit of a server's part
+	restBad          float64              // the bad ones among them
+	named            map[string]*accepted // accepted answers of servers named in digests
+	sweptAt          time.Duration        // last removal of decayed entries from named
 }
 
 func (f *forwarder) fade(decay float64) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// sweep forgets servers of which hardly anything is left.
+// sweep drops servers whose counts have decayed to almost nothing.
 func (f *forwarder) sweep(now, span time.Duration) {
 	if now-f.sweptAt < span {
 		return
@@ -130,26 +130,26 @@
 	maps.DeleteFunc(f.named, func(_ string, h *accepted) bool { return h.at(now, span).total < 0.05 })
 }
 
-// grant is what a forwarder may send a second, until then.
+// grant is a send rate that a forwarder may use until a point in time.
 type grant struct {
 	rate  float64
 	until time.Duration
 }
 
-// shared is what is granted of one server's budget.
+// serverGrants holds the grants from one server's budget.
 type serverGrants struct {
-	sum         float64 // of each forwarder's largest grant that ran when it was last looked at
+	sum         float64 // of the forwarders' largest outstanding grants, as of the last add or expire
 	byForwarder map[string]*forwarderGrants
-	order       []string // of by, as they came: sums of the same figures are the same to the last bit
+	order       []string // of byForwarder, by first grant: a fixed order of summation gives the same result to the last bit
 }
 
-// grants are one forwarder's.
+// forwarderGrants holds one forwarder's grants of a server.
 type forwarderGrants struct {
 	list  []grant
-	count float64 // what it is in shared.sum
+	count float64 // its part of serverGrants.sum
 }
 
-// most is the largest that runs at a time. The older ones run on: the view that told the new one may be lost.
+// maxRate returns the largest outstanding grant. Earlier grants stay outstanding: the message with a later one may be lost.
 func (g *forwarderGrants) maxRate(now time.Duration) (maxRate float64) {
 	if g == nil {
 		return 0
@@ -162,21 +162,21 @@
 	return maxRate
 }
 
-// hold notes a grant.
+// add records a grant.
 func (s *serverGrants) add(now time.Duration, to string, g grant) {
 	mine := s.byForwarder[to]
 	if mine == nil {
 		mine = &forwarderGrants{}
 		s.byForwarder[to], s.order = mine, append(s.order, to)
 	}
-	// One that is no larger and ends no later is covered by the new one.
+	// A grant that is no larger and ends no later is covered by the new one.
 	mine.list = append(slices.DeleteFunc(mine.list, func(o grant) bool { return o.until < now || o.rate <= g.rate && o.until <= g.until }), g)
 	s.sum -= mine.count
 	mine.count = mine.maxRate(now)
 	s.sum += mine.count
 }
 
-// renew drops the grants that have run out, and adds the others up anew.
+// expire drops expired grants and recomputes the sum.
 func (s *serverGrants) expire(now time.Duration) {
 	s.sum = 0
 	s.order = slices.DeleteFunc(s.order, func(to string) bool {
@@ -190,13 +190,13 @@
 	})
 }
 
-// tallied is the sum of loads, fading where it lasts.
+// tally is a sum of Loads; long-lived ones decay.
 type tally struct {
 	bad, total float64
 	times      [LatencyBuckets]float64
 }
 
-// add adds the part of a load that counts.
+// add adds the given part of a Load.
 func (s *tally) add(l *Load, part float64) {
 	s.total += float64(l.answers()) * part
 	s.bad += float64(l.bad()) * part
@@ -205,7 +205,7 @@
 	}
 }
 
-// plus adds x so many times.
+// addScaled adds x multiplied by a factor.
 func (s *tally) addScaled(x *tally, by float64) {
 	s.total += x.total * by
 	s.bad += x.bad * by
@@ -222,7 +222,7 @@
 	}
 }
 
-// within is the time by which that part of the answers had come, as far as the sketch tells.
+// quantile returns the upper bound of the latency bucket that holds the given quantile; 0 if hardly any latency is known.
 func (s *tally) quantile(part float64) time.Duration {
 	all := 0.0
 	for _, n := range s.times {
@@ -244,10 +244,10 @@
 	if s.total <= 0 {
 		return 0
 	}
-	return min(1, s.bad/s.total) // bad answers are told by name, the others may be inferred
+	return min(1, s.bad/s.total) // bad answers are reported by name and the total may be estimated, so bad may exceed total
 }
 
-// taken is what counts of a forwarder's answers of a server, fading.
+// accepted is what counts of a forwarder's answers of one server, decaying.
 type accepted struct {
 	total, bad float64
 	when       time.Duration
@@ -261,7 +261,7 @@
 	return t
 }
 
-// middle is the median; 0 of nothing.
+// median returns the median; 0 for an empty list.
 func median(list []float64) float64 {
 	if len(list) == 0 {
 		return 0
@@ -271,15 +271,15 @@
 	return (sorted[(n-1)/2] + sorted[n/2]) / 2
 }
 
-// Snapshot is what outlasts a planner's restart: the factors it had come to, and the origin's budget.
+// Snapshot is what survives a planner's restart: the factors and the part of the reads admitted to the origin.
 type Snapshot struct {
 	Clock   time.Duration // when it was taken, Unix time
-	Stamp   time.Duration // of its last view
+	Stamp   time.Duration // Made of the last view or change
 	Factors map[string]float64
 	Admit   float64
 }
 
-// Snapshot takes one.
+// Snapshot returns the present factors and budget, stamped with clock.
 func (p *Planner) Snapshot(clock time.Duration) Snapshot {
 	s := Snapshot{Clock: clock, Stamp: p.lastStamp, Admit: p.admit, Factors: map[string]float64{}}
 	for id, x := range p.servers {
@@ -290,8 +290,8 @@
 	return s
 }
 
-// Restore takes up a snapshot that is no older than told, once the list is known. It reports whether it counts. What
-// is out of bounds in it counts for nothing.
+// Restore takes over a snapshot that is at most oldest old; the server list must be known. It reports whether the snapshot
+// was young enough. Values out of range are ignored.
 func (p *Planner) Restore(clock, oldest time.Duration, s Snapshot) bool {
 	if age := clock - s.Clock; age < 0 || age > oldest {
 		return false
