--- a/decide/follow/dials.go
+++ b/decide/follow/dials.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	maxFirstDelay = 500 * time.Millisecond  // of a start: hundreds of nodes may start at once
-	dialInterval  = 1100 * time.Millisecond // from a planner's first word to the next connection
-	dialJitter    = 400 * time.Millisecond  // beyond that, drawn
-	dialTimeout   = 3 * time.Second         // that a connection which has not failed keeps the next one waiting
+	maxFirstDelay = 500 * time.Millisecond  // after a start: hundreds of nodes may start at once
+	dialInterval  = 1100 * time.Millisecond // from a planner's first message to the next connection
+	dialJitter    = 400 * time.Millisecond  // random addition to dialInterval
+	dialTimeout   = 3 * time.Second         // after which a connection without a message no longer delays the next one
 )
 
-// Dials decides when a forwarder opens its connections to planners: one after the other, so that no two handshakes and no two
-// first states come in one second. The next is opened over a second after the last one's planner has said its first word, at
-// once if that fails, and after three seconds in any case: N planners are all tried within 3N seconds of a start.
+// Dialer decides when a forwarder opens its connections to planners. It opens them one after the other, so that no two
+// handshakes and no two full states fall into the same second. The next one is opened over a second after the first message
+// on the last one, at once if that fails, and after three seconds in any case: N planners are all tried within 3N seconds of
+// a start.
 type Dialer struct {
 	rng          *rand.Rand
-	queue        []int           // wanted, the next first
-	nextAt       time.Duration   // when the next may be opened
-	pending      int             // opened, while nothing is known of it; -1: none
-	awaitedUntil []time.Duration // by planner, until when its first word is; 0: it is not, forever: it is in the queue
+	queue        []int           // planners to connect to, the next first
+	nextAt       time.Duration   // earliest time of the next connection
+	pending      int             // planner that was dialled last, while it has neither answered nor failed; -1: none
+	awaitedUntil []time.Duration // by planner, until when its first message is awaited; 0: it is not, forever: it is queued
 }
 
 const forever = time.Duration(1<<63 - 1)
 
-// NewDials wants connections to so many planners, in a drawn order: each is followed by its part of the nodes.
+// NewDialer queues connections to all planners in random order, so that each planner is followed by a part of the nodes.
 func NewDialer(now time.Duration, planners int, rng *rand.Rand) *Dialer {
 	d := &Dialer{rng: rng, queue: rng.Perm(planners), nextAt: now + randomDelay(rng, maxFirstDelay), pending: -1, awaitedUntil: make([]time.Duration, planners)}
 	for i := range d.awaitedUntil {
@@ -39,7 +40,7 @@
 	return time.Duration(rng.Int64N(int64(most)))
 }
 
-// Want asks for a connection to a planner to be opened again; first: before all others that wait, it is the one followed.
+// Enqueue queues a new connection to a planner; first puts it before all others, for the planner that is followed.
 func (d *Dialer) Enqueue(now time.Duration, planner int, first bool) {
 	if slices.Contains(d.queue, planner) {
 		return
@@ -54,7 +55,7 @@
 	d.queue = append(d.queue, planner)
 }
 
-// Next gives the planner to which a connection is to be opened now; -1: none for so long, which is negative if none is wanted.
+// Next returns the planner to connect to now, or -1 and the time until then; the time is negative if the queue is empty.
 func (d *Dialer) Next(now time.Duration) (planner int, wait time.Duration) {
 	switch {
 	case len(d.queue) == 0:
@@ -70,7 +71,7 @@
 	return planner, 0
 }
 
-// Told notes a planner's first word on a connection.
+// FirstMessage records the first message on a connection.
 func (d *Dialer) FirstMessage(now time.Duration, planner int) {
 	d.awaitedUntil[planner] = 0
 	if d.pending == planner {
@@ -78,7 +79,7 @@
 	}
 }
 
-// Failed notes that a connection has ended.
+// Failed records that a connection has ended.
 func (d *Dialer) Failed(now time.Duration, planner int) {
 	d.awaitedUntil[planner] = 0
 	if d.pending == planner {
@@ -86,7 +87,7 @@
 	}
 }
 
-// Awaited is how many planners are not heard for no other reason than that their connections come one after the other.
+// Awaited returns how many planners have not been heard only because connections are opened one after the other.
 func (d *Dialer) Awaited(now time.Duration) (count int) {
 	for _, until := range d.awaitedUntil {
 		if until > now {
--- a/decide/follow/follow.go
+++ b/decide/follow/follow.go
@@ -1,12 +1,13 @@
-// Package follow decides what a forwarder does with planners' views: which planner's count, what a view must not say, and how
-// one that ages fades back to the node's own judgement.
+// Package follow decides what a forwarder does with planners' views: which planner it follows, which views it rejects, and
+// how a view that is no longer valid fades back to the node's own judgement.
 //
-// The ordinary path: each planner's state is kept and brought forward by its changes (TakeChange); the newest one of the
-// planner that is followed is in force. The departures: a change that does not fit what is held is not applied, and a whole
-// state is asked for (Hold); a view that makes no sense, contradicts the list or goes back is refused; one that is no longer
-// valid counts for less and less (Now).
-// It does no I/O and reads no clock: the caller passes the time, Unix time, with each event. Age counts from
-// when a view came, never by the planner's clock.
+// Normally each planner's state is kept and updated by its changes (TakeChange), and the latest state of the followed planner
+// is in force. There are three exceptions: a change that does not fit the held state is not applied, and the full state is
+// requested (Hold); a view that is malformed, contradicts the server list or is out of order is rejected; a view that is no
+// longer valid loses effect gradually (Now).
+//
+// The package does no I/O and reads no clock: the caller passes the Unix time with each event. The age of a view counts from
+// its arrival, never by the planner's clock.
 package follow
 
 import (
@@ -21,77 +22,78 @@
 )
 
 const (
-	maxEpochAhead = time.Hour // that an epoch may be ahead of the own clock; one absurd epoch must not lock all others out
-	minKnownPart  = 0.5       // part of the ready servers that a view names
-	maxWeightCut  = 0.75      // part of the weight that a view may take away
-	maxPlanners   = 64        // that are remembered
+	maxEpochAhead = time.Hour // that an epoch may be ahead of the local clock; one wrong epoch must not lock out all others
+	minKnownPart  = 0.5       // least part of the ready servers that a view must name
+	maxWeightCut  = 0.75      // largest part of the weight that a view may remove
+	maxPlanners   = 64        // whose states are kept
 )
 
-// Config is what a follower is told. A zero Fade takes 10 s.
+// Config configures a Follower. A zero Fade counts as 10 s.
 type Config struct {
-	Fade time.Duration // how long a view that is no longer valid fades
+	Fade time.Duration // time in which a view that is no longer valid loses its effect
 }
 
-// Server is a ready server of the list.
+// Server is a ready server of the node's own list.
 type Server struct {
 	ID     string
-	Weight float64 // listed; what is negative counts as 1
+	Weight float64 // as listed; a negative one counts as 1
 }
 
-// Reason names why a view was not taken.
+// Outcome says whether a view or change was accepted, and if not, why.
 type Outcome string
 
-// The reasons.
+// Outcomes.
 const (
 	Accepted     Outcome = "taken"
-	Invalid      Outcome = "absurd"  // by itself, or for the list
-	Epoch        Outcome = "epoch"   // lower than one seen, or to come
-	OutOfOrder   Outcome = "late"    // made before the last of its planner
-	OtherPlanner Outcome = "another" // planner, while the followed one's view is valid
-	Mismatch     Outcome = "doubt"   // a change that leads from another state than the held one: all is wanted anew
+	Invalid      Outcome = "absurd"  // malformed, or contradicts the server list
+	Epoch        Outcome = "epoch"   // lower than one accepted before, or in the future
+	OutOfOrder   Outcome = "late"    // made before the last one of its planner
+	OtherPlanner Outcome = "another" // from another planner, while the followed one's view is valid
+	Mismatch     Outcome = "doubt"   // a change from a state that is not held, or a wrong checksum: the full state is needed
 )
 
 // Follower keeps the view in force. It is not safe for concurrent use.
 type Follower struct {
 	cfg             Config
-	epoch           uint64 // the highest taken
+	epoch           uint64 // highest accepted
 	held            *plan.View
-	receivedAt      time.Duration        // when it did
+	receivedAt      time.Duration        // of held
 	heldPosition    position             // of held
-	version         uint64               // how often what is in force became another
-	lastViews       map[string]viewTimes // of planners
+	version         uint64               // see Version
+	lastViews       map[string]viewTimes // by planner
 	states          map[string]*state
-	Counts          map[Outcome]int64 // of views, by what became of them
-	StaleGrants     int64             // changes whose grants were too long on their way
-	sentDigests     []sentDigest      // of digests, the oldest first
-	awaitedPlanners int               // planners that are still to be heard
+	Counts          map[Outcome]int64 // of views and changes
+	StaleGrants     int64             // changes whose grants were dropped as too long in transit
+	sentDigests     []sentDigest      // oldest first
+	awaitedPlanners int               // see SetAwaited
 }
 
-// last is the last view taken of a planner.
+// viewTimes describes the last view accepted from a planner.
 type viewTimes struct{ made, receivedAt time.Duration }
 
-// place is where a planner's counting is; the zero one: with a view, which has none.
+// position is a state's place in its planner's revisions; the zero one stands for a View, which has no revision.
 type position struct{ history, revision uint64 }
 
-// state is what a planner tells, as its changes have brought it.
+// state is a planner's state, as rebuilt from its changes.
 type state struct {
 	position
-	factors map[string]float64 // those that are not 1
+	factors map[string]float64 // other than 1
 	admit   float64
 	hot     []policy.Heat
 	tenants []policy.Use
 	viewTimes
 	valid  time.Duration
-	grants []plan.Grant // the last, which run for as long as the state is valid
+	grants []plan.Grant // of the last change; valid as long as the state
 }
 
-// New makes a follower that holds no view.
+// New returns a Follower that holds no view.
 func New(cfg Config) *Follower {
 	cfg.Fade = cmp.Or(cfg.Fade, 10*time.Second)
 	return &Follower{cfg: cfg, lastViews: map[string]viewTimes{}, states: map[string]*state{}, Counts: map[Outcome]int64{}}
 }
 
-// Take takes a view, or says why not. Ready are the servers that serve by the node's own list.
+// TakeView takes a full view. Unless the outcome is Accepted, the error says why. ready are the ready servers of the node's
+// own list.
 func (f *Follower) TakeView(now time.Duration, v plan.View, ready []Server) (Outcome, error) {
 	named := map[string]bool{}
 	for _, s := range v.Servers {
@@ -111,7 +113,7 @@
 	return why, err
 }
 
-// hold puts a view in force.
+// adopt puts a view in force.
 func (f *Follower) adopt(now time.Duration, v plan.View, heldPosition position) {
 	h := f.held
 	same := h != nil && heldPosition.revision > 0 && heldPosition == f.heldPosition && h.Planner == v.Planner && now-f.receivedAt <= h.Valid && slices.Equal(h.Servers, v.Servers)
@@ -125,11 +127,12 @@
 	}
 }
 
-// Turns grows whenever what is in force becomes another: while it stays, so does all that Now says of a valid view.
+// Version increases whenever another view comes into force: while it stays the same, so does the result of Now for a valid
+// view.
 func (f *Follower) Version() uint64 { return f.version }
 
-// TakeChange takes what a planner tells of its state, or says why not. Doubt: all is wanted anew, and Hold says so. A change
-// of a planner that is not followed is kept too, so that it may be followed at once.
+// TakeChange applies a planner's change. Unless the outcome is Accepted, the error says why; after Mismatch, Hold requests the
+// full state. The state of a planner that is not followed is kept too, so that the node can follow it at once.
 func (f *Follower) TakeChange(now time.Duration, c plan.Change, ready []Server) (Outcome, error) {
 	why, err := f.applyChange(now, &c)
 	if why == Accepted {
@@ -151,7 +154,7 @@
 	return why, err
 }
 
-// bring brings a planner's state forward.
+// applyChange applies a change to the planner's state.
 func (f *Follower) applyChange(now time.Duration, c *plan.Change) (Outcome, error) {
 	if err := c.Check(); err != nil {
 		return Invalid, err
@@ -159,16 +162,16 @@
 	old := f.states[c.Planner]
 	switch {
 	case old == nil && len(f.states) >= maxPlanners && !f.hasRoom(now):
-		return OtherPlanner, fmt.Errorf("over %d planners", maxPlanners)
+		return OtherPlanner, fmt.Errorf("more than %d planners", maxPlanners)
 	case old != nil && c.Made <= old.made && now-old.receivedAt <= c.Valid+f.cfg.Fade:
-		return OutOfOrder, fmt.Errorf("made before the last of %s", c.Planner)
+		return OutOfOrder, fmt.Errorf("made before the last one of planner %s", c.Planner)
 	case c.Base > 0 && (old == nil || old.history != c.History || c.Base > old.revision || c.Revision < old.revision):
 		delete(f.states, c.Planner)
-		return Mismatch, fmt.Errorf("from revision %d of history %d, which is not held", c.Base, c.History)
+		return Mismatch, fmt.Errorf("starts from revision %d of history %d, which is not held", c.Base, c.History)
 	}
 	st := &state{position: position{c.History, c.Revision}, factors: map[string]float64{}, admit: c.Admit, hot: c.Hot, tenants: c.Tenants, viewTimes: viewTimes{c.Made, now}, valid: c.Valid}
 	if c.Base > 0 {
-		st.factors = old.factors // what follows either is whole or has the state dropped
+		st.factors = old.factors // shared with old: from here on, either the state is replaced or it is dropped
 		if !c.HotSet {
 			st.hot = old.hot
 		}
@@ -183,19 +186,19 @@
 	}
 	if plan.Sum(st.factors, st.admit, st.hot, st.tenants) != c.Sum {
 		delete(f.states, c.Planner)
-		return Mismatch, fmt.Errorf("revision %d of history %d is not what the planner has", c.Revision, c.History)
+		return Mismatch, fmt.Errorf("checksum mismatch at revision %d of history %d", c.Revision, c.History)
 	}
 	f.states[c.Planner] = st
 	return Accepted, nil
 }
 
-// room drops the states that have faded, and reports whether one may come.
+// hasRoom drops the states that have faded, and reports whether another one fits.
 func (f *Follower) hasRoom(now time.Duration) bool {
 	maps.DeleteFunc(f.states, func(_ string, s *state) bool { return now-s.receivedAt > s.valid+f.cfg.Fade })
 	return len(f.states) < maxPlanners
 }
 
-// view is the state and one's own grants, by id.
+// view returns the state and the given grants as a view, by id.
 func (s *state) view(grants []plan.Grant) policy.View {
 	shares := make(map[string]policy.Share, len(s.factors)+len(grants))
 	for id, x := range s.factors {
@@ -212,7 +215,7 @@
 	return v
 }
 
-// Hold is what is held of a planner, to be told with the next digest.
+// Hold returns what is held of a planner's states, to be sent with the next digest.
 func (f *Follower) Hold(planner string) (h plan.Hold) {
 	if s := f.states[planner]; s != nil {
 		h.History, h.Revision = s.history, s.revision
@@ -221,7 +224,7 @@
 	return h
 }
 
-// judge says whether a view counts whose planner knows so many of the ready servers.
+// checkView decides whether to accept a view from a planner that knows count of the ready servers.
 func (f *Follower) checkView(now time.Duration, v *plan.View, count int, ready []Server) (Outcome, error) {
 	if err := v.Check(); err != nil {
 		return Invalid, err
@@ -229,25 +232,25 @@
 	faded := f.held == nil || now-f.receivedAt > f.held.Valid+f.cfg.Fade
 	switch l, known := f.lastViews[v.Planner]; {
 	case v.Epoch < f.epoch:
-		return Epoch, fmt.Errorf("epoch %d after %d", v.Epoch, f.epoch)
+		return Epoch, fmt.Errorf("epoch %d is older than %d", v.Epoch, f.epoch)
 	case v.Epoch > uint64((now+maxEpochAhead)/time.Second):
-		return Epoch, fmt.Errorf("epoch %d is to come", v.Epoch)
+		return Epoch, fmt.Errorf("epoch %d is in the future", v.Epoch)
 	case known && v.Made <= l.made && now-l.receivedAt <= v.Valid+f.cfg.Fade:
-		return OutOfOrder, fmt.Errorf("made before the last of %s", v.Planner)
+		return OutOfOrder, fmt.Errorf("made before the last one of planner %s", v.Planner)
 	case !known && len(f.lastViews) >= 2*maxPlanners:
-		return OtherPlanner, fmt.Errorf("over %d planners", 2*maxPlanners)
+		return OtherPlanner, fmt.Errorf("more than %d planners", 2*maxPlanners)
 	}
 	if err := checkServers(v, count, ready); err != nil {
 		return Invalid, err
 	}
-	// Guards against keys that move back and forth between what two planners think.
+	// Following one planner at a time keeps keys from moving back and forth between the views of two planners.
 	if h := f.held; !faded && h.Epoch == v.Epoch && h.Planner != v.Planner && now-f.receivedAt <= h.Valid {
-		return OtherPlanner, fmt.Errorf("%s is followed", h.Planner)
+		return OtherPlanner, fmt.Errorf("planner %s is followed", h.Planner)
 	}
 	return Accepted, nil
 }
 
-// fits says what of a view can't be true of the list.
+// checkServers returns an error if the view contradicts the node's own server list.
 func checkServers(v *plan.View, count int, ready []Server) error {
 	factors := map[string]float64{}
 	for _, s := range v.Servers {
@@ -275,8 +278,8 @@
 	return nil
 }
 
-// Now gives the view in force and how far it counts, from 1 while it is valid down to 0, evenly. What it says is blended with
-// the node's own judgement, which is no factor and no limit; an empty view says nothing.
+// Now returns the view in force and its trust: 1 while it is valid, then falling linearly to 0. The view is already blended
+// with the node's own judgement, which has no factors and no limits; an empty view has no effect.
 func (f *Follower) Now(now time.Duration) (policy.View, float64) {
 	if f.held == nil {
 		return policy.View{}, 0
@@ -301,11 +304,11 @@
 	for _, h := range f.held.Hot {
 		v.Hot = append(v.Hot, policy.Heat{Key: h.Key, Load: h.Load * trust})
 	}
-	return v, trust // what tenants use is true at the moment only
+	return v, trust // without the tenants: their rates hold for the moment only
 }
 
-// Held is the view that was taken last, and when it came; nil: none was.
+// Held returns the last accepted view and when it arrived; nil: there is none.
 func (f *Follower) Held() (*plan.View, time.Duration) { return f.held, f.receivedAt }
 
-// Epoch is the highest that was taken.
+// Epoch returns the highest accepted epoch.
 func (f *Follower) Epoch() uint64 { return f.epoch }
--- a/decide/follow/grants.go
+++ b/decide/follow/grants.go
@@ -7,15 +7,15 @@
 	"lapisshelf/decide/plan"
 )
 
-// sending is when a digest went out.
+// sentDigest records when a digest was sent.
 type sentDigest struct {
 	seq uint64
 	at  time.Duration
 }
 
-const maxSentDigests = 64 // digests of which the time is remembered: over 6 s at the shortest interval
+const maxSentDigests = 64 // at the shortest interval of digests, over 6 s
 
-// Sent notes that the digest of that number goes out now. Numbers grow.
+// DigestSent records that the digest with number seq is sent now. Numbers increase.
 func (f *Follower) DigestSent(now time.Duration, seq uint64) {
 	if len(f.sentDigests) == maxSentDigests {
 		f.sentDigests = append(f.sentDigests[:0], f.sentDigests[1:]...)
@@ -23,29 +23,30 @@
 	f.sentDigests = append(f.sentDigests, sentDigest{seq, now})
 }
 
-// fresh reports whether grants that answer that digest, so long after it came, have been on their way for no longer than
-// planners reckon with. It compares no clocks: the way there and back is the time since the digest went, less what the
-// planner sat on it.
-// Guards against grants that lay in a buffer while this node or the planner was frozen: the planner has given them to others.
+// grantsFresh reports whether grants have been in transit for no longer than planners allow for. They answer digest seq and
+// were sent after the planner had held it for the time after. No clocks are compared: the round trip is the time since the
+// digest was sent, less the time that the planner held it.
+// Grants that sat in a buffer while this node or the planner was frozen are not fresh: the planner has since given the
+// budget to others.
 func (f *Follower) grantsFresh(now time.Duration, seq uint64, after time.Duration) bool {
 	for _, s := range f.sentDigests {
 		if s.seq == seq {
-			way := now - s.at - after
-			return way >= -plan.MaxGrantTransit && way <= plan.MaxGrantTransit
+			transit := now - s.at - after
+			return transit >= -plan.MaxGrantTransit && transit <= plan.MaxGrantTransit
 		}
 	}
 	return false
 }
 
-// Awaits tells how many planners are not heard yet but are about to be: the connections to them come one after the other.
+// SetAwaited sets how many planners have not been heard only because connections to them are opened one after the other.
 func (f *Follower) SetAwaited(planners int) { f.awaitedPlanners = planners }
 
-// least are the grants of the planner that a state is of, each no larger than what the others that are heard grant now.
-// Guards against planners that hear all and each share out the whole budget, while some nodes follow the one and some the
-// other: by their own counts they give one node more and another less, and together, in the first seconds of a cold server,
-// up to 1.9 of the budget (two planners). With the least, all nodes stay within what any one planner has given out to them.
-// While some planners are still to be heard, the others' part of it counts: of two that each share out the whole budget, one
-// may be heard first by half of the nodes, and the other by the other half.
+// minGrants returns the grants of st's planner, each reduced to the smallest that any planner with a valid state grants.
+// Each planner hears all nodes and divides the whole budget, while some nodes follow one planner and some another. As the
+// planners' counts differ, the grants in use would add up to as much as 1.9 budgets with two planners in the first seconds
+// of a cold server. With the smallest grant, all nodes together stay within what any one planner has granted.
+// While some planners are still to be heard, only the share of the planners heard so far is used: of two planners that each
+// divide the whole budget, half of the nodes may hear one first, and the other half the other.
 func (f *Follower) minGrants(now time.Duration, st *state) []plan.Grant {
 	list := append([]plan.Grant(nil), st.grants...)
 	heard := 1
@@ -68,7 +69,7 @@
 	return list
 }
 
-// limit brings what is granted by the view in force in line with what another planner has granted now.
+// limitGrants adjusts the grants in force to what another planner has just granted.
 func (f *Follower) limitGrants(now time.Duration) {
 	st := f.states[f.held.Planner]
 	if st == nil || st.position != f.heldPosition || len(st.grants) == 0 || now-f.receivedAt > f.held.Valid {
