--- a/decide/follow/change_test.go
+++ b/decide/follow/change_test.go
@@ -20,7 +20,7 @@
 	return list
 }
 
-// state as it is told, without grants.
+// sharedState is a planner's published state, without grants.
 type sharedState struct {
 	Factors map[string]float64
 	Admit   float64
@@ -42,7 +42,7 @@
 	return w
 }
 
-// teller is a planner's process, and what it believes that nodes hold.
+// plannerProcess is one run of a planner, with what it believes that the nodes hold.
 type plannerProcess struct {
 	*plan.Planner
 	id         string
@@ -50,7 +50,7 @@
 	heldByNode map[int]plan.Hold
 }
 
-// talk is planners and nodes between which anything may happen to messages.
+// network connects planners and nodes; messages may be lost, duplicated and reordered.
 type network struct {
 	now       time.Duration
 	planners  []*plannerProcess
@@ -78,7 +78,7 @@
 	w.make(i)
 }
 
-// make has a planner look, and notes what it tells from then on.
+// make updates a planner and records its published state.
 func (w *network) make(i int) {
 	p := w.planners[i]
 	p.Update(w.now)
@@ -93,23 +93,23 @@
 func (w *network) deliver(t *rapid.T, m changeInFlight) Outcome {
 	f := w.nodes[m.node]
 	why, _ := f.TakeChange(w.now, m.c, ready(6))
-	for id, s := range f.states { // followed or not
+	for id, s := range f.states { // of all planners, followed or not
 		for server, x := range s.factors {
 			if x == 1 {
-				t.Fatalf("%s is kept, of which nothing is told", server)
+				t.Fatalf("%s is kept with factor 1", server)
 			}
 		}
 		want, known := w.published[fmt.Sprint(id, s.history, "/", s.revision)]
 		if got := sharedStateOf(s.view(nil)); !known || !got.equal(want) {
-			t.Fatalf("node %d holds revision %d of %s's history %d as %+v, it is %+v", m.node, s.revision, id, s.history, got, want)
+			t.Fatalf("node %d holds revision %d of %s, history %d, as %+v, want %+v", m.node, s.revision, id, s.history, got, want)
 		}
 	}
 	return why
 }
 
-// A state rebuilt from changes is the whole one of its revision, whatever is lost, doubled, late or out of order, and whoever
-// restarts; and one digest and one change that go through after the last event leave a node with what is so.
-// Guards against a factor that stands though its planner has given it up.
+// A state rebuilt from changes equals the full state of its revision, whatever messages are lost, duplicated, late or out of
+// order, and whichever planner restarts. One digest and one change that arrive after the last event bring a node up to date.
+// Guards against a factor that stays in force after its planner has withdrawn it.
 func TestWhatChangesLeadTo(t *testing.T) {
 	seen, parts := map[Outcome]int{}, 0
 	rapid.Check(t, func(r *rapid.T) {
@@ -132,25 +132,25 @@
 				}
 				p.Restore(w.now, sec, snap)
 				w.make(i)
-			case 2: // keys and tenants too
+			case 2: // hot keys and tenants change
 				w.seq++
 				p.Planner.Digest(w.now, plan.Digest{From: "x", Seq: w.seq, Span: sec, Asked: 300, Hot: []plan.Heat{{Key: uint32(rapid.IntRange(1, 3).Draw(r, "key")), Asked: 200}},
 					Tenants: []plan.Use{{Tenant: rapid.SampledFrom([]string{"t", "u"}).Draw(r, "tenant"), Asked: 100}}})
 				w.make(i)
-			case 3: // servers come and go
+			case 3: // servers are added and removed
 				p.SetServers(w.now, serverList(rapid.IntRange(4, 6).Draw(r, "count")))
 				w.make(i)
 			case 4, 5:
 				w.digests = append(w.digests, digestInFlight{node, i, w.nodes[node].Hold(p.id)})
 			case 6, 7:
 				w.changes = append(w.changes, w.change(i, node))
-			case 8: // a new life counts anew, from the same numbers
+			case 8: // a restarted planner counts its revisions from the start again
 				history++
 				w.startPlanner(i, history)
 			case 9:
 				w.nodes[node] = New(Config{})
 			}
-			for range rapid.IntRange(0, 3).Draw(r, "arrive") { // in any order, and maybe again
+			for range rapid.IntRange(0, 3).Draw(r, "arrive") { // in any order, possibly again later
 				if n := len(w.digests); n > 0 {
 					at := rapid.IntRange(0, n-1).Draw(r, "digest")
 					d := w.digests[at]
@@ -173,7 +173,7 @@
 				}
 			}
 		}
-		// What goes through now, in either order of planners.
+		// One exchange with each planner, in either order.
 		for _, i := range rapid.Permutation([]int{0, 1}).Draw(r, "order") {
 			p := w.planners[i]
 			for node, f := range w.nodes {
@@ -183,23 +183,24 @@
 				w.deliver(r, m)
 				s, want := f.states[p.id], sharedStateOf(p.View(w.now, w.now, "nobody").View)
 				if s == nil || !sharedStateOf(s.view(nil)).equal(want) {
-					r.Fatalf("after an exchange node %d holds %+v of %s, it is %+v", node, s, p.id, want)
+					r.Fatalf("after an exchange node %d holds %+v of %s, want %+v", node, s, p.id, want)
 				}
 				if held, _ := f.Held(); held != nil && held.Planner == p.id {
 					if got := sharedStateOf(held.View); !got.equal(want) {
-						r.Fatalf("after an exchange node %d acts on %+v, it is %+v", node, got, want)
+						r.Fatalf("after an exchange node %d acts on %+v, want %+v", node, got, want)
 					}
 				}
 			}
 		}
 	})
-	t.Logf("%v, %d of them brought a state forward", seen, parts)
+	t.Logf("%v, %d of them updated a held state", seen, parts)
 	if seen[Mismatch] == 0 || seen[OutOfOrder] == 0 || seen[OtherPlanner] == 0 || parts == 0 {
-		t.Error("that tests too little")
+		t.Error("some outcomes never occurred")
 	}
 }
 
-// A change is taken only where it leads on from what is held; in doubt all is wanted, and what is in force stays until then.
+// A change is accepted only if it starts from the held state. Otherwise the full state is requested, and the view in force
+// stays until it arrives.
 func TestWhichChangeCounts(t *testing.T) {
 	const h = 7
 	whole := func(revision uint64, made time.Duration, factor float64) plan.Change {
@@ -216,32 +217,32 @@
 		return with(whole(revision, made, factor), func(c *plan.Change) { c.Base, c.HotSet, c.TenantsSet = base, false, false })
 	}
 	for name, x := range map[string]struct {
-		change  plan.Change // behind a whole state of revision 5, made at 50 s, factor 0.5
+		change  plan.Change // applied to a full state of revision 5, made at 50 s, with factor 0.5
 		want    Outcome
-		factor  float64 // in force after it
+		factor  float64 // in force afterwards
 		holding uint64
 	}{
-		"the next":                                      {part(5, 6, 51*sec, 0.75), Accepted, 0.75, 6},
-		"over some that were lost":                      {part(3, 9, 51*sec, 0.75), Accepted, 0.75, 9},
-		"nothing new":                                   {with(part(5, 5, 51*sec, 0.5), func(c *plan.Change) { c.Servers = nil }), Accepted, 0.5, 5},
-		"from one that was never held":                  {part(6, 7, 51*sec, 0.75), Mismatch, 0.5, 0},
-		"of another life":                               {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.History = 8 }), Mismatch, 0.5, 0},
-		"a whole one of another life":                   {with(whole(2, 51*sec, 0.75), func(c *plan.Change) { c.History = 8 }), Accepted, 0.75, 2},
-		"back, by a life that counts as the one before": {part(2, 3, 51*sec, 0.75), Mismatch, 0.5, 0},
-		"doubled, or out of order":                      {part(4, 6, 50*sec, 0.75), OutOfOrder, 0.5, 5},
-		"of another planner":                            {with(whole(1, 51*sec, 0.75), func(c *plan.Change) { c.Planner = "b" }), OtherPlanner, 0.5, 5},
-		"not what the planner has":                      {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Sum++ }), Mismatch, 0.5, 0},
-		"a server lost on the way":                      {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Servers = nil }), Mismatch, 0.5, 0},
-		"an older epoch":                                {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Epoch = 0 }), Epoch, 0.5, 6},
-		"hardly any server known":                       {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Count = 1 }), Invalid, 0.5, 6},
-		"no history":                                    {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.History = 0 }), Invalid, 0.5, 5},
-		"back to before its base":                       {with(part(5, 4, 51*sec, 0.75), func(c *plan.Change) {}), Invalid, 0.5, 5},
-		"no factor":                                     {part(5, 6, 51*sec, 0), Invalid, 0.5, 5},
-		"whole, but parts left out":                     {with(whole(6, 51*sec, 0.75), func(c *plan.Change) { c.HotSet = false }), Invalid, 0.5, 5},
-		"a grant of nothing":                            {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants, c.Answers = []plan.Grant{{ID: "c1"}}, 1 }), Invalid, 0.5, 5},
-		"a grant that answers nothing":                  {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants = []plan.Grant{{ID: "c1", Rate: 1}} }), Invalid, 0.5, 5},
-		"a grant that answers a digest to come":         {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants, c.Answers, c.After = []plan.Grant{{ID: "c1", Rate: 1}}, 1, -1 }), Invalid, 0.5, 5},
-		"more than three quarters cut": {with(whole(6, 51*sec, 0.1), func(c *plan.Change) {
+		"next revision":                 {part(5, 6, 51*sec, 0.75), Accepted, 0.75, 6},
+		"some changes lost":             {part(3, 9, 51*sec, 0.75), Accepted, 0.75, 9},
+		"no news":                       {with(part(5, 5, 51*sec, 0.5), func(c *plan.Change) { c.Servers = nil }), Accepted, 0.5, 5},
+		"from a revision never held":    {part(6, 7, 51*sec, 0.75), Mismatch, 0.5, 0},
+		"of another history":            {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.History = 8 }), Mismatch, 0.5, 0},
+		"full state of another history": {with(whole(2, 51*sec, 0.75), func(c *plan.Change) { c.History = 8 }), Accepted, 0.75, 2},
+		"lower revision, by a run with the same history": {part(2, 3, 51*sec, 0.75), Mismatch, 0.5, 0},
+		"duplicated or out of order":                     {part(4, 6, 50*sec, 0.75), OutOfOrder, 0.5, 5},
+		"of another planner":                             {with(whole(1, 51*sec, 0.75), func(c *plan.Change) { c.Planner = "b" }), OtherPlanner, 0.5, 5},
+		"wrong checksum":                                 {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Sum++ }), Mismatch, 0.5, 0},
+		"a server missing":                               {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Servers = nil }), Mismatch, 0.5, 0},
+		"an older epoch":                                 {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Epoch = 0 }), Epoch, 0.5, 6},
+		"few servers known":                              {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Count = 1 }), Invalid, 0.5, 6},
+		"no history":                                     {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.History = 0 }), Invalid, 0.5, 5},
+		"revision below its base":                        {with(part(5, 4, 51*sec, 0.75), func(c *plan.Change) {}), Invalid, 0.5, 5},
+		"factor 0":                                       {part(5, 6, 51*sec, 0), Invalid, 0.5, 5},
+		"full state without hot keys":                    {with(whole(6, 51*sec, 0.75), func(c *plan.Change) { c.HotSet = false }), Invalid, 0.5, 5},
+		"grant of rate 0":                                {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants, c.Answers = []plan.Grant{{ID: "c1"}}, 1 }), Invalid, 0.5, 5},
+		"grant without a digest number":                  {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants = []plan.Grant{{ID: "c1", Rate: 1}} }), Invalid, 0.5, 5},
+		"grant with a negative digest age":               {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants, c.Answers, c.After = []plan.Grant{{ID: "c1", Rate: 1}}, 1, -1 }), Invalid, 0.5, 5},
+		"more than three quarters of the weight removed": {with(whole(6, 51*sec, 0.1), func(c *plan.Change) {
 			factors := map[string]float64{}
 			c.Servers = nil
 			for i := range 4 {
@@ -271,7 +272,7 @@
 	}
 }
 
-// Grants bind for as long as what they came with, as a limit beside the factor; a heartbeat that grants the same is no news.
+// Grants limit sends while their change is valid, next to the factors. A repeated grant is not a new version of the view.
 func TestGrantsBind(t *testing.T) {
 	f := New(Config{Fade: 10 * sec})
 	c := plan.Change{Planner: "a", Made: 1, Valid: 3 * sec, History: 1, Revision: 1, Count: 4, HotSet: true, TenantsSet: true,
@@ -287,24 +288,24 @@
 	c.Made, c.Base, c.Servers, c.HotSet, c.TenantsSet = 2, 1, nil, false, false
 	c.After = 2 * sec
 	if why, err := f.TakeChange(102*sec, c, ready(4)); why != Accepted || f.Version() != turns {
-		t.Errorf("%s, %v; turn %d after %d", why, err, f.Version(), turns)
+		t.Errorf("%s, %v; version %d after %d", why, err, f.Version(), turns)
 	}
 	if v, trust := f.Now(105 * sec); trust != 1 || len(v.Servers) != 2 {
-		t.Errorf("%+v, trusted %v, though it was told again", v, trust)
+		t.Errorf("%+v, trust %v, though a change renewed it", v, trust)
 	}
 	c.Made, c.Grants, c.After = 3, c.Grants[:1], 3*sec
 	if f.TakeChange(103*sec, c, ready(4)); f.Version() == turns {
-		t.Error("another grant is no news")
+		t.Error("a different grant did not make a new version")
 	}
 	if v, _ := f.Now(103 * sec); len(v.Servers) != 1 {
-		t.Errorf("%+v: a grant stands that was not told again", v.Servers)
+		t.Errorf("%+v: a grant is in force that was not renewed", v.Servers)
 	}
 	if v, trust := f.Now(111 * sec); trust != 0.5 || v.Servers[0].Allow != 4 {
-		t.Errorf("%+v, trusted %v, five seconds after", v, trust)
+		t.Errorf("%+v, trust %v, five seconds after its validity", v, trust)
 	}
 }
 
-// Planners that only send rubbish take no room for ever.
+// Planners that send useless states occupy bounded memory, and none of it for ever.
 func TestStatesAreBounded(t *testing.T) {
 	f := New(Config{})
 	c := plan.Change{Valid: sec, History: 1, Revision: 1, Count: 4, HotSet: true, TenantsSet: true, Sum: plan.Sum(nil, 0, nil, nil)}
@@ -317,14 +318,14 @@
 	}
 	c.Planner = "late"
 	if why, err := f.TakeChange(200*sec, c, ready(4)); why != Accepted {
-		t.Errorf("%s, %v, when all have faded", why, err)
+		t.Errorf("%s, %v, after all states have faded", why, err)
 	}
 }
 
-// What nodes may send a second to a cold server, by the views that are valid there, is never over the largest budget of the
-// time for which one may be valid, whatever is lost, late or doubled, and whoever falls silent or restarts.
-// Guards against a cold server that all nodes are let loose on, and against grants that lay in a buffer while a node or the
-// planner was frozen.
+// The rates at which all nodes may send to a cold server, by their valid views, never add up to more than the largest budget
+// within the validity of a view, whatever is lost, late or duplicated, and whoever falls silent or restarts.
+// Guards against a cold server that all nodes use without a limit, and against grants that sat in a buffer while a node or
+// the planner was frozen.
 func TestGrantsAtNodes(t *testing.T) {
 	limited := 0
 	rapid.Check(t, func(r *rapid.T) {
@@ -348,7 +349,7 @@
 		var budgets []spell
 		followers := make([]*Follower, nodes)
 		holds := make([]plan.Hold, nodes)
-		thaws := make([]time.Duration, nodes) // a frozen one takes nothing until then
+		thaws := make([]time.Duration, nodes) // a frozen node receives nothing until then
 		heard := make([]struct {
 			seq uint64
 			at  time.Duration
@@ -375,9 +376,9 @@
 				p.Update(now)
 			case 5:
 				heard[node].seq = 0
-				followers[node] = New(Config{}) // a process that starts anew has another connection
+				followers[node] = New(Config{}) // the new process has a new connection
 				way = slices.DeleteFunc(way, func(m message) bool { return m.to == node })
-			case 6: // what is on its way waits until it goes on
+			case 6: // a node freezes; messages to it wait until it continues
 				if now > thaws[node]+10*sec {
 					thaws[node] = now + time.Duration(rapid.IntRange(1, 10).Draw(r, "frozen"))*sec
 					for i := range way {
@@ -386,7 +387,7 @@
 						}
 					}
 				}
-			case 7: // the server starts anew, or another is cold too
+			case 7: // a server restarts, possibly a second cold one
 				at := rapid.IntRange(0, 1).Draw(r, "server")
 				list[at].Started = now
 				p.SetServers(now, list)
@@ -395,7 +396,7 @@
 					break
 				}
 				c, _ := p.Change(now, holds[node])
-				if heard[node].seq == 0 { // of this process the planner has heard nothing
+				if heard[node].seq == 0 { // this process has sent no digest yet
 					way = append(way, message{to: node, c: c, until: max(now, thaws[node]) + travels})
 					break
 				}
@@ -409,7 +410,7 @@
 					budgets = append(budgets, spell{now, x.Allow})
 				}
 			}
-			for i := range way { // mostly within a second; a second copy of what came may come later
+			for i := range way { // mostly within a second; a duplicate of a delivered message may arrive later
 				if m := &way[i]; now >= thaws[m.to] && (now <= m.until || m.came) && rapid.Bool().Draw(r, "now") {
 					m.came = true
 					followers[m.to].TakeChange(now, m.c, ready(6))
@@ -435,11 +436,11 @@
 				limited++
 			}
 			if sum > most+nodes*0.001+1e-9 {
-				r.Fatalf("nodes may send %v a second, the budget was %v at most", sum, most)
+				r.Fatalf("nodes may send %v per second, the largest budget was %v", sum, most)
 			}
 		}
 	})
 	if limited == 0 {
-		t.Error("nothing was granted")
+		t.Error("no grant was in force")
 	}
 }
--- a/decide/follow/dials_test.go
+++ b/decide/follow/dials_test.go
@@ -12,8 +12,8 @@
 
 const dialStep = time.Millisecond
 
-// dialled plays a node with so many planners on a moved clock: each connection has its first word after takes (0: never), or
-// fails after it. It gives when each was opened, had its word, and what was awaited at the end.
+// dialResult tells when each connection was opened and when its first message came. dialAll advances a clock step by step;
+// each connection gets its first message after takes (0: never), or fails then.
 type dialResult struct {
 	opened, firstMessage []time.Duration
 	order                []int
@@ -41,9 +41,9 @@
 	return x
 }
 
-// Connections come one after the other: the next is opened over a second after the last planner's first word, at once if that
-// one fails, and after three seconds if nothing is heard of it; all are tried within three seconds for each.
-// Guards against a node that restarts and has its handshakes with all planners, and their whole states, in one second.
+// Connections are opened one after the other: the next one over a second after the first message on the last one, at once if
+// that fails, and after three seconds without a message; all planners are tried within three seconds each.
+// Guards against a restarted node that has its handshakes with all planners, and receives all full states, in one second.
 func TestConnectionsComeOneAfterTheOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const from = 100 * sec
@@ -56,7 +56,7 @@
 		}
 		x := dialAll(d, from, takes, fails, from+time.Duration(n+1)*dialTimeout)
 		if len(x.order) != n || x.opened[x.order[0]] > from+maxFirstDelay {
-			t.Fatalf("opened %v in the order of %v", x.opened, x.order)
+			t.Fatalf("connections opened at %v in order %v", x.opened, x.order)
 		}
 		for k, i := range x.order[1:] {
 			last := x.order[k]
@@ -64,44 +64,44 @@
 			switch took := takes[last]; {
 			case took == 0 || took > dialTimeout:
 				if after != dialTimeout {
-					t.Errorf("%v after one of which nothing is heard", after)
+					t.Errorf("opened %v after one without a message", after)
 				}
 			case fails[last]:
 				if after != took {
-					t.Errorf("%v after one that failed after %v", after, took)
+					t.Errorf("opened %v after one that failed after %v", after, took)
 				}
-			default: // seen with the clock's next step
+			default: // noticed at the next step of the clock
 				if min(after-took, dialTimeout-took) <= sec && after != dialTimeout || after-took >= dialInterval+dialJitter+dialStep || after > dialTimeout {
-					t.Errorf("%v after one that was heard after %v", after, took)
+					t.Errorf("opened %v after one whose first message took %v", after, took)
 				}
 			}
 		}
 	})
 }
 
-// A connection that was lost waits for its turn as well, the followed planner's first; one that is due alone is opened at once,
-// and the end of one that was heard lets none of the others come sooner.
+// A lost connection waits for its turn like any other, that of the followed planner first. A connection that is due alone is
+// opened at once, and the end of one that was heard opens none of the others sooner.
 func TestConnectionsComeAgain(t *testing.T) {
 	d, now := NewDialer(100*sec, 3, rand.New(rand.NewPCG(1, 2))), 100*sec
 	opens := func(want int) {
 		t.Helper()
 		if i, _ := d.Next(now); i != want {
-			t.Fatalf("%d is opened, want %d", i, want)
+			t.Fatalf("planner %d is next, want %d", i, want)
 		}
 	}
 	dialAll(d, now, []time.Duration{dialStep, dialStep, dialStep}, make([]bool, 3), now+10*sec)
 	if now += 20 * sec; d.Awaited(now) != 0 {
-		t.Error("heard ones are awaited")
+		t.Error("planners that were heard are awaited")
 	}
 	for _, i := range []int{0, 1, 2} {
 		d.Failed(now, i)
 	}
 	d.Enqueue(now, 0, false)
 	d.Enqueue(now, 1, false)
-	d.Enqueue(now, 1, false) // twice
+	d.Enqueue(now, 1, false) // a duplicate has no effect
 	d.Enqueue(now, 2, true)
 	if d.Awaited(now) != 2 {
-		t.Errorf("%d are awaited, not those that wait for the first", d.Awaited(now))
+		t.Errorf("%d are awaited, want the two behind the first", d.Awaited(now))
 	}
 	opens(2)
 	opens(-1)
@@ -116,13 +116,13 @@
 	d.Failed(now, 0)
 	opens(1)
 	if d.Awaited(now) != 1 || d.Awaited(now+dialTimeout) != 0 {
-		t.Errorf("%d awaited, %d after three seconds", d.Awaited(now), d.Awaited(now+dialTimeout))
+		t.Errorf("%d awaited, %d three seconds later", d.Awaited(now), d.Awaited(now+dialTimeout))
 	}
 }
 
-// Planners that each share out a whole budget, and nodes that hear some of them and are still to hear the others, in any
-// order: what all nodes take is within the budget.
-// Guards against nodes that start at once, half of which hear one planner first and half the other: they would take both budgets.
+// Several planners each divide the whole budget, and nodes have heard some of them but not yet the others, in any order: all
+// nodes together stay within the budget.
+// Guards against nodes that start at once, half of which hear one planner first and half another, and use two budgets.
 func TestGrantsWhilePlannersAreAwaited(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const budget, now = 100.0, 100 * sec
@@ -159,7 +159,7 @@
 			sum += v.Servers[0].Allow
 		}
 		if sum > budget*(1+1e-9) {
-			t.Errorf("%.1f of %.1f", sum, budget)
+			t.Errorf("grants of %.1f in use, the budget is %.1f", sum, budget)
 		}
 	})
 }
--- a/decide/follow/follow_test.go
+++ b/decide/follow/follow_test.go
@@ -30,27 +30,27 @@
 	return v
 }
 
-// What is taken of views that come one after the other.
+// Which of several views that arrive in sequence are accepted.
 func TestWhichViewCounts(t *testing.T) {
 	for name, c := range map[string]struct {
 		views []plan.View
 		gap   time.Duration
 		want  []Outcome
 	}{
-		"newer ones of one planner":        {[]plan.View{view("a", 1, 1*sec, 1, 1), view("a", 1, 2*sec, 1, 1)}, sec, []Outcome{Accepted, Accepted}},
-		"doubled and in the wrong order":   {[]plan.View{view("a", 1, 2*sec, 1, 1), view("a", 1, 2*sec, 1, 1), view("a", 1, 1*sec, 1, 1)}, sec, []Outcome{Accepted, OutOfOrder, OutOfOrder}},
-		"its clock set back, when faded":   {[]plan.View{view("a", 1, 90*sec, 1, 1), view("a", 1, 2*sec, 1, 1)}, 14 * sec, []Outcome{Accepted, Accepted}},
-		"another of the same epoch":        {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", 1, 9*sec, 1, 1)}, sec, []Outcome{Accepted, OtherPlanner}},
-		"and when the first falls silent":  {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", 1, 9*sec, 1, 1)}, 4 * sec, []Outcome{Accepted, Accepted}},
-		"a higher epoch at once":           {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", 2, 0, 1, 1), view("b", 1, 9*sec, 1, 1)}, sec, []Outcome{Accepted, Accepted, Epoch}},
-		"an epoch to come":                 {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", math.MaxUint64, sec, 1, 1), view("b", 1, 9*sec, 1, 1)}, sec, []Outcome{Accepted, Epoch, Accepted}},
-		"weights of zero":                  {[]plan.View{view("a", 1, sec, 0, 0)}, sec, []Outcome{Invalid}},
-		"no numbers":                       {[]plan.View{view("a", 1, sec, math.NaN(), 1)}, sec, []Outcome{Invalid}},
-		"weights above the list's":         {[]plan.View{view("a", 1, sec, 2, 1)}, sec, []Outcome{Invalid}},
-		"one server named":                 {[]plan.View{view("a", 1, sec, 1)}, sec, []Outcome{Invalid}},
-		"hardly any weight left":           {[]plan.View{view("a", 1, sec, 0.1, 0.1)}, sec, []Outcome{Invalid}},
-		"a server that the list lacks too": {[]plan.View{view("a", 1, sec, 1, 1, 1, 1, 1)}, sec, []Outcome{Accepted}},
-		"no name":                          {[]plan.View{view("", 1, sec, 1, 1)}, sec, []Outcome{Invalid}},
+		"newer views of one planner":        {[]plan.View{view("a", 1, 1*sec, 1, 1), view("a", 1, 2*sec, 1, 1)}, sec, []Outcome{Accepted, Accepted}},
+		"duplicated and out of order":       {[]plan.View{view("a", 1, 2*sec, 1, 1), view("a", 1, 2*sec, 1, 1), view("a", 1, 1*sec, 1, 1)}, sec, []Outcome{Accepted, OutOfOrder, OutOfOrder}},
+		"clock set back, after the fade":    {[]plan.View{view("a", 1, 90*sec, 1, 1), view("a", 1, 2*sec, 1, 1)}, 14 * sec, []Outcome{Accepted, Accepted}},
+		"another planner, same epoch":       {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", 1, 9*sec, 1, 1)}, sec, []Outcome{Accepted, OtherPlanner}},
+		"another after the first is silent": {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", 1, 9*sec, 1, 1)}, 4 * sec, []Outcome{Accepted, Accepted}},
+		"a higher epoch":                    {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", 2, 0, 1, 1), view("b", 1, 9*sec, 1, 1)}, sec, []Outcome{Accepted, Accepted, Epoch}},
+		"an epoch in the future":            {[]plan.View{view("b", 1, 1*sec, 1, 1), view("a", math.MaxUint64, sec, 1, 1), view("b", 1, 9*sec, 1, 1)}, sec, []Outcome{Accepted, Epoch, Accepted}},
+		"factors of 0":                      {[]plan.View{view("a", 1, sec, 0, 0)}, sec, []Outcome{Invalid}},
+		"factor is NaN":                     {[]plan.View{view("a", 1, sec, math.NaN(), 1)}, sec, []Outcome{Invalid}},
+		"factor above 1":                    {[]plan.View{view("a", 1, sec, 2, 1)}, sec, []Outcome{Invalid}},
+		"one of three servers named":        {[]plan.View{view("a", 1, sec, 1)}, sec, []Outcome{Invalid}},
+		"hardly any weight left":            {[]plan.View{view("a", 1, sec, 0.1, 0.1)}, sec, []Outcome{Invalid}},
+		"also servers not in the list":      {[]plan.View{view("a", 1, sec, 1, 1, 1, 1, 1)}, sec, []Outcome{Accepted}},
+		"no planner name":                   {[]plan.View{view("", 1, sec, 1, 1)}, sec, []Outcome{Invalid}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, now := New(Config{}), 100*sec
@@ -68,7 +68,7 @@
 	}
 }
 
-// A view holds while it is valid, then fades evenly to no factor and no limit.
+// A view is in full force while valid, and then fades linearly to no factors and no limits.
 func TestAViewFades(t *testing.T) {
 	f := New(Config{Fade: 10 * sec})
 	v := view("a", 1, sec, 0.5, 1)
@@ -82,13 +82,13 @@
 		}
 	}
 	if got, trust := f.Now(113 * sec); trust != 0 || len(got.Servers)+len(got.Hot)+len(got.Tenants) != 0 || got.Admit != 0 {
-		t.Errorf("after all: %v %+v", trust, got)
+		t.Errorf("after the fade: trust %v, %+v", trust, got)
 	}
 }
 
-// Under any loss, delay, doubling, order and kills: what is in force is what some planner made, epochs never go back, and
-// between views trust only falls.
-func TestWhateverComes(t *testing.T) {
+// Under any loss, delay, duplication, order and restarts of planners, the view in force is one that some planner made, epochs
+// never decrease, and between accepted views trust only falls.
+func TestFollowerInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		f, now := New(Config{}), 100*sec
 		var made []plan.View
@@ -98,7 +98,7 @@
 			now += time.Duration(rapid.IntRange(0, 5000).Draw(r, "ms")) * time.Millisecond
 			taken := false
 			switch rapid.IntRange(0, 3).Draw(r, "what") {
-			case 0: // a planner makes one, which may come at any time, and again
+			case 0: // a planner makes a view, which may arrive at any time, and more than once
 				made = append(made, view(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "by"), rapid.Uint64Range(0, 5).Draw(r, "epoch"),
 					now+time.Duration(rapid.IntRange(-9, 9).Draw(r, "skew"))*sec, rapid.Float64Range(0.5, 1).Draw(r, "factor"), 1, 1))
 			case 1, 2:
@@ -113,18 +113,18 @@
 			epoch = f.Epoch()
 			got, now := f.Now(now)
 			if !taken && now > trust {
-				r.Fatalf("trust grew from %v to %v by itself", trust, now)
+				r.Fatalf("trust rose from %v to %v without a new view", trust, now)
 			}
 			trust = now
 			held, _ := f.Held()
 			if held != nil && !slices.ContainsFunc(made, func(v plan.View) bool {
 				return v.Planner == held.Planner && v.Made == held.Made && v.Epoch == held.Epoch && v.Servers[0] == held.Servers[0]
 			}) {
-				r.Fatal("nobody made this view")
+				r.Fatal("no planner made the held view")
 			}
 			for _, s := range got.Servers {
 				if !(s.Factor >= plan.MinFactor && s.Factor <= 1) {
-					r.Fatalf("a factor of %v", s.Factor)
+					r.Fatalf("factor %v", s.Factor)
 				}
 			}
 		}
--- a/decide/follow/grants_test.go
+++ b/decide/follow/grants_test.go
@@ -9,9 +9,9 @@
 	"lapisshelf/policy"
 )
 
-// Grants that may have been on their way for over a second are left out, what they came with is taken: the digest that they
-// answer, and for how long the planner had it, tell by this node's clock alone.
-// Guards against a node or a planner that was frozen: it would act on grants that were given to others since.
+// Grants that may have been in transit for over a second are dropped, and the rest of the change is applied. The transit time
+// follows from the digest that they answer and how long the planner held it, by this node's clock alone.
+// Guards against a node or planner that was frozen: the budget has since been granted to others.
 func TestGrantsTooLongOnTheirWay(t *testing.T) {
 	const ms = time.Millisecond
 	for name, x := range map[string]struct {
@@ -19,15 +19,15 @@
 		after, comes time.Duration
 		fresh        bool
 	}{
-		"at once":                               {70, 0, 0, true},
-		"in a second":                           {70, 0, sec, true},
-		"later":                                 {70, 0, sec + ms, false},
-		"the planner had the digest for long":   {70, 5 * sec, 6 * sec, true},
-		"and then it took longer":               {70, 5 * sec, 6*sec + ms, false},
-		"had it longer than it can have had it": {70, 9 * sec, sec, false},
-		"of a digest before":                    {69, sec, sec, true},
-		"one that is forgotten":                 {1, 70 * sec, 0, false},
-		"one that never went":                   {71, 0, 0, false},
+		"without delay":                    {70, 0, 0, true},
+		"after a second":                   {70, 0, sec, true},
+		"later":                            {70, 0, sec + ms, false},
+		"planner held the digest long":     {70, 5 * sec, 6 * sec, true},
+		"held long, and longer in transit": {70, 5 * sec, 6*sec + ms, false},
+		"held longer than possible":        {70, 9 * sec, sec, false},
+		"answers an earlier digest":        {69, sec, sec, true},
+		"answers a digest no longer known": {1, 70 * sec, 0, false},
+		"answers a digest never sent":      {71, 0, 0, false},
 	} {
 		f := New(Config{})
 		at := 100 * sec
@@ -42,17 +42,17 @@
 		v, _ := f.Now(at + x.comes)
 		granted := v.Servers[0].Allow == 8
 		if why != Accepted || granted != x.fresh || (f.StaleGrants == 0) != x.fresh || v.Servers[len(v.Servers)-1] != (policy.Share{ID: "c1", Factor: 0.5}) {
-			t.Errorf("%s: %s, %v, %+v, %d stale", name, why, err, v.Servers, f.StaleGrants)
+			t.Errorf("%s: %s, %v, %+v, %d stale grants", name, why, err, v.Servers, f.StaleGrants)
 		}
 		if len(f.sentDigests) > maxSentDigests {
-			t.Errorf("%d digests remembered", len(f.sentDigests))
+			t.Errorf("%d sent digests are kept", len(f.sentDigests))
 		}
 	}
 }
 
-// Two planners grant: a node takes the lesser as long as both run, whichever planner it follows and whichever spoke last, and
-// only for servers that the followed one has limited.
-// Guards against nodes that follow one or the other and get the larger part from it: together they would be over the budget.
+// With grants from two planners, a node uses the smaller one while both are valid, whichever planner it follows and whichever
+// was heard last, and only for servers that the followed planner limits.
+// Guards against nodes that follow different planners and each use the larger grant: together they would exceed the budget.
 func TestTheLeastOfTwoPlannersGrants(t *testing.T) {
 	f, now := New(Config{}), 100*sec
 	made := map[string]time.Duration{}
@@ -73,7 +73,7 @@
 	is := func(want ...policy.Share) {
 		t.Helper()
 		if v, trust := f.Now(now); trust != 1 || !slices.Equal(v.Servers, want) {
-			t.Errorf("%+v, trusted %v, want %+v", v.Servers, trust, want)
+			t.Errorf("%+v, trust %v, want %+v", v.Servers, trust, want)
 		}
 	}
 	share := func(id string, allow float64) policy.Share { return policy.Share{ID: id, Factor: 1, Allow: allow} }
@@ -82,18 +82,18 @@
 	turns := f.Version()
 	tell("b", plan.Grant{ID: "c0", Rate: 3}, plan.Grant{ID: "c1", Rate: 1})
 	if is(share("c0", 3)); f.Version() == turns {
-		t.Error("less is no news")
+		t.Error("a smaller grant did not make a new version")
 	}
 	turns = f.Version()
 	tell("b", plan.Grant{ID: "c0", Rate: 9})
 	if is(share("c0", 8)); f.Version() == turns {
-		t.Error("more is no news")
+		t.Error("a larger grant did not make a new version")
 	}
 	tell("b", plan.Grant{ID: "c0", Rate: 2})
 	now += 2 * sec
 	tell("a", plan.Grant{ID: "c0", Rate: 7})
 	is(share("c0", 2))
-	now += 2 * sec // b's has run out
+	now += 2 * sec // b's grant has expired
 	tell("a", plan.Grant{ID: "c0", Rate: 7})
 	is(share("c0", 7))
 }
--- a/decide/plan/bench_test.go
+++ b/decide/plan/bench_test.go
@@ -9,7 +9,7 @@
 	"lapisshelf/policy"
 )
 
-// A node's digest as Gather makes it in the calm: so many requests over the servers, one in a hundred answered late.
+// countCalmSecond counts a second of ordinary traffic: requests spread over the servers, one in a hundred answered late.
 func countCalmSecond(rng *rand.Rand, g *Collector, servers, requests int) {
 	for range requests {
 		took, timely := 3*time.Millisecond, rng.IntN(100) > 0
@@ -21,14 +21,14 @@
 	}
 }
 
-// bench is a planner that has heard some seconds of forwarders, and digests of one more.
+// newBenchmark returns a planner, and digests of one second from so many forwarders.
 func newBenchmark(b *testing.B, forwarders, servers, requests int, brief bool) (p *Planner, list []*Digest) {
 	p = New(config())
 	p.SetServers(100*sec, serverList(servers))
 	rng := rand.New(rand.NewPCG(1, 2))
 	g := NewCollector(100*sec, "")
 	var some []*Digest
-	for i := range 40 { // different ones are enough
+	for i := range 40 { // forty different digests are enough
 		countCalmSecond(rng, g, servers, requests)
 		d := g.Digest(100*sec + time.Duration(i+1)*sec)
 		if brief {
@@ -45,7 +45,7 @@
 	return p, list
 }
 
-// sizes are the measured ones: nodes, servers, requests a second of a node.
+// forSizes runs a benchmark for several numbers of nodes, servers and requests per second and node.
 func forSizes(b *testing.B, run func(b *testing.B, forwarders, servers, requests int, brief bool)) {
 	for _, x := range [][3]int{{400, 80, 6}, {475, 105, 842}, {1900, 420, 842}} {
 		for _, brief := range []bool{false, true} {
@@ -58,7 +58,7 @@
 	}
 }
 
-// What a second's digests of all forwarders cost, counted in two looks.
+// The cost of a second's digests from all forwarders, counted in two updates.
 func BenchmarkDigests(b *testing.B) {
 	forSizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
 		p, list := newBenchmark(b, forwarders, servers, requests, brief)
@@ -80,7 +80,7 @@
 	})
 }
 
-// A look by itself, with nothing new told.
+// The cost of an update without new digests.
 func BenchmarkMake(b *testing.B) {
 	forSizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
 		p, list := newBenchmark(b, forwarders, servers, requests, brief)
@@ -100,8 +100,8 @@
 	})
 }
 
-// What telling all forwarders costs: a whole view for each, or one change for all and each one's grants, of which there are
-// none in the calm.
+// The cost of messages to all forwarders: a full view for each, or one change for all plus each one's grants, of which
+// there are none in ordinary traffic.
 func BenchmarkViews(b *testing.B) {
 	forSizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
 		p, list := newBenchmark(b, forwarders, servers, requests, brief)
@@ -127,7 +127,7 @@
 	})
 }
 
-// What a node's digest costs it, whole and then in brief.
+// The cost of a digest at the node, first in full and then in brief.
 func BenchmarkBrief(b *testing.B) {
 	for _, x := range [][2]int{{80, 6}, {420, 842}} {
 		b.Run(fmt.Sprintf("%dservers,%drequests", x[0], x[1]), func(b *testing.B) {
--- a/decide/plan/brief_test.go
+++ b/decide/plan/brief_test.go
@@ -13,18 +13,18 @@
 	"lapisshelf/policy"
 )
 
-// crowd is nodes that see random answers, and two planners: one that is told all of it and one that is told it in brief.
+// briefRig has nodes that see random answers, and two planners: one gets full digests, the other brief ones.
 type briefRig struct {
 	rng           *rand.Rand
 	now           time.Duration
 	nodes         []*Collector
 	servers       int
-	requests      int                      // of a node, a second, by chance as many
-	bad           func(server int) float64 // part of its answers
+	requests      int                      // per node and second
+	bad           func(server int) float64 // share of bad answers
 	whole, brief  *Planner
-	namedServers  int // servers in the last second's digests
+	namedServers  int // servers in the last second's brief digests
 	alter         func(node int, d *Digest)
-	requestFactor func(server int) float64 // of the requests, against what its weight tells; nil: 1
+	requestFactor func(server int) float64 // a server's requests, in multiples of what its weight predicts; nil: 1
 }
 
 func newBriefRig(seed uint64, nodes, servers, requests int) *briefRig {
@@ -38,7 +38,7 @@
 	return c
 }
 
-// second plays one: requests go by the weights that are told in brief, as nodes would send them.
+// runSecond simulates a second. Requests follow the weights of the planner with brief digests, as nodes would send them.
 func (c *briefRig) runSecond(t *testing.T) {
 	t.Helper()
 	sum := make([]float64, c.servers)
@@ -91,14 +91,14 @@
 	}
 }
 
-// shares are the parts of bad answers that both planners know of.
+// badShares returns the share of bad answers that each planner knows for a server.
 func (c *briefRig) badShares(server int) (whole, brief float64) {
 	return c.whole.serving[server].answerTally.badShare(), c.brief.serving[server].answerTally.badShare()
 }
 
-// What a planner infers from brief digests, against what whole ones of the same events tell: the part of bad answers of a
-// server that jams, fully or in part, and of the healthy ones. A jammed one loses weight by either, healthy ones by neither.
-// Guards against servers whose jam is lost in the rest, and against healthy ones that are blamed for it.
+// A planner with brief digests knows nearly as much as one with full digests of the same events: the shares of bad answers
+// of a server that fails fully or in part, and of healthy servers. With both, the failing server loses weight and no healthy
+// one does. Guards against bad answers that are lost in Rest, and against healthy servers that are blamed for them.
 func TestBriefDigestsTellAsMuch(t *testing.T) {
 	for _, x := range []struct {
 		nodes, servers, requests int
@@ -119,7 +119,7 @@
 				jammed = true
 				c.runSecond(t)
 				c.runSecond(t)
-				whole, brief := c.badShares(3) // before the weights differ
+				whole, brief := c.badShares(3) // before the weights of the two planners differ
 				for range 6 {
 					c.runSecond(t)
 				}
@@ -132,17 +132,17 @@
 					}
 				}
 				fw, fb := c.whole.serving[3].factor, c.brief.serving[3].factor
-				t.Logf("%4d x %3d, %3d requests/s, usual %.2f, jam %.2f: after 2 s whole %.3f brief %.3f; factors after 8 s %.2f %.2f; healthy ones off by at most %.3f, worst %.3f; %.1f named a digest",
+				t.Logf("%4d x %3d, %3d requests/s, usual %.2f, failing %.2f: after 2 s full %.3f brief %.3f; factors after 8 s %.2f %.2f; healthy servers off by at most %.3f, worst %.3f; %.1f servers per digest",
 					x.nodes, x.servers, x.requests, usual, jam, whole, brief, fw, fb, off, worst, float64(c.namedServers)/float64(x.nodes))
 				if jam >= 0.5 && (fw > 0.5 || fb > 0.5) {
-					t.Errorf("%v, usual %v: a server that answers %v badly has factor %.2f by whole and %.2f by brief digests", x, usual, jam, fw, fb)
+					t.Errorf("%v, usual %v: a server that answers %v badly has factor %.2f with full and %.2f with brief digests", x, usual, jam, fw, fb)
 				}
 				if brief > whole+0.15 {
-					t.Errorf("%v, usual %v, jam %v: %.3f is blamed on it, %.3f is so", x, usual, jam, brief, whole)
+					t.Errorf("%v, usual %v, failing %v: share of bad answers is taken for %.3f, is %.3f", x, usual, jam, brief, whole)
 				}
 				for s, v := range c.brief.serving {
 					if s != 3 && v.factor != 1 {
-						t.Errorf("%v, usual %v, jam %v: healthy %s has %.2f", x, usual, jam, v.ID, v.factor)
+						t.Errorf("%v, usual %v, failing %v: healthy %s has factor %.2f", x, usual, jam, v.ID, v.factor)
 					}
 				}
 			}
@@ -150,9 +150,9 @@
 	}
 }
 
-// A server that is asked for more than its weight tells, since its keys are hot, has more bad answers than others and no
-// larger part of them; one that is asked for less has fewer. Neither is blamed or missed.
-// Guards against a hot server that loses its weight while all answer badly.
+// A server that gets more requests than its weight predicts, because its keys are hot, has more bad answers than others but
+// no larger share of them; a server that gets fewer requests has fewer. Neither is misjudged.
+// Guards against a hot server that loses weight while all servers answer badly.
 func TestKeysAreNotAskedForAlike(t *testing.T) {
 	for _, x := range []struct{ nodes, servers, requests int }{{40, 80, 842}, {100, 80, 60}, {100, 420, 842}} {
 		c := newBriefRig(2, x.nodes, x.servers, x.requests)
@@ -168,13 +168,13 @@
 		for _, s := range []int{2, 4, 6} {
 			whole, brief := c.badShares(s)
 			if got := c.brief.serving[s].skew(); math.Abs(got-c.requestFactor(s)) > c.requestFactor(s)/4 || math.Abs(whole-brief) > 0.06 {
-				t.Errorf("%v: asked %.1f times its part, taken for %.2f; %.3f bad, taken for %.3f", x, c.requestFactor(s), got, whole, brief)
+				t.Errorf("%v: gets %.1f times its expected requests, estimated as %.2f; %.3f bad, estimated as %.3f", x, c.requestFactor(s), got, whole, brief)
 			}
-			t.Logf("%v: asked %.1f times its part: whole %.3f brief %.3f, taken for %.2f", x, c.requestFactor(s), whole, brief, c.brief.serving[s].skew())
+			t.Logf("%v: gets %.1f times its expected requests: full %.3f brief %.3f, estimated as %.2f", x, c.requestFactor(s), whole, brief, c.brief.serving[s].skew())
 		}
 		for _, s := range c.brief.serving {
 			if s.factor != 1 {
-				t.Errorf("%v: %s has %.2f", x, s.ID, s.factor)
+				t.Errorf("%v: %s has factor %.2f", x, s.ID, s.factor)
 			}
 		}
 		c.bad = func(s int) float64 { return map[bool]float64{true: 0.9, false: 0.05}[s == 4] }
@@ -182,13 +182,13 @@
 			c.runSecond(t)
 		}
 		if f := c.brief.serving[4].factor; f > 0.5 {
-			t.Errorf("%v: the jammed one has %.2f", x, f)
+			t.Errorf("%v: the failing server has factor %.2f", x, f)
 		}
 	}
 }
 
-// One forwarder that lies in brief digests, whatever it names and leaves out and in whatever order, counts for no more than
-// twice the middle one of any server, and for none of the others' hot keys and tenants.
+// A forwarder that sends false brief digests, whatever servers they name and in whatever order, counts for no more than twice
+// the median forwarder at any server, and does not decide on hot keys and tenants.
 func TestALiarInBriefDecidesNothing(t *testing.T) {
 	others := func(except string) (list []Load) {
 		for i := range 40 {
@@ -202,21 +202,21 @@
 	rest := Load{Sends: MaxCount, Late: MaxCount}
 	well := Load{Sends: MaxCount, Timely: MaxCount}
 	for name, lie := range map[string]func(d *Digest){
-		"bad answers of one": func(d *Digest) { d.Bad = []Load{most} },
-		"one told whole":     func(d *Digest) { d.Servers = []Load{most} },
-		"the rest is one":    func(d *Digest) { d.Servers, d.Rest = others("c01"), rest },
-		"the rest is half":   func(d *Digest) { d.Servers, d.Rest = others("c01")[20:], rest },
-		"both":               func(d *Digest) { d.Servers, d.Bad, d.Rest = others("c01"), []Load{most}, rest },
-		"the one, then the rest": func(d *Digest) {
+		"bad answers of one server":    func(d *Digest) { d.Bad = []Load{most} },
+		"one server in full":           func(d *Digest) { d.Servers = []Load{most} },
+		"rest for one server":          func(d *Digest) { d.Servers, d.Rest = others("c01"), rest },
+		"rest for half of the servers": func(d *Digest) { d.Servers, d.Rest = others("c01")[20:], rest },
+		"both":                         func(d *Digest) { d.Servers, d.Bad, d.Rest = others("c01"), []Load{most}, rest },
+		"one server, then the rest": func(d *Digest) {
 			if d.Seq%2 == 0 {
 				d.Bad = []Load{most}
 			} else {
 				d.Servers, d.Rest = others("c01"), rest
 			}
 		},
-		"all is well":             func(d *Digest) { d.Rest = well },
-		"one is well":             func(d *Digest) { d.Servers, d.Rest = others("c01"), well },
-		"one is well, told whole": func(d *Digest) { d.Servers = []Load{{ID: "c01", Timely: MaxCount}} },
+		"all answers good":         func(d *Digest) { d.Rest = well },
+		"one server good":          func(d *Digest) { d.Servers, d.Rest = others("c01"), well },
+		"one server good, in full": func(d *Digest) { d.Servers = []Load{{ID: "c01", Timely: MaxCount}} },
 		"hot keys": func(d *Digest) {
 			d.Asked = MaxCount
 			for i := range MaxHotKeys {
@@ -240,11 +240,11 @@
 				for _, s := range p.serving {
 					most := p.forwarderBound(s)
 					if s.answerTally.bad > 1.001*most {
-						t.Fatalf("%s: %.1f bad answers by one liar, twice the middle one's are %.1f", s.ID, s.answerTally.bad, most)
+						t.Fatalf("%s: %.1f bad answers from one false forwarder, the bound is %.1f", s.ID, s.answerTally.bad, most)
 					}
-					// Good answers of the rest may be spread over half of the servers: twice as much again.
+					// Good answers in Rest may be spread over half of the servers, which doubles them.
 					if honest := most / 2 * float64(len(c.nodes)); s.answerTally.total > 1.3*honest+2*most {
-						t.Fatalf("%s: %.1f answers with one liar, %.1f is what the others bring", s.ID, s.answerTally.total, honest)
+						t.Fatalf("%s: %.1f answers with one false forwarder, %.1f from the others", s.ID, s.answerTally.total, honest)
 					}
 				}
 				asked := 0.0
@@ -256,19 +256,19 @@
 					used += n
 				}
 				if asked > 1.001*p.requestBound || used > 1.001*p.requestBound {
-					t.Fatalf("%.0f requests for keys and %.0f of tenants by one liar, twice the middle one's are %.0f", asked, used, p.requestBound)
+					t.Fatalf("%.0f requests for keys and %.0f of tenants from one false forwarder, the bound is %.0f", asked, used, p.requestBound)
 				}
 			}
 			for _, s := range c.brief.serving {
 				if s.factor != 1 {
-					t.Errorf("%s has %.2f", s.ID, s.factor)
+					t.Errorf("%s has factor %.2f", s.ID, s.factor)
 				}
 			}
 		})
 	}
 }
 
-// What a forwarder says that it remembers counts for no more than a server could get: with others heard it is soon outweighed.
+// False past answers count for no more than a server could get, and have little effect soon after the last ones.
 func TestALiarsMemory(t *testing.T) {
 	c := newBriefRig(7, 30, 40, 200)
 	c.bad = func(int) float64 { return 0.05 }
@@ -285,16 +285,16 @@
 		c.runSecond(t)
 	}
 	if got := c.brief.servers["c01"].skew(); math.Abs(got-1) > 0.3 {
-		t.Errorf("taken for %.2f times its part, ten seconds after the last lie", got)
+		t.Errorf("estimated at %.2f times its expected requests, ten seconds after the last false digest", got)
 	}
 }
 
-// A liar that is heard before all others, when there is no other to hold it against, is held against them once they are.
+// A forwarder with false digests that is heard before all others is bounded by them as soon as they are heard.
 func TestALiarThatIsFirst(t *testing.T) {
 	for name, lie := range map[string]Digest{
-		"whole":         {Servers: []Load{{ID: "c01", Late: MaxCount}, {ID: "c02", Timely: 9}}},
-		"in part":       {Brief: true, Bad: []Load{{ID: "c01", Late: MaxCount}}},
-		"by the others": {Brief: true, Rest: Load{Late: MaxCount}, Servers: []Load{{ID: "c03"}}},
+		"whole":       {Servers: []Load{{ID: "c01", Late: MaxCount}, {ID: "c02", Timely: 9}}},
+		"in part":     {Brief: true, Bad: []Load{{ID: "c01", Late: MaxCount}}},
+		"in the rest": {Brief: true, Rest: Load{Late: MaxCount}, Servers: []Load{{ID: "c03"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newBriefRig(6, 30, 40, 100)
@@ -309,7 +309,7 @@
 				c.brief.Update(c.now)
 			}
 			c.runSecond(t)
-			factor := c.brief.servers["c01"].factor // what it has done while there was no other
+			factor := c.brief.servers["c01"].factor // the effect from before the others were heard
 			for range 5 {
 				c.runSecond(t)
 				for _, s := range c.brief.serving {
@@ -325,9 +325,9 @@
 	}
 }
 
-// What brief digests tell is counted once: all servers' answers, and bad ones, are as many in sum as by whole digests.
+// Brief digests count everything once: over all servers, answers and bad answers are as many as with full digests.
 func TestBriefDigestsCountOnce(t *testing.T) {
-	for _, usual := range []float64{0.01, 0.4} { // few bad answers, and more than are named
+	for _, usual := range []float64{0.01, 0.4} { // few bad answers, and more than are reported by name
 		c := newBriefRig(4, 20, 80, 842)
 		c.bad = func(s int) float64 {
 			if s == 5 {
@@ -343,13 +343,13 @@
 				brief.addScaled(&c.brief.serving[i].answerTally, 1)
 			}
 			if math.Abs(brief.total-whole.total) > 0.01*whole.total || math.Abs(brief.bad-whole.bad) > 0.01*whole.bad {
-				t.Errorf("usual %v: %.0f answers, %.0f bad by brief ones, %.0f and %.0f by whole ones", usual, brief.total, brief.bad, whole.total, whole.bad)
+				t.Errorf("usual %v: %.0f answers, %.0f bad with brief digests, %.0f and %.0f with full ones", usual, brief.total, brief.bad, whole.total, whole.bad)
 			}
 		}
 	}
 }
 
-// Bad answers are told by name and all answers may be inferred: there are never more bad ones than all.
+// Bad answers are reported by name, while totals may be estimated: the share of bad answers never exceeds 1.
 func TestNoMoreBadThanAll(t *testing.T) {
 	for _, x := range []struct{ bad, total, want float64 }{{9, 5, 1}, {2, 5, 0.4}, {1, 0, 0}, {0, -1e-12, 0}} {
 		if got := (&tally{bad: x.bad, total: x.total}).badShare(); got != x.want {
@@ -358,24 +358,24 @@
 	}
 }
 
-// What is kept of each forwarder is what it named of late, whatever the number of servers.
-// Guards against sums over forwarders times servers.
-func TestWhatIsKeptOfAForwarder(t *testing.T) {
+// A planner keeps counts only of the servers that a forwarder named recently, whatever the number of servers.
+// Guards against state that grows as forwarders times servers.
+func TestForwarderStateIsBounded(t *testing.T) {
 	c := newBriefRig(3, 10, 400, 842)
 	for range 20 {
 		c.runSecond(t)
 		for name, f := range c.brief.forwarders {
 			if len(f.named) > 8*maxBadOnly {
-				t.Fatalf("%s: %d servers are kept", name, len(f.named))
+				t.Fatalf("%s: counts of %d servers are kept", name, len(f.named))
 			}
 		}
 	}
 	if n := len(c.brief.pending); n > 0 {
-		t.Errorf("%d digests are kept after a look", n)
+		t.Errorf("%d digests are pending after an update", n)
 	}
 }
 
-// A server that stands out at a node is told whole, and for a memory's length after that; then it is one of the rest.
+// A server that is an outlier at a node is reported in full then and for gatherSpan afterwards, and after that within Rest.
 func TestAnExceptionStaysNamed(t *testing.T) {
 	now := 100 * sec
 	g := NewCollector(now, "f")
@@ -393,19 +393,20 @@
 		return slices.ContainsFunc(d.Servers, func(l Load) bool { return l.ID == "c07" })
 	}
 	if named(0) || named(1) {
-		t.Error("named for a chance")
+		t.Error("reported in full without being an outlier")
 	}
 	if !named(8) || !named(0) || !named(0) {
-		t.Error("not named")
+		t.Error("outlier is not reported in full")
 	}
 	for i := 0; named(0); i++ {
 		if i > 10 {
-			t.Fatal("named for ever")
+			t.Fatal("still reported in full long after it recovered")
 		}
 	}
 }
 
-// Where more servers answer badly than are named, none is blamed for its name: of those that are alike each is named as often.
+// When more servers answer badly than can be reported, the choice does not depend on their names: equal servers are reported
+// equally often.
 func TestWhoIsNamedIsChance(t *testing.T) {
 	now := 100 * sec
 	g := NewCollector(now, "f")
@@ -418,20 +419,20 @@
 		now += sec
 		d := g.Brief(g.Digest(now))
 		if len(d.Bad) != maxBadOnly || len(d.Servers) > 0 || d.Rest.bad() != 64-maxBadOnly {
-			t.Fatalf("%d told whole, %d in part, %+v", len(d.Servers), len(d.Bad), d.Rest)
+			t.Fatalf("%d reported in full, %d in part, %+v", len(d.Servers), len(d.Bad), d.Rest)
 		}
 		for _, l := range d.Bad {
 			times[l.ID]++
 		}
 	}
 	for s := range 64 {
-		if n := times[fmt.Sprintf("c%02d", s)]; n < rounds/8 || n > rounds/2 { // a quarter each
-			t.Errorf("c%02d is named %d times of %d", s, n, rounds)
+		if n := times[fmt.Sprintf("c%02d", s)]; n < rounds/8 || n > rounds/2 { // a quarter each is expected
+			t.Errorf("c%02d is reported %d times of %d", s, n, rounds)
 		}
 	}
 }
 
-// The same events give the same digest, to the last bit: the fleet model plays a seed again by it.
+// The same events give the same digest to the last bit. The simulator relies on this to replay a seed.
 func TestTheSameEventsGiveTheSameDigest(t *testing.T) {
 	var first []*Digest
 	var before []float64
@@ -456,7 +457,7 @@
 	}
 }
 
-// Keys are told where they are few, or bring a fair part of a cache's load here.
+// Keys are reported if there are few of them, or if they bring a fair part of a cache's load at this node.
 func TestKeysInBrief(t *testing.T) {
 	g := NewCollector(100*sec, "f")
 	seen := func(keys, hot int) []Heat {
@@ -473,18 +474,18 @@
 		return g.Brief(d).Hot
 	}
 	if got := seen(10, 0); len(got) != 10 {
-		t.Errorf("%d of ten keys", len(got))
+		t.Errorf("%d of ten keys are reported", len(got))
 	}
 	if got := seen(200, 0); len(got) != 0 {
-		t.Errorf("%v of 200 keys that are asked for twice", got)
+		t.Errorf("%v reported of 200 keys with two requests each", got)
 	}
 	if got := seen(200, 20); len(got) != 1 || got[0].Key != policy.Digest("hot") {
-		t.Errorf("%v, want the hot one", got)
+		t.Errorf("%v reported, want the hot key only", got)
 	}
 }
 
-// In the calm, with the noise that random traffic brings, all that is told stays as it is: no new revision.
-func TestCalmIsNoNews(t *testing.T) {
+// In ordinary random traffic the published state stays the same: there is no new revision.
+func TestNoNewRevisionInOrdinaryTraffic(t *testing.T) {
 	c := newBriefRig(9, 20, 40, 0)
 	feed := func() {
 		for _, g := range c.nodes {
@@ -507,18 +508,18 @@
 	}
 	before := c.brief.Revision()
 	if v := c.brief.View(c.now, c.now, "x"); len(v.Hot) != 1 || len(v.Tenants) != 6 {
-		t.Fatalf("%+v, %+v: one key and six tenants make some", v.Hot, v.Tenants)
+		t.Fatalf("%+v, %+v: want one key and six tenants", v.Hot, v.Tenants)
 	}
 	for range 30 {
 		feed()
 	}
 	if after := c.brief.Revision(); after != before {
-		t.Errorf("revision %d after %d in thirty calm seconds", after, before)
+		t.Errorf("revision %d after %d in thirty seconds of ordinary traffic", after, before)
 	}
 }
 
-// A key that was told stays told until it has cooled well below what makes one hot, and its load is told anew only when it is
-// off by more than chance.
+// A published key stays published until it has cooled well below the threshold for hot keys, and its load is published again
+// only when it differs by more than noise.
 func TestHotKeysStayTold(t *testing.T) {
 	heat := func(list ...float64) (hot []policy.Heat) {
 		for i, x := range list {
@@ -534,12 +535,12 @@
 	}{
 		{nil, heat(0.6), 1e6, 1, true},
 		{nil, heat(0.45), 1e6, 0, false},
-		{heat(0.6), heat(0.45), 1e6, 1, true}, // off by a quarter
+		{heat(0.6), heat(0.45), 1e6, 1, true}, // differs by a quarter
 		{heat(0.5), heat(0.45), 1e6, 1, false},
 		{heat(0.5), heat(), 1e6, 0, true},
 		{heat(4), heat(4.4), 1e6, 1, false},
 		{heat(4), heat(5), 1e6, 1, true},
-		{heat(4), heat(5), 10, 1, false}, // ten requests are a cache's load: chance
+		{heat(4), heat(5), 10, 1, false}, // the mean load is ten requests: the difference is noise
 		{heat(1), heat(1, 1), 1e6, 2, true},
 	} {
 		if got, news := nextHotKeys(c.old, c.now, c.mean); news != c.news || len(got) != c.told {
@@ -548,12 +549,12 @@
 	}
 }
 
-// The log of changes is bounded: from a revision older than what it holds all is told.
+// The history of changes is bounded: from a revision older than that, the full state is sent.
 func TestOldRevisionsAreForgotten(t *testing.T) {
 	p := New(config())
 	id := 0
 	var bases []Hold
-	for range 30 { // a thousand servers that come, ail and go
+	for range 30 { // a thousand servers each time, with reduced factors, replace the last ones
 		var list []policy.Server
 		snap := Snapshot{Clock: 1, Factors: map[string]float64{}, Admit: 1}
 		for range 1000 {
@@ -566,19 +567,19 @@
 		p.Update(100 * sec)
 		bases = append(bases, Hold{1, p.Revision(), true})
 		if n := len(p.published.factors); n > 2*MaxServers+2000 {
-			t.Fatalf("%d servers are remembered", n)
+			t.Fatalf("factors of %d servers are kept", n)
 		}
 	}
 	if _, whole := p.Change(100*sec, bases[0]); !whole {
-		t.Error("a change from a revision that is forgotten")
+		t.Error("a change starts from a revision that is no longer known")
 	}
 	c, whole := p.Change(100*sec, bases[len(bases)-2])
 	if whole || len(c.Servers) != 2000 {
-		t.Errorf("%d servers, whole %v, from the revision before", len(c.Servers), whole)
+		t.Errorf("%d servers, full state %v, from the previous revision", len(c.Servers), whole)
 	}
 	for _, base := range []Hold{{}, {2, p.Revision(), true}, {1, p.Revision() + 1, true}, {1, 0, true}} {
 		if _, whole := p.Change(100*sec, base); !whole {
-			t.Errorf("a change from %+v", base)
+			t.Errorf("a change starts from %+v", base)
 		}
 	}
 }
--- a/decide/plan/plan_test.go
+++ b/decide/plan/plan_test.go
@@ -24,14 +24,14 @@
 	return Config{ID: "p1", Mode: policy.Aside, OriginKind: "origin", Weighted: true, ColdFrom: 0.2, WarmUp: 10 * sec, FallMultiple: 3, FallWindow: 1500 * time.Millisecond}
 }
 
-// world feeds a planner with what forwarders see, a digest a second each.
+// rig feeds a planner with digests, one per second and forwarder.
 type rig struct {
 	p          *Planner
 	now        time.Duration
 	seq        uint64
 	forwarders int
 	caches     int
-	perSecond  int // sends of a forwarder to each cache
+	perSecond  int // sends per second from a forwarder to each cache
 	bad        func(forwarder, cache int) float64
 	origin     Load
 	alter      func(d *Digest)
@@ -52,7 +52,7 @@
 	return d
 }
 
-// run plays seconds; each is one digest a forwarder and two looks.
+// run simulates seconds: each has one digest per forwarder and two updates, and calls each after every update.
 func (w *rig) run(seconds int, each func()) {
 	for range seconds {
 		w.seq++
@@ -84,8 +84,8 @@
 	return w
 }
 
-// A cache that answers late loses its weight step by step, no more than the stated part of the keys a second, and gets it
-// back when it is well; the others keep theirs.
+// A cache that answers late loses weight step by step, with no more than the configured part of the keys moving per second,
+// and regains it when it has recovered; other caches keep theirs.
 func TestAJammedCacheLosesWeight(t *testing.T) {
 	w := smallRig()
 	w.run(3, nil)
@@ -112,7 +112,7 @@
 		for i, s := range shares() {
 			moved += math.Abs(s-last[i]) / 2
 		}
-		if last = shares(); moved > 0.05/2*1.2 { // half a second at a time
+		if last = shares(); moved > 0.05/2*1.2 { // per update, half a second
 			t.Errorf("%.3f of the keys moved in half a second", moved)
 		}
 	}
@@ -121,29 +121,29 @@
 		t.Errorf("factor %v after eight bad seconds", f)
 	}
 	if f := w.factor("c02"); f != 1 {
-		t.Errorf("a healthy one has %v", f)
+		t.Errorf("a healthy cache has factor %v", f)
 	}
 	jammed = false
 	w.run(25, watch)
 	if f := w.factor("c03"); f != 1 {
-		t.Errorf("factor %v when it is well again", f)
+		t.Errorf("factor %v after it has recovered", f)
 	}
 }
 
-// When all answer badly nobody is worse than the middle: weights stay. Guards against a strained origin, or an overload,
-// that takes the weight of whoever is asked most.
+// When all caches answer badly, none is worse than the median, and weights stay. Guards against an overloaded origin, or an
+// overload of all caches, that takes weight from the most used cache.
 func TestAllBadIsNobodysFault(t *testing.T) {
 	w := smallRig()
 	w.bad = func(int, int) float64 { return 0.8 }
 	w.run(10, nil)
 	for _, r := range w.p.Explain() {
 		if r.Factor != 1 {
-			t.Errorf("%s has %v", r.ID, r.Factor)
+			t.Errorf("%s has factor %v", r.ID, r.Factor)
 		}
 	}
 }
 
-// One forwarder that lies, at any volume, takes no server's weight.
+// A single forwarder with false digests, at any volume, takes no server's weight.
 func TestALiarDecidesNothing(t *testing.T) {
 	w := smallRig()
 	w.alter = func(d *Digest) {
@@ -158,25 +158,25 @@
 		d.Hot = []Heat{{Key: 8, Asked: MaxCount}}
 	}
 	w.run(10, nil)
-	// It counts for two in nine at most, which is beyond the middle by 0.22: hardly worse than chance, and never more.
+	// It counts for at most two in nine, 0.22 above the median: barely over badMargin.
 	if f := w.factor("c01"); f < MinFactor {
-		t.Errorf("factor %v by one liar", f)
+		t.Errorf("factor %v with one false forwarder", f)
 	}
 	w = &rig{p: New(config()), now: 100 * sec, forwarders: 20, caches: 8, perSecond: 5, alter: w.alter}
 	w.p.SetServers(w.now, serverList(8))
 	w.run(10, nil)
 	if f := w.factor("c01"); f != 1 {
-		t.Errorf("factor %v by one liar in twenty", f)
+		t.Errorf("factor %v with one false forwarder in twenty", f)
 	}
 	for _, d := range []Digest{{From: "x", Span: sec, Asked: -1}, {Span: sec}, {From: "x"}, {From: "x", Span: sec, Asked: 1e9},
 		{From: "x", Span: sec, Servers: []Load{{ID: "c01", Late: -5}}}, {From: "x", Span: sec, Servers: make([]Load, MaxServers+1)}} {
 		if w.p.Digest(w.now, d) == nil {
-			t.Errorf("taken: %+.60v", d)
+			t.Errorf("accepted: %+.60v", d)
 		}
 	}
 }
 
-// A late, doubled or reordered digest counts once; a restart under the name begins anew.
+// A late, duplicated or reordered digest counts once; a restarted forwarder's numbers start over.
 func TestDigestsCountOnce(t *testing.T) {
 	w := smallRig()
 	d := w.digest(0)
@@ -193,22 +193,22 @@
 	}
 }
 
-// An origin that turns away or fails has the reads thinned out, little by little, and gets them back; one that is merely
-// slow does not.
-func TestTheOriginsReads(t *testing.T) {
+// Reads to an origin that refuses or fails are reduced step by step, and recover with it; for one that is merely slow they
+// are not reduced.
+func TestOriginReadsAreReduced(t *testing.T) {
 	w := smallRig()
 	admit := func() float64 { return w.p.View(w.now, w.now, "f000").Admit }
 	w.origin = Load{Sends: 10, Timely: 2, Late: 8}
 	w.run(8, nil)
 	if got := admit(); got != 0 {
-		t.Errorf("reads are thinned to %v though the origin only is slow", got)
+		t.Errorf("reads are reduced to %v though the origin is only slow", got)
 	}
 	w.origin = Load{Sends: 10, Timely: 4, Full: 6}
 	last, steps := 1.0, 0
 	w.run(12, func() {
 		if got := w.p.admit; got < last {
 			if steps++; got < last*admitCut-1e-9 {
-				t.Errorf("from %v to %v at once", last, got)
+				t.Errorf("reads are reduced from %v to %v in one step", last, got)
 			}
 			last = got
 		}
@@ -219,14 +219,14 @@
 	w.origin = Load{Sends: 10, Timely: 10}
 	w.run(15, nil)
 	if got := admit(); got != 0 {
-		t.Errorf("still thinned to %v", got)
+		t.Errorf("still reduced to %v", got)
 	}
 }
 
-// Keys that outrun a cache are named, with their load.
+// Keys that bring at least half a cache's mean load are published with their load.
 func TestHotKeys(t *testing.T) {
 	w := smallRig()
-	w.alter = func(d *Digest) { d.Hot = []Heat{{Key: 4, Asked: 10}, {Key: 8, Asked: 1}} } // of 40 requests, 5 a cache
+	w.alter = func(d *Digest) { d.Hot = []Heat{{Key: 4, Asked: 10}, {Key: 8, Asked: 1}} } // of 40 requests, 5 per cache
 	w.run(10, nil)
 	v := w.p.View(w.now, w.now, "f001")
 	if len(v.Hot) != 1 || v.Hot[0].Key != 4 || math.Abs(v.Hot[0].Load-2) > 0.2 {
@@ -234,8 +234,8 @@
 	}
 }
 
-// Under any losses, doublings, orders, joins, restarts and silences, at any moment: each view makes sense, the grants that
-// run never exceed the largest budget of a view's validity, and no two views of a planner have one stamp.
+// Under any loss, duplication, reordering, joins, restarts and silences, each view is well-formed, the outstanding grants
+// never exceed the largest budget within a view's validity, and no two views of a planner have the same stamp.
 func TestBudgetsHoldUnderAnyBreaks(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		w := &rig{p: New(config()), now: 100 * sec, caches: 6, perSecond: rapid.IntRange(0, 20).Draw(r, "rate")}
@@ -257,7 +257,7 @@
 		for range rapid.IntRange(10, 60).Draw(r, "steps") {
 			w.now += time.Duration(rapid.IntRange(0, 1500).Draw(r, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 5).Draw(r, "what") {
-			case 0: // a server starts anew
+			case 0: // a server restarts
 				list[0].Started = w.now
 				w.p.SetServers(w.now, list)
 			case 1, 2:
@@ -286,8 +286,8 @@
 	})
 }
 
-// A grant that was on its way for a second runs a second longer at its forwarder: until then others get what it leaves. One
-// forwarder that dies holds back its part no longer than that.
+// A grant that was in transit for a second stays valid a second longer at its forwarder: until then the others get only what
+// it leaves. A forwarder that fails withholds its part for no longer than that.
 func TestALateGrantCounts(t *testing.T) {
 	w := smallRig()
 	w.forwarders = 2
@@ -307,18 +307,18 @@
 	w.p.Update(w.now)
 	first, since := grant("first"), w.now
 	if first < 0.9*w.p.servers["c01"].allow {
-		t.Fatalf("%v of %v: not most of it", first, w.p.servers["c01"].allow)
+		t.Fatalf("first grant is %v of a budget of %v, want most of it", first, w.p.servers["c01"].allow)
 	}
-	for w.now < since+6*sec { // from here on the first is dead
+	for w.now < since+6*sec { // from here on the first forwarder is silent
 		w.now += sec / 4
 		digest("second", 2000)
 		w.p.Update(w.now)
 		got, all := grant("second"), w.p.servers["c01"].allow
 		if over := got + first - all; over > 1e-9 && w.now <= since+4*sec && got > minGrant {
-			t.Errorf("%v after the grant: %v of %v for the second, %v may be with the first", w.now-since, got, all, first)
+			t.Errorf("%v after the grant: %v of %v for the second forwarder while the first may use %v", w.now-since, got, all, first)
 		}
 		if w.now > since+5*sec && got < all/2 {
-			t.Errorf("%v after the grant: %v of %v for the second alone", w.now-since, got, all)
+			t.Errorf("%v after the grant: %v of %v for the only remaining forwarder", w.now-since, got, all)
 		}
 	}
 }
@@ -330,7 +330,7 @@
 	return s.allow
 }
 
-// A snapshot is taken up when it is young enough, and only as far as it makes sense.
+// A snapshot is restored if it is recent enough, and only its values that are in range.
 func TestSnapshots(t *testing.T) {
 	w := smallRig()
 	w.bad = func(_, c int) float64 { return map[int]float64{3: 0.9}[c] }
@@ -346,19 +346,19 @@
 			t.Errorf("after %v: %v, %v", c.clock-s.Clock, got, x.factor("c03"))
 		}
 		if x.factor("c01") != 1 || x.factor("c02") != 1 {
-			t.Error("factors that make no sense are taken")
+			t.Error("factors out of range are restored")
 		}
 	}
 }
 
-// Four planners and 400 forwarders, digests lost, late, doubled and in any order: all planners come to the same view of a
-// cache that jams, within seconds of each other.
+// Four planners that receive digests of 400 forwarders with different losses, delays and orders reach the same view of a
+// failing cache within seconds of each other.
 func TestPlannersConverge(t *testing.T) {
 	var planners []*rig
 	for i := range 4 {
 		w := &rig{p: New(config()), now: 100 * sec, forwarders: 400, caches: 20, perSecond: 1, seq: uint64(i)}
 		w.p.SetServers(w.now, serverList(20))
-		w.alter = func(d *Digest) { // each hears other ones: a third is lost, at different moments
+		w.alter = func(d *Digest) { // each planner misses a different third of the digests
 			if (int(d.Seq)*7+len(d.From)*3+int(d.From[3])+i)%3 == 0 {
 				d.Seq = 0
 			}
@@ -381,13 +381,13 @@
 	}
 	for i := range planners {
 		if cut[i] == 0 || cut[i] > 14 || cut[i]-cut[0] > 1 || cut[0]-cut[i] > 1 {
-			t.Errorf("half the weight gone after seconds %v, the jam began at 5", cut)
+			t.Errorf("half of the weight is gone after seconds %v; the failure began at 5", cut)
 			break
 		}
 	}
 }
 
-// Who leads, and that epochs never go back.
+// The planner that has held its lease longest leads, and epochs never decrease.
 func TestWhoLeads(t *testing.T) {
 	p := New(config())
 	for i, c := range []struct {
@@ -398,8 +398,8 @@
 		{nil, "", 0},
 		{[]Candidate{{"b", 20 * sec}, {"a", 30 * sec}}, "b", 20},
 		{[]Candidate{{"a", 30 * sec}}, "a", 30},
-		{[]Candidate{{"b", 40 * sec}, {"a", 30 * sec}}, "a", 30}, // it comes back later
-		{nil, "a", 30}, // the registry tells of nobody: as it was
+		{[]Candidate{{"b", 40 * sec}, {"a", 30 * sec}}, "a", 30}, // with a newer lease
+		{nil, "a", 30}, // an empty list changes nothing
 		{[]Candidate{{"c", 5 * sec}, {"a", 30 * sec}}, "c", 30}, // its clock is wrong
 		{[]Candidate{{"d", 50 * sec}, {"b", 50 * sec}}, "b", 50},
 		{[]Candidate{{"d", -5 * sec}}, "d", 50},
@@ -410,12 +410,12 @@
 	}
 }
 
-// Sketches of answer times from many forwarders give the fleet's, within a factor of two.
-func TestSketches(t *testing.T) {
+// Latency histograms of many forwarders add up to the fleet's quantiles, exact to a factor of two.
+func TestLatencyHistograms(t *testing.T) {
 	for took, want := range map[time.Duration]int{0: 0, time.Millisecond: 0, time.Millisecond + 1: 1, 2 * time.Millisecond: 1, 3 * time.Millisecond: 2, 4 * time.Millisecond: 2,
 		time.Second: 10, 5 * time.Second: 13, time.Hour: 13} {
 		if got := latencyBucket(took); got != want {
-			t.Errorf("%v is in part %d, want %d", took, got, want)
+			t.Errorf("%v is in bucket %d, want %d", took, got, want)
 		}
 	}
 	w := smallRig()
@@ -446,7 +446,8 @@
 	}
 }
 
-// A forwarder that starts anew after its machine's wall clock was set back is heard at once; what its process before sent late is not.
+// A forwarder that restarts after its machine's wall clock was set back is heard at once; late digests of its previous
+// process are rejected.
 func TestARestartAfterAStepBackIsHeard(t *testing.T) {
 	p := New(Config{})
 	say := func(now time.Duration, start int64, seq uint64) error {
@@ -457,17 +458,17 @@
 		t.Fatal(err)
 	}
 	if err := say(2*time.Second, anew, 1); err != nil {
-		t.Errorf("started anew: %v", err)
+		t.Errorf("first digest after the restart: %v", err)
 	}
 	if err := say(3*time.Second, old, 6); err == nil {
-		t.Error("what the process before sent late is taken")
+		t.Error("a late digest of the previous process is accepted")
 	}
 	if err := say(3*time.Second, anew, 2); err != nil {
-		t.Errorf("its next: %v", err)
+		t.Errorf("second digest after the restart: %v", err)
 	}
 }
 
-// A server that a planner sees start is cold from then on, whatever the clock that tells its start.
+// A server that a planner sees start is cold from then on, whatever start time its own clock gives.
 func TestAServerSeenToStartIsColdHere(t *testing.T) {
 	const warmUp = 10 * time.Second
 	for _, skew := range []time.Duration{-time.Hour, 0, time.Hour} {
@@ -477,7 +478,7 @@
 		p.SetServers(now, list)
 		p.SetServers(now, append(list, policy.Server{ID: "b", Weight: 1, Started: now + skew}))
 		if got := p.warmth(now, p.servers["b"]); got != 0.2 {
-			t.Errorf("skew %v: warmth %v as it starts", skew, got)
+			t.Errorf("skew %v: warmth %v at its start", skew, got)
 		}
 		if got := p.warmth(now+warmUp, p.servers["b"]); got != 1 {
 			t.Errorf("skew %v: warmth %v after the warm-up", skew, got)
