--- a/decide/follow/change_test.go
+++ b/decide/follow/change_test.go
@@ -203,7 +203,7 @@
 // stays until it arrives.
 func TestWhichChangeCounts(t *testing.T) {
 	const h = 7
-	whole := func(revision uint64, made time.Duration, factor float64) plan.Change {
+	fullChange := func(revision uint64, made time.Duration, factor float64) plan.Change {
 		c := plan.Change{Epoch: 1, Planner: "a", Made: made, Valid: 3 * sec, History: h, Revision: revision, Count: 4, HotSet: true, TenantsSet: true,
 			Servers: []policy.Share{{ID: "c1", Factor: factor}}}
 		c.Sum = plan.Sum(map[string]float64{"c1": factor}, 0, nil, nil)
@@ -214,7 +214,7 @@
 		return c
 	}
 	part := func(base, revision uint64, made time.Duration, factor float64) plan.Change {
-		return with(whole(revision, made, factor), func(c *plan.Change) { c.Base, c.HotSet, c.TenantsSet = base, false, false })
+		return with(fullChange(revision, made, factor), func(c *plan.Change) { c.Base, c.HotSet, c.TenantsSet = base, false, false })
 	}
 	for name, x := range map[string]struct {
 		change  plan.Change // applied to a full state of revision 5, made at 50 s, with factor 0.5
@@ -227,10 +227,10 @@
 		"no news":                       {with(part(5, 5, 51*sec, 0.5), func(c *plan.Change) { c.Servers = nil }), Accepted, 0.5, 5},
 		"from a revision never held":    {part(6, 7, 51*sec, 0.75), Mismatch, 0.5, 0},
 		"of another history":            {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.History = 8 }), Mismatch, 0.5, 0},
-		"full state of another history": {with(whole(2, 51*sec, 0.75), func(c *plan.Change) { c.History = 8 }), Accepted, 0.75, 2},
+		"full state of another history": {with(fullChange(2, 51*sec, 0.75), func(c *plan.Change) { c.History = 8 }), Accepted, 0.75, 2},
 		"lower revision, by a run with the same history": {part(2, 3, 51*sec, 0.75), Mismatch, 0.5, 0},
 		"duplicated or out of order":                     {part(4, 6, 50*sec, 0.75), OutOfOrder, 0.5, 5},
-		"of another planner":                             {with(whole(1, 51*sec, 0.75), func(c *plan.Change) { c.Planner = "b" }), OtherPlanner, 0.5, 5},
+		"of another planner":                             {with(fullChange(1, 51*sec, 0.75), func(c *plan.Change) { c.Planner = "b" }), OtherPlanner, 0.5, 5},
 		"wrong checksum":                                 {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Sum++ }), Mismatch, 0.5, 0},
 		"a server missing":                               {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Servers = nil }), Mismatch, 0.5, 0},
 		"an older epoch":                                 {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Epoch = 0 }), Epoch, 0.5, 6},
@@ -238,11 +238,11 @@
 		"no history":                                     {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.History = 0 }), Invalid, 0.5, 5},
 		"revision below its base":                        {with(part(5, 4, 51*sec, 0.75), func(c *plan.Change) {}), Invalid, 0.5, 5},
 		"factor 0":                                       {part(5, 6, 51*sec, 0), Invalid, 0.5, 5},
-		"full state without hot keys":                    {with(whole(6, 51*sec, 0.75), func(c *plan.Change) { c.HotSet = false }), Invalid, 0.5, 5},
+		"full state without hot keys":                    {with(fullChange(6, 51*sec, 0.75), func(c *plan.Change) { c.HotSet = false }), Invalid, 0.5, 5},
 		"grant of rate 0":                                {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants, c.Answers = []plan.Grant{{ID: "c1"}}, 1 }), Invalid, 0.5, 5},
 		"grant without a digest number":                  {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants = []plan.Grant{{ID: "c1", Rate: 1}} }), Invalid, 0.5, 5},
 		"grant with a negative digest age":               {with(part(5, 6, 51*sec, 0.75), func(c *plan.Change) { c.Grants, c.Answers, c.After = []plan.Grant{{ID: "c1", Rate: 1}}, 1, -1 }), Invalid, 0.5, 5},
-		"more than three quarters of the weight removed": {with(whole(6, 51*sec, 0.1), func(c *plan.Change) {
+		"more than three quarters of the weight removed": {with(fullChange(6, 51*sec, 0.1), func(c *plan.Change) {
 			factors := map[string]float64{}
 			c.Servers = nil
 			for i := range 4 {
@@ -254,7 +254,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := New(Config{})
-			if why, err := f.TakeChange(100*sec, whole(5, 50*sec, 0.5), ready(4)); why != Accepted {
+			if why, err := f.TakeChange(100*sec, fullChange(5, 50*sec, 0.5), ready(4)); why != Accepted {
 				t.Fatalf("%s, %v", why, err)
 			}
 			why, err := f.TakeChange(101*sec, x.change, ready(4))
--- a/decide/follow/dials.go
+++ b/decide/follow/dials.go
@@ -36,8 +36,8 @@
 	return d
 }
 
-func randomDelay(rng *rand.Rand, most time.Duration) time.Duration {
-	return time.Duration(rng.Int64N(int64(most)))
+func randomDelay(rng *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(rng.Int64N(int64(limit)))
 }
 
 // Enqueue queues a new connection to a planner; first puts it before all others, for the planner that is followed.
--- a/decide/follow/follow.go
+++ b/decide/follow/follow.go
@@ -105,12 +105,12 @@
 			count++
 		}
 	}
-	why, err := f.checkView(now, &v, count, ready)
-	f.Counts[why]++
-	if why == Accepted {
+	outcome, err := f.checkView(now, &v, count, ready)
+	f.Counts[outcome]++
+	if outcome == Accepted {
 		f.adopt(now, v, position{})
 	}
-	return why, err
+	return outcome, err
 }
 
 // adopt puts a view in force.
@@ -134,8 +134,8 @@
 // TakeChange applies a planner's change. Unless the outcome is Accepted, the error says why; after Mismatch, Hold requests the
 // full state. The state of a planner that is not followed is kept too, so that the node can follow it at once.
 func (f *Follower) TakeChange(now time.Duration, c plan.Change, ready []Server) (Outcome, error) {
-	why, err := f.applyChange(now, &c)
-	if why == Accepted {
+	outcome, err := f.applyChange(now, &c)
+	if outcome == Accepted {
 		st := f.states[c.Planner]
 		if len(c.Grants) > 0 && !f.grantsFresh(now, c.Answers, c.After) {
 			c.Grants = nil
@@ -143,15 +143,15 @@
 		}
 		st.grants = c.Grants
 		v := plan.View{Epoch: c.Epoch, Planner: c.Planner, Made: c.Made, Valid: c.Valid, View: st.view(f.minGrants(now, st))}
-		switch why, err = f.checkView(now, &v, c.Count, ready); why {
+		switch outcome, err = f.checkView(now, &v, c.Count, ready); outcome {
 		case Accepted:
 			f.adopt(now, v, st.position)
 		case OtherPlanner:
 			f.limitGrants(now)
 		}
 	}
-	f.Counts[why]++
-	return why, err
+	f.Counts[outcome]++
+	return outcome, err
 }
 
 // applyChange applies a change to the planner's state.
@@ -256,24 +256,24 @@
 	for _, s := range v.Servers {
 		factors[s.ID] = s.Factor
 	}
-	all, left := 0.0, 0.0
+	all, remaining := 0.0, 0.0
 	for _, s := range ready {
 		w := s.Weight
 		if w < 0 {
 			w = 1
 		}
-		factor, is := factors[s.ID]
-		if !is {
+		factor, named := factors[s.ID]
+		if !named {
 			factor = 1
 		}
 		all += w
-		left += w * factor
+		remaining += w * factor
 	}
 	switch {
 	case float64(count) < minKnownPart*float64(len(ready)):
 		return fmt.Errorf("knows %d of %d ready servers", count, len(ready))
-	case left < (1-maxWeightCut)*all:
-		return fmt.Errorf("leaves %.2f of the weight", left/all)
+	case remaining < (1-maxWeightCut)*all:
+		return fmt.Errorf("leaves %.2f of the weight", remaining/all)
 	}
 	return nil
 }
--- a/decide/plan/brief.go
+++ b/decide/plan/brief.go
@@ -182,11 +182,11 @@
 	})
 	for i, l := range bad {
 		if i < maxBadOnly {
-			known := 0.0
+			pastAnswers := 0.0
 			if p := g.history[l.ID]; p != nil {
-				known = p.before
+				pastAnswers = p.before
 			}
-			b.Bad = append(b.Bad, Load{ID: l.ID, Sends: scaledPast(known), Late: l.Late, Full: l.Full, Failed: l.Failed})
+			b.Bad = append(b.Bad, Load{ID: l.ID, Sends: scaledPast(pastAnswers), Late: l.Late, Full: l.Full, Failed: l.Failed})
 			continue
 		}
 		b.Rest.Late += l.Late
--- a/decide/plan/brief_test.go
+++ b/decide/plan/brief_test.go
@@ -21,19 +21,19 @@
 	servers       int
 	requests      int                      // per node and second
 	bad           func(server int) float64 // share of bad answers
-	whole, brief  *Planner
+	full, brief   *Planner
 	namedServers  int // servers in the last second's brief digests
 	alter         func(node int, d *Digest)
 	requestFactor func(server int) float64 // a server's requests, in multiples of what its weight predicts; nil: 1
 }
 
 func newBriefRig(seed uint64, nodes, servers, requests int) *briefRig {
-	c := &briefRig{rng: rand.New(rand.NewPCG(seed, 1)), now: 100 * sec, servers: servers, requests: requests, whole: New(config()), brief: New(config()),
+	c := &briefRig{rng: rand.New(rand.NewPCG(seed, 1)), now: 100 * sec, servers: servers, requests: requests, full: New(config()), brief: New(config()),
 		bad: func(int) float64 { return 0.01 }}
 	for i := range nodes {
 		c.nodes = append(c.nodes, NewCollector(c.now, fmt.Sprintf("f%04d", i)))
 	}
-	c.whole.SetServers(c.now, serverList(servers))
+	c.full.SetServers(c.now, serverList(servers))
 	c.brief.SetServers(c.now, serverList(servers))
 	return c
 }
@@ -71,7 +71,7 @@
 			c.alter(i, b)
 		}
 		c.namedServers += len(b.Servers) + len(b.Bad)
-		if err := c.whole.Digest(c.now, *d); err != nil {
+		if err := c.full.Digest(c.now, *d); err != nil {
 			t.Fatal(err)
 		}
 		if err := c.brief.Digest(c.now, *b); err != nil {
@@ -79,7 +79,7 @@
 		}
 	}
 	for range 2 {
-		c.whole.Update(c.now)
+		c.full.Update(c.now)
 		c.brief.Update(c.now)
 		c.now += sec / 2
 	}
@@ -92,8 +92,8 @@
 }
 
 // badShares returns the share of bad answers that each planner knows for a server.
-func (c *briefRig) badShares(server int) (whole, brief float64) {
-	return c.whole.serving[server].answerTally.badShare(), c.brief.serving[server].answerTally.badShare()
+func (c *briefRig) badShares(server int) (full, brief float64) {
+	return c.full.serving[server].answerTally.badShare(), c.brief.serving[server].answerTally.badShare()
 }
 
 // A planner with brief digests knows nearly as much as one with full digests of the same events: the shares of bad answers
@@ -104,22 +104,22 @@
 		nodes, servers, requests int
 	}{{400, 80, 6}, {40, 80, 842}, {30, 420, 842}, {100, 80, 60}} {
 		for _, usual := range []float64{0.01, 0.15} {
-			for _, jam := range []float64{1, 0.5, 0.3} {
-				c := newBriefRig(uint64(x.requests)+uint64(100*jam), x.nodes, x.servers, x.requests)
-				jammed := false
+			for _, failShare := range []float64{1, 0.5, 0.3} {
+				c := newBriefRig(uint64(x.requests)+uint64(100*failShare), x.nodes, x.servers, x.requests)
+				failing := false
 				c.bad = func(s int) float64 {
-					if jammed && s == 3 {
-						return jam
+					if failing && s == 3 {
+						return failShare
 					}
 					return usual
 				}
 				for range 4 {
 					c.runSecond(t)
 				}
-				jammed = true
+				failing = true
 				c.runSecond(t)
 				c.runSecond(t)
-				whole, brief := c.badShares(3) // before the weights of the two planners differ
+				full, brief := c.badShares(3) // before the weights of the two planners differ
 				for range 6 {
 					c.runSecond(t)
 				}
@@ -131,18 +131,18 @@
 						worst = max(worst, b)
 					}
 				}
-				fw, fb := c.whole.serving[3].factor, c.brief.serving[3].factor
+				fw, fb := c.full.serving[3].factor, c.brief.serving[3].factor
 				t.Logf("%4d x %3d, %3d requests/s, usual %.2f, failing %.2f: after 2 s full %.3f brief %.3f; factors after 8 s %.2f %.2f; healthy servers off by at most %.3f, worst %.3f; %.1f servers per digest",
-					x.nodes, x.servers, x.requests, usual, jam, whole, brief, fw, fb, off, worst, float64(c.namedServers)/float64(x.nodes))
-				if jam >= 0.5 && (fw > 0.5 || fb > 0.5) {
-					t.Errorf("%v, usual %v: a server that answers %v badly has factor %.2f with full and %.2f with brief digests", x, usual, jam, fw, fb)
+					x.nodes, x.servers, x.requests, usual, failShare, full, brief, fw, fb, off, worst, float64(c.namedServers)/float64(x.nodes))
+				if failShare >= 0.5 && (fw > 0.5 || fb > 0.5) {
+					t.Errorf("%v, usual %v: a server that answers %v badly has factor %.2f with full and %.2f with brief digests", x, usual, failShare, fw, fb)
 				}
-				if brief > whole+0.15 {
-					t.Errorf("%v, usual %v, failing %v: share of bad answers is taken for %.3f, is %.3f", x, usual, jam, brief, whole)
+				if brief > full+0.15 {
+					t.Errorf("%v, usual %v, failing %v: share of bad answers is taken for %.3f, is %.3f", x, usual, failShare, brief, full)
 				}
 				for s, v := range c.brief.serving {
 					if s != 3 && v.factor != 1 {
-						t.Errorf("%v, usual %v, failing %v: healthy %s has factor %.2f", x, usual, jam, v.ID, v.factor)
+						t.Errorf("%v, usual %v, failing %v: healthy %s has factor %.2f", x, usual, failShare, v.ID, v.factor)
 					}
 				}
 			}
@@ -166,11 +166,11 @@
 			}
 		}
 		for _, s := range []int{2, 4, 6} {
-			whole, brief := c.badShares(s)
-			if got := c.brief.serving[s].skew(); math.Abs(got-c.requestFactor(s)) > c.requestFactor(s)/4 || math.Abs(whole-brief) > 0.06 {
-				t.Errorf("%v: gets %.1f times its expected requests, estimated as %.2f; %.3f bad, estimated as %.3f", x, c.requestFactor(s), got, whole, brief)
+			full, brief := c.badShares(s)
+			if got := c.brief.serving[s].skew(); math.Abs(got-c.requestFactor(s)) > c.requestFactor(s)/4 || math.Abs(full-brief) > 0.06 {
+				t.Errorf("%v: gets %.1f times its expected requests, estimated as %.2f; %.3f bad, estimated as %.3f", x, c.requestFactor(s), got, full, brief)
 			}
-			t.Logf("%v: gets %.1f times its expected requests: full %.3f brief %.3f, estimated as %.2f", x, c.requestFactor(s), whole, brief, c.brief.serving[s].skew())
+			t.Logf("%v: gets %.1f times its expected requests: full %.3f brief %.3f, estimated as %.2f", x, c.requestFactor(s), full, brief, c.brief.serving[s].skew())
 		}
 		for _, s := range c.brief.serving {
 			if s.factor != 1 {
@@ -201,7 +201,7 @@
 	most := Load{ID: "c01", Sends: MaxCount, Late: MaxCount}
 	rest := Load{Sends: MaxCount, Late: MaxCount}
 	well := Load{Sends: MaxCount, Timely: MaxCount}
-	for name, lie := range map[string]func(d *Digest){
+	for name, falsify := range map[string]func(d *Digest){
 		"bad answers of one server":    func(d *Digest) { d.Bad = []Load{most} },
 		"one server in full":           func(d *Digest) { d.Servers = []Load{most} },
 		"rest for one server":          func(d *Digest) { d.Servers, d.Rest = others("c01"), rest },
@@ -231,7 +231,7 @@
 			c.alter = func(node int, d *Digest) {
 				if node == 0 && d.Brief {
 					d.Servers, d.Bad, d.Rest, d.Hot = nil, nil, Load{}, nil
-					lie(d)
+					falsify(d)
 				}
 			}
 			for range 10 {
@@ -272,16 +272,16 @@
 func TestALiarsMemory(t *testing.T) {
 	c := newBriefRig(7, 30, 40, 200)
 	c.bad = func(int) float64 { return 0.05 }
-	lies := true
+	falsifying := true
 	c.alter = func(node int, d *Digest) {
-		if lies && node == 0 && d.Brief {
+		if falsifying && node == 0 && d.Brief {
 			d.Servers, d.Bad, d.Past = nil, []Load{{ID: "c01", Sends: MaxCount, Late: 1}}, 100
 		}
 	}
 	for range 5 {
 		c.runSecond(t)
 	}
-	for lies = false; c.now < 120*sec; {
+	for falsifying = false; c.now < 120*sec; {
 		c.runSecond(t)
 	}
 	if got := c.brief.servers["c01"].skew(); math.Abs(got-1) > 0.3 {
@@ -291,7 +291,7 @@
 
 // A forwarder with false digests that is heard before all others is bounded by them as soon as they are heard.
 func TestALiarThatIsFirst(t *testing.T) {
-	for name, lie := range map[string]Digest{
+	for name, falseDigest := range map[string]Digest{
 		"whole":       {Servers: []Load{{ID: "c01", Late: MaxCount}, {ID: "c02", Timely: 9}}},
 		"in part":     {Brief: true, Bad: []Load{{ID: "c01", Late: MaxCount}}},
 		"in the rest": {Brief: true, Rest: Load{Late: MaxCount}, Servers: []Load{{ID: "c03"}}},
@@ -299,10 +299,10 @@
 		t.Run(name, func(t *testing.T) {
 			c := newBriefRig(6, 30, 40, 100)
 			c.bad = func(int) float64 { return 0 }
-			lie.From, lie.Span, lie.Asked, lie.Hot, lie.Tenants = "liar", sec, MaxCount, []Heat{{Key: 8, Asked: MaxCount}}, []Use{{Tenant: "t", Asked: MaxCount}}
+			falseDigest.From, falseDigest.Span, falseDigest.Asked, falseDigest.Hot, falseDigest.Tenants = "liar", sec, MaxCount, []Heat{{Key: 8, Asked: MaxCount}}, []Use{{Tenant: "t", Asked: MaxCount}}
 			for range 3 {
-				lie.Seq++
-				if err := c.brief.Digest(c.now, lie); err != nil {
+				falseDigest.Seq++
+				if err := c.brief.Digest(c.now, falseDigest); err != nil {
 					t.Fatal(err)
 				}
 				c.now += sec / 2
@@ -337,13 +337,13 @@
 		}
 		for range 6 {
 			c.runSecond(t)
-			var whole, brief tally
-			for i, s := range c.whole.serving {
-				whole.addScaled(&s.answerTally, 1)
+			var full, brief tally
+			for i, s := range c.full.serving {
+				full.addScaled(&s.answerTally, 1)
 				brief.addScaled(&c.brief.serving[i].answerTally, 1)
 			}
-			if math.Abs(brief.total-whole.total) > 0.01*whole.total || math.Abs(brief.bad-whole.bad) > 0.01*whole.bad {
-				t.Errorf("usual %v: %.0f answers, %.0f bad with brief digests, %.0f and %.0f with full ones", usual, brief.total, brief.bad, whole.total, whole.bad)
+			if math.Abs(brief.total-full.total) > 0.01*full.total || math.Abs(brief.bad-full.bad) > 0.01*full.bad {
+				t.Errorf("usual %v: %.0f answers, %.0f bad with brief digests, %.0f and %.0f with full ones", usual, brief.total, brief.bad, full.total, full.bad)
 			}
 		}
 	}
@@ -530,7 +530,7 @@
 	for i, c := range []struct {
 		old, now []policy.Heat
 		mean     float64
-		told     int
+		want     int
 		news     bool
 	}{
 		{nil, heat(0.6), 1e6, 1, true},
@@ -543,7 +543,7 @@
 		{heat(4), heat(5), 10, 1, false}, // the mean load is ten requests: the difference is noise
 		{heat(1), heat(1, 1), 1e6, 2, true},
 	} {
-		if got, news := nextHotKeys(c.old, c.now, c.mean); news != c.news || len(got) != c.told {
+		if got, news := nextHotKeys(c.old, c.now, c.mean); news != c.news || len(got) != c.want {
 			t.Errorf("%d: %+v, %v", i, got, news)
 		}
 	}
@@ -570,15 +570,15 @@
 			t.Fatalf("factors of %d servers are kept", n)
 		}
 	}
-	if _, whole := p.Change(100*sec, bases[0]); !whole {
+	if _, full := p.Change(100*sec, bases[0]); !full {
 		t.Error("a change starts from a revision that is no longer known")
 	}
-	c, whole := p.Change(100*sec, bases[len(bases)-2])
-	if whole || len(c.Servers) != 2000 {
-		t.Errorf("%d servers, full state %v, from the previous revision", len(c.Servers), whole)
+	c, full := p.Change(100*sec, bases[len(bases)-2])
+	if full || len(c.Servers) != 2000 {
+		t.Errorf("%d servers, full state %v, from the previous revision", len(c.Servers), full)
 	}
 	for _, base := range []Hold{{}, {2, p.Revision(), true}, {1, p.Revision() + 1, true}, {1, 0, true}} {
-		if _, whole := p.Change(100*sec, base); !whole {
+		if _, full := p.Change(100*sec, base); !full {
 			t.Errorf("a change starts from %+v", base)
 		}
 	}
--- a/decide/plan/change.go
+++ b/decide/plan/change.go
@@ -136,21 +136,21 @@
 }
 
 // refresh updates the published state, in steps: small movements do not make a new revision. It is called once per Update.
-func (t *published) refresh(serving []*server, admit float64, hot []policy.Heat, use []policy.Use, mean, memory float64) {
+func (t *published) refresh(serving []*server, admit float64, hot []policy.Heat, use []policy.Use, meanLoad, decaySeconds float64) {
 	next := t.revision + 1
 	changed := t.revision == 0
-	now := make(map[string]bool, len(t.factors))
+	ready := make(map[string]bool, len(t.factors))
 	for _, s := range serving {
 		f := math.Round(max(MinFactor, min(1, s.factor))*factorSteps) / factorSteps
 		old, known := t.factors[s.ID]
-		now[s.ID] = true
+		ready[s.ID] = true
 		if !known && f == 1 || known && old.factor == f {
 			continue
 		}
 		t.factors[s.ID], changed = publishedFactor{f, next}, true
 	}
 	for id, old := range t.factors { // a server that is no longer ready has no factor
-		if !now[id] && old.factor != 1 {
+		if !ready[id] && old.factor != 1 {
 			t.factors[id], changed = publishedFactor{1, next}, true
 		}
 	}
@@ -159,10 +159,10 @@
 			t.admit = 0
 		}
 	}
-	if h, is := nextHotKeys(t.hot, hot, mean); is {
+	if h, is := nextHotKeys(t.hot, hot, meanLoad); is {
 		t.hot, t.hotRevision, changed = h, next, true
 	}
-	if u, is := nextTenants(t.tenants, use, memory); is {
+	if u, is := nextTenants(t.tenants, use, decaySeconds); is {
 		t.tenants, t.tenantsRevision, changed = u, next, true
 	}
 	if !changed {
@@ -198,45 +198,45 @@
 }
 
 // nextHotKeys returns the hot keys to publish, and whether that is a change: the set of keys differs, or a load differs by
-// over an eighth and by more than noise. mean is a cache's mean load, in requests per DecayTime.
-func nextHotKeys(old, hot []policy.Heat, mean float64) ([]policy.Heat, bool) {
-	before := map[uint32]float64{}
+// over an eighth and by more than noise. meanLoad is a cache's mean load, in requests per DecayTime.
+func nextHotKeys(old, hot []policy.Heat, meanLoad float64) ([]policy.Heat, bool) {
+	oldLoads := map[uint32]float64{}
 	for _, h := range old {
-		before[h.Key] = h.Load
+		oldLoads[h.Key] = h.Load
 	}
 	var next []policy.Heat
-	moved := false
+	changed := false
 	for _, h := range hot {
-		was, known := before[h.Key]
+		oldLoad, known := oldLoads[h.Key]
 		if !known && h.Load < hotMinLoad {
 			continue
 		}
 		h.Load = roundToWire(h.Load)
-		off := math.Abs(h.Load - was)
-		moved = moved || !known || off > hotTolerance*was && off > noiseDeviations*math.Sqrt(was/max(1, mean))
+		difference := math.Abs(h.Load - oldLoad)
+		changed = changed || !known || difference > hotTolerance*oldLoad && difference > noiseDeviations*math.Sqrt(oldLoad/max(1, meanLoad))
 		next = append(next, h)
 	}
 	next = next[:min(len(next), MaxHotKeys)]
-	return next, moved || len(next) != len(old)
+	return next, changed || len(next) != len(old)
 }
 
 // nextTenants returns the tenants to publish, and whether that is a change: the set of tenants differs, or a rate differs
-// by over a tenth and by more than noise. memory is Config.DecayTime in seconds.
-func nextTenants(old, use []policy.Use, memory float64) ([]policy.Use, bool) {
-	before := map[string]float64{}
+// by over a tenth and by more than noise. decaySeconds is Config.DecayTime in seconds.
+func nextTenants(old, use []policy.Use, decaySeconds float64) ([]policy.Use, bool) {
+	oldRates := map[string]float64{}
 	for _, u := range old {
-		before[u.Name] = u.Asked
+		oldRates[u.Name] = u.Asked
 	}
 	next := make([]policy.Use, 0, len(use))
-	moved := len(use) != len(old)
+	changed := len(use) != len(old)
 	for _, u := range use {
-		was, known := before[u.Name]
+		oldRate, known := oldRates[u.Name]
 		u.Asked = roundToWire(u.Asked)
-		off := math.Abs(u.Asked - was)
-		moved = moved || !known || off > tenantTolerance*was && off > noiseDeviations*math.Sqrt(max(was, u.Asked)/memory)
+		difference := math.Abs(u.Asked - oldRate)
+		changed = changed || !known || difference > tenantTolerance*oldRate && difference > noiseDeviations*math.Sqrt(max(oldRate, u.Asked)/decaySeconds)
 		next = append(next, u)
 	}
-	return next, moved
+	return next, changed
 }
 
 // roundToWire rounds to eight significant bits, which have a short encoding on the wire.
--- a/decide/plan/plan.go
+++ b/decide/plan/plan.go
@@ -151,8 +151,8 @@
 		return len(s.byForwarder) == 0
 	})
 	mean := p.requests / max(1, float64(len(p.serving)))
-	hot, use := p.hotKeysAndTenants(mean)
-	p.published.refresh(p.serving, p.admit, hot, use, mean, p.cfg.DecayTime.Seconds())
+	hot, tenants := p.hotKeysAndTenants(mean)
+	p.published.refresh(p.serving, p.admit, hot, tenants, mean, p.cfg.DecayTime.Seconds())
 }
 
 // refresh decays all sums and counts the pending digests. Of a forwarder no more is counted than twice the median forwarder,
@@ -256,39 +256,39 @@
 
 	// Rest is spread over the servers that are not reported in full, by their share of the requests; its bad answers are
 	// spread over those that are not named at all.
-	open := p.partSum
+	spreadPart := p.partSum
 	for i := range d.Servers {
 		if s := p.servers[d.Servers[i].ID]; s != nil {
 			s.named = p.digestCount
-			open -= s.part
+			spreadPart -= s.part
 		}
 	}
 	var rest tally
 	if d.Brief && p.partSum > 0 {
-		open = max(open, minSpreadPart*p.partSum)
-		quiet := open
+		spreadPart = max(spreadPart, minSpreadPart*p.partSum)
+		unnamedPart := spreadPart
 		sum := d.Rest
 		for i := range d.Bad { // their bad answers are reported by name; sum counts them as answers only
 			sum.Timely += d.Bad[i].bad()
 			if s := p.servers[d.Bad[i].ID]; s != nil {
-				quiet -= s.part
+				unnamedPart -= s.part
 			}
 		}
-		bad := float64(d.Rest.bad()) * part / max(quiet, minSpreadPart*p.partSum)
-		cut := partWithin(bad, p.answerBound/p.partSum-f.restBad)
-		rest.add(&sum, part*cut/open)
-		rest.bad = bad * cut
+		bad := float64(d.Rest.bad()) * part / max(unnamedPart, minSpreadPart*p.partSum)
+		kept := partWithin(bad, p.answerBound/p.partSum-f.restBad)
+		rest.add(&sum, part*kept/spreadPart)
+		rest.bad = bad * kept
 		f.rest += rest.total
 		f.restBad += rest.bad
 		past := float64(d.Past) / pastScale
-		keep := partWithin(past, p.answerBound)
+		pastKept := partWithin(past, p.answerBound)
 		for i := range d.Bad {
 			if s := p.servers[d.Bad[i].ID]; s != nil {
 				s.named = p.digestCount
 				s.restExcluded.bad += rest.bad
-				dueAnswers := keep * past * s.base / p.baseSum
+				dueAnswers := pastKept * past * s.base / p.baseSum
 				s.dueAnswers += dueAnswers
-				s.knownAnswers += min(keep*float64(d.Bad[i].Sends)/pastScale, 2*maxSkew*dueAnswers) // more than that cannot be true
+				s.knownAnswers += min(pastKept*float64(d.Bad[i].Sends)/pastScale, 2*maxSkew*dueAnswers) // more than that cannot be true
 			}
 		}
 		if rest.bad > 0 {
@@ -339,17 +339,17 @@
 // clampForwarder takes back what a forwarder counts for beyond twice the median one. This happens to a forwarder that is
 // heard before the others, when the median is its own count.
 func (p *Planner) clampForwarder(now time.Duration, f *forwarder) {
-	if over := 1 - p.answerBound/f.accepted; f.accepted > boundSlack*p.answerBound {
+	if excess := 1 - p.answerBound/f.accepted; f.accepted > boundSlack*p.answerBound {
 		for _, s := range p.servers {
-			x := tally{total: s.part * f.rest * over, bad: s.part * f.restBad * over}
+			excessTally := tally{total: s.part * f.rest * excess, bad: s.part * f.restBad * excess}
 			if h := f.named[s.ID]; h != nil {
 				h.at(now, p.cfg.DecayTime)
-				x.total, x.bad = x.total+h.total*over, x.bad+h.bad*over
-				h.total, h.bad = h.total*(1-over), h.bad*(1-over)
+				excessTally.total, excessTally.bad = excessTally.total+h.total*excess, excessTally.bad+h.bad*excess
+				h.total, h.bad = h.total*(1-excess), h.bad*(1-excess)
 			}
-			s.answerTally.total, s.answerTally.bad = max(0, s.answerTally.total-x.total), max(0, s.answerTally.bad-x.bad)
+			s.answerTally.total, s.answerTally.bad = max(0, s.answerTally.total-excessTally.total), max(0, s.answerTally.bad-excessTally.bad)
 		}
-		f.accepted, f.rest, f.restBad = p.answerBound, f.rest*(1-over), f.restBad*(1-over)
+		f.accepted, f.rest, f.restBad = p.answerBound, f.rest*(1-excess), f.restBad*(1-excess)
 	}
 	if f.acceptedRequests > boundSlack*p.requestBound { // the sums do not tell which requests are its own
 		f.acceptedRequests = p.requestBound
@@ -363,8 +363,8 @@
 func (p *Planner) limitRest(now time.Duration, f *forwarder, bad float64) {
 	for id, h := range f.named {
 		if s := p.servers[id]; s != nil && s.part > 0 && s.named != p.digestCount {
-			if over := h.at(now, p.cfg.DecayTime).total + s.part*f.restBad - p.forwarderBound(s); over > 0 {
-				s.restExcluded.bad += min(bad, over/s.part)
+			if excess := h.at(now, p.cfg.DecayTime).total + s.part*f.restBad - p.forwarderBound(s); excess > 0 {
+				s.restExcluded.bad += min(bad, excess/s.part)
 			}
 		}
 	}
@@ -404,12 +404,12 @@
 	for _, f := range p.forwarders {
 		readsAnswered, origin = append(readsAnswered, f.readsAnswered), append(origin, f.origin.total)
 	}
-	mostAnswered, mostOrigin := medianBound(readsAnswered), medianBound(origin)
+	readsBound, originBound := medianBound(readsAnswered), medianBound(origin)
 	for _, f := range p.byName() {
-		p.readsAnswered += min(f.readsAnswered, mostAnswered)
+		p.readsAnswered += min(f.readsAnswered, readsBound)
 		p.requests += min(f.requests, p.requestBound)
 		p.demand += 1 + f.requests
-		p.originAnswers.addScaled(&f.origin, partWithin(f.origin.total, mostOrigin))
+		p.originAnswers.addScaled(&f.origin, partWithin(f.origin.total, originBound))
 	}
 	// The rate is smoothed: digests come a second apart, and between them the sums decay by more than the tolerance for
 	// publishing a tenant's rate.
@@ -462,8 +462,8 @@
 		}
 	}
 	part := 1.0
-	if most := p.cfg.Move * seconds; moved > most {
-		part = most / moved
+	if maxMoved := p.cfg.Move * seconds; moved > maxMoved {
+		part = maxMoved / moved
 	}
 	for i, s := range ready {
 		s.factor += (next[i] - s.factor) * part
@@ -498,14 +498,14 @@
 }
 
 // hotKeysAndTenants returns the keys whose load is at or near hotMinLoad, and the tenants' rates, both in descending order.
-func (p *Planner) hotKeysAndTenants(mean float64) (hot []policy.Heat, use []policy.Use) {
+func (p *Planner) hotKeysAndTenants(mean float64) (hot []policy.Heat, tenants []policy.Use) {
 	mean = max(mean, minAnswers)
-	least := 0.1
+	minCount := 0.1
 	if len(p.keyRequests) > maxTrackedKeys/2 { // make room by dropping keys that are far from hot
-		least = max(least, hotMinLoad*mean/16)
+		minCount = max(minCount, hotMinLoad*mean/16)
 	}
 	for k, n := range p.keyRequests {
-		if n < least {
+		if n < minCount {
 			delete(p.keyRequests, k)
 		} else if load := n / mean; load >= hotKeepRatio*hotMinLoad {
 			hot = append(hot, policy.Heat{Key: k, Load: load})
@@ -516,11 +516,11 @@
 		if n < 0.1 {
 			delete(p.tenantRequests, t)
 		} else {
-			use = append(use, policy.Use{Name: t, Asked: n / max(n, p.requests) * p.requestRate})
+			tenants = append(tenants, policy.Use{Name: t, Asked: n / max(n, p.requests) * p.requestRate})
 		}
 	}
-	slices.SortFunc(use, func(x, y policy.Use) int { return cmp.Or(cmp.Compare(y.Asked, x.Asked), cmp.Compare(x.Name, y.Name)) })
-	return hot, use[:min(len(use), MaxTenants)]
+	slices.SortFunc(tenants, func(x, y policy.Use) int { return cmp.Or(cmp.Compare(y.Asked, x.Asked), cmp.Compare(x.Name, y.Name)) })
+	return hot, tenants[:min(len(tenants), MaxTenants)]
 }
 
 // View returns the full state for one forwarder, for those that do not support changes. It is stamped with clock, the
@@ -558,26 +558,26 @@
 		if p.servers[s.ID] != s || s.State != policy.Ready {
 			continue // it left since the last Update
 		}
-		of := p.grantsByServer[s.ID]
-		if of == nil {
-			of = &serverGrants{byForwarder: map[string]*forwarderGrants{}}
-			p.grantsByServer[s.ID] = of
+		granted := p.grantsByServer[s.ID]
+		if granted == nil {
+			granted = &serverGrants{byForwarder: map[string]*forwarderGrants{}}
+			p.grantsByServer[s.ID] = granted
 		}
-		others := of.sum
-		if mine := of.byForwarder[to]; mine != nil {
+		others := granted.sum
+		if mine := granted.byForwarder[to]; mine != nil {
 			others -= mine.count
 		}
 		part := s.allow * (1 + f.requests) / max(p.demand, 1+f.requests)
-		got := floorToWire(max(0, min(part, s.allow-others)))
-		of.add(now-maxTransit, to, grant{got, now + p.cfg.Valid})
-		list = append(list, Grant{s.ID, max(minGrant, got)})
+		rate := floorToWire(max(0, min(part, s.allow-others)))
+		granted.add(now-maxTransit, to, grant{rate, now + p.cfg.Valid})
+		list = append(list, Grant{s.ID, max(minGrant, rate)})
 	}
 	return list
 }
 
 // OutstandingGrants returns the rate at which all forwarders together may send to a server by the outstanding grants.
-func (p *Planner) OutstandingGrants(now time.Duration, of string) (sum float64) {
-	if s := p.grantsByServer[of]; s != nil {
+func (p *Planner) OutstandingGrants(now time.Duration, serverID string) (sum float64) {
+	if s := p.grantsByServer[serverID]; s != nil {
 		for _, to := range s.order {
 			sum += s.byForwarder[to].maxRate(now)
 		}
--- a/decide/plan/plan_test.go
+++ b/decide/plan/plan_test.go
@@ -89,9 +89,9 @@
 func TestAJammedCacheLosesWeight(t *testing.T) {
 	w := smallRig()
 	w.run(3, nil)
-	jammed := true
+	failing := true
 	w.bad = func(_, c int) float64 {
-		if c == 3 && jammed {
+		if c == 3 && failing {
 			return 0.8
 		}
 		return 0
@@ -123,7 +123,7 @@
 	if f := w.factor("c02"); f != 1 {
 		t.Errorf("a healthy cache has factor %v", f)
 	}
-	jammed = false
+	failing = false
 	w.run(25, watch)
 	if f := w.factor("c03"); f != 1 {
 		t.Errorf("factor %v after it has recovered", f)
--- a/decide/plan/state.go
+++ b/decide/plan/state.go
@@ -206,11 +206,11 @@
 }
 
 // addScaled adds x multiplied by a factor.
-func (s *tally) addScaled(x *tally, by float64) {
-	s.total += x.total * by
-	s.bad += x.bad * by
+func (s *tally) addScaled(x *tally, factor float64) {
+	s.total += x.total * factor
+	s.bad += x.bad * factor
 	for i := range x.times {
-		s.times[i] += x.times[i] * by
+		s.times[i] += x.times[i] * factor
 	}
 }
 
