--- a/decide/follow/change_test.go
+++ b/decide/follow/change_test.go
@@ -92,7 +92,7 @@
 
 func (w *network) deliver(t *rapid.T, m changeInFlight) Outcome {
 	f := w.nodes[m.node]
-	why, _ := f.TakeChange(w.now, m.c, ready(6))
+	outcome, _ := f.TakeChange(w.now, m.c, ready(6))
 	for id, s := range f.states { // of all planners, followed or not
 		for server, x := range s.factors {
 			if x == 1 {
@@ -104,7 +104,7 @@
 			t.Fatalf("node %d holds revision %d of %s, history %d, as %+v, want %+v", m.node, s.revision, id, s.history, got, want)
 		}
 	}
-	return why
+	return outcome
 }
 
 // A state rebuilt from changes equals the full state of its revision, whatever messages are lost, duplicated, late or out of
@@ -329,28 +329,28 @@
 func TestGrantsAtNodes(t *testing.T) {
 	limited := 0
 	rapid.Check(t, func(r *rapid.T) {
-		const nodes, valid, travels = 4, 3 * sec, sec
+		const nodes, valid, transit = 4, 3 * sec, sec
 		now := 100 * sec
 		list := serverList(6)
 		list[0].Started = now - sec
 		p := plan.New(plan.Config{ID: "a", Weighted: true, ColdFrom: 0.2, WarmUp: 20 * sec, FallMultiple: 3, FallWindow: 1500 * time.Millisecond})
 		p.SetServers(now, list)
 		type message struct {
-			to    int
-			c     plan.Change
-			until time.Duration
-			came  bool
+			to        int
+			c         plan.Change
+			until     time.Duration
+			delivered bool
 		}
-		type spell struct {
+		type budgetSample struct {
 			at     time.Duration
 			budget float64
 		}
-		var way []message
-		var budgets []spell
+		var inFlight []message
+		var budgets []budgetSample
 		followers := make([]*Follower, nodes)
 		holds := make([]plan.Hold, nodes)
-		thaws := make([]time.Duration, nodes) // a frozen node receives nothing until then
-		heard := make([]struct {
+		frozenUntil := make([]time.Duration, nodes) // a frozen node receives nothing until then
+		lastDigest := make([]struct {
 			seq uint64
 			at  time.Duration
 		}, nodes)
@@ -363,7 +363,7 @@
 			node := rapid.IntRange(0, nodes-1).Draw(r, "node")
 			switch rapid.IntRange(0, 12).Draw(r, "what") {
 			case 0, 1, 2, 8: // digests, of nodes that are busy at one time and idle at another
-				if now < thaws[node] {
+				if now < frozenUntil[node] {
 					break
 				}
 				seq++
@@ -371,19 +371,19 @@
 				p.Digest(now, plan.Digest{From: fmt.Sprint(node), Seq: seq, Span: sec, Asked: asked, Answered: asked})
 				holds[node] = followers[node].Hold("a")
 				followers[node].DigestSent(now, seq)
-				heard[node].seq, heard[node].at = seq, now
+				lastDigest[node].seq, lastDigest[node].at = seq, now
 			case 3, 4:
 				p.Update(now)
 			case 5:
-				heard[node].seq = 0
+				lastDigest[node].seq = 0
 				followers[node] = New(Config{}) // the new process has a new connection
-				way = slices.DeleteFunc(way, func(m message) bool { return m.to == node })
+				inFlight = slices.DeleteFunc(inFlight, func(m message) bool { return m.to == node })
 			case 6: // a node freezes; messages to it wait until it continues
-				if now > thaws[node]+10*sec {
-					thaws[node] = now + time.Duration(rapid.IntRange(1, 10).Draw(r, "frozen"))*sec
-					for i := range way {
-						if m := &way[i]; m.to == node && now <= m.until {
-							m.until = thaws[node] + travels
+				if now > frozenUntil[node]+10*sec {
+					frozenUntil[node] = now + time.Duration(rapid.IntRange(1, 10).Draw(r, "frozen"))*sec
+					for i := range inFlight {
+						if m := &inFlight[i]; m.to == node && now <= m.until {
+							m.until = frozenUntil[node] + transit
 						}
 					}
 				}
@@ -396,28 +396,28 @@
 					break
 				}
 				c, _ := p.Change(now, holds[node])
-				if heard[node].seq == 0 { // this process has sent no digest yet
-					way = append(way, message{to: node, c: c, until: max(now, thaws[node]) + travels})
+				if lastDigest[node].seq == 0 { // this process has sent no digest yet
+					inFlight = append(inFlight, message{to: node, c: c, until: max(now, frozenUntil[node]) + transit})
 					break
 				}
-				c.Answers, c.After = heard[node].seq, now-heard[node].at
+				c.Answers, c.After = lastDigest[node].seq, now-lastDigest[node].at
 				if c.Grants = p.Grants(now, fmt.Sprint(node)); rapid.Bool().Draw(r, "arrives") {
-					way = append(way, message{to: node, c: c, until: max(now, thaws[node]) + travels})
+					inFlight = append(inFlight, message{to: node, c: c, until: max(now, frozenUntil[node]) + transit})
 				}
 			}
 			for _, x := range p.Explain() {
 				if x.ID == "c0" {
-					budgets = append(budgets, spell{now, x.Allow})
+					budgets = append(budgets, budgetSample{now, x.Allow})
 				}
 			}
-			for i := range way { // mostly within a second; a duplicate of a delivered message may arrive later
-				if m := &way[i]; now >= thaws[m.to] && (now <= m.until || m.came) && rapid.Bool().Draw(r, "now") {
-					m.came = true
+			for i := range inFlight { // mostly within a second; a duplicate of a delivered message may arrive later
+				if m := &inFlight[i]; now >= frozenUntil[m.to] && (now <= m.until || m.delivered) && rapid.Bool().Draw(r, "now") {
+					m.delivered = true
 					followers[m.to].TakeChange(now, m.c, ready(6))
 				}
 			}
-			way = slices.DeleteFunc(way, func(m message) bool { return now > m.until+2*sec })
-			sum, most := 0.0, 0.0
+			inFlight = slices.DeleteFunc(inFlight, func(m message) bool { return now > m.until+2*sec })
+			sum, maxBudget := 0.0, 0.0
 			for _, f := range followers {
 				if v, trust := f.Now(now); trust == 1 {
 					for _, s := range v.Servers {
@@ -428,15 +428,15 @@
 				}
 			}
 			for _, s := range budgets {
-				if now-s.at <= valid+travels {
-					most = max(most, s.budget)
+				if now-s.at <= valid+transit {
+					maxBudget = max(maxBudget, s.budget)
 				}
 			}
 			if sum > 1 {
 				limited++
 			}
-			if sum > most+nodes*0.001+1e-9 {
-				r.Fatalf("nodes may send %v per second, the largest budget was %v", sum, most)
+			if sum > maxBudget+nodes*0.001+1e-9 {
+				r.Fatalf("nodes may send %v per second, the largest budget was %v", sum, maxBudget)
 			}
 		}
 	})
--- a/decide/follow/grants_test.go
+++ b/decide/follow/grants_test.go
@@ -56,7 +56,7 @@
 func TestTheLeastOfTwoPlannersGrants(t *testing.T) {
 	f, now := New(Config{}), 100*sec
 	made := map[string]time.Duration{}
-	tell := func(planner string, grants ...plan.Grant) {
+	deliver := func(planner string, grants ...plan.Grant) {
 		t.Helper()
 		f.DigestSent(now, uint64(now/sec))
 		made[planner]++
@@ -77,23 +77,23 @@
 		}
 	}
 	share := func(id string, allow float64) policy.Share { return policy.Share{ID: id, Factor: 1, Allow: allow} }
-	tell("a", plan.Grant{ID: "c0", Rate: 8})
+	deliver("a", plan.Grant{ID: "c0", Rate: 8})
 	is(share("c0", 8))
 	turns := f.Version()
-	tell("b", plan.Grant{ID: "c0", Rate: 3}, plan.Grant{ID: "c1", Rate: 1})
+	deliver("b", plan.Grant{ID: "c0", Rate: 3}, plan.Grant{ID: "c1", Rate: 1})
 	if is(share("c0", 3)); f.Version() == turns {
 		t.Error("a smaller grant did not make a new version")
 	}
 	turns = f.Version()
-	tell("b", plan.Grant{ID: "c0", Rate: 9})
+	deliver("b", plan.Grant{ID: "c0", Rate: 9})
 	if is(share("c0", 8)); f.Version() == turns {
 		t.Error("a larger grant did not make a new version")
 	}
-	tell("b", plan.Grant{ID: "c0", Rate: 2})
+	deliver("b", plan.Grant{ID: "c0", Rate: 2})
 	now += 2 * sec
-	tell("a", plan.Grant{ID: "c0", Rate: 7})
+	deliver("a", plan.Grant{ID: "c0", Rate: 7})
 	is(share("c0", 2))
 	now += 2 * sec // b's grant has expired
-	tell("a", plan.Grant{ID: "c0", Rate: 7})
+	deliver("a", plan.Grant{ID: "c0", Rate: 7})
 	is(share("c0", 7))
 }
--- a/decide/plan/plan_test.go
+++ b/decide/plan/plan_test.go
@@ -26,7 +26,7 @@
 
 // rig feeds a planner with digests, one per second and forwarder.
 type rig struct {
-	p          *Planner
+	planner    *Planner
 	now        time.Duration
 	seq        uint64
 	forwarders int
@@ -57,11 +57,11 @@
 	for range seconds {
 		w.seq++
 		for f := range w.forwarders {
-			w.p.Digest(w.now, w.digest(f))
+			w.planner.Digest(w.now, w.digest(f))
 		}
 		for range 2 {
 			w.now += sec / 2
-			w.p.Update(w.now)
+			w.planner.Update(w.now)
 			if each != nil {
 				each()
 			}
@@ -70,7 +70,7 @@
 }
 
 func (w *rig) factor(id string) float64 {
-	for _, r := range w.p.Explain() {
+	for _, r := range w.planner.Explain() {
 		if r.ID == id {
 			return r.Factor
 		}
@@ -79,8 +79,8 @@
 }
 
 func smallRig() *rig {
-	w := &rig{p: New(config()), now: 100 * sec, forwarders: 8, caches: 8, perSecond: 5}
-	w.p.SetServers(w.now, serverList(8))
+	w := &rig{planner: New(config()), now: 100 * sec, forwarders: 8, caches: 8, perSecond: 5}
+	w.planner.SetServers(w.now, serverList(8))
 	return w
 }
 
@@ -98,10 +98,10 @@
 	}
 	shares := func() (list []float64) {
 		sum := 0.0
-		for _, r := range w.p.Explain() {
+		for _, r := range w.planner.Explain() {
 			sum += r.Factor
 		}
-		for _, r := range w.p.Explain() {
+		for _, r := range w.planner.Explain() {
 			list = append(list, r.Factor/sum)
 		}
 		return list
@@ -136,7 +136,7 @@
 	w := smallRig()
 	w.bad = func(int, int) float64 { return 0.8 }
 	w.run(10, nil)
-	for _, r := range w.p.Explain() {
+	for _, r := range w.planner.Explain() {
 		if r.Factor != 1 {
 			t.Errorf("%s has factor %v", r.ID, r.Factor)
 		}
@@ -162,15 +162,15 @@
 	if f := w.factor("c01"); f < MinFactor {
 		t.Errorf("factor %v with one false forwarder", f)
 	}
-	w = &rig{p: New(config()), now: 100 * sec, forwarders: 20, caches: 8, perSecond: 5, alter: w.alter}
-	w.p.SetServers(w.now, serverList(8))
+	w = &rig{planner: New(config()), now: 100 * sec, forwarders: 20, caches: 8, perSecond: 5, alter: w.alter}
+	w.planner.SetServers(w.now, serverList(8))
 	w.run(10, nil)
 	if f := w.factor("c01"); f != 1 {
 		t.Errorf("factor %v with one false forwarder in twenty", f)
 	}
 	for _, d := range []Digest{{From: "x", Span: sec, Asked: -1}, {Span: sec}, {From: "x"}, {From: "x", Span: sec, Asked: 1e9},
 		{From: "x", Span: sec, Servers: []Load{{ID: "c01", Late: -5}}}, {From: "x", Span: sec, Servers: make([]Load, MaxServers+1)}} {
-		if w.p.Digest(w.now, d) == nil {
+		if w.planner.Digest(w.now, d) == nil {
 			t.Errorf("accepted: %+.60v", d)
 		}
 	}
@@ -187,7 +187,7 @@
 		taken bool
 	}{{1, 5, true}, {1, 5, false}, {1, 4, false}, {1, 6, true}, {2, 1, true}, {1, 9, false}, {2, 2, true}} {
 		d.Start, d.Seq = c.start, c.seq
-		if err := w.p.Digest(w.now, d); (err == nil) != c.taken {
+		if err := w.planner.Digest(w.now, d); (err == nil) != c.taken {
 			t.Errorf("%d: %v", i, err)
 		}
 	}
@@ -197,7 +197,7 @@
 // are not reduced.
 func TestOriginReadsAreReduced(t *testing.T) {
 	w := smallRig()
-	admit := func() float64 { return w.p.View(w.now, w.now, "f000").Admit }
+	admit := func() float64 { return w.planner.View(w.now, w.now, "f000").Admit }
 	w.origin = Load{Sends: 10, Timely: 2, Late: 8}
 	w.run(8, nil)
 	if got := admit(); got != 0 {
@@ -206,7 +206,7 @@
 	w.origin = Load{Sends: 10, Timely: 4, Full: 6}
 	last, steps := 1.0, 0
 	w.run(12, func() {
-		if got := w.p.admit; got < last {
+		if got := w.planner.admit; got < last {
 			if steps++; got < last*admitCut-1e-9 {
 				t.Errorf("reads are reduced from %v to %v in one step", last, got)
 			}
@@ -228,7 +228,7 @@
 	w := smallRig()
 	w.alter = func(d *Digest) { d.Hot = []Heat{{Key: 4, Asked: 10}, {Key: 8, Asked: 1}} } // of 40 requests, 5 per cache
 	w.run(10, nil)
-	v := w.p.View(w.now, w.now, "f001")
+	v := w.planner.View(w.now, w.now, "f001")
 	if len(v.Hot) != 1 || v.Hot[0].Key != 4 || math.Abs(v.Hot[0].Load-2) > 0.2 {
 		t.Errorf("%v", v.Hot)
 	}
@@ -238,20 +238,20 @@
 // never exceed the largest budget within a view's validity, and no two views of a planner have the same stamp.
 func TestBudgetsHoldUnderAnyBreaks(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		w := &rig{p: New(config()), now: 100 * sec, caches: 6, perSecond: rapid.IntRange(0, 20).Draw(r, "rate")}
-		type spell struct {
+		w := &rig{planner: New(config()), now: 100 * sec, caches: 6, perSecond: rapid.IntRange(0, 20).Draw(r, "rate")}
+		type budgetSample struct {
 			at     time.Duration
 			budget float64
 		}
-		var budgets []spell
+		var budgets []budgetSample
 		var stamp time.Duration
-		most := func(list []spell) (most float64) {
+		maxBudget := func(list []budgetSample) (maxBudget float64) {
 			for _, s := range list {
 				if w.now-s.at <= 3*sec {
-					most = max(most, s.budget)
+					maxBudget = max(maxBudget, s.budget)
 				}
 			}
-			return most
+			return maxBudget
 		}
 		list := serverList(6)
 		for range rapid.IntRange(10, 60).Draw(r, "steps") {
@@ -259,17 +259,17 @@
 			switch rapid.IntRange(0, 5).Draw(r, "what") {
 			case 0: // a server restarts
 				list[0].Started = w.now
-				w.p.SetServers(w.now, list)
+				w.planner.SetServers(w.now, list)
 			case 1, 2:
 				w.seq += uint64(rapid.IntRange(0, 2).Draw(r, "lost"))
 				d := w.digest(rapid.IntRange(0, 3).Draw(r, "of"))
 				d.Start = int64(rapid.IntRange(1, 2).Draw(r, "start"))
 				d.Origin = Load{Sends: 20, Late: rapid.IntRange(0, 20).Draw(r, "late"), Timely: 5}
-				w.p.Digest(w.now, d)
+				w.planner.Digest(w.now, d)
 			case 3:
-				w.p.Update(w.now)
+				w.planner.Update(w.now)
 			default:
-				v := w.p.View(w.now, w.now, fmt.Sprintf("f%03d", rapid.IntRange(0, 3).Draw(r, "to")))
+				v := w.planner.View(w.now, w.now, fmt.Sprintf("f%03d", rapid.IntRange(0, 3).Draw(r, "to")))
 				if err := v.Check(); err != nil {
 					r.Fatal(err)
 				}
@@ -278,9 +278,9 @@
 				}
 				stamp = v.Made
 			}
-			budgets = append(budgets, spell{w.now, w.p.servers["c00"].allowed()})
-			if got := w.p.OutstandingGrants(w.now, "c00"); got > most(budgets)+1e-9 {
-				r.Fatalf("%v a second granted to a cold server, of at most %v", got, most(budgets))
+			budgets = append(budgets, budgetSample{w.now, w.planner.servers["c00"].allowed()})
+			if got := w.planner.OutstandingGrants(w.now, "c00"); got > maxBudget(budgets)+1e-9 {
+				r.Fatalf("%v a second granted to a cold server, of at most %v", got, maxBudget(budgets))
 			}
 		}
 	})
@@ -293,27 +293,27 @@
 	w.forwarders = 2
 	list := serverList(8)
 	list[1].Started = w.now
-	w.p.SetServers(w.now, list)
+	w.planner.SetServers(w.now, list)
 	digest := func(from string, asked int) {
 		w.seq++
-		if err := w.p.Digest(w.now, Digest{From: from, Start: 1, Seq: w.seq, Span: sec, Asked: asked, Answered: 200}); err != nil {
+		if err := w.planner.Digest(w.now, Digest{From: from, Start: 1, Seq: w.seq, Span: sec, Asked: asked, Answered: 200}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	grant := func(to string) float64 { return w.p.Grants(w.now, to)[0].Rate }
+	grant := func(to string) float64 { return w.planner.Grants(w.now, to)[0].Rate }
 	digest("first", 200)
 	digest("second", 0)
 	w.now += sec / 2
-	w.p.Update(w.now)
+	w.planner.Update(w.now)
 	first, since := grant("first"), w.now
-	if first < 0.9*w.p.servers["c01"].allow {
-		t.Fatalf("first grant is %v of a budget of %v, want most of it", first, w.p.servers["c01"].allow)
+	if first < 0.9*w.planner.servers["c01"].allow {
+		t.Fatalf("first grant is %v of a budget of %v, want most of it", first, w.planner.servers["c01"].allow)
 	}
 	for w.now < since+6*sec { // from here on the first forwarder is silent
 		w.now += sec / 4
 		digest("second", 2000)
-		w.p.Update(w.now)
-		got, all := grant("second"), w.p.servers["c01"].allow
+		w.planner.Update(w.now)
+		got, all := grant("second"), w.planner.servers["c01"].allow
 		if over := got + first - all; over > 1e-9 && w.now <= since+4*sec && got > minGrant {
 			t.Errorf("%v after the grant: %v of %v for the second forwarder while the first may use %v", w.now-since, got, all, first)
 		}
@@ -335,14 +335,14 @@
 	w := smallRig()
 	w.bad = func(_, c int) float64 { return map[int]float64{3: 0.9}[c] }
 	w.run(8, nil)
-	s := w.p.Snapshot(1000 * sec)
+	s := w.planner.Snapshot(1000 * sec)
 	s.Factors["c01"], s.Factors["c02"], s.Factors["gone"] = math.NaN(), 0, 0.5
 	for _, c := range []struct {
 		clock time.Duration
 		taken bool
 	}{{1005 * sec, true}, {1100 * sec, false}, {999 * sec, false}} {
 		x := smallRig()
-		if got := x.p.Restore(c.clock, 30*sec, s); got != c.taken || got != (x.factor("c03") < 1) {
+		if got := x.planner.Restore(c.clock, 30*sec, s); got != c.taken || got != (x.factor("c03") < 1) {
 			t.Errorf("after %v: %v, %v", c.clock-s.Clock, got, x.factor("c03"))
 		}
 		if x.factor("c01") != 1 || x.factor("c02") != 1 {
@@ -356,8 +356,8 @@
 func TestPlannersConverge(t *testing.T) {
 	var planners []*rig
 	for i := range 4 {
-		w := &rig{p: New(config()), now: 100 * sec, forwarders: 400, caches: 20, perSecond: 1, seq: uint64(i)}
-		w.p.SetServers(w.now, serverList(20))
+		w := &rig{planner: New(config()), now: 100 * sec, forwarders: 400, caches: 20, perSecond: 1, seq: uint64(i)}
+		w.planner.SetServers(w.now, serverList(20))
 		w.alter = func(d *Digest) { // each planner misses a different third of the digests
 			if (int(d.Seq)*7+len(d.From)*3+int(d.From[3])+i)%3 == 0 {
 				d.Seq = 0
@@ -433,13 +433,13 @@
 				}
 				g.Attempt("c01", false, policy.OK, took, true, false)
 			}
-			if err := w.p.Digest(w.now, *g.Digest(w.now + time.Duration(f+1))); err != nil {
+			if err := w.planner.Digest(w.now, *g.Digest(w.now + time.Duration(f+1))); err != nil {
 				t.Fatal(err)
 			}
 		}
 		w.run(1, nil)
 	}
-	for _, r := range w.p.Explain() {
+	for _, r := range w.planner.Explain() {
 		if r.ID == "c01" && (r.P50 != 8*time.Millisecond || r.P99 != 512*time.Millisecond) || r.ID == "c02" && r.P50 != 0 {
 			t.Errorf("%+v", r)
 		}
