--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -77,7 +77,7 @@
 // link is the connection to one planner.
 type link struct {
 	f       *Forwarder
-	number  int // of the planner, for Dials
+	number  int // of the planner, for follow.Dialer
 	addr    netip.AddrPort
 	conn    *loop.TLSConn
 	up      bool
