--- a/decide/plan/bench_test.go
+++ b/decide/plan/bench_test.go
@@ -9,8 +9,8 @@
 	"lapisshelf/policy"
 )
 
-// A node's digest as Gather makes it in the calm: so many requests over the servers, one in a hundred answered late.
-func calm(rng *rand.Rand, g *Gather, servers, requests int) {
+// countCalmSecond counts a second of ordinary traffic: requests spread over the servers, one in a hundred answered late.
+func countCalmSecond(rng *rand.Rand, g *Collector, servers, requests int) {
 	for range requests {
 		took, timely := 3*time.Millisecond, rng.IntN(100) > 0
 		if !timely {
@@ -21,15 +21,15 @@
 	}
 }
 
-// bench is a planner that has heard some seconds of forwarders, and digests of one more.
-func bench(b *testing.B, forwarders, servers, requests int, brief bool) (p *Planner, list []*Digest) {
+// newBenchmark returns a planner, and digests of one second from so many forwarders.
+func newBenchmark(b *testing.B, forwarders, servers, requests int, brief bool) (p *Planner, list []*Digest) {
 	p = New(config())
-	p.Roster(100*sec, fleet(servers))
+	p.SetServers(100*sec, serverList(servers))
 	rng := rand.New(rand.NewPCG(1, 2))
-	g := NewGather(100*sec, "")
+	g := NewCollector(100*sec, "")
 	var some []*Digest
-	for i := range 40 { // different ones are enough
-		calm(rng, g, servers, requests)
+	for i := range 40 { // forty different digests are enough
+		countCalmSecond(rng, g, servers, requests)
 		d := g.Digest(100*sec + time.Duration(i+1)*sec)
 		if brief {
 			d = g.Brief(d)
@@ -45,8 +45,8 @@
 	return p, list
 }
 
-// sizes are the measured ones: nodes, servers, requests a second of a node.
-func sizes(b *testing.B, run func(b *testing.B, forwarders, servers, requests int, brief bool)) {
+// forSizes runs a benchmark for several numbers of nodes, servers and requests per second and node.
+func forSizes(b *testing.B, run func(b *testing.B, forwarders, servers, requests int, brief bool)) {
 	for _, x := range [][3]int{{400, 80, 6}, {475, 105, 842}, {1900, 420, 842}} {
 		for _, brief := range []bool{false, true} {
 			name := fmt.Sprintf("%dx%d/whole", x[0], x[1])
@@ -58,16 +58,16 @@
 	}
 }
 
-// What a second's digests of all forwarders cost, counted in two looks.
+// The cost of a second's digests from all forwarders, counted in two updates.
 func BenchmarkDigests(b *testing.B) {
-	sizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
-		p, list := bench(b, forwarders, servers, requests, brief)
+	forSizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
+		p, list := newBenchmark(b, forwarders, servers, requests, brief)
 		now := 100 * sec
 		for b.Loop() {
 			for i, d := range list {
 				if i == len(list)/2 {
 					now += sec / 2
-					p.Make(now)
+					p.Update(now)
 				}
 				d.Seq++
 				if err := p.Digest(now, *d); err != nil {
@@ -75,15 +75,15 @@
 				}
 			}
 			now += sec / 2
-			p.Make(now)
+			p.Update(now)
 		}
 	})
 }
 
-// A look by itself, with nothing new told.
+// The cost of an update without new digests.
 func BenchmarkMake(b *testing.B) {
-	sizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
-		p, list := bench(b, forwarders, servers, requests, brief)
+	forSizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
+		p, list := newBenchmark(b, forwarders, servers, requests, brief)
 		now := 100 * sec
 		for range 3 {
 			for _, d := range list {
@@ -91,20 +91,20 @@
 				p.Digest(now, *d)
 			}
 			now += sec / 2
-			p.Make(now)
+			p.Update(now)
 		}
 		for b.Loop() {
 			now += time.Microsecond
-			p.Make(now)
+			p.Update(now)
 		}
 	})
 }
 
-// What telling all forwarders costs: a whole view for each, or one change for all and each one's grants, of which there are
-// none in the calm.
+// The cost of messages to all forwarders: a full view for each, or one change for all plus each one's grants, of which
+// there are none in ordinary traffic.
 func BenchmarkViews(b *testing.B) {
-	sizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
-		p, list := bench(b, forwarders, servers, requests, brief)
+	forSizes(b, func(b *testing.B, forwarders, servers, requests int, brief bool) {
+		p, list := newBenchmark(b, forwarders, servers, requests, brief)
 		now := 100 * sec
 		for _, d := range list {
 			d.Seq++
@@ -112,7 +112,7 @@
 		}
 		for b.Loop() {
 			now += sec / 2
-			p.Make(now)
+			p.Update(now)
 			if brief {
 				p.Change(now, Hold{1, p.Revision(), true})
 			}
@@ -127,16 +127,16 @@
 	})
 }
 
-// What a node's digest costs it, whole and then in brief.
+// The cost of a digest at the node, first in full and then in brief.
 func BenchmarkBrief(b *testing.B) {
 	for _, x := range [][2]int{{80, 6}, {420, 842}} {
 		b.Run(fmt.Sprintf("%dservers,%drequests", x[0], x[1]), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 2))
-			g := NewGather(100*sec, "f")
+			g := NewCollector(100*sec, "f")
 			now := 100 * sec
 			for b.Loop() {
 				b.StopTimer()
-				calm(rng, g, x[0], x[1])
+				countCalmSecond(rng, g, x[0], x[1])
 				b.StartTimer()
 				now += sec
 				g.Brief(g.Digest(now))
--- a/lab/fleet/planners.go
+++ b/lab/fleet/planners.go
@@ -34,7 +34,7 @@
 
 // forwarder is a node's side of the planners.
 type forwarder struct {
-	gather   *plan.Gather
+	gather   *plan.Collector
 	follower *follow.Follower
 	trust    float64
 	followed string // which planner's view is in force
@@ -78,7 +78,7 @@
 	for _, id := range slices.Sorted(maps.Keys(p.members)) {
 		all = append(all, p.members[id])
 	}
-	p.plan.Roster(p.sim.clock(), serversOf(all))
+	p.plan.SetServers(p.sim.clock(), serversOf(all))
 }
 
 func (p *planner) runs(life int) bool { return p.up && !p.frozen && p.life == life }
@@ -97,7 +97,7 @@
 		p.rev = at
 		p.take(changes)
 	}
-	p.plan.Make(s.clock())
+	p.plan.Update(s.clock())
 	if s.x.Planners.Talk == "whole" {
 		for _, n := range s.nodes {
 			if !n.parted[p.id] {
@@ -119,7 +119,7 @@
 			c, _ = p.plan.Change(s.clock(), base)
 			changes[base] = c
 		}
-		if beat := min(time.Second, s.x.Planners.Valid.D()/3); c.Base == c.Revision && !p.plan.Cold() && p.sent[n] > 0 && s.now-p.sent[n] < beat {
+		if beat := min(time.Second, s.x.Planners.Valid.D()/3); c.Base == c.Revision && !p.plan.HasColdServers() && p.sent[n] > 0 && s.now-p.sent[n] < beat {
 			continue // it holds all that there is to tell
 		}
 		p.sent[n] = s.now
@@ -146,7 +146,7 @@
 	if s.x.Planners.Count == 0 {
 		return
 	}
-	n.forwarder = &forwarder{gather: plan.NewGather(n.clock(), n.name()), follower: follow.New(follow.Config{Fade: s.x.Planners.Fade.D()})}
+	n.forwarder = &forwarder{gather: plan.NewCollector(n.clock(), n.name()), follower: follow.New(follow.Config{Fade: s.x.Planners.Fade.D()})}
 	life, every := n.lives, s.x.Planners.Every.D()
 	rng := world.RandomStream(s.x.Seed, "digest", n.name())
 	var tell, fade func()
@@ -159,7 +159,7 @@
 			if changes {
 				d = n.forwarder.gather.Brief(d)
 			}
-			n.forwarder.follower.Sent(n.clock(), d.Seq)
+			n.forwarder.follower.DigestSent(n.clock(), d.Seq)
 			for _, p := range s.planners {
 				if !n.parted[p.id] {
 					to, hold := p.life, n.forwarder.follower.Hold(p.id)
@@ -208,7 +208,7 @@
 // view has a view judged, and puts it in force.
 func (n *node) view(v plan.View) {
 	if f := n.forwarder; f != nil && n.up && !n.frozen {
-		why, err := f.follower.Take(n.clock(), v, n.ready())
+		why, err := f.follower.TakeView(n.clock(), v, n.ready())
 		n.judged(v.Planner, why, err)
 	}
 }
@@ -221,10 +221,10 @@
 	}
 }
 
-func (n *node) judged(planner string, why follow.Reason, err error) {
+func (n *node) judged(planner string, why follow.Outcome, err error) {
 	f := n.forwarder
-	if why != follow.Taken {
-		if why == follow.Absurd {
+	if why != follow.Accepted {
+		if why == follow.Invalid {
 			n.sim.logs = append(n.sim.logs, fmt.Sprintf("%v node %d: view refused: %v", n.sim.now, n.number+1, err))
 		}
 		return
@@ -233,10 +233,10 @@
 		f.followed = planner
 		n.sim.logs = append(n.sim.logs, fmt.Sprintf("%v node %d: follows %s", n.sim.now, n.number+1, planner))
 	}
-	if f.trust == 1 && f.turns == f.follower.Turns() {
+	if f.trust == 1 && f.turns == f.follower.Version() {
 		return // it is in force
 	}
-	f.trust, f.turns = 1, f.follower.Turns()
+	f.trust, f.turns = 1, f.follower.Version()
 	v, _ := f.follower.Now(n.clock())
 	n.policy.View(n.clock(), v)
 	n.settle()
