--- a/cmd/lapislab/lapislab_test.go
+++ b/cmd/lapislab/lapislab_test.go
@@ -189,7 +189,7 @@
 			"	if x := *c; x.id[0] == '7' && t.n < 9 && a.outcome == policy.OK && x.command.Kind == meta.Get {\n		x.open, x.answered, x.deadline, x.end = 9, false, n.loop.Now()+9*time.Second, n.loop.Now()+9*time.Second\n" +
 			"		n.loop.After(150*time.Millisecond, func() { t.pool.send(&try{call: &x, n: 9, pool: t.pool, at: n.loop.Now()}, time.Second) })\n	}\n",
 			calm, "one_answer", "sent_after_end"},
-		{"a keyed repeat past its window", "decide/safety/safety.go", "	case e.Age >= window-Slack:\n		return WindowOver\n", "", spoilt, "no_double", "past_window"},
+		{"a keyed repeat past its window", "decide/safety/safety.go", "	case e.Age >= window-StallAllowance:\n		return WindowExpired\n", "", spoilt, "no_double", "past_window"},
 		{"an unsafe repeat", "decide/safety/safety.go", "		return MayHaveRun\n", "		return Allowed\n", spoilt,
 			"no_double", "repeat_may_run"},
 		{"and the effects of it", "decide/safety/safety.go", "		return MayHaveRun\n", "		return Allowed\n", spoilt,
--- a/decide/safety/safety.go
+++ b/decide/safety/safety.go
@@ -13,21 +13,21 @@
 
 // The reasons.
 const (
-	Allowed      Reason = iota
-	Answered            // the request has its final answer
-	ClientGone          // the client has closed its connection
-	TimeOver            // nothing is left of the client's time
-	ToldTooMuch         // the attempt tells its server of more time than is left
-	ServerClosed        // the server drains, has left the list or is banned
-	StillOut            // an earlier attempt is out, and the request may not have two
-	MayHaveRun          // an earlier attempt may have run, and the request must not run twice
-	WindowOver          // an earlier attempt may have run, and its servers may have forgotten it by now
-	OtherGroup          // an earlier attempt may have run, in servers that do not share what they remember with this one
-	Unanswered          // the connection carries a request that was taken and not answered
-	Unread              // the connection holds bytes that nobody has read
-	SameID              // another request of the same id is open, or was lately
-	Full                // the node holds as much as it may
-	Reasons             // how many there are
+	Allowed           Reason = iota
+	Answered                 // the request has its final answer
+	ClientGone               // the client has closed its connection
+	DeadlineExceeded         // nothing is left of the client's time
+	TimeoutTooLong           // the attempt tells its server of more time than is left
+	ServerUnavailable        // the server drains, has left the list or is banned
+	InFlight                 // an earlier attempt is out, and the request may not have two
+	MayHaveRun               // an earlier attempt may have run, and the request must not run twice
+	WindowExpired            // an earlier attempt may have run, and its servers may have forgotten it by now
+	OtherScope               // an earlier attempt may have run, in servers that do not share what they remember with this one
+	Unanswered               // the connection carries a request that was taken and not answered
+	UnreadInput              // the connection holds bytes that nobody has read
+	DuplicateID              // another request of the same id is open, or was lately
+	AtCapacity               // the node holds as much as it may
+	NumReasons               // how many there are
 )
 
 // String is the reason's name in logs and figures.
@@ -39,35 +39,35 @@
 		return "answered"
 	case ClientGone:
 		return "client_gone"
-	case TimeOver:
+	case DeadlineExceeded:
 		return "time_over"
-	case ToldTooMuch:
+	case TimeoutTooLong:
 		return "told_too_much"
-	case ServerClosed:
+	case ServerUnavailable:
 		return "server_closed"
-	case StillOut:
+	case InFlight:
 		return "still_out"
 	case MayHaveRun:
 		return "may_have_run"
-	case WindowOver:
+	case WindowExpired:
 		return "window_over"
-	case OtherGroup:
+	case OtherScope:
 		return "other_group"
 	case Unanswered:
 		return "unanswered"
-	case Unread:
+	case UnreadInput:
 		return "unread"
-	case SameID:
+	case DuplicateID:
 		return "same_id"
-	case Full:
+	case AtCapacity:
 		return "full"
 	}
 	return "unknown"
 }
 
-// Slack is by how much what an attempt tells of the client's time may be over what is left: a process may be held up for as long
+// StallAllowance is by how much what an attempt tells of the client's time may be over what is left: a process may be held up for as long
 // between reading its clock and writing.
-const Slack = 150 * time.Millisecond
+const StallAllowance = 150 * time.Millisecond
 
 // Effect says what repeating a request may do.
 type Effect uint8
@@ -79,54 +79,54 @@
 	Unsafe               // may be repeated only when it provably never ran
 )
 
-// Earlier is what is known of an earlier attempt of a request.
-type Earlier struct {
+// PriorAttempt is what is known of an earlier attempt of a request.
+type PriorAttempt struct {
 	Done      bool          // it has ended
 	NeverRan  bool          // provably
 	Age       time.Duration // since it was begun
-	SameGroup bool          // its server and the next one drop each other's repeats
+	SameScope bool          // its server and the next one drop each other's repeats
 }
 
-// Repeat decides whether a request may be sent again, as far as one earlier attempt tells. The window is how long servers remember
+// CheckRepeat decides whether a request may be sent again, as far as one earlier attempt tells. The window is how long servers remember
 // a keyed request.
-func Repeat(effect Effect, window time.Duration, e Earlier) Reason {
+func CheckRepeat(effect Effect, window time.Duration, e PriorAttempt) Reason {
 	switch {
 	case effect == Safe || e.Done && e.NeverRan:
 		return Allowed
 	case !e.Done:
-		return StillOut
+		return InFlight
 	case effect == Unsafe:
 		return MayHaveRun
-	case e.Age >= window-Slack:
-		return WindowOver
-	case !e.SameGroup:
-		return OtherGroup
+	case e.Age >= window-StallAllowance:
+		return WindowExpired
+	case !e.SameScope:
+		return OtherScope
 	}
 	return Allowed
 }
 
 // Attempt is what is known as an attempt is about to be written.
 type Attempt struct {
-	Answered   bool          // the request has its final answer
-	ClientGone bool          // as far as is known
-	Left       time.Duration // of the client's time
-	Told       time.Duration // what the attempt tells its server
-	ServerOpen bool          // it may get something new
+	Answered      bool          // the request has its final answer
+	ClientGone    bool          // as far as is known
+	Remaining     time.Duration // of the client's time
+	Timeout       time.Duration // what the attempt tells its server
+	ServerAccepts bool          // it may get something new
 }
 
-// Send decides whether an attempt may be written now. Repeat decides the rest.
-func Send(a Attempt) Reason {
+// CheckSend decides whether an attempt may be written now. Repeat decides the rest.
+func CheckSend(a Attempt) Reason {
 	switch {
-	case !a.ServerOpen:
-		return ServerClosed
+	case !a.ServerAccepts:
+		return ServerUnavailable
 	case a.ClientGone:
 		return ClientGone
 	case a.Answered:
 		return Answered
-	case a.Left <= 0:
-		return TimeOver
-	case a.Told > a.Left+Slack:
-		return ToldTooMuch
+	case a.Remaining <= 0:
+		return DeadlineExceeded
+	case a.Timeout > a.Remaining+StallAllowance:
+		return TimeoutTooLong
 	}
 	return Allowed
 }
@@ -138,33 +138,33 @@
 	Broken     bool // its client breaks the protocol, or nothing more of it will be read: what is unread counts for nothing
 }
 
-// Close decides whether a client's connection may be closed now.
-func Close(c Connection) Reason {
+// CheckClose decides whether a client's connection may be closed now.
+func CheckClose(c Connection) Reason {
 	switch {
 	case c.Unanswered > 0:
 		return Unanswered
 	case c.Unread && !c.Broken:
-		return Unread
+		return UnreadInput
 	}
 	return Allowed
 }
 
 // Request is what is known of a request that has been read.
 type Request struct {
-	SameID bool          // its id is another's
-	Left   time.Duration // of its client's time
-	Full   bool          // the node has no room for it
+	DuplicateID bool          // its id is another's
+	Remaining   time.Duration // of its client's time
+	AtCapacity  bool          // the node has no room for it
 }
 
-// Start decides whether work on a request may begin.
-func Start(r Request) Reason {
+// CheckStart decides whether work on a request may begin.
+func CheckStart(r Request) Reason {
 	switch {
-	case r.SameID:
-		return SameID
-	case r.Full:
-		return Full
-	case r.Left <= 0:
-		return TimeOver
+	case r.DuplicateID:
+		return DuplicateID
+	case r.AtCapacity:
+		return AtCapacity
+	case r.Remaining <= 0:
+		return DeadlineExceeded
 	}
 	return Allowed
 }
--- a/decide/safety/safety_test.go
+++ b/decide/safety/safety_test.go
@@ -13,28 +13,28 @@
 )
 
 func TestRepeat(t *testing.T) {
-	ran := Earlier{Done: true, Age: sec, SameGroup: true}
+	ran := PriorAttempt{Done: true, Age: sec, SameScope: true}
 	for _, c := range []struct {
 		name   string
 		effect Effect
-		change func(e *Earlier)
+		change func(e *PriorAttempt)
 		want   Reason
 	}{
-		{"safe, out", Safe, func(e *Earlier) { e.Done = false }, Allowed},
-		{"safe, may have run", Safe, func(*Earlier) {}, Allowed},
-		{"unsafe, never ran", Unsafe, func(e *Earlier) { e.NeverRan = true }, Allowed},
-		{"unsafe, may have run", Unsafe, func(*Earlier) {}, MayHaveRun},
-		{"unsafe, out", Unsafe, func(e *Earlier) { e.Done, e.NeverRan = false, true }, StillOut},
-		{"keyed, in its window", Keyed, func(*Earlier) {}, Allowed},
-		{"keyed, out", Keyed, func(e *Earlier) { e.Done = false }, StillOut},
-		{"keyed, held up past the window", Keyed, func(e *Earlier) { e.Age = 2*sec - Slack }, WindowOver},
-		{"keyed, just in time", Keyed, func(e *Earlier) { e.Age = 2*sec - Slack - 1 }, Allowed},
-		{"keyed, another group", Keyed, func(e *Earlier) { e.SameGroup = false }, OtherGroup},
-		{"keyed, never ran, past the window", Keyed, func(e *Earlier) { e.NeverRan, e.Age = true, 9*sec }, Allowed},
+		{"safe, out", Safe, func(e *PriorAttempt) { e.Done = false }, Allowed},
+		{"safe, may have run", Safe, func(*PriorAttempt) {}, Allowed},
+		{"unsafe, never ran", Unsafe, func(e *PriorAttempt) { e.NeverRan = true }, Allowed},
+		{"unsafe, may have run", Unsafe, func(*PriorAttempt) {}, MayHaveRun},
+		{"unsafe, out", Unsafe, func(e *PriorAttempt) { e.Done, e.NeverRan = false, true }, InFlight},
+		{"keyed, in its window", Keyed, func(*PriorAttempt) {}, Allowed},
+		{"keyed, out", Keyed, func(e *PriorAttempt) { e.Done = false }, InFlight},
+		{"keyed, held up past the window", Keyed, func(e *PriorAttempt) { e.Age = 2*sec - StallAllowance }, WindowExpired},
+		{"keyed, just in time", Keyed, func(e *PriorAttempt) { e.Age = 2*sec - StallAllowance - 1 }, Allowed},
+		{"keyed, another group", Keyed, func(e *PriorAttempt) { e.SameScope = false }, OtherScope},
+		{"keyed, never ran, past the window", Keyed, func(e *PriorAttempt) { e.NeverRan, e.Age = true, 9*sec }, Allowed},
 	} {
 		e := ran
 		c.change(&e)
-		if got := Repeat(c.effect, 2*sec, e); got != c.want {
+		if got := CheckRepeat(c.effect, 2*sec, e); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -49,14 +49,14 @@
 		{"as it should be", func(*Attempt) {}, Allowed},
 		{"answered", func(a *Attempt) { a.Answered = true }, Answered},
 		{"the client has gone", func(a *Attempt) { a.ClientGone = true }, ClientGone},
-		{"the server leaves", func(a *Attempt) { a.ServerOpen = false }, ServerClosed},
-		{"no time", func(a *Attempt) { a.Left = 0 }, TimeOver},
-		{"told more than is left", func(a *Attempt) { a.Told = a.Left + Slack + 1 }, ToldTooMuch},
-		{"told what is left, a hold-up ago", func(a *Attempt) { a.Told = a.Left + Slack }, Allowed},
+		{"the server leaves", func(a *Attempt) { a.ServerAccepts = false }, ServerUnavailable},
+		{"no time", func(a *Attempt) { a.Remaining = 0 }, DeadlineExceeded},
+		{"told more than is left", func(a *Attempt) { a.Timeout = a.Remaining + StallAllowance + 1 }, TimeoutTooLong},
+		{"told what is left, a hold-up ago", func(a *Attempt) { a.Timeout = a.Remaining + StallAllowance }, Allowed},
 	} {
-		a := Attempt{Left: 100 * ms, Told: 90 * ms, ServerOpen: true}
+		a := Attempt{Remaining: 100 * ms, Timeout: 90 * ms, ServerAccepts: true}
 		c.change(&a)
-		if got := Send(a); got != c.want {
+		if got := CheckSend(a); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -64,16 +64,16 @@
 
 func TestCloseAndStart(t *testing.T) {
 	for c, want := range map[Connection]Reason{
-		{}: Allowed, {Unanswered: 1}: Unanswered, {Unanswered: 1, Broken: true}: Unanswered, {Unread: true}: Unread, {Unread: true, Broken: true}: Allowed,
+		{}: Allowed, {Unanswered: 1}: Unanswered, {Unanswered: 1, Broken: true}: Unanswered, {Unread: true}: UnreadInput, {Unread: true, Broken: true}: Allowed,
 	} {
-		if got := Close(c); got != want {
+		if got := CheckClose(c); got != want {
 			t.Errorf("%+v: %v, want %v", c, got, want)
 		}
 	}
 	for r, want := range map[Request]Reason{
-		{Left: 1}: Allowed, {Left: 1, SameID: true}: SameID, {Left: 1, Full: true}: Full, {}: TimeOver, {Left: -ms}: TimeOver,
+		{Remaining: 1}: Allowed, {Remaining: 1, DuplicateID: true}: DuplicateID, {Remaining: 1, AtCapacity: true}: AtCapacity, {}: DeadlineExceeded, {Remaining: -ms}: DeadlineExceeded,
 	} {
-		if got := Start(r); got != want {
+		if got := CheckStart(r); got != want {
 			t.Errorf("%+v: %v, want %v", r, got, want)
 		}
 	}
@@ -84,16 +84,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		effect := Effect(rapid.IntRange(int(Safe), int(Unsafe)).Draw(t, "effect"))
 		window := time.Duration(rapid.IntRange(0, 3000).Draw(t, "window")) * ms
-		e := Earlier{Done: rapid.Bool().Draw(t, "done"), NeverRan: rapid.Bool().Draw(t, "never"),
-			Age: time.Duration(rapid.IntRange(0, 4000).Draw(t, "age")) * ms, SameGroup: rapid.Bool().Draw(t, "group")}
+		e := PriorAttempt{Done: rapid.Bool().Draw(t, "done"), NeverRan: rapid.Bool().Draw(t, "never"),
+			Age: time.Duration(rapid.IntRange(0, 4000).Draw(t, "age")) * ms, SameScope: rapid.Bool().Draw(t, "group")}
 		mayRun := !e.Done || !e.NeverRan
-		forgotten := e.Age+Slack >= window || !e.SameGroup
-		if Repeat(effect, window, e) == Allowed && mayRun && (effect == Unsafe || effect == Keyed && (forgotten || !e.Done)) {
+		forgotten := e.Age+StallAllowance >= window || !e.SameScope
+		if CheckRepeat(effect, window, e) == Allowed && mayRun && (effect == Unsafe || effect == Keyed && (forgotten || !e.Done)) {
 			t.Fatalf("effect %d, window %v: %+v may go again", effect, window, e)
 		}
 	})
 	seen := map[string]bool{}
-	for r := range Reasons {
+	for r := range NumReasons {
 		if seen[r.String()] || r.String() == "" {
 			t.Errorf("reason %d is called %q", r, r)
 		}
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -25,7 +25,7 @@
 // maySend asks whether an attempt that tells its server so much may be written now.
 func (n *Node) maySend(t *try, told time.Duration, gone bool) safety.Reason {
 	c, now := t.call, n.loop.Now()
-	reason := safety.Send(safety.Attempt{Answered: c.answered, ClientGone: gone, Left: c.left(now), Told: told, ServerOpen: t.pool.open()})
+	reason := safety.CheckSend(safety.Attempt{Answered: c.answered, ClientGone: gone, Remaining: c.left(now), Timeout: told, ServerAccepts: t.pool.open()})
 	if reason != safety.Allowed || c.class.effect == safety.Safe {
 		return reason
 	}
@@ -33,8 +33,8 @@
 		if e == t {
 			continue
 		}
-		earlier := safety.Earlier{Done: e.done, NeverRan: !e.ran, Age: now - e.began, SameGroup: true} // groups are the module's to know
-		if reason = safety.Repeat(c.class.effect, c.class.window, earlier); reason != safety.Allowed {
+		earlier := safety.PriorAttempt{Done: e.done, NeverRan: !e.ran, Age: now - e.began, SameScope: true} // groups are the module's to know
+		if reason = safety.CheckRepeat(c.class.effect, c.class.window, earlier); reason != safety.Allowed {
 			return reason
 		}
 	}
@@ -47,9 +47,9 @@
 	n.noteAttempt(attemptRefused, t, why, 0)
 	outcome := policy.Moot
 	switch why {
-	case safety.ServerClosed:
+	case safety.ServerUnavailable:
 		outcome = policy.ConnectFailed
-	case safety.StillOut, safety.MayHaveRun, safety.OtherGroup:
+	case safety.InFlight, safety.MayHaveRun, safety.OtherScope:
 		n.violation("repeat", why, t.call.id, t.pool.id) // the module asks before it sends
 	}
 	n.loop.Later(func() { n.finished(t, answer{outcome: outcome}) })
@@ -59,7 +59,7 @@
 // up; anything else is a violation.
 func (n *Node) refuseLate(t *try, why safety.Reason) {
 	switch why {
-	case safety.Answered, safety.ClientGone, safety.ServerClosed: // refuseSend tells of repeats
+	case safety.Answered, safety.ClientGone, safety.ServerUnavailable: // refuseSend tells of repeats
 		n.violation("send", why, t.call.id, t.pool.id)
 	}
 	n.refuseSend(t, why)
@@ -68,7 +68,7 @@
 // checkWritten checks an attempt that goes out after it had to wait.
 func (n *Node) checkWritten(t *try) {
 	switch why := n.maySend(t, 0, t.call.client == nil); why {
-	case safety.Answered, safety.ClientGone, safety.ServerClosed:
+	case safety.Answered, safety.ClientGone, safety.ServerUnavailable:
 		n.violation("send", why, t.call.id, t.pool.id)
 	}
 }
@@ -82,14 +82,14 @@
 			id = k.id
 		}
 	}
-	if why := safety.Close(safety.Connection{Unanswered: unanswered}); why != safety.Allowed {
+	if why := safety.CheckClose(safety.Connection{Unanswered: unanswered}); why != safety.Allowed {
 		n.violation("close", why, id, "")
 	}
 }
 
 // mayClose asks whether a connection with nothing open may be closed.
 func (c *client) mayClose() bool {
-	return safety.Close(safety.Connection{Unread: c.conn.Stale()}) == safety.Allowed
+	return safety.CheckClose(safety.Connection{Unread: c.conn.Stale()}) == safety.Allowed
 }
 
 // violation counts what went against a rule though guards stand before it, and logs it with what led to it, once a second at most.
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -147,7 +147,7 @@
 	// busy: they would work for a client that has stopped waiting.
 	if m.Long == 0 {
 		wait -= now - c.arrived
-		if safety.Start(safety.Request{Left: wait}) != safety.Allowed {
+		if safety.CheckStart(safety.Request{Remaining: wait}) != safety.Allowed {
 			n.count.tooLate++
 			c.refuse(kind)
 			return
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -20,7 +20,7 @@
 	clientsBad, clientsIdle, sameID                             int64
 	violations, tooLate                                         int64
 	outcomes                                                    [policy.Moot + 1]int64
-	sendsRefused, violated                                      [safety.Reasons]int64
+	sendsRefused, violated                                      [safety.NumReasons]int64
 	closings                                                    [closings]int64
 	ended                                                       [endings]int64 // of the classes together
 }
@@ -111,7 +111,7 @@
 	put("panics", c.panics)
 	put("violations", c.violations)
 	put("too_late", c.tooLate)
-	for why := safety.Allowed + 1; why < safety.Reasons; why++ {
+	for why := safety.Allowed + 1; why < safety.NumReasons; why++ {
 		if c.sendsRefused[why] > 0 {
 			put("not_sent_"+why.String(), c.sendsRefused[why])
 		}
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -48,7 +48,7 @@
 	f.one("violations_total", "counter", "What went against a rule though guards stand before it; should be 0.", n.count.violations)
 	f.one("overdue_total", "counter", "Requests failed at the last moment because nothing had answered them; should be 0.", n.count.overdue)
 	f.head("sends_refused_total", "counter", "Attempts that were not written, by why.")
-	for why := safety.Allowed + 1; why < safety.Reasons; why++ {
+	for why := safety.Allowed + 1; why < safety.NumReasons; why++ {
 		fmt.Fprintf(&f, "app_sends_refused_total{reason=\"%s\"} %d\n", why, n.count.sendsRefused[why])
 	}
 	f.head("client_connections_closed_total", "counter", "Clients' connections that have ended, by why.")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -394,7 +394,7 @@
 	gone := x == nil || x.conn.Left()
 	why := n.maySend(t, left, gone)
 	if why == safety.Allowed && left <= 0 {
-		why = safety.TimeOver
+		why = safety.DeadlineExceeded
 	}
 	if why != safety.Allowed {
 		if gone && x != nil {
--- a/internal/node/recorder_test.go
+++ b/internal/node/recorder_test.go
@@ -64,10 +64,10 @@
 // and a close over an open request.
 func TestViolationsAreCounted(t *testing.T) {
 	for why, break_ := range map[safety.Reason]func(b *bench, x *try){
-		safety.Answered:     func(b *bench, x *try) { x.call.answered = true; b.pool.send(x, 1) },
-		safety.ClientGone:   func(b *bench, x *try) { x.call.client = nil; b.pool.send(x, 1) },
-		safety.ServerClosed: func(b *bench, x *try) { b.pool.ready = false; b.pool.send(x, 1) },
-		safety.Unanswered:   func(b *bench, x *try) { b.node.checkClose(&client{node: b.node, calls: []*call{x.call}}) },
+		safety.Answered:          func(b *bench, x *try) { x.call.answered = true; b.pool.send(x, 1) },
+		safety.ClientGone:        func(b *bench, x *try) { x.call.client = nil; b.pool.send(x, 1) },
+		safety.ServerUnavailable: func(b *bench, x *try) { b.pool.ready = false; b.pool.send(x, 1) },
+		safety.Unanswered:        func(b *bench, x *try) { b.node.checkClose(&client{node: b.node, calls: []*call{x.call}}) },
 	} {
 		b := newBench(t)
 		x := b.send("1")
@@ -90,10 +90,10 @@
 // Time that has passed since an attempt was chosen has it refused, and is no violation.
 func TestAnAttemptThatComesTooLateIsRefused(t *testing.T) {
 	for why, late := range map[safety.Reason]func(b *bench, x *try){
-		safety.TimeOver: func(b *bench, x *try) { x.call.deadline = b.node.loop.Now(); b.pool.send(x, 1) },
-		safety.ToldTooMuch: func(b *bench, x *try) {
-			x.call.deadline = b.node.loop.Now() + safety.Slack
-			b.pool.send(x, 3*safety.Slack)
+		safety.DeadlineExceeded: func(b *bench, x *try) { x.call.deadline = b.node.loop.Now(); b.pool.send(x, 1) },
+		safety.TimeoutTooLong: func(b *bench, x *try) {
+			x.call.deadline = b.node.loop.Now() + safety.StallAllowance
+			b.pool.send(x, 3*safety.StallAllowance)
 		},
 	} {
 		b := newBench(t)
@@ -115,8 +115,8 @@
 	c.class = &class{name: "once", effect: safety.Unsafe}
 	attempts := s.node.count.attempts
 	s.node.loop.Later(func() { actions{s.node}.Send("one", "c-1", 0, 0) })
-	s.run("it is refused", func() bool { return s.node.count.sendsRefused[safety.StillOut] == 1 })
-	if s.node.count.attempts != attempts || s.node.count.violated[safety.StillOut] != 1 {
+	s.run("it is refused", func() bool { return s.node.count.sendsRefused[safety.InFlight] == 1 })
+	if s.node.count.attempts != attempts || s.node.count.violated[safety.InFlight] != 1 {
 		t.Errorf("%d attempts, then %d; %v violated", attempts, s.node.count.attempts, s.node.count.violated)
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -137,8 +137,8 @@
 		return false
 	}
 	for _, a := range r.tries {
-		e := safety.Earlier{Done: a.done, NeverRan: a.clean, Age: b.now - a.at, SameGroup: r.class.Scope.holds(a.srv, s)}
-		if safety.Repeat(r.class.Effect.repeats(), r.class.Window, e) != safety.Allowed {
+		e := safety.PriorAttempt{Done: a.done, NeverRan: a.clean, Age: b.now - a.at, SameScope: r.class.Scope.holds(a.srv, s)}
+		if safety.CheckRepeat(r.class.Effect.repeats(), r.class.Window, e) != safety.Allowed {
 			return false
 		}
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -300,7 +300,7 @@
 		}
 		w.answer(first, c.first, NoNote, 50*ms)
 		again := w.last()
-		if want := at + w.b.classes[c.class].Window - safety.Slack; len(w.sends) != 2 || c.told && again.by != want || !c.told && again.by != 0 {
+		if want := at + w.b.classes[c.class].Window - safety.StallAllowance; len(w.sends) != 2 || c.told && again.by != want || !c.told && again.by != 0 {
 			t.Errorf("%s after %v: %d sends, the second by %v", c.class, c.first, len(w.sends), again.by)
 		}
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -266,7 +266,7 @@
 // whose turn on one comes, behind it.
 func (r *request) windowEnd() (end time.Duration) {
 	for _, a := range r.tries {
-		if at := a.at + r.class.Window - safety.Slack; r.class.Effect == Keyed && a.done && !a.clean && (end == 0 || at < end) {
+		if at := a.at + r.class.Window - safety.StallAllowance; r.class.Effect == Keyed && a.done && !a.clean && (end == 0 || at < end) {
 			end = at
 		}
 	}
