--- a/decide/plan/plan.go
+++ b/decide/plan/plan.go
@@ -58,17 +58,17 @@
 		}
 		s := p.servers[e.ID]
 		if s == nil {
-			s = &server{factor: 1, begun: p.starts.Begun(now, e.ID, e.Started)}
+			s = &server{factor: 1, begun: p.starts.StartTime(now, e.ID, e.Started)}
 			p.servers[e.ID] = s
 		} else if e.Started != s.Started { // what was learned of the process before is void, whatever its clock says
-			s.factor, s.pooled, s.known, s.due, s.begun = 1, tallied{}, 0, 0, p.starts.Begun(now, e.ID, e.Started)
+			s.factor, s.pooled, s.known, s.due, s.begun = 1, tallied{}, 0, 0, p.starts.StartTime(now, e.ID, e.Started)
 		}
 		s.Server, named[e.ID] = e, true
 	}
-	p.starts.Watched()
+	p.starts.MarkWatched()
 	maps.DeleteFunc(p.servers, func(id string, s *server) bool {
 		if !named[id] {
-			p.starts.Left(id, s.Started, s.begun)
+			p.starts.RecordDeparture(id, s.Started, s.begun)
 		}
 		return !named[id]
 	})
--- a/decide/plan/state.go
+++ b/decide/plan/state.go
@@ -13,7 +13,7 @@
 // What a planner remembers, and its plain upkeep. Nothing is decided here.
 
 type state struct {
-	starts     starts.Book // of servers, as far as they were seen
+	starts     starts.History // of servers, as far as they were seen
 	cfg        Config
 	epoch      uint64
 	leader     string // by the leases; empty: nobody is known to hold one
--- a/decide/starts/starts.go
+++ b/decide/starts/starts.go
@@ -5,8 +5,8 @@
 
 import "time"
 
-// MostDeparted bounds the servers off the list whose starts are remembered.
-const MostDeparted = 1024
+// MaxDeparted bounds the servers off the list whose starts are remembered.
+const MaxDeparted = 1024
 
 // start is a server's start as the list told it and as it counts here.
 type start struct {
@@ -14,21 +14,21 @@
 	begun time.Duration
 }
 
-// Book knows what was seen of starts. The zero Book has seen nothing.
-type Book struct {
+// History knows what was seen of starts. The zero History has seen nothing.
+type History struct {
 	watched  bool
 	departed map[string]start
 	order    []string // of the departed, the oldest first
 }
 
-// Watched notes that the list has been told: what changes from now on changes as it is told.
-func (b *Book) Watched() { b.watched = true }
+// MarkWatched notes that the list has been told: what changes from now on changes as it is told.
+func (b *History) MarkWatched() { b.watched = true }
 
-// Begun is when a server counts as started whose start the list tells for the first time, or anew: as the news comes if the list was
+// StartTime is when a server counts as started whose start the list tells for the first time, or anew: as the news comes if the list was
 // watched before, and else as told, but no later than now. One that has left and returns with the start that it had has not been
 // restarted. 0 is long ago. Guards against a clock behind this one, by which a cold server is warm as it joins, and one ahead, by
 // which it stays cold.
-func (b *Book) Begun(now time.Duration, id string, told time.Duration) time.Duration {
+func (b *History) StartTime(now time.Duration, id string, told time.Duration) time.Duration {
 	if told == 0 {
 		return 0
 	}
@@ -41,8 +41,8 @@
 	return min(told, now)
 }
 
-// Left remembers the start of a server that leaves the list.
-func (b *Book) Left(id string, told, begun time.Duration) {
+// RecordDeparture remembers the start of a server that leaves the list.
+func (b *History) RecordDeparture(id string, told, begun time.Duration) {
 	if b.departed == nil {
 		b.departed = map[string]start{}
 	}
@@ -50,7 +50,7 @@
 		b.order = append(b.order, id)
 	}
 	b.departed[id] = start{told, begun}
-	if len(b.order) > MostDeparted {
+	if len(b.order) > MaxDeparted {
 		delete(b.departed, b.order[0])
 		b.order = b.order[1:]
 	}
--- a/decide/starts/starts_test.go
+++ b/decide/starts/starts_test.go
@@ -22,34 +22,34 @@
 		{"watched, a clock behind", true, now - time.Hour, now},
 		{"watched, a clock ahead", true, now + time.Hour, now},
 	} {
-		var b Book
+		var b History
 		if c.watched {
-			b.Watched()
+			b.MarkWatched()
 		}
-		if got := b.Begun(now, "s", c.told); got != c.want {
+		if got := b.StartTime(now, "s", c.told); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
 func TestWhoReturnsAsItLeftHasNotStarted(t *testing.T) {
-	var b Book
-	b.Watched()
-	b.Left("s", 7, 9)
-	if got := b.Begun(time.Hour, "s", 7); got != 9 {
+	var b History
+	b.MarkWatched()
+	b.RecordDeparture("s", 7, 9)
+	if got := b.StartTime(time.Hour, "s", 7); got != 9 {
 		t.Errorf("returned with its start: %v", got)
 	}
-	if got := b.Begun(time.Hour, "s", 8); got != time.Hour {
+	if got := b.StartTime(time.Hour, "s", 8); got != time.Hour {
 		t.Errorf("returned with another start: %v", got)
 	}
-	for i := range 3 * MostDeparted {
-		b.Left(fmt.Sprint(i), 1, 1)
-		b.Left(fmt.Sprint(i), 2, 2)
+	for i := range 3 * MaxDeparted {
+		b.RecordDeparture(fmt.Sprint(i), 1, 1)
+		b.RecordDeparture(fmt.Sprint(i), 2, 2)
 	}
-	if len(b.departed) != MostDeparted || len(b.order) != MostDeparted {
+	if len(b.departed) != MaxDeparted || len(b.order) != MaxDeparted {
 		t.Errorf("%d are remembered in an order of %d", len(b.departed), len(b.order))
 	}
-	if got := b.Begun(time.Hour, fmt.Sprint(3*MostDeparted-1), 2); got != 2 {
+	if got := b.StartTime(time.Hour, fmt.Sprint(3*MaxDeparted-1), 2); got != 2 {
 		t.Errorf("the last one that left: %v", got)
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -100,10 +100,10 @@
 	servers map[string]*server
 	hands   map[string]Hand // by id, listed or not
 
-	starts  starts.Book // of servers, as far as they were seen
-	caches  []*server   // ready, by id
-	weights float64     // the sum of their weights as ranked last
-	steady  float64     // and of those that are warm
+	starts  starts.History // of servers, as far as they were seen
+	caches  []*server      // ready, by id
+	weights float64        // the sum of their weights as ranked last
+	steady  float64        // and of those that are warm
 	origin  *server
 	open    map[string]*request
 	order   []*request     // open requests by arrival
@@ -455,15 +455,15 @@
 	for _, e := range list {
 		s := b.servers[e.ID]
 		if s == nil {
-			s = &server{limit: firstLimit, begun: b.starts.Begun(b.now, e.ID, e.Started)}
+			s = &server{limit: firstLimit, begun: b.starts.StartTime(b.now, e.ID, e.Started)}
 			b.servers[e.ID] = s
 		} else if e.Started != s.Started { // a restart: what was learned of the old process is void
-			s.fails, s.skipUntil, s.begun = 0, 0, b.starts.Begun(b.now, e.ID, e.Started)
+			s.fails, s.skipUntil, s.begun = 0, 0, b.starts.StartTime(b.now, e.ID, e.Started)
 		}
 		s.Server = e
 	}
 	if kind == ListChanges || kind == ListWhole {
-		b.starts.Watched()
+		b.starts.MarkWatched()
 	}
 	b.reindex()
 }
@@ -479,7 +479,7 @@
 		s.banned, s.started = h.Banned, h.startedAt(s)
 		switch {
 		case s.State == Gone && len(s.sent) == 0 && len(s.queue) == 0:
-			b.starts.Left(s.ID, s.Started, s.begun)
+			b.starts.RecordDeparture(s.ID, s.Started, s.begun)
 			delete(b.servers, s.ID) // a fleet that changes for days must not fill the memory
 		case !s.open():
 		case b.set.OriginKind != "" && s.Kind == b.set.OriginKind:
