--- a/decide/handover/handover.go
+++ b/decide/handover/handover.go
@@ -14,9 +14,9 @@
 
 // The stages, in order.
 const (
-	Coming  Stage = iota // it takes no clients yet
-	Serving              // it takes clients
-	Leaving              // it finishes what it has
+	Starting Stage = iota // it takes no clients yet
+	Serving               // it takes clients
+	Leaving               // it finishes what it has
 )
 
 const (
@@ -26,47 +26,47 @@
 
 // Process is what a process makes known of itself.
 type Process struct {
-	Order int64 // by start; no two have the same
-	Stage Stage
-	Open  int   // descriptors that it holds
-	Room  int   // descriptors that it takes for its own
-	Made  int64 // the order of the youngest process in whose sight Room was settled
+	Order      int64 // by start; no two have the same
+	Stage      Stage
+	OpenFDs    int   `json:"Open"` // file descriptors that it holds
+	FDLimit    int   `json:"Room"` // file descriptors that it may use
+	SettledFor int64 `json:"Made"` // the order of the youngest process known when FDLimit was last settled
 }
 
-// Share settles what a process takes of so many descriptors; Room is the one that it had. It reports whether all elders
+// AllocateFDs settles what a process takes of so many descriptors; Room is the one that it had. It reports whether all elders
 // have made room for it, without which it must not take clients, unless it has waited for long.
-func Share(total int, self Process, others []Process, waitedLong bool) (Process, bool) {
+func AllocateFDs(total int, self Process, others []Process, waitedLong bool) (Process, bool) {
 	youngest, left, made := self.Order, total, true
 	for _, o := range others {
 		if youngest = max(youngest, o.Order); o.Order < self.Order {
-			made = made && o.Made >= self.Order
+			made = made && o.SettledFor >= self.Order
 		}
-		left -= o.Room
+		left -= o.FDLimit
 	}
 	if self.Order < youngest {
-		want := max(self.Open, total/2)
+		want := max(self.OpenFDs, total/2)
 		if self.Stage == Leaving {
-			want = self.Open + leavingSlack
+			want = self.OpenFDs + leavingSlack
 		}
-		self.Room, self.Made = min(self.Room, want), youngest
+		self.FDLimit, self.SettledFor = min(self.FDLimit, want), youngest
 		return self, true
 	}
-	self.Made = self.Order
+	self.SettledFor = self.Order
 	switch {
 	case made:
-		self.Room = max(0, left)
+		self.FDLimit = max(0, left)
 	case waitedLong: // an elder that stands still holds what it holds; a node that can't be replaced is worse
-		self.Room = max(left, total/deafPart)
+		self.FDLimit = max(left, total/deafPart)
 	default:
-		self.Room = 0
+		self.FDLimit = 0
 	}
 	return self, made
 }
 
-// Memory is the part of the memory that each of the processes may use.
-func Memory(total int, others int) int { return max(1, total/(1+others)) }
+// MemoryShare is the part of the memory that each of the processes may use.
+func MemoryShare(total int, others int) int { return max(1, total/(1+others)) }
 
-// Succeeded reports whether a younger process takes clients in a process's place.
-func Succeeded(self Process, others []Process) bool {
+// HasSuccessor reports whether a younger process takes clients in a process's place.
+func HasSuccessor(self Process, others []Process) bool {
 	return slices.ContainsFunc(others, func(o Process) bool { return o.Order > self.Order && o.Stage == Serving })
 }
--- a/decide/handover/handover_test.go
+++ b/decide/handover/handover_test.go
@@ -16,21 +16,21 @@
 		room   int
 		may    bool
 	}{
-		{"alone", Process{Order: 5, Room: 10}, nil, false, 100, true},
-		{"an elder, with little", Process{Order: 5, Stage: Serving, Open: 10, Room: 100}, []Process{{Order: 6}}, false, 50, true},
-		{"an elder, with much", Process{Order: 5, Stage: Serving, Open: 70, Room: 100}, []Process{{Order: 6}}, false, 70, true},
-		{"an elder takes no more than it had", Process{Order: 5, Stage: Serving, Open: 10, Room: 30}, []Process{{Order: 6, Room: 20}}, false, 30, true},
-		{"an elder that leaves", Process{Order: 5, Stage: Leaving, Open: 10, Room: 50}, []Process{{Order: 6, Room: 50}}, false, 18, true},
-		{"not heard yet", Process{Order: 6}, []Process{{Order: 5, Room: 100}}, false, 0, false},
-		{"heard", Process{Order: 6}, []Process{{Order: 5, Room: 50, Made: 6}}, false, 50, true},
-		{"an elder that stands still", Process{Order: 6}, []Process{{Order: 5, Room: 100}}, true, 25, false},
-		{"the youngest of three", Process{Order: 7}, []Process{{Order: 5, Room: 18, Made: 7}, {Order: 6, Room: 50, Made: 7}}, false, 32, true},
-		{"the youngest of three, one has not heard", Process{Order: 7}, []Process{{Order: 5, Room: 18, Made: 7}, {Order: 6, Room: 82, Made: 6}}, false, 0, false},
-		{"between two", Process{Order: 6, Room: 82, Open: 20}, []Process{{Order: 5, Room: 18, Made: 7}, {Order: 7}}, false, 50, true},
+		{"alone", Process{Order: 5, FDLimit: 10}, nil, false, 100, true},
+		{"an elder, with little", Process{Order: 5, Stage: Serving, OpenFDs: 10, FDLimit: 100}, []Process{{Order: 6}}, false, 50, true},
+		{"an elder, with much", Process{Order: 5, Stage: Serving, OpenFDs: 70, FDLimit: 100}, []Process{{Order: 6}}, false, 70, true},
+		{"an elder takes no more than it had", Process{Order: 5, Stage: Serving, OpenFDs: 10, FDLimit: 30}, []Process{{Order: 6, FDLimit: 20}}, false, 30, true},
+		{"an elder that leaves", Process{Order: 5, Stage: Leaving, OpenFDs: 10, FDLimit: 50}, []Process{{Order: 6, FDLimit: 50}}, false, 18, true},
+		{"not heard yet", Process{Order: 6}, []Process{{Order: 5, FDLimit: 100}}, false, 0, false},
+		{"heard", Process{Order: 6}, []Process{{Order: 5, FDLimit: 50, SettledFor: 6}}, false, 50, true},
+		{"an elder that stands still", Process{Order: 6}, []Process{{Order: 5, FDLimit: 100}}, true, 25, false},
+		{"the youngest of three", Process{Order: 7}, []Process{{Order: 5, FDLimit: 18, SettledFor: 7}, {Order: 6, FDLimit: 50, SettledFor: 7}}, false, 32, true},
+		{"the youngest of three, one has not heard", Process{Order: 7}, []Process{{Order: 5, FDLimit: 18, SettledFor: 7}, {Order: 6, FDLimit: 82, SettledFor: 6}}, false, 0, false},
+		{"between two", Process{Order: 6, FDLimit: 82, OpenFDs: 20}, []Process{{Order: 5, FDLimit: 18, SettledFor: 7}, {Order: 7}}, false, 50, true},
 	} {
-		got, may := Share(100, c.self, c.others, c.waited)
-		if got.Room != c.room || may != c.may {
-			t.Errorf("%s: room %d, may %v; want %d, %v", c.name, got.Room, may, c.room, c.may)
+		got, may := AllocateFDs(100, c.self, c.others, c.waited)
+		if got.FDLimit != c.room || may != c.may {
+			t.Errorf("%s: room %d, may %v; want %d, %v", c.name, got.FDLimit, may, c.room, c.may)
 		}
 	}
 }
@@ -76,26 +76,26 @@
 						others = append(others, said[o.Order])
 					}
 				}
-				self.Open = rapid.IntRange(0, self.Room).Draw(t, "open")
+				self.OpenFDs = rapid.IntRange(0, self.FDLimit).Draw(t, "open")
 				self.Stage = max(self.Stage, Stage(rapid.IntRange(0, 2).Draw(t, "stage")))
-				self, _ = Share(total, self, others, false)
-				if self.Room < self.Open && len(others) > 0 && self.Order != slices.MaxFunc(live, func(a, b Process) int { return int(a.Order - b.Order) }).Order {
-					t.Fatalf("an elder holds %d and takes %d", self.Open, self.Room)
+				self, _ = AllocateFDs(total, self, others, false)
+				if self.FDLimit < self.OpenFDs && len(others) > 0 && self.Order != slices.MaxFunc(live, func(a, b Process) int { return int(a.Order - b.Order) }).Order {
+					t.Fatalf("an elder holds %d and takes %d", self.OpenFDs, self.FDLimit)
 				}
 				live[i] = self
 				stale[self.Order], said[self.Order] = said[self.Order], self
 			}
 			sum := 0
 			for _, p := range live {
-				sum += p.Room
+				sum += p.FDLimit
 			}
 			if sum > total {
 				t.Fatalf("%d of %d taken: %+v", sum, total, live)
 			}
 		}
 		if len(live) == 1 {
-			if self, may := Share(total, live[0], nil, false); self.Room != total || !may {
-				t.Fatalf("alone it takes %d", self.Room)
+			if self, may := AllocateFDs(total, live[0], nil, false); self.FDLimit != total || !may {
+				t.Fatalf("alone it takes %d", self.FDLimit)
 			}
 		}
 	})
--- a/internal/handover/clock_test.go
+++ b/internal/handover/clock_test.go
@@ -17,7 +17,7 @@
 func aged(t *testing.T, m *member, dir string, skew time.Duration) (lock *os.File) {
 	t.Helper()
 	s := m.Self()
-	s.Process = decide.Process{Order: int64(m.loop.Now() + skew), Stage: decide.Serving, Room: 100}
+	s.Process = decide.Process{Order: int64(m.loop.Now() + skew), Stage: decide.Serving, FDLimit: 100}
 	base := filepath.Join(dir, fmt.Sprintf("%s%d-%d", m.prefix, s.Process.Order, s.PID+1))
 	lock, err := os.Create(base + ".lock")
 	if err != nil {
--- a/internal/handover/faults_test.go
+++ b/internal/handover/faults_test.go
@@ -32,7 +32,7 @@
 		for _, errno := range []unix.Errno{unix.ENFILE, unix.EMFILE, unix.EIO, unix.ENOMEM} {
 			l, dir := newLoop(t), t.TempDir()
 			old, fresh := join(t, l, dir, "n1"), join(t, l, dir, "n1")
-			old.say(t, func(s *State) { s.Process.Room = 100 })
+			old.say(t, func(s *State) { s.Process.FDLimit = 100 })
 			fresh.say(t, func(*State) {})
 			fresh.Look()
 			end := failing(t, errno, calls...)
@@ -43,7 +43,7 @@
 				}
 			}
 			end()
-			fresh.say(t, func(s *State) { s.Process.Room = 1 })
+			fresh.say(t, func(s *State) { s.Process.FDLimit = 1 })
 			old.die()
 			until(t, l, "its end is heard once that can be read", func() bool { return len(fresh.Left()) == 1 })
 		}
--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -190,7 +190,7 @@
 		return s, fmt.Errorf("version %d, not %d", s.Version, version)
 	case s.Name != m.opt.Name || s.Listen != m.opt.Listen:
 		return s, fmt.Errorf("of another node, %q at %s", s.Name, s.Listen)
-	case s.Process.Open < 0 || s.Process.Room < 0 || s.Process.Order <= 0 || s.Process.Order >= mostOrder,
+	case s.Process.OpenFDs < 0 || s.Process.FDLimit < 0 || s.Process.Order <= 0 || s.Process.Order >= mostOrder,
 		s.Lame.At < 0 || s.Lame.At >= mostOrder, slices.ContainsFunc(s.Hands, senseless):
 		return s, errors.New("figures that make no sense")
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -77,10 +77,10 @@
 	old := join(t, l, dir, "n1")
 	old.say(t, func(s *State) {
 		s.Hands = []policy.Hand{{ID: "s-1", Banned: true, At: 5, Since: 5}}
-		s.Process.Room = 100
+		s.Process.FDLimit = 100
 	})
 	fresh := join(t, l, dir, "n1")
-	if p := fresh.Peers(); len(p) != 1 || len(p[0].Hands) != 1 || p[0].Process.Room != 100 || p[0].PID != os.Getpid() {
+	if p := fresh.Peers(); len(p) != 1 || len(p[0].Hands) != 1 || p[0].Process.FDLimit != 100 || p[0].PID != os.Getpid() {
 		t.Fatalf("at its start: %+v", p)
 	}
 	if old.watch == nil {
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -168,15 +168,15 @@
 	}
 	n, others := s.node, processes(s.others())
 	self := s.member.Self().Process
-	self.Open, self.Stage = n.loop.Open(), s.stage()
+	self.OpenFDs, self.Stage = n.loop.Open(), s.stage()
 	waited := s.readyAt > 0 && n.loop.Now()-s.readyAt > deafFor
-	was := self.Room
-	self, s.made = decide.Share(n.cfg.Sockets, self, others, waited)
-	s.room = self.Room
+	was := self.FDLimit
+	self, s.made = decide.AllocateFDs(n.cfg.Sockets, self, others, waited)
+	s.room = self.FDLimit
 	if n.clients.listener != nil {
 		n.clients.listener.Share(slices.ContainsFunc(others, func(o decide.Process) bool { return o.Order > self.Order }))
 	}
-	if was != self.Room && len(others) > 0 && was > 0 && self.Stage == decide.Serving {
+	if was != self.FDLimit && len(others) > 0 && was > 0 && self.Stage == decide.Serving {
 		n.clients.thin()
 	}
 	s.tell(self)
@@ -197,13 +197,13 @@
 	was := x
 	// Guards against a file written anew every 50 ms, on the loop, for what no other process decides upon. Where the directory
 	// lies on a disk that others keep busy, one such write took up to 0.15 s.
-	held := self.Open
-	if self.Open = was.Process.Open; self != was.Process {
-		self.Open = held
+	held := self.OpenFDs
+	if self.OpenFDs = was.Process.OpenFDs; self != was.Process {
+		self.OpenFDs = held
 	}
 	x.Process, x.Hands, x.List = self, n.policy.Hands(), s.list()
 	x.Lame = handover.Lame{On: n.lame, At: n.lameAt}
-	if now := n.loop.Now(); s.member.Owed() == nil && now-s.told < tellEvery && self.Stage == was.Process.Stage && self.Made == was.Process.Made &&
+	if now := n.loop.Now(); s.member.Owed() == nil && now-s.told < tellEvery && self.Stage == was.Process.Stage && self.SettledFor == was.Process.SettledFor &&
 		slices.Equal(x.Hands, was.Hands) && x.Lame == was.Lame && slices.Equal(x.List.Leaving, was.List.Leaving) {
 		return
 	} else {
@@ -265,7 +265,7 @@
 	case s.node.clients.listener != nil:
 		return decide.Serving
 	}
-	return decide.Coming
+	return decide.Starting
 }
 
 // list is what other processes need to know of this one's list.
@@ -320,7 +320,7 @@
 	}
 	serving := 0
 	for _, o := range others {
-		if o.Process.Stage != decide.Coming {
+		if o.Process.Stage != decide.Starting {
 			serving++
 		}
 	}
@@ -342,7 +342,7 @@
 		return false
 	}
 	s.look()
-	return decide.Succeeded(s.member.Self().Process, processes(s.others()))
+	return decide.HasSuccessor(s.member.Self().Process, processes(s.others()))
 }
 
 // sockets is how many descriptors this process may hold; memoryMB how many megabytes.
@@ -353,7 +353,7 @@
 	return n.succession.room
 }
 
-func (n *Node) memoryMB() int { return decide.Memory(n.cfg.MemoryMB, len(n.succession.others())) }
+func (n *Node) memoryMB() int { return decide.MemoryShare(n.cfg.MemoryMB, len(n.succession.others())) }
 
 // reserve is how many of them are kept for what is no pool's and no client's, and for clients of a full house.
 func (n *Node) reserve() int {
--- a/internal/node/succession_test.go
+++ b/internal/node/succession_test.go
@@ -88,7 +88,7 @@
 		t.Error("its stage is not told")
 	}
 	young.Look()
-	if p := young.Peers()[0].Process; p.Stage != decide.Leaving || p.Open != n.loop.Open() || p.Room != s.room {
+	if p := young.Peers()[0].Process; p.Stage != decide.Leaving || p.OpenFDs != n.loop.Open() || p.FDLimit != s.room {
 		t.Errorf("tells %+v, holds %d and takes %d", p, n.loop.Open(), s.room)
 	}
 }
