--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -40,9 +40,9 @@
 
 // Config says what is kept.
 type Config struct {
-	Endpoints int
-	TTL       time.Duration // of the lease; at least a second
-	Limit     time.Duration // how long a call may take; 0 takes a third of TTL
+	Endpoints   int
+	TTL         time.Duration // of the lease; at least a second
+	CallTimeout time.Duration // how long a call may take; 0 takes a third of TTL
 }
 
 // Actions is what a keeper may do.
@@ -78,8 +78,8 @@
 // New makes a keeper of an entry that does nothing before Start.
 func New(cfg Config, value []byte, seed uint64, act Actions) *Keeper {
 	cfg.Endpoints, cfg.TTL = max(1, cfg.Endpoints), max(time.Second, cfg.TTL)
-	if cfg.Limit <= 0 {
-		cfg.Limit = cfg.TTL / 3
+	if cfg.CallTimeout <= 0 {
+		cfg.CallTimeout = cfg.TTL / 3
 	}
 	k := &Keeper{cfg: cfg, act: act, value: value, rng: rand.New(rand.NewPCG(seed, 0x6c65617365))}
 	k.at = k.rng.IntN(cfg.Endpoints)
@@ -92,8 +92,8 @@
 	k.step()
 }
 
-// Change keeps another value from now on.
-func (k *Keeper) Change(now time.Duration, value []byte) {
+// SetValue keeps another value from now on.
+func (k *Keeper) SetValue(now time.Duration, value []byte) {
 	k.now, k.value, k.stored = now, value, false
 	if k.call.ID == 0 && k.fails == 0 {
 		k.step()
@@ -108,8 +108,8 @@
 	}
 }
 
-// Over reports whether nothing more is done.
-func (k *Keeper) Over() bool { return k.over }
+// Finished reports whether nothing more is done.
+func (k *Keeper) Finished() bool { return k.over }
 
 // Held reports whether the entry stands, as far as is known.
 func (k *Keeper) Held(now time.Duration) bool { return k.lease != "" && k.stored && now < k.until }
@@ -142,7 +142,7 @@
 	if op == Put {
 		k.call.Value = k.value
 	}
-	k.by = k.now + k.cfg.Limit
+	k.by = k.now + k.cfg.CallTimeout
 	k.act.Do(k.call)
 	k.act.Wake(k.by)
 }
@@ -152,7 +152,7 @@
 	if k.now = now; call != k.call.ID || call == 0 {
 		return
 	}
-	c, began := k.call, k.by-k.cfg.Limit // its time to live counts from when it was asked for
+	c, began := k.call, k.by-k.cfg.CallTimeout // its time to live counts from when it was asked for
 	k.call = Call{}
 	if c.Op != Revoke && c.Op != Put && ttl <= 0 || c.Op == Grant && lease == "" {
 		k.act.Note("lease_gone", fmt.Sprintf("lease=%q", k.lease))
--- a/decide/lease/lease_test.go
+++ b/decide/lease/lease_test.go
@@ -102,14 +102,14 @@
 	if m.k.Granted != 1 || m.k.Renewed < 45 || m.k.Renewed > 75 {
 		t.Errorf("%d granted, %d renewed", m.k.Granted, m.k.Renewed)
 	}
-	m.k.Change(m.now, []byte("v2"))
+	m.k.SetValue(m.now, []byte("v2"))
 	m.run(100 * ms)
 	if m.entry != "v2" {
 		t.Errorf("%q", m.entry)
 	}
 	m.k.Stop(m.now)
 	m.run(100 * ms)
-	if m.present() || !m.k.Over() {
+	if m.present() || !m.k.Finished() {
 		t.Error("it outlives its process")
 	}
 	before := m.calls
@@ -135,7 +135,7 @@
 				clear(m.leases) // the registry was wiped
 				m.entry = ""
 			case 3:
-				m.k.Change(m.now, []byte(rapid.StringN(1, 3, 9).Draw(t, "value")))
+				m.k.SetValue(m.now, []byte(rapid.StringN(1, 3, 9).Draw(t, "value")))
 			}
 			before, begin := m.calls, m.now
 			m.run(time.Duration(rapid.IntRange(0, 20000).Draw(t, "wait")) * ms)
@@ -166,7 +166,7 @@
 	}
 	m.k.Stop(m.now)
 	m.run(10 * time.Second)
-	if !m.k.Over() {
+	if !m.k.Finished() {
 		t.Error("a revocation that fails is tried for good")
 	}
 }
--- a/internal/registry/announce.go
+++ b/internal/registry/announce.go
@@ -39,7 +39,7 @@
 func (a *Announcer) Start() { a.keeper.Start(a.loop.Now()) }
 
 // Change keeps another value from now on.
-func (a *Announcer) Change(value []byte) { a.keeper.Change(a.loop.Now(), value) }
+func (a *Announcer) Change(value []byte) { a.keeper.SetValue(a.loop.Now(), value) }
 
 // Stop takes the entry out; over is called once that is done, or has failed.
 func (a *Announcer) Stop(over func()) {
@@ -59,7 +59,7 @@
 
 // settle tells of the end.
 func (a *Announcer) settle() {
-	if a.over != nil && a.keeper.Over() {
+	if a.over != nil && a.keeper.Finished() {
 		over := a.over
 		a.over = nil
 		a.wake.Stop()
