--- a/decide/roster/model_test.go
+++ b/decide/roster/model_test.go
@@ -81,8 +81,8 @@
 	m := &model{t: t, style: s, rng: rand.New(rand.NewPCG(1, 2)), lag: make([]int64, endpoints), down: make([]bool, endpoints),
 		mute: make([]bool, endpoints), byTime: map[int64]int{}, latency: ms, epoch: "one"}
 	for i := range followers {
-		cfg := Config{Endpoints: endpoints, Nodes: followers, Within: 4 * time.Second, Stream: s == stream, Watch: 5 * time.Second,
-			Limit: 500 * ms, Page: 3}
+		cfg := Config{Endpoints: endpoints, Nodes: followers, AskWithin: 4 * time.Second, Streaming: s == stream, WatchTimeout: 5 * time.Second,
+			CallTimeout: 500 * ms, PageSize: 3}
 		if change != nil {
 			change(&cfg)
 		}
@@ -106,7 +106,7 @@
 // set changes a key; a state of Gone deletes it.
 func (m *model) set(key string, e Entry) {
 	m.rev++
-	m.log = append(m.log, Change{Key: key, Revision: m.rev, Gone: e.State == policy.Gone, Entry: e})
+	m.log = append(m.log, Change{Key: key, Revision: m.rev, Deleted: e.State == policy.Gone, Entry: e})
 	for _, p := range m.followers {
 		m.flow(p)
 	}
@@ -119,7 +119,7 @@
 		if c.Revision > rev {
 			break
 		}
-		if c.Gone {
+		if c.Deleted {
 			delete(state, c.Key)
 		} else {
 			state[c.Key] = c
@@ -176,7 +176,7 @@
 
 func (m *model) answer(p *peer, a Answer) {
 	a.Call, a.Epoch = p.call.ID, m.epoch
-	if a.Over || a.Kind == Compacted {
+	if a.Final || a.Kind == Compacted {
 		m.later(p, m.latency, func() { p.f.Answer(m.now, a) })
 		return
 	}
@@ -209,25 +209,25 @@
 	}
 	rev := m.visible(end)
 	switch {
-	case c.Whole:
+	case c.ReadList:
 		at := cmp.Or(c.Revision, rev)
 		if at < m.min || at > rev {
-			m.answer(p, Answer{Kind: Compacted, Over: true})
+			m.answer(p, Answer{Kind: Compacted, Final: true})
 			return
 		}
-		page := slices.DeleteFunc(m.at(at), func(x Change) bool { return x.Key <= c.From })
-		a := Answer{Kind: List, Revision: rev, Over: true}
-		if c.Page > 0 && len(page) > c.Page {
-			page = page[:c.Page]
-			a.More = page[len(page)-1].Key
+		page := slices.DeleteFunc(m.at(at), func(x Change) bool { return x.Key <= c.After })
+		a := Answer{Kind: List, Revision: rev, Final: true}
+		if c.PageSize > 0 && len(page) > c.PageSize {
+			page = page[:c.PageSize]
+			a.NextPageAfter = page[len(page)-1].Key
 		}
 		a.Changes = page
 		m.answer(p, a)
 	case c.Revision < m.min && m.style == stream:
-		m.answer(p, Answer{Kind: Compacted, Over: true})
+		m.answer(p, Answer{Kind: Compacted, Final: true})
 	case m.style == stream:
 		p.watch = c.Revision
-		m.answer(p, Answer{Kind: Alive, Revision: rev})
+		m.answer(p, Answer{Kind: Heartbeat, Revision: rev})
 		m.flow(p)
 	default:
 		m.flow(p)
@@ -238,7 +238,7 @@
 // flow tells a follower that waits what it can see by now.
 func (m *model) flow(p *peer) {
 	c := p.call
-	if c.ID == 0 || c.ID == p.lost || c.Whole || m.mute[c.Endpoint] || m.down[c.Endpoint] {
+	if c.ID == 0 || c.ID == p.lost || c.ReadList || m.mute[c.Endpoint] || m.down[c.Endpoint] {
 		return
 	}
 	rev := m.visible(c.Endpoint)
@@ -251,10 +251,10 @@
 	if p.watch >= 0 && rev > p.watch {
 		news := m.since(p.watch, rev)
 		p.watch = rev
-		m.answer(p, Answer{Kind: News, Revision: rev, Changes: news})
+		m.answer(p, Answer{Kind: Changes, Revision: rev, Changes: news})
 		if m.double { // and what was told before, and a progress that overtakes what it speaks of
-			m.answer(p, Answer{Kind: News, Revision: rev, Changes: m.since(rev-6, rev)})
-			m.answer(p, Answer{Kind: News, Revision: rev, Changes: m.since(rev-6, rev-2)})
+			m.answer(p, Answer{Kind: Changes, Revision: rev, Changes: m.since(rev-6, rev)})
+			m.answer(p, Answer{Kind: Changes, Revision: rev, Changes: m.since(rev-6, rev-2)})
 			m.answer(p, Answer{Kind: Progress, Revision: rev + 1})
 		}
 	}
@@ -265,14 +265,14 @@
 	c := p.call
 	rev := m.visible(c.Endpoint)
 	if m.style == whole || c.Revision < m.min || rev < c.Revision {
-		p.f.Answer(m.now, Answer{Call: c.ID, Kind: List, Revision: rev, Epoch: m.epoch, Changes: m.at(rev), Over: true})
+		p.f.Answer(m.now, Answer{Call: c.ID, Kind: List, Revision: rev, Epoch: m.epoch, Changes: m.at(rev), Final: true})
 		return
 	}
 	news := m.since(c.Revision, rev)
 	for i := range news {
 		news[i].Revision = 0 // discovery tells none
 	}
-	p.f.Answer(m.now, Answer{Call: c.ID, Kind: News, Revision: rev, Epoch: m.epoch, Changes: news, Over: true})
+	p.f.Answer(m.now, Answer{Call: c.ID, Kind: Changes, Revision: rev, Epoch: m.epoch, Changes: news, Final: true})
 }
 
 // run lets time pass.
@@ -311,18 +311,18 @@
 	if p.ups++; p.first == 0 {
 		p.first = p.m.now
 	}
-	if u.Whole {
+	if u.Complete {
 		clear(p.told)
 	}
 	for _, e := range u.Entries {
-		if old, known := p.told[e.ID]; known && old == e && !u.Whole {
+		if old, known := p.told[e.ID]; known && old == e && !u.Complete {
 			p.m.t.Fatalf("%s is told twice", e.ID)
 		}
 		if e.State == policy.Draining && p.drain == 0 {
 			p.drain = p.m.now
 		}
 		if p.when[e.ID] = p.m.now; e.State == policy.Gone {
-			if _, known := p.told[e.ID]; !known && !u.Whole {
+			if _, known := p.told[e.ID]; !known && !u.Complete {
 				p.m.t.Fatalf("%s goes, which was not there", e.ID)
 			}
 			delete(p.told, e.ID)
--- a/decide/roster/ready_test.go
+++ b/decide/roster/ready_test.go
@@ -127,7 +127,7 @@
 			p := m.followers[0]
 			if saved {
 				p.told = map[string]Entry{"s": entry("s", policy.Ready)}
-				p.f.Saved(1, []Entry{entry("s", policy.Ready)})
+				p.f.Restore(1, []Entry{entry("s", policy.Ready)})
 			}
 			m.start()
 			m.run(3 * time.Second)
--- a/decide/roster/roster.go
+++ b/decide/roster/roster.go
@@ -59,21 +59,21 @@
 	return f
 }
 
-// Saved takes the list that the node had before, at its revision; it is watched from there.
-func (f *Follower) Saved(rev int64, entries []Entry) {
+// Restore takes the list that the node had before, at its revision; it is watched from there.
+func (f *Follower) Restore(rev int64, entries []Entry) {
 	for _, e := range entries {
 		if f.put(e.ID, rev, e) {
 			f.show(e, false)
 		}
 	}
 	clear(f.touched)
-	f.rev, f.known, f.whole, f.looking, f.missed = rev, true, false, f.cfg.Quick, f.cfg.Quick
+	f.rev, f.known, f.whole, f.looking, f.missed = rev, true, false, f.cfg.ImmediateFirstWatch, f.cfg.ImmediateFirstWatch
 }
 
 // Start makes the first call: at once, or, with a list in hand, within the time in which so many nodes may call.
 func (f *Follower) Start(now time.Duration) {
 	f.now = now
-	if len(f.shown) == 0 || f.crowd() < 50*time.Millisecond || f.cfg.Pause > 0 {
+	if len(f.shown) == 0 || f.crowd() < 50*time.Millisecond || f.cfg.PushedRetryDelay > 0 {
 		f.ask()
 	} else {
 		f.retry = now + time.Duration(f.rng.Float64()*float64(min(f.crowd(), time.Second)))
@@ -81,8 +81,8 @@
 	f.wake()
 }
 
-// Move takes another registry, or other endpoints of it: the list held stays until the new one has told its own.
-func (f *Follower) Move(now time.Duration, cfg Config) {
+// ChangeRegistry takes another registry, or other endpoints of it: the list held stays until the new one has told its own.
+func (f *Follower) ChangeRegistry(now time.Duration, cfg Config) {
 	f.now, f.cfg = now, cfg.whole()
 	f.ends = make([]endpoint, f.cfg.Endpoints)
 	f.at = f.rng.IntN(f.cfg.Endpoints)
@@ -96,7 +96,7 @@
 
 // crowd is the time in which all nodes may make a call each.
 func (f *Follower) crowd() time.Duration {
-	return time.Duration(float64(f.cfg.Nodes) / f.cfg.Calls * float64(time.Second))
+	return time.Duration(float64(f.cfg.Nodes) / f.cfg.CallRate * float64(time.Second))
 }
 
 // ask makes the next call.
@@ -106,20 +106,20 @@
 	c := Call{ID: f.serial, Endpoint: f.at}
 	switch {
 	case f.whole:
-		c.Whole, c.Page = true, f.cfg.Page
+		c.ReadList, c.PageSize = true, f.cfg.PageSize
 		if len(f.pages) > 0 { // the next page, of the same revision
-			c.Revision, c.From = f.pageRev, f.pages[len(f.pages)-1].Key
+			c.Revision, c.After = f.pageRev, f.pages[len(f.pages)-1].Key
 		}
 	default:
-		c.Revision, c.Wait = f.rev, time.Duration((1-spread*f.rng.Float64())*float64(f.cfg.Watch))
+		c.Revision, c.Wait = f.rev, time.Duration((1-spread*f.rng.Float64())*float64(f.cfg.WatchTimeout))
 		if f.looking { // the list held may be old: what is newer is wanted first
 			c.Wait = glance
 		}
 	}
 	f.call, f.asked, f.heard, f.begun = c, f.now, false, 0
 	switch f.by = f.now + f.limit(); {
-	case f.cfg.Stream:
-	case f.looking && f.fails == 0 && f.Counts.Answers > 0 && !c.Whole:
+	case f.cfg.Streaming:
+	case f.looking && f.fails == 0 && f.Counts.Answers > 0 && !c.ReadList:
 		f.by = f.now + min(f.limit(), lookFor)
 	case f.waits():
 		f.by = f.now + c.Wait + overdue
@@ -137,22 +137,22 @@
 	return (counted - callRoom) / time.Duration(min(tries, (c.Endpoints+1)/2))
 }
 
-// MostNodes is the largest fleet that can know of each change before it counts with these settings: a call of each node
+// MaxNodes is the largest fleet that can know of each change before it counts with these settings: a call of each node
 // in the time there is stays under Calls. A larger one keeps to Calls, and takes longer. Lists that are pushed to an agent
 // beside each node (Pause) know no such bound: math.MaxInt.
-func MostNodes(cfg Config) int {
-	if cfg.Pause > 0 {
+func MaxNodes(cfg Config) int {
+	if cfg.PushedRetryDelay > 0 {
 		return math.MaxInt
 	}
 	cfg = cfg.whole()
-	return max(1, int(cfg.Calls*(1-unsynced/2)*cfg.longest().Seconds()+1e-6)) // lest 150 comes out as 149
+	return max(1, int(cfg.CallRate*(1-unsynced/2)*cfg.longest().Seconds()+1e-6)) // lest 150 comes out as 149
 }
 
 // limit is how long the next call may take besides its wait. Guards against a registry whose answers take longer than
 // Limit, of which none would ever come, and one that works through calls given up before it comes to those that are not.
 func (f *Follower) limit() time.Duration {
-	limit := f.cfg.Limit
-	if f.slow && f.cfg.Pause == 0 || !f.known {
+	limit := f.cfg.CallTimeout
+	if f.slow && f.cfg.PushedRetryDelay == 0 || !f.known {
 		limit = max(limit, slowCall)
 	}
 	return min(limit, f.cfg.longest()-soonest)
@@ -160,16 +160,16 @@
 
 // waits reports whether the call that is out is a watch that may wait for its one answer.
 func (f *Follower) waits() bool {
-	return f.call.ID != 0 && !f.call.Whole && !f.cfg.Stream && f.call.Wait > glance
+	return f.call.ID != 0 && !f.call.ReadList && !f.cfg.Streaming && f.call.Wait > glance
 }
 
-// Begun notes that a part of an answer to a watch, or of an object of a stream, has come, and the rest is due as that of any
+// SetAnswerPending notes that a part of an answer to a watch, or of an object of a stream, has come, and the rest is due as that of any
 // call; or, with on false, that nothing is owed but what may come as late as the watch allows. Guards against an answer that
 // stops in its midst or trickles for ever: what it was to tell was there when it began, and the watch was held for all of its
 // wait, 60 s with 60 nodes.
-func (f *Follower) Begun(now time.Duration, call uint64, on bool) {
+func (f *Follower) SetAnswerPending(now time.Duration, call uint64, on bool) {
 	f.now = now
-	switch may := call == f.call.ID && (f.waits() || f.cfg.Stream && f.heard); {
+	switch may := call == f.call.ID && (f.waits() || f.cfg.Streaming && f.heard); {
 	case may && on && f.begun == 0:
 		f.begun, f.rest, f.by = f.now, f.by, min(f.by, f.now+f.limit())
 	case may && !on && f.begun > 0:
@@ -184,7 +184,7 @@
 // (launceston-platform, calm+brink: requests sent 0.48 s past the grace). With the look, an answer that takes up to
 // lookFor to fail and the pause behind it the next call comes 1.75 s after the wait's end at the latest.
 func (f *Follower) look() {
-	f.Counts.Silent++
+	f.Counts.SilentWatches++
 	if f.noted == 0 || f.now-f.noted >= noteGap {
 		f.noted = f.now
 		f.act.Note("list_silent", fmt.Sprintf("waited=%s", f.call.Wait.Round(time.Millisecond)))
@@ -208,7 +208,7 @@
 func (f *Follower) Failed(now time.Duration, call uint64, why string) {
 	f.now = now
 	if call == f.call.ID && call != 0 {
-		f.slow = f.now-f.asked > f.cfg.Limit/2 && !f.waits() && !f.heard
+		f.slow = f.now-f.asked > f.cfg.CallTimeout/2 && !f.waits() && !f.heard
 		f.again(why)
 	}
 	f.wake()
@@ -267,11 +267,11 @@
 	draw := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(f.rng.Float64()*float64(max(0, most-least)))
 	}
-	if f.cfg.Pause > 0 {
+	if f.cfg.PushedRetryDelay > 0 {
 		// Guards against a drain that comes while no watch is open: what a pushed list says counts as told all the same.
-		return draw(half(f.cfg.Pause), f.cfg.Pause)
+		return draw(half(f.cfg.PushedRetryDelay), f.cfg.PushedRetryDelay)
 	}
-	crowd, first, took := f.crowd(), f.cfg.Within/16, f.now-since // the time that the call itself took is part of the wait
+	crowd, first, took := f.crowd(), f.cfg.AskWithin/16, f.now-since // the time that the call itself took is part of the wait
 	room := max(f.cfg.longest(), time.Duration(float64(crowd)/(1-unsynced/2)))
 	if f.missed && f.fails == 1 {
 		wait := min(lookAgain, first) // looks are spread already, as the waits before them were
@@ -283,8 +283,8 @@
 	}
 	wait := first
 	for range max(0, f.fails-1) / len(f.ends) {
-		if wait *= 2; wait >= f.cfg.Within/4 {
-			wait = f.cfg.Within / 4
+		if wait *= 2; wait >= f.cfg.AskWithin/4 {
+			wait = f.cfg.AskWithin / 4
 			break
 		}
 	}
@@ -328,7 +328,7 @@
 		return
 	}
 	if !f.waits() && !f.heard { // an answer that was due at once
-		f.slow = f.now-f.asked > f.cfg.Limit/2
+		f.slow = f.now-f.asked > f.cfg.CallTimeout/2
 	}
 	if f.fails > 1 {
 		f.act.Note("list_back", fmt.Sprintf("failed=%d", f.fails))
@@ -343,10 +343,10 @@
 		if !f.list(a) {
 			return // a page of several
 		}
-	case f.call.Whole:
+	case f.call.ReadList:
 		f.again("not the whole list")
 		return
-	case a.Kind == News:
+	case a.Kind == Changes:
 		f.news(a)
 	case a.Kind == Progress:
 		// The one before it counts: guards against a progress that overtakes the changes it speaks of, which a watch
@@ -357,9 +357,9 @@
 		// What is newer than the list held may still be on its way: only changes move its revision on.
 	}
 	switch {
-	case !a.Over: // nodes that began together must not all ask anew together
-		f.by = f.now + time.Duration((1-jitter*f.rng.Float64())*float64(f.cfg.Watch))
-	case empty && f.call.Wait > f.cfg.Limit && f.now-f.asked < f.call.Wait/4:
+	case !a.Final: // nodes that began together must not all ask anew together
+		f.by = f.now + time.Duration((1-jitter*f.rng.Float64())*float64(f.cfg.WatchTimeout))
+	case empty && f.call.Wait > f.cfg.CallTimeout && f.now-f.asked < f.call.Wait/4:
 		// Guards against a registry that answers each watch at once with nothing: it would be asked without end.
 		f.call = Call{}
 		if f.idle++; f.idle > mostIdle {
@@ -367,11 +367,11 @@
 			break
 		}
 		f.ask()
-	case late && f.known && f.cfg.Pause == 0:
+	case late && f.known && f.cfg.PushedRetryDelay == 0:
 		// Guards against a registry that turns callers away, and new nodes that have a list but not yet a watch among them:
 		// others have none. It goes on well before the node is one that has not asked for long.
 		f.idle, f.call = 0, Call{}
-		f.retry = f.now + time.Duration(f.rng.Float64()*float64(min(f.crowd(), f.cfg.longest(), f.cfg.Within/2)))
+		f.retry = f.now + time.Duration(f.rng.Float64()*float64(min(f.crowd(), f.cfg.longest(), f.cfg.AskWithin/2)))
 	default:
 		f.idle, f.call = 0, Call{}
 		f.ask() // at once: the watch goes on only if the next call comes soon
@@ -383,7 +383,7 @@
 // A reread that is compacted under way begins again, after a wait lest a registry that compacts all the time is stormed.
 func (f *Follower) forgotten() {
 	f.Counts.Compacted++
-	reading := f.call.Whole
+	reading := f.call.ReadList
 	f.drop()
 	f.whole = true
 	if !reading {
@@ -407,7 +407,7 @@
 		f.epoch = cmp.Or(a.Epoch, f.epoch)
 		return false
 	}
-	f.Counts.Older++
+	f.Counts.OlderAnswers++
 	f.ends[f.at].older = true
 	if f.older == 0 {
 		f.older = f.now
@@ -416,7 +416,7 @@
 		}
 		f.act.Note("list_older", fmt.Sprintf("held=%d told=%d", f.rev, a.Revision))
 	}
-	wait := f.cfg.Rewind
+	wait := f.cfg.RewindAfter
 	if slices.ContainsFunc(f.ends, func(e endpoint) bool { return !e.older }) {
 		wait *= 4 // one that says nothing may know better
 	}
@@ -424,7 +424,7 @@
 		f.aside()
 		return true
 	}
-	if f.call.Whole {
+	if f.call.ReadList {
 		f.act.Note("list_rewound", fmt.Sprintf("from=%d to=%d", f.rev, a.Revision))
 		f.anew, f.epoch = true, a.Epoch
 		return false
@@ -441,7 +441,7 @@
 		f.pageRev = a.Revision
 	}
 	f.pages = append(f.pages, a.Changes...)
-	if a.More != "" && len(f.pages) <= 2*f.cfg.Most {
+	if a.NextPageAfter != "" && len(f.pages) <= 2*f.cfg.MaxEntries {
 		if len(a.Changes) == 0 {
 			f.again("an empty page")
 			return false
@@ -496,13 +496,13 @@
 // take takes one change, of that revision, into the list.
 func (f *Follower) take(c Change, rev int64) {
 	switch {
-	case c.Bad:
+	case c.Malformed:
 		f.Counts.BadEntries++
-		if !f.bad[c.Key] && len(f.bad) < f.cfg.Most {
+		if !f.bad[c.Key] && len(f.bad) < f.cfg.MaxEntries {
 			f.bad[c.Key] = true
 			f.act.Note("entry_bad", fmt.Sprintf("key=%q", c.Key))
 		}
-	case c.Gone:
+	case c.Deleted:
 		f.remove(c.Key)
 		if _, known := f.graves[c.Key]; !known {
 			if f.buried = append(f.buried, c.Key); len(f.buried) > mostGraves {
@@ -519,7 +519,7 @@
 		if !f.put(c.Key, rev, c.Entry) {
 			f.Counts.LeftOut++
 			if f.over++; f.over == 1 {
-				f.act.Note("entries_left_out", fmt.Sprintf("most=%d", f.cfg.Most))
+				f.act.Note("entries_left_out", fmt.Sprintf("most=%d", f.cfg.MaxEntries))
 			}
 		}
 	}
@@ -563,7 +563,7 @@
 	}
 	switch {
 	case whole:
-		u := Update{Whole: true}
+		u := Update{Complete: true}
 		for _, id := range slices.Sorted(maps.Keys(f.shown)) {
 			u.Entries = append(u.Entries, f.shown[id])
 		}
@@ -585,7 +585,7 @@
 			// It stays.
 		case held && f.suspects[e.ID]:
 			due = append(due, e)
-		case held, f.cfg.Hold <= 0, e.State != policy.Ready, f.replaced(e):
+		case held, f.cfg.HoldTime <= 0, e.State != policy.Ready, f.replaced(e):
 			gone = append(gone, e) // its time is over, or it was told to drain, or another stands in its place
 		default:
 			f.held[e.ID], f.suspects[e.ID] = f.now+moment, true
@@ -593,11 +593,11 @@
 	}
 	before := f.live + len(f.lost) // those that went one by one count too
 	n := len(f.suspects) + len(f.lost)
-	mass := n >= leastMass && float64(n) > f.cfg.Part*float64(before)
+	mass := n >= leastMass && float64(n) > f.cfg.HoldPart*float64(before)
 	if len(due) > 0 && mass {
-		f.act.Note("list_held", fmt.Sprintf("servers=%d of=%d for=%s", len(f.suspects), before, f.cfg.Hold))
+		f.act.Note("list_held", fmt.Sprintf("servers=%d of=%d for=%s", len(f.suspects), before, f.cfg.HoldTime))
 		for id := range f.suspects {
-			f.held[id] = f.now + f.cfg.Hold
+			f.held[id] = f.now + f.cfg.HoldTime
 			f.Counts.Held++
 		}
 		clear(f.suspects)
@@ -619,7 +619,7 @@
 func (f *Follower) Timer(now time.Duration) {
 	f.now = now
 	switch {
-	case f.call.ID != 0 && now >= f.by && f.heard && !f.call.Whole && f.begun == 0: // a stream that says nothing may be cut: a new one tells
+	case f.call.ID != 0 && now >= f.by && f.heard && !f.call.ReadList && f.begun == 0: // a stream that says nothing may be cut: a new one tells
 		f.drop()
 		f.ask()
 	case f.waits() && now >= f.by:
--- a/decide/roster/roster_test.go
+++ b/decide/roster/roster_test.go
@@ -60,7 +60,7 @@
 	each(t, func(t *testing.T, s style) {
 		rapid.Check(t, func(t *rapid.T) {
 			ends := rapid.IntRange(1, 3).Draw(t, "endpoints")
-			m := newModel(t, s, ends, 2, func(c *Config) { c.Page = rapid.IntRange(0, 4).Draw(t, "page") })
+			m := newModel(t, s, ends, 2, func(c *Config) { c.PageSize = rapid.IntRange(0, 4).Draw(t, "page") })
 			m.latency = time.Duration(rapid.IntRange(1, 40).Draw(t, "latency")) * ms
 			m.double = rapid.Bool().Draw(t, "double")
 			m.start()
@@ -140,7 +140,7 @@
 // A list that changes, or is compacted, while it is paged is still one list: that of a single revision.
 func TestTheListChangesWhileItIsPaged(t *testing.T) {
 	for _, compacts := range []bool{false, true} {
-		m := newModel(t, stream, 1, 1, func(c *Config) { c.Page = 1 })
+		m := newModel(t, stream, 1, 1, func(c *Config) { c.PageSize = 1 })
 		for i := range 6 {
 			m.set(fmt.Sprint("k", i), entry(fmt.Sprint("s", i), policy.Ready))
 		}
@@ -170,7 +170,7 @@
 // held, for as long as is stated, the registry has been restored, and its list counts.
 func TestLagAndRestore(t *testing.T) {
 	each(t, func(t *testing.T, s style) {
-		m := newModel(t, s, 2, 1, func(c *Config) { c.Rewind = 10 * time.Second })
+		m := newModel(t, s, 2, 1, func(c *Config) { c.RewindAfter = 10 * time.Second })
 		m.set("k1", entry("s1", policy.Ready))
 		m.set("k2", entry("s2", policy.Ready))
 		m.set("k1", entry("s1", policy.Draining))
@@ -212,7 +212,7 @@
 
 // With the endpoints that know more out of reach, one that lags is believed only after four times as long.
 func TestALagThatMayBeACut(t *testing.T) {
-	m := newModel(t, stream, 2, 1, func(c *Config) { c.Rewind = 10 * time.Second })
+	m := newModel(t, stream, 2, 1, func(c *Config) { c.RewindAfter = 10 * time.Second })
 	m.set("k1", entry("s1", policy.Ready))
 	m.set("k1", entry("s1", policy.Draining))
 	m.start()
@@ -235,7 +235,7 @@
 func TestAWipedPrefix(t *testing.T) {
 	each(t, func(t *testing.T, s style) {
 		for _, oneByOne := range []bool{false, true} {
-			m := newModel(t, s, 1, 1, func(c *Config) { c.Hold = 20 * time.Second })
+			m := newModel(t, s, 1, 1, func(c *Config) { c.HoldTime = 20 * time.Second })
 			for i := range 8 {
 				m.set(fmt.Sprint("k", i), entry(fmt.Sprint("s", i), policy.Ready))
 			}
@@ -271,7 +271,7 @@
 
 // A server that another replaces at its address is no part of a mass: it goes at once, however many are replaced.
 func TestReplacedServersAreNotHeld(t *testing.T) {
-	m := newModel(t, stream, 1, 1, func(c *Config) { c.Hold = 20 * time.Second })
+	m := newModel(t, stream, 1, 1, func(c *Config) { c.HoldTime = 20 * time.Second })
 	for i := range 4 {
 		m.set(fmt.Sprint("k", i), entry(fmt.Sprint("s", i), policy.Ready))
 	}
@@ -299,7 +299,7 @@
 	p := m.followers[0]
 	m.mute[p.f.at] = true
 	m.set("k", entry("s", policy.Draining))
-	m.run(p.f.cfg.Watch + p.f.cfg.Limit + time.Second)
+	m.run(p.f.cfg.WatchTimeout + p.f.cfg.CallTimeout + time.Second)
 	if p.list() != m.list() {
 		t.Errorf("%s; %q", p.list(), p.log)
 	}
@@ -316,10 +316,10 @@
 				rapid.Check(t, func(t *rapid.T) {
 					watch := min(60*time.Second, max(5*time.Second, time.Duration(nodes)*time.Second)) // as internal/node has it
 					m := newModel(t, poll, 1, 1, func(c *Config) {
-						c.Nodes, c.Watch, c.Limit, c.Quick = nodes, watch, 1500*ms, true
-						c.Within = rapid.SampledFrom([]time.Duration{0, 5 * time.Second, 10 * time.Second, 20 * time.Second}).Draw(t, "within")
+						c.Nodes, c.WatchTimeout, c.CallTimeout, c.ImmediateFirstWatch = nodes, watch, 1500*ms, true
+						c.AskWithin = rapid.SampledFrom([]time.Duration{0, 5 * time.Second, 10 * time.Second, 20 * time.Second}).Draw(t, "within")
 						if pushed {
-							c.Pause = 100 * ms
+							c.PushedRetryDelay = 100 * ms
 						}
 					})
 					m.latency = time.Duration(rapid.IntRange(1, 20).Draw(t, "latency")) * ms
@@ -327,7 +327,7 @@
 					p.f.rng = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 					m.set("k", entry("s", policy.Ready))
 					p.told = map[string]Entry{"s": entry("s", policy.Ready)}
-					p.f.Saved(1, []Entry{entry("s", policy.Ready)})
+					p.f.Restore(1, []Entry{entry("s", policy.Ready)})
 					m.start()
 					for p.call.ID == 0 { // in a large fleet the first call waits its turn
 						m.run(ms)
@@ -363,7 +363,7 @@
 // that lasts, of a registry that hangs, ends in the waits that grow, not in a look after another.
 func TestSilentWatchesAreAskedAnewApart(t *testing.T) {
 	const followers = 300
-	m := newModel(t, poll, 1, followers, func(c *Config) { c.Watch, c.Limit, c.Within = time.Minute, 1500*ms, 20*time.Second })
+	m := newModel(t, poll, 1, followers, func(c *Config) { c.WatchTimeout, c.CallTimeout, c.AskWithin = time.Minute, 1500*ms, 20*time.Second })
 	m.set("k", entry("s", policy.Ready))
 	m.start()
 	m.run(10 * time.Second)
@@ -402,7 +402,7 @@
 	for _, nodes := range []int{2, 5, 300} {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				m := newModel(t, poll, 1, 1, func(c *Config) { c.Nodes, c.Limit, c.Within = nodes, 1500*ms, 20*time.Second })
+				m := newModel(t, poll, 1, 1, func(c *Config) { c.Nodes, c.CallTimeout, c.AskWithin = nodes, 1500*ms, 20*time.Second })
 				m.set("k", entry("s", policy.Ready))
 				m.start()
 				m.run(time.Second)
@@ -416,7 +416,7 @@
 				if silent {
 					m.refuse = 0
 				}
-				p.f.Move(m.now, p.f.cfg)
+				p.f.ChangeRegistry(m.now, p.f.cfg)
 				if silent {
 					p.hush = p.call.ID
 				}
@@ -433,10 +433,10 @@
 // an outage of any length, the list is asked for within a quarter of the grace, and at a start at once.
 func TestAPushedListIsAskedForAtOnce(t *testing.T) {
 	const pause = 100 * ms
-	m := newModel(t, poll, 1, 300, func(c *Config) { c.Pause, c.Within, c.Quick = pause, 20*time.Second, true })
+	m := newModel(t, poll, 1, 300, func(c *Config) { c.PushedRetryDelay, c.AskWithin, c.ImmediateFirstWatch = pause, 20*time.Second, true })
 	m.set("k", entry("s", policy.Ready))
 	for _, p := range m.followers {
-		p.f.Saved(1, []Entry{entry("s", policy.Ready)})
+		p.f.Restore(1, []Entry{entry("s", policy.Ready)})
 	}
 	known := func(what string, state policy.State, since time.Duration) {
 		t.Helper()
@@ -468,7 +468,7 @@
 
 // One node alone asks a registry that is down less and less often, up to a quarter of the limit told.
 func TestWaitsGrow(t *testing.T) {
-	m := newModel(t, poll, 1, 1, func(c *Config) { c.Within = 16 * time.Second })
+	m := newModel(t, poll, 1, 1, func(c *Config) { c.AskWithin = 16 * time.Second })
 	m.down[0] = true
 	m.start()
 	m.run(2 * time.Second)
@@ -535,14 +535,14 @@
 
 // An entry that does not parse is noted once, and the last good one stands; a list longer than the bound is cut, once noted.
 func TestBadAndTooManyEntries(t *testing.T) {
-	m := newModel(t, stream, 1, 1, func(c *Config) { c.Most = 4 })
+	m := newModel(t, stream, 1, 1, func(c *Config) { c.MaxEntries = 4 })
 	m.set("k1", entry("s1", policy.Ready))
 	m.start()
 	m.run(time.Second)
 	p := m.followers[0]
 	for range 5 {
 		m.rev++
-		m.log = append(m.log, Change{Key: "k1", Revision: m.rev, Bad: true})
+		m.log = append(m.log, Change{Key: "k1", Revision: m.rev, Malformed: true})
 		m.flow(p)
 		m.run(100 * ms)
 	}
@@ -568,7 +568,7 @@
 // bound, also when the registry is back and all want to know, and then all know soon.
 func TestAStormIsNoStorm(t *testing.T) {
 	const followers, bound = 500, 100
-	m := newModel(t, stream, 3, followers, func(c *Config) { c.Calls, c.Page, c.Watch = bound, 0, time.Minute })
+	m := newModel(t, stream, 3, followers, func(c *Config) { c.CallRate, c.PageSize, c.WatchTimeout = bound, 0, time.Minute })
 	for i := range 5 {
 		m.set(fmt.Sprint("k", i), entry(fmt.Sprint("s", i), policy.Ready))
 	}
@@ -628,8 +628,8 @@
 	p := m.followers[0]
 	for range 2000 {
 		m.run(2 * ms)
-		if c := p.call; c.ID != 0 && !c.Whole {
-			p.f.Answer(m.now, Answer{Call: c.ID, Kind: News, Revision: 1, Epoch: "one", Over: true})
+		if c := p.call; c.ID != 0 && !c.ReadList {
+			p.f.Answer(m.now, Answer{Call: c.ID, Kind: Changes, Revision: 1, Epoch: "one", Final: true})
 		}
 	}
 	if m.calls > 60 {
@@ -649,7 +649,7 @@
 	m.log, m.rev, m.epoch = nil, 0, "two"
 	m.set("other", entry("s9", policy.Ready))
 	m.down[0] = true
-	p.f.Move(m.now, p.f.cfg)
+	p.f.ChangeRegistry(m.now, p.f.cfg)
 	m.run(time.Second)
 	if len(p.told) != 5 {
 		t.Errorf("before the new list: %s", p.list())
@@ -663,12 +663,12 @@
 
 // A saved list serves until the registry is heard, and is followed from its revision.
 func TestSaved(t *testing.T) {
-	m := newModel(t, poll, 1, 1, func(c *Config) { c.Quick = true })
+	m := newModel(t, poll, 1, 1, func(c *Config) { c.ImmediateFirstWatch = true })
 	m.set("s1", entry("s1", policy.Ready))
 	m.set("s2", entry("s2", policy.Ready))
 	p := m.followers[0]
 	p.told = map[string]Entry{"s1": entry("s1", policy.Ready), "s2": entry("s2", policy.Ready)}
-	p.f.Saved(2, []Entry{p.told["s1"], p.told["s2"]})
+	p.f.Restore(2, []Entry{p.told["s1"], p.told["s2"]})
 	m.set("s1", entry("s1", policy.Draining))
 	m.start()
 	m.run(20 * ms)
@@ -679,7 +679,7 @@
 
 // Nonsense fails the call, and the list held stays.
 func TestNonsense(t *testing.T) {
-	for _, a := range []Answer{{Kind: News, Revision: -4}, {Kind: List, Revision: -1}, {Kind: Compacted, Revision: -1}} {
+	for _, a := range []Answer{{Kind: Changes, Revision: -4}, {Kind: List, Revision: -1}, {Kind: Compacted, Revision: -1}} {
 		m := newModel(t, poll, 1, 1, nil)
 		m.set("k", entry("s", policy.Ready))
 		m.start()
@@ -690,7 +690,7 @@
 		if p.f.Counts.Failed != 1 || len(p.told) != 1 || !strings.Contains(p.log[0], "negative") {
 			t.Errorf("%+v: %+v %q", a, p.f.Counts, p.log)
 		}
-		p.f.Answer(m.now, Answer{Call: 999, Kind: List, Revision: 99, Over: true}) // to nothing
+		p.f.Answer(m.now, Answer{Call: 999, Kind: List, Revision: 99, Final: true}) // to nothing
 		if len(p.told) != 1 {
 			t.Error("an answer to nothing counts")
 		}
@@ -719,7 +719,7 @@
 	if p.f.Counts.Compacted != 0 || p.f.Counts.Lists != 1 {
 		t.Errorf("%+v", p.f.Counts)
 	}
-	m.answer(p, Answer{Kind: News, Revision: m.rev, Changes: []Change{old}})
+	m.answer(p, Answer{Kind: Changes, Revision: m.rev, Changes: []Change{old}})
 	m.run(100 * ms)
 	if p.list() != m.list() {
 		t.Errorf("%s, want %s", p.list(), m.list())
@@ -728,7 +728,7 @@
 
 // Memory does not grow with the changes that have passed, only with the servers there are.
 func TestMemoryIsFlat(t *testing.T) {
-	m := newModel(t, stream, 1, 1, func(c *Config) { c.Page = 0 })
+	m := newModel(t, stream, 1, 1, func(c *Config) { c.PageSize = 0 })
 	m.set("k", entry("s", policy.Ready))
 	m.start()
 	m.run(time.Second)
@@ -744,8 +744,8 @@
 		for i := range n { // ever new servers that come, drain and go
 			rev++
 			id := fmt.Sprint("x", (i/3)%40, "-", rev/120)
-			c := Change{Key: id, Revision: rev, Entry: entry(id, policy.State(i%3)), Gone: i%3 == 2}
-			p.f.Answer(m.now, Answer{Call: p.call.ID, Kind: News, Revision: rev, Epoch: "one", Changes: []Change{c}})
+			c := Change{Key: id, Revision: rev, Entry: entry(id, policy.State(i%3)), Deleted: i%3 == 2}
+			p.f.Answer(m.now, Answer{Call: p.call.ID, Kind: Changes, Revision: rev, Epoch: "one", Changes: []Change{c}})
 		}
 		clear(p.when)
 	}
--- a/decide/roster/size_test.go
+++ b/decide/roster/size_test.go
@@ -20,7 +20,7 @@
 			for range b.N {
 				m := newModel(b, poll, 1, x.nodes, func(c *Config) {
 					fleet{style: poll, nodes: x.nodes}.config(20 * time.Second)(c)
-					c.Calls = x.calls
+					c.CallRate = x.calls
 				})
 				m.set("k", entry("s", policy.Ready))
 				m.start()
--- a/decide/roster/state.go
+++ b/decide/roster/state.go
@@ -66,8 +66,8 @@
 type Counts struct {
 	Calls, Failed, Answers   int64
 	Lists, Changes, Repeated int64 // whole lists, changes applied, changes that were known already
-	Silent                   int64 // watches that said nothing though their wait was over
-	Compacted, Older         int64 // forgotten revisions, answers older than the list held
+	SilentWatches            int64 // watches that said nothing though their wait was over
+	Compacted, OlderAnswers  int64 // forgotten revisions, answers older than the list held
 	BadEntries, LeftOut      int64
 	Held, Conflicts          int64 // servers kept that vanished in a mass; entries that stand behind another
 }
@@ -96,19 +96,19 @@
 // whole fills in what is not told.
 func (c Config) whole() Config {
 	c.Endpoints, c.Nodes = max(1, c.Endpoints), max(1, c.Nodes)
-	c.Within = cmp.Or(c.Within, 20*time.Second)
-	c.Calls = cmp.Or(c.Calls, DefaultCalls)
-	c.Watch = cmp.Or(c.Watch, 5*time.Second)
-	c.Limit = cmp.Or(c.Limit, 1500*time.Millisecond)
-	c.Part = cmp.Or(c.Part, 0.5)
-	c.Rewind = cmp.Or(c.Rewind, 30*time.Second)
-	c.Most = cmp.Or(c.Most, 100000)
+	c.AskWithin = cmp.Or(c.AskWithin, 20*time.Second)
+	c.CallRate = cmp.Or(c.CallRate, DefaultCallRate)
+	c.WatchTimeout = cmp.Or(c.WatchTimeout, 5*time.Second)
+	c.CallTimeout = cmp.Or(c.CallTimeout, 1500*time.Millisecond)
+	c.HoldPart = cmp.Or(c.HoldPart, 0.5)
+	c.RewindAfter = cmp.Or(c.RewindAfter, 30*time.Second)
+	c.MaxEntries = cmp.Or(c.MaxEntries, 100000)
 	return c
 }
 
 // put takes an entry in; it reports whether there was room.
 func (f *Follower) put(key string, rev int64, e Entry) bool {
-	if f.byKey[key] == nil && len(f.byKey) >= f.cfg.Most {
+	if f.byKey[key] == nil && len(f.byKey) >= f.cfg.MaxEntries {
 		return false
 	}
 	f.remove(key)
--- a/decide/roster/told_test.go
+++ b/decide/roster/told_test.go
@@ -31,13 +31,13 @@
 	{"no connection", failing(func(*rand.Rand) time.Duration { return time.Second })}, // as internal/registry gives one up
 	{"silent", func(*model, *peer, Call) {}},
 	{"half an answer", func(m *model, p *peer, c Call) { // a page of several, and nothing more; nothing of a single answer
-		if c.Whole && c.Page > 0 && c.From == "" {
+		if c.ReadList && c.PageSize > 0 && c.After == "" {
 			page := m.at(m.rev)
-			m.answer(p, Answer{Kind: List, Revision: m.rev, Changes: page[:1], More: page[0].Key})
+			m.answer(p, Answer{Kind: List, Revision: m.rev, Changes: page[:1], NextPageAfter: page[0].Key})
 		}
 	}},
 	{"dropped", func(m *model, p *peer, c Call) { // an answer that makes no sense
-		m.answer(p, Answer{Kind: News, Revision: -1, Over: true})
+		m.answer(p, Answer{Kind: Changes, Revision: -1, Final: true})
 	}},
 	{"busy", failing(func(r *rand.Rand) time.Duration { return time.Duration(r.Int64N(int64(200 * ms))) })},
 }
@@ -60,10 +60,10 @@
 // config is a follower's, as internal/node makes it.
 func (s fleet) config(within time.Duration) func(*Config) {
 	return func(c *Config) {
-		c.Nodes, c.Limit, c.Within, c.Page, c.Quick = s.nodes, 1500*ms, within, 2, true
-		c.Watch = min(60*time.Second, max(5*time.Second, time.Duration(s.nodes)*time.Second))
+		c.Nodes, c.CallTimeout, c.AskWithin, c.PageSize, c.ImmediateFirstWatch = s.nodes, 1500*ms, within, 2, true
+		c.WatchTimeout = min(60*time.Second, max(5*time.Second, time.Duration(s.nodes)*time.Second))
 		if s.pushed {
-			c.Pause = 100 * ms
+			c.PushedRetryDelay = 100 * ms
 		}
 	}
 }
@@ -100,7 +100,7 @@
 		leave()
 		if r.IntN(2) == 0 {
 			p.told = map[string]Entry{"s": entry("s", policy.Ready), "l": entry("l", policy.Ready)}
-			p.f.Saved(2, []Entry{p.told["s"], p.told["l"]})
+			p.f.Restore(2, []Entry{p.told["s"], p.told["l"]})
 		}
 		m.start()
 	case 1: // calls that are out break
@@ -122,7 +122,7 @@
 	end := m.now + long
 	if r.IntN(3) == 0 { // SIGHUP, at any time of it
 		m.run(time.Duration(r.Int64N(int64(long) + 1)))
-		p.f.Move(m.now, p.f.cfg)
+		p.f.ChangeRegistry(m.now, p.f.cfg)
 	}
 	m.run(max(0, end-m.now))
 	for i := range away {
@@ -175,7 +175,7 @@
 			cfg := Config{Endpoints: s.ends}
 			s.config(0)(&cfg)
 			bound := counted
-			if s.nodes > MostNodes(cfg) { // a call of each in their calls a second, a tenth of it drawn
+			if s.nodes > MaxNodes(cfg) { // a call of each in their calls a second, a tenth of it drawn
 				bound = max(bound, time.Duration(float64(s.nodes)/100/0.9*float64(time.Second))+callRoom)
 			}
 			for _, o := range append(outages, mixed) {
@@ -205,16 +205,16 @@
 		cfg  Config
 		want int
 	}{
-		{Config{}, 450}, {Config{Calls: 1000}, 4500}, {Config{Calls: 423}, 1903}, {Config{Endpoints: 2}, 450}, {Config{Endpoints: 3}, 225},
-		{Config{Endpoints: 5}, 150}, {Config{Endpoints: 16}, 150}, {Config{Calls: 0.1}, 1}, {Config{Pause: 100 * ms}, math.MaxInt},
+		{Config{}, 450}, {Config{CallRate: 1000}, 4500}, {Config{CallRate: 423}, 1903}, {Config{Endpoints: 2}, 450}, {Config{Endpoints: 3}, 225},
+		{Config{Endpoints: 5}, 150}, {Config{Endpoints: 16}, 150}, {Config{CallRate: 0.1}, 1}, {Config{PushedRetryDelay: 100 * ms}, math.MaxInt},
 	} {
-		if n := MostNodes(c.cfg); n != c.want {
+		if n := MaxNodes(c.cfg); n != c.want {
 			t.Errorf("%+v: %d nodes, want %d", c.cfg, n, c.want)
 		}
 	}
 	for _, s := range []style{stream, poll} {
 		for _, kind := range []outage{outages[0], outages[3]} {
-			for _, nodes := range []int{300, MostNodes(Config{}), 540} {
+			for _, nodes := range []int{300, MaxNodes(Config{}), 540} {
 				m := newModel(t, s, 1, nodes, fleet{style: s, nodes: nodes}.config(20*time.Second))
 				m.set("k", entry("s", policy.Ready))
 				m.start()
@@ -248,7 +248,7 @@
 				if most > 150 {
 					t.Errorf("%d nodes: %d calls in a second", nodes, most)
 				}
-				if late := last > counted-callRoom+4*m.latency; late != (nodes > MostNodes(Config{})) {
+				if late := last > counted-callRoom+4*m.latency; late != (nodes > MaxNodes(Config{})) {
 					t.Errorf("%d nodes: the last knows after %v", nodes, last)
 				}
 			}
@@ -273,13 +273,13 @@
 							m.start()
 							m.run(2*time.Second + time.Duration(r.Int64N(int64(10*time.Second))))
 							id := p.call.ID
-							if id == 0 || p.call.Whole || p.call.Wait == glance {
+							if id == 0 || p.call.ReadList || p.call.Wait == glance {
 								t.Fatalf("no watch is out: %+v", p.call)
 							}
 							m.later(p, 0, func() {
-								p.f.Begun(m.now, id, true)
+								p.f.SetAnswerPending(m.now, id, true)
 								for i := range 20 { // and goes on to come
-									m.later(p, time.Duration(i)*100*ms, func() { p.f.Begun(m.now, id, true) })
+									m.later(p, time.Duration(i)*100*ms, func() { p.f.SetAnswerPending(m.now, id, true) })
 								}
 								if breaks {
 									m.later(p, time.Duration(r.Int64N(int64(1400*ms))), func() { p.f.Failed(m.now, id, "broken") })
@@ -311,14 +311,14 @@
 		m.start()
 		m.run(5 * time.Second)
 		calls, id := m.calls, p.call.ID
-		p.f.Begun(m.now, id, true) // half a head
+		p.f.SetAnswerPending(m.now, id, true) // half a head
 		m.run(time.Second)
-		p.f.Begun(m.now, id, false) // all of it
+		p.f.SetAnswerPending(m.now, id, false) // all of it
 		m.run(30 * time.Second)
 		if m.calls != calls || p.call.ID != id {
 			t.Errorf("%d calls more; %q", m.calls-calls, p.log)
 		}
-		p.f.Begun(m.now, id-1, true) // another call's
+		p.f.SetAnswerPending(m.now, id-1, true) // another call's
 		m.run(5 * time.Second)
 		m.set("k", entry("s", policy.Draining))
 		m.run(time.Second)
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -101,7 +101,7 @@
 	put("list_calls", l.Calls)
 	put("list_changes", l.Changes)
 	put("list_compacted", l.Compacted)
-	put("list_older", l.Older)
+	put("list_older", l.OlderAnswers)
 	put("list_bytes", n.registry.Bytes)
 	put("entries_bad", l.BadEntries)
 	put("entries_left_out", l.LeftOut)
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -30,16 +30,16 @@
 func (cfg *Config) followed() registry.Config {
 	c := cfg.Registry
 	r := &c.Roster
-	r.Nodes, r.Within = cfg.Settings.Balancers, cfg.Settings.AskWithin
-	r.Limit, r.Quick = callFor, true
+	r.Nodes, r.AskWithin = cfg.Settings.Balancers, cfg.Settings.AskWithin
+	r.CallTimeout, r.ImmediateFirstWatch = callFor, true
 	if !cfg.Settings.MustAsk {
-		r.Pause = cmp.Or(cfg.Transport.DrainGrace, usualGrace) / gracePart
+		r.PushedRetryDelay = cmp.Or(cfg.Transport.DrainGrace, usualGrace) / gracePart
 	}
-	if r.Watch == 0 {
-		r.Watch = min(mostWatch, max(watchFor, callGap*time.Duration(cfg.Settings.Balancers)))
+	if r.WatchTimeout == 0 {
+		r.WatchTimeout = min(mostWatch, max(watchFor, callGap*time.Duration(cfg.Settings.Balancers)))
 	}
-	if r.Most == 0 {
-		r.Most = cfg.MemoryMB * entriesPer
+	if r.MaxEntries == 0 {
+		r.MaxEntries = cfg.MemoryMB * entriesPer
 	}
 	c.MostBody = min(mostList, cfg.MemoryMB<<20/heldPart)
 	return c
@@ -90,7 +90,7 @@
 // told takes list news.
 func (n *Node) told(u roster.Update) {
 	kind := policy.ListChanges
-	if u.Whole {
+	if u.Complete {
 		kind = policy.ListWhole
 	}
 	n.members(kind, u.Entries)
--- a/internal/operator/registry.go
+++ b/internal/operator/registry.go
@@ -112,8 +112,8 @@
 	if r == nil {
 		return nil, nil
 	}
-	c := &registry.Config{Kind: registry.Kind(r.Kind), Prefix: r.Prefix, Roster: roster.Config{Watch: r.Watch.D(), Hold: r.Hold.D(), Part: r.HoldPart,
-		Rewind: r.Rewind.D(), Page: r.Page, Most: r.Most, Calls: r.CallsPerS}}
+	c := &registry.Config{Kind: registry.Kind(r.Kind), Prefix: r.Prefix, Roster: roster.Config{WatchTimeout: r.Watch.D(), HoldTime: r.Hold.D(), HoldPart: r.HoldPart,
+		RewindAfter: r.Rewind.D(), PageSize: r.Page, MaxEntries: r.Most, CallRate: r.CallsPerS}}
 	for _, e := range r.Endpoints {
 		c.Endpoints = append(c.Endpoints, netip.MustParseAddrPort(e)) // checked with the file
 	}
@@ -169,7 +169,7 @@
 func (f *File) TooMany(balancers int) error {
 	c, key := roster.Config{}, tomlfile.At("service", "balancers") // discovery has no key of its own for it
 	if f.List != nil {
-		c.Calls, c.Endpoints, key = f.List.CallsPerS, len(f.List.Endpoints), tomlfile.At("registry", "calls_per_s")
+		c.CallRate, c.Endpoints, key = f.List.CallsPerS, len(f.List.Endpoints), tomlfile.At("registry", "calls_per_s")
 	}
 	if why := TooMany(c, "service.balancers", balancers); why != "" {
 		return f.file.Errorf(key, "%s", why)
@@ -179,11 +179,11 @@
 
 // TooMany is what there is to say of a fleet of so many balancers, as a key tells, that follow a list so; empty: nothing.
 func TooMany(c roster.Config, key string, balancers int) string {
-	most := roster.MostNodes(c)
+	most := roster.MaxNodes(c)
 	if balancers <= most {
 		return ""
 	}
-	calls := cmp.Or(c.Calls, roster.DefaultCalls)
+	calls := cmp.Or(c.CallRate, roster.DefaultCallRate)
 	return fmt.Sprintf("%g calls a second let %d nodes know of a change in the 6s until it counts, %s is %d, for which it takes %.0f",
 		calls, most, key, balancers, math.Ceil(calls*float64(balancers)/float64(most)))
 }
--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -27,7 +27,7 @@
 	l.announcer = registry.NewAnnouncer(p.loop, c, p.cfg.Lease+p.cfg.Plan.ID, l.entry(), p.cfg.TTL, uint64(p.loop.Now()), p.note)
 	l.announcer.Start()
 	c.Prefix = p.cfg.Lease
-	c.Roster.Hold = 0 // an entry that is gone is gone
+	c.Roster.HoldTime = 0 // an entry that is gone is gone
 	l.others = registry.New(p.loop, c, uint64(p.loop.Now())+1, l.told, p.note)
 	l.others.Start(0, nil)
 	l.look()
@@ -52,7 +52,7 @@
 
 // told takes news of who holds a lease.
 func (l *lease) told(u roster.Update) {
-	if u.Whole {
+	if u.Complete {
 		clear(l.all)
 	}
 	for _, e := range u.Entries {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -156,9 +156,9 @@
 // Run serves until the context ends.
 func (p *Planner) Run(ctx context.Context) error {
 	c := p.cfg.Registry
-	c.Roster.Nodes, c.Roster.Within, c.Roster.Limit = 1, 4*time.Second, listCall
-	if c.Roster.Watch == 0 {
-		c.Roster.Watch = listWatch
+	c.Roster.Nodes, c.Roster.AskWithin, c.Roster.CallTimeout = 1, 4*time.Second, listCall
+	if c.Roster.WatchTimeout == 0 {
+		c.Roster.WatchTimeout = listWatch
 	}
 	c.MostBody = mostListBody
 	p.registry = registry.New(p.loop, c, uint64(time.Now().UnixNano()), p.told, p.note)
@@ -338,7 +338,7 @@
 
 // told takes list news.
 func (p *Planner) told(u roster.Update) {
-	if u.Whole {
+	if u.Complete {
 		clear(p.entries)
 	}
 	for _, e := range u.Entries {
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -19,7 +19,7 @@
 		for _, entries := range []int{100, 420, 1000, 10000} {
 			b.Run(fmt.Sprintf("%s/%d", k, entries), func(b *testing.B) {
 				var t testing.T
-				r := start(&t, k, standin.RegistryOptions{}, func(c *Config) { c.Roster.Page, c.Roster.Watch = 500, time.Minute })
+				r := start(&t, k, standin.RegistryOptions{}, func(c *Config) { c.Roster.PageSize, c.Roster.WatchTimeout = 500, time.Minute })
 				r.reg.Do(func(_ time.Duration, s *world.Store) {
 					for i := range entries {
 						s.Put(prefix+server(i, 0).ID, standin.EntryOf(time.Now(), server(i, world.Serving)), 0)
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -75,13 +75,13 @@
 func (c *Client) take(cfg *Config) {
 	c.cfg = *cfg
 	c.proto = c.cfg.protocol()
-	c.cfg.Roster.Endpoints, c.cfg.Roster.Stream = len(cfg.Endpoints), cfg.Kind == Etcd
+	c.cfg.Roster.Endpoints, c.cfg.Roster.Streaming = len(cfg.Endpoints), cfg.Kind == Etcd
 }
 
 // Start begins to follow, from a list held before if its revision is above 0 or it names servers.
 func (c *Client) Start(revision int64, saved []roster.Entry) {
 	if revision > 0 || len(saved) > 0 {
-		c.follower.Saved(revision, saved)
+		c.follower.Restore(revision, saved)
 	}
 	c.follower.Start(c.loop.Now())
 }
@@ -90,7 +90,7 @@
 // the old one had still to tell must not be missed. The list held stays until then.
 func (c *Client) Move(cfg Config) {
 	c.take(&cfg)
-	c.follower.Move(c.loop.Now(), c.cfg.Roster)
+	c.follower.ChangeRegistry(c.loop.Now(), c.cfg.Roster)
 }
 
 // Counts tells what has happened since the start.
@@ -280,7 +280,7 @@
 	case l.stream.Done:
 		l.answered()
 	default:
-		c.follower.Begun(c.loop.Now(), call.ID, l.owes())
+		c.follower.SetAnswerPending(c.loop.Now(), call.ID, l.owes())
 	}
 }
 
--- a/internal/registry/protocol.go
+++ b/internal/registry/protocol.go
@@ -56,7 +56,7 @@
 
 func (discovery) request(c roster.Call) (string, string, []httpc.Header, []byte) {
 	target := "/discovery/hosts"
-	if !c.Whole {
+	if !c.ReadList {
 		target += "?since=" + strconv.FormatInt(c.Revision, 10) + "&timeout_ms=" + strconv.FormatInt(c.Wait.Milliseconds(), 10)
 	}
 	return "GET", target, nil, nil
@@ -70,12 +70,12 @@
 	if err != nil {
 		return roster.Answer{}, err
 	}
-	a := roster.Answer{Kind: roster.News, Revision: revision, Over: true}
+	a := roster.Answer{Kind: roster.Changes, Revision: revision, Final: true}
 	if whole {
 		a.Kind = roster.List
 	}
 	for _, e := range entries {
-		a.Changes = append(a.Changes, roster.Change{Key: e.ID, Gone: e.State == policy.Gone, Entry: e})
+		a.Changes = append(a.Changes, roster.Change{Key: e.ID, Deleted: e.State == policy.Gone, Entry: e})
 	}
 	return a, nil
 }
@@ -137,7 +137,7 @@
 // codeOutOfRange is the gRPC code of a revision that is compacted, or to come.
 const codeOutOfRange = 11
 
-func (etcd) streams(c roster.Call) bool { return !c.Whole }
+func (etcd) streams(c roster.Call) bool { return !c.ReadList }
 
 // after is the smallest key behind one, and rangeEnd the smallest behind all that begin with a prefix.
 func after(key string) []byte { return append([]byte(key), 0) }
@@ -156,14 +156,14 @@
 func (p etcd) request(c roster.Call) (method, target string, headers []httpc.Header, body []byte) {
 	b64 := base64.StdEncoding.EncodeToString
 	var in any
-	if c.Whole {
+	if c.ReadList {
 		from := []byte(p.prefix)
-		if c.From != "" {
-			from = after(c.From)
+		if c.After != "" {
+			from = after(c.After)
 		}
 		read := map[string]any{"key": b64(from), "range_end": b64(rangeEnd(p.prefix)), "sort_order": "ASCEND", "sort_target": "KEY"}
-		if c.Page > 0 {
-			read["limit"] = strconv.Itoa(c.Page)
+		if c.PageSize > 0 {
+			read["limit"] = strconv.Itoa(c.PageSize)
 		}
 		if c.Revision > 0 {
 			read["revision"] = strconv.FormatInt(c.Revision, 10)
@@ -187,10 +187,10 @@
 
 // change reads one key's value.
 func (p etcd) change(kv etcdKV, gone bool) roster.Change {
-	c := roster.Change{Key: string(kv.Key), Revision: int64(kv.ModRev), Gone: gone}
+	c := roster.Change{Key: string(kv.Key), Revision: int64(kv.ModRev), Deleted: gone}
 	if !gone {
 		e, err := ParseEntry(c.Key, kv.Value)
-		c.Entry, c.Bad = e, err != nil
+		c.Entry, c.Malformed = e, err != nil
 	}
 	return c
 }
@@ -198,8 +198,8 @@
 func (p etcd) answer(c roster.Call, head *httpc.Answer, body []byte) (roster.Answer, error) {
 	if head.Status != 200 {
 		var in struct{ Code int }
-		if json.Unmarshal(body, &in) == nil && in.Code == codeOutOfRange && c.Whole && bytes.Contains(body, []byte("compacted")) {
-			return roster.Answer{Kind: roster.Compacted, Over: true}, nil
+		if json.Unmarshal(body, &in) == nil && in.Code == codeOutOfRange && c.ReadList && bytes.Contains(body, []byte("compacted")) {
+			return roster.Answer{Kind: roster.Compacted, Final: true}, nil
 		}
 		return roster.Answer{}, statusError(head, body)
 	}
@@ -207,18 +207,18 @@
 	if err := json.Unmarshal(body, &in); err != nil {
 		return roster.Answer{}, err
 	}
-	a := roster.Answer{Kind: roster.List, Revision: int64(in.Header.Revision), Epoch: in.Header.Cluster, Over: true}
+	a := roster.Answer{Kind: roster.List, Revision: int64(in.Header.Revision), Epoch: in.Header.Cluster, Final: true}
 	if a.Revision <= 0 {
 		return a, errors.New("no revision")
 	}
 	for _, kv := range in.KVs {
-		if !strings.HasPrefix(string(kv.Key), p.prefix) || c.From != "" && string(kv.Key) <= c.From || kv.ModRev <= 0 {
+		if !strings.HasPrefix(string(kv.Key), p.prefix) || c.After != "" && string(kv.Key) <= c.After || kv.ModRev <= 0 {
 			return a, errors.New("a key that was not asked for")
 		}
 		a.Changes = append(a.Changes, p.change(kv, false))
 	}
 	if in.More && len(in.KVs) > 0 {
-		a.More = string(in.KVs[len(in.KVs)-1].Key)
+		a.NextPageAfter = string(in.KVs[len(in.KVs)-1].Key)
 	}
 	return a, nil
 }
@@ -243,9 +243,9 @@
 		a := roster.Answer{Kind: roster.Progress, Revision: int64(r.Header.Revision), Epoch: r.Header.Cluster}
 		switch {
 		case len(r.Events) > 0:
-			a.Kind = roster.News
+			a.Kind = roster.Changes
 		case r.Created:
-			a.Kind = roster.Alive
+			a.Kind = roster.Heartbeat
 		}
 		for _, e := range r.Events {
 			if !strings.HasPrefix(string(e.KV.Key), p.prefix) || e.KV.ModRev <= 0 || e.Type != "" && e.Type != "PUT" && e.Type != "DELETE" {
@@ -275,7 +275,7 @@
 	target = "/v1/kv/" + (&url.URL{Path: p.prefix}).EscapedPath() + "?recurse=true"
 	// Guards against a look, which is to be answered at once, that blocks: a wait of 0 ms is taken for none there, which is
 	// 5 minutes. Without an index a read is answered at once.
-	if !c.Whole && c.Wait >= leastBlock {
+	if !c.ReadList && c.Wait >= leastBlock {
 		// Consul adds up to a sixteenth to the wait told, and an index below 1 would not block (its documentation, "Blocking
 		// Queries"). An answer that comes after the follower's own wait would be taken for a silent watch.
 		wait := min(c.Wait, mostBlock) * 16 / 17
@@ -299,7 +299,7 @@
 	if err != nil || index < 0 {
 		return roster.Answer{}, errors.New("no index")
 	}
-	a := roster.Answer{Kind: roster.List, Revision: index, Over: true}
+	a := roster.Answer{Kind: roster.List, Revision: index, Final: true}
 	if head.Status == 404 {
 		return a, nil
 	}
@@ -321,7 +321,7 @@
 			continue // a folder
 		}
 		e, err := ParseEntry(kv.Key, kv.Value)
-		a.Changes = append(a.Changes, roster.Change{Key: kv.Key, Revision: kv.Modify, Entry: e, Bad: err != nil})
+		a.Changes = append(a.Changes, roster.Change{Key: kv.Key, Revision: kv.Modify, Entry: e, Malformed: err != nil})
 	}
 	return a, nil
 }
--- a/internal/registry/protocol_test.go
+++ b/internal/registry/protocol_test.go
@@ -90,18 +90,18 @@
 	for _, c := range []struct {
 		got, want string
 	}{
-		{ask(etcd{"p/", ""}, roster.Call{Whole: true, Page: 5}), `POST /v3/kv/range [{Content-Type application/json}] {"key":"` + b64("p/") +
+		{ask(etcd{"p/", ""}, roster.Call{ReadList: true, PageSize: 5}), `POST /v3/kv/range [{Content-Type application/json}] {"key":"` + b64("p/") +
 			`","limit":"5","range_end":"` + b64("p0") + `","sort_order":"ASCEND","sort_target":"KEY"}`},
-		{ask(etcd{"p/", "tok"}, roster.Call{Whole: true, From: "p/x", Revision: 7}), `POST /v3/kv/range [{Content-Type application/json} {Authorization tok}] {"key":"` +
+		{ask(etcd{"p/", "tok"}, roster.Call{ReadList: true, After: "p/x", Revision: 7}), `POST /v3/kv/range [{Content-Type application/json} {Authorization tok}] {"key":"` +
 			b64("p/x\x00") + `","range_end":"` + b64("p0") + `","revision":"7","sort_order":"ASCEND","sort_target":"KEY"}`},
 		{ask(etcd{"p/", ""}, roster.Call{Revision: 7, Wait: time.Second}), `POST /v3/watch [{Content-Type application/json}] {"create_request":{"key":"` + b64("p/") +
 			`","progress_notify":true,"range_end":"` + b64("p0") + `","start_revision":"8"}}`},
-		{ask(consul{"p q/", "tok"}, roster.Call{Whole: true}), "GET /v1/kv/p%20q/?recurse=true [{X-Consul-Token tok}] "},
+		{ask(consul{"p q/", "tok"}, roster.Call{ReadList: true}), "GET /v1/kv/p%20q/?recurse=true [{X-Consul-Token tok}] "},
 		{ask(consul{"p/", ""}, roster.Call{Revision: 7, Wait: 5 * time.Second}), "GET /v1/kv/p/?recurse=true&index=7&wait=4705ms [] "},
 		{ask(consul{"p/", ""}, roster.Call{Revision: 0, Wait: time.Hour}), "GET /v1/kv/p/?recurse=true&index=1&wait=564705ms [] "},
 		{ask(consul{"p/", ""}, roster.Call{Revision: 7, Wait: time.Millisecond}), "GET /v1/kv/p/?recurse=true [] "},
 		{ask(discovery{}, roster.Call{Revision: 7, Wait: time.Millisecond}), "GET /discovery/hosts?since=7&timeout_ms=1 [] "},
-		{ask(discovery{}, roster.Call{Whole: true}), "GET /discovery/hosts [] "},
+		{ask(discovery{}, roster.Call{ReadList: true}), "GET /discovery/hosts [] "},
 		{ask(discovery{}, roster.Call{Revision: 41, Wait: 5 * time.Second}), "GET /discovery/hosts?since=41&timeout_ms=5000 [] "},
 	} {
 		if c.got != c.want {
@@ -126,18 +126,18 @@
 	p := etcd{prefix: "p/"}
 	ok := head(t, "HTTP/1.1 200 OK\r\n")
 	value := b64(`{"addr":"10.0.0.1:1"}`)
-	a, err := p.answer(roster.Call{Whole: true}, ok, []byte(`{"header":{"cluster_id":"77","revision":"12"},"kvs":[{"key":"`+b64("p/a")+`","mod_revision":"3","value":"`+value+
+	a, err := p.answer(roster.Call{ReadList: true}, ok, []byte(`{"header":{"cluster_id":"77","revision":"12"},"kvs":[{"key":"`+b64("p/a")+`","mod_revision":"3","value":"`+value+
 		`"},{"key":"`+b64("p/b")+`","mod_revision":4,"value":"!"}],"more":true}`))
 	if err == nil {
 		t.Errorf("base64 that is none is taken: %+v", a)
 	}
-	a, err = p.answer(roster.Call{Whole: true}, ok, []byte(`{"header":{"cluster_id":"77","revision":"12"},"kvs":[{"key":"`+b64("p/a")+`","mod_revision":"3","value":"`+value+
+	a, err = p.answer(roster.Call{ReadList: true}, ok, []byte(`{"header":{"cluster_id":"77","revision":"12"},"kvs":[{"key":"`+b64("p/a")+`","mod_revision":"3","value":"`+value+
 		`"},{"key":"`+b64("p/b")+`","mod_revision":4,"value":"`+b64("junk")+`"}],"more":true}`))
-	if err != nil || a.Kind != roster.List || a.Revision != 12 || a.Epoch != "77" || a.More != "p/b" || len(a.Changes) != 2 || a.Changes[0].Entry.ID != "a" ||
-		a.Changes[0].Revision != 3 || !a.Changes[1].Bad {
+	if err != nil || a.Kind != roster.List || a.Revision != 12 || a.Epoch != "77" || a.NextPageAfter != "p/b" || len(a.Changes) != 2 || a.Changes[0].Entry.ID != "a" ||
+		a.Changes[0].Revision != 3 || !a.Changes[1].Malformed {
 		t.Errorf("%+v %v", a, err)
 	}
-	a, err = p.answer(roster.Call{Whole: true}, head(t, "HTTP/1.1 400 Bad\r\n"), []byte(`{"error":"etcdserver: mvcc: required revision has been compacted","code":11}`))
+	a, err = p.answer(roster.Call{ReadList: true}, head(t, "HTTP/1.1 400 Bad\r\n"), []byte(`{"error":"etcdserver: mvcc: required revision has been compacted","code":11}`))
 	if err != nil || a.Kind != roster.Compacted {
 		t.Errorf("%+v %v", a, err)
 	}
@@ -147,11 +147,11 @@
 		rev  int64
 		bad  bool
 	}{
-		{`{"result":{"header":{"revision":"5"},"created":true}}`, roster.Alive, 5, false},
+		{`{"result":{"header":{"revision":"5"},"created":true}}`, roster.Heartbeat, 5, false},
 		{`{"result":{"header":{"revision":"9"},"watch_id":"0"}}`, roster.Progress, 9, false},
 		{`{"result":{"header":{"revision":"9"},"canceled":true,"compact_revision":"7"}}`, roster.Compacted, 9, false},
 		{`{"result":{"header":{"revision":"9"},"canceled":true,"cancel_reason":"x"}}`, 0, 0, true},
-		{`{"result":{"header":{"revision":"9"},"events":[{"type":"DELETE","kv":{"key":"` + b64("p/a") + `","mod_revision":"8"}}]}}`, roster.News, 9, false},
+		{`{"result":{"header":{"revision":"9"},"events":[{"type":"DELETE","kv":{"key":"` + b64("p/a") + `","mod_revision":"8"}}]}}`, roster.Changes, 9, false},
 		{`{"result":{"header":{"revision":"9"},"events":[{"kv":{"key":"` + b64("q/a") + `","mod_revision":"8"}}]}}`, 0, 0, true},
 		{`{"result":{"header":{"revision":"9"},"events":[{"type":"MOVE","kv":{"key":"` + b64("p/a") + `","mod_revision":"8"}}]}}`, 0, 0, true},
 		{`{"result":{"header":{"revision":"-9"}}}`, 0, 0, true},
@@ -169,7 +169,7 @@
 	p := consul{prefix: "p/"}
 	body := `[{"Key":"p/","Value":null,"ModifyIndex":1},{"Key":"p/a","Value":"` + b64(`{"addr":"10.0.0.1:1"}`) + `","ModifyIndex":5},{"Key":"p/b","Value":null,"ModifyIndex":6}]`
 	a, err := p.answer(roster.Call{}, head(t, "HTTP/1.1 200 OK\r\nX-Consul-Index: 9\r\n"), []byte(body))
-	if err != nil || a.Kind != roster.List || a.Revision != 9 || len(a.Changes) != 2 || a.Changes[0].Revision != 5 || !a.Changes[1].Bad {
+	if err != nil || a.Kind != roster.List || a.Revision != 9 || len(a.Changes) != 2 || a.Changes[0].Revision != 5 || !a.Changes[1].Malformed {
 		t.Errorf("%+v %v", a, err)
 	}
 	if a, err = p.answer(roster.Call{}, head(t, "HTTP/1.1 404 No\r\nX-Consul-Index: 9\r\n"), nil); err != nil || a.Revision != 9 || len(a.Changes) != 0 {
@@ -224,13 +224,13 @@
 				return
 			}
 			for _, c := range a.Changes {
-				if !strings.HasPrefix(c.Key, "p/") || !c.Gone && !c.Bad && (c.Entry.ID == "" || c.Entry.Addr == "") {
+				if !strings.HasPrefix(c.Key, "p/") || !c.Deleted && !c.Malformed && (c.Entry.ID == "" || c.Entry.Addr == "") {
 					t.Fatalf("%+v", c)
 				}
 			}
 		}
 		check(etcd{prefix: "p/"}.object(text))
-		check(etcd{prefix: "p/"}.answer(roster.Call{Whole: true}, &ok, text))
+		check(etcd{prefix: "p/"}.answer(roster.Call{ReadList: true}, &ok, text))
 		check(consul{prefix: "p/"}.answer(roster.Call{}, &ok, text))
 		o := objects{most: 1 << 10}
 		o.feed(text, func(x []byte) error { check(etcd{prefix: "p/"}.object(x)); return nil })
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -63,8 +63,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(reg.Close)
-	cfg := Config{Kind: kind, Prefix: prefix, MostBody: 8 << 20, Roster: roster.Config{Nodes: 1, Within: time.Second, Watch: time.Second,
-		Limit: 700 * ms, Page: 100, Rewind: 2 * time.Second}}
+	cfg := Config{Kind: kind, Prefix: prefix, MostBody: 8 << 20, Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: time.Second,
+		CallTimeout: 700 * ms, PageSize: 100, RewindAfter: 2 * time.Second}}
 	for _, a := range reg.Addrs(0) {
 		cfg.Endpoints = append(cfg.Endpoints, netip.MustParseAddrPort(a))
 	}
@@ -112,7 +112,7 @@
 func (r *rig) apply(u roster.Update) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if u.Whole {
+	if u.Complete {
 		clear(r.told)
 	}
 	for _, e := range u.Entries {
@@ -177,7 +177,7 @@
 func TestFollows(t *testing.T) {
 	both(t, func(t *testing.T, k Kind) {
 		for _, mangled := range []bool{false, true} {
-			r := start(t, k, standin.RegistryOptions{Progress: 30 * ms}, func(c *Config) { c.Roster.Page = 3 })
+			r := start(t, k, standin.RegistryOptions{Progress: 30 * ms}, func(c *Config) { c.Roster.PageSize = 3 })
 			if mangled {
 				r.reg.Twice(true)
 				r.reg.Split(true, 0)
@@ -407,7 +407,7 @@
 				calls = servers/page + 1
 			}
 			reg, cfg := standIn(t, k, standin.RegistryOptions{}, func(c *Config) {
-				c.Roster.Page, c.Roster.Most, c.Roster.Watch, c.Roster.Limit = page, servers, time.Minute, time.Minute
+				c.Roster.PageSize, c.Roster.MaxEntries, c.Roster.WatchTimeout, c.Roster.CallTimeout = page, servers, time.Minute, time.Minute
 			})
 			reg.Do(func(_ time.Duration, s *world.Store) {
 				for i := range servers {
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -51,7 +51,7 @@
 						proto = consul{prefix: prefix}
 					}
 				}
-				call := roster.Call{Whole: true}
+				call := roster.Call{ReadList: true}
 				answer := fetch(b, proto, call, addr)
 				a, used, err := httpc.Next(answer, 16<<20, true)
 				if err != nil || used != len(answer) {
--- a/internal/registry/watch_test.go
+++ b/internal/registry/watch_test.go
@@ -181,7 +181,7 @@
 		}
 	})
 	eventually(t, "the watch is out", func() bool { return len(s.asked()) == 2 })
-	time.Sleep(3 * r.client.cfg.Roster.Limit)
+	time.Sleep(3 * r.client.cfg.Roster.CallTimeout)
 	close(change)
 	eventually(t, "the next watch is out", func() bool { return len(s.asked()) == 3 })
 	r.mu.Lock()
@@ -196,7 +196,7 @@
 	t.Helper()
 	s := servePaced(t, reply, pace)
 	cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MostBody: 1 << 20,
-		Roster: roster.Config{Nodes: 1, Within: time.Second, Watch: 100 * time.Second, Limit: 300 * ms, Quick: true}}
+		Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: 100 * time.Second, CallTimeout: 300 * ms, ImmediateFirstWatch: true}}
 	return run(t, cfg, 7, []roster.Entry{{Server: policy.Server{ID: "s-1", Weight: 1}, Addr: "10.0.0.1:1"}}), s
 }
 
@@ -232,7 +232,7 @@
 				return "", false
 			})
 			cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MostBody: 1 << 20,
-				Roster: roster.Config{Nodes: 1, Within: time.Second, Watch: 100 * time.Second, Limit: 300 * ms, Quick: true}}
+				Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: 100 * time.Second, CallTimeout: 300 * ms, ImmediateFirstWatch: true}}
 			r := run(t, cfg, 7, []roster.Entry{{Server: policy.Server{ID: "s-1", Weight: 1}, Addr: "10.0.0.1:1"}})
 			eventually(t, "the drain is known", func() bool {
 				r.mu.Lock()
@@ -274,7 +274,7 @@
 	}
 	eventually(t, "the drain is known", func() bool { return state() == policy.Draining })
 	close(release)
-	eventually(t, "the old answer came", func() bool { return r.counts().Older > 0 })
+	eventually(t, "the old answer came", func() bool { return r.counts().OlderAnswers > 0 })
 	if state() != policy.Draining {
 		t.Error("an old answer brought the server back")
 	}
@@ -338,7 +338,7 @@
 	t.Helper()
 	s := serveScript(t, reply)
 	cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MostBody: 1 << 20,
-		Roster: roster.Config{Nodes: 1, Within: time.Second, Watch: 200 * ms, Limit: 300 * ms, Quick: true}}
+		Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: 200 * ms, CallTimeout: 300 * ms, ImmediateFirstWatch: true}}
 	t.Cleanup(func() {
 		if t.Failed() {
 			t.Logf("asked %q", s.asked())
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -181,8 +181,8 @@
 		n.rng.Uint64(), noActions{})
 	c := registry.Config{Kind: registry.Kind(h.cfg.Kind), Endpoints: []netip.AddrPort{netip.MustParseAddrPort(h.cfg.List)}, Prefix: listPrefix, MostBody: mostList,
 		// As internal/node has them for a fleet of this size.
-		Roster: roster.Config{Nodes: h.cfg.Nodes, Limit: 1500 * time.Millisecond, Quick: true, Pause: 100 * time.Millisecond,
-			Watch: min(time.Minute, max(5*time.Second, time.Second*time.Duration(h.cfg.Nodes)))}}
+		Roster: roster.Config{Nodes: h.cfg.Nodes, CallTimeout: 1500 * time.Millisecond, ImmediateFirstWatch: true, PushedRetryDelay: 100 * time.Millisecond,
+			WatchTimeout: min(time.Minute, max(5*time.Second, time.Second*time.Duration(h.cfg.Nodes)))}}
 	n.registry = registry.New(h.loop, c, n.rng.Uint64(), n.told, func(string, string) {})
 	n.registry.Start(0, nil)
 }
@@ -190,7 +190,7 @@
 // told takes list news.
 func (n *hollowNode) told(u roster.Update) {
 	kind := policy.ListChanges
-	if u.Whole {
+	if u.Complete {
 		kind = policy.ListWhole
 		clear(n.entries)
 		clear(n.ready)
