--- a/decide/safety/safety.go
+++ b/decide/safety/safety.go
@@ -1,14 +1,15 @@
-// Package safety decides whether something may be sent, repeated, closed or started now. It is pure: the facts of a request, an
-// attempt or a connection go in, and a reason comes out. The decision module and the node ask it; the node asks it again at the
-// last moment before bytes go to the system, where an answer other than Allowed is a violation: a guard before it has failed.
+// Package safety decides whether a request may be started, sent or repeated, and whether a connection may be closed, at this
+// moment. It is pure: it maps the facts of a request, an attempt or a connection to a reason. The policy and the node both use it;
+// the node checks again immediately before bytes are written to the system, where any answer other than Allowed is a violation: an
+// earlier check has failed.
 //
-// The rules are those of the protocol page: one final answer for each request taken, no effect twice, nothing new to a server
-// that leaves, no work for a client that has gone or stopped waiting.
+// The rules are those of the protocol: exactly one final answer for each accepted request, no effect applied twice, no new work for
+// a server that is leaving, and no work for a client that has disconnected or stopped waiting.
 package safety
 
 import "time"
 
-// Reason says why something may not be done now.
+// Reason says why an operation is not allowed now.
 type Reason uint8
 
 // The reasons.
@@ -16,21 +17,21 @@
 	Allowed           Reason = iota
 	Answered                 // the request has its final answer
 	ClientGone               // the client has closed its connection
-	DeadlineExceeded         // nothing is left of the client's time
-	TimeoutTooLong           // the attempt tells its server of more time than is left
-	ServerUnavailable        // the server drains, has left the list or is banned
-	InFlight                 // an earlier attempt is out, and the request may not have two
+	DeadlineExceeded         // no time remains until the client's deadline
+	TimeoutTooLong           // the timeout sent to the server exceeds the remaining time
+	ServerUnavailable        // the server is draining, off the server list or banned
+	InFlight                 // an earlier attempt is in flight, and the request allows only one at a time
 	MayHaveRun               // an earlier attempt may have run, and the request must not run twice
-	WindowExpired            // an earlier attempt may have run, and its servers may have forgotten it by now
-	OtherScope               // an earlier attempt may have run, in servers that do not share what they remember with this one
-	Unanswered               // the connection carries a request that was taken and not answered
-	UnreadInput              // the connection holds bytes that nobody has read
-	DuplicateID              // another request of the same id is open, or was lately
-	AtCapacity               // the node holds as much as it may
-	NumReasons               // how many there are
+	WindowExpired            // an earlier attempt may have run, and its deduplication window may have expired
+	OtherScope               // an earlier attempt may have run on a server outside the deduplication scope of this one
+	Unanswered               // the connection has an accepted request without a final answer
+	UnreadInput              // the connection has received bytes that have not been read
+	DuplicateID              // another request with the same id is open or was open recently
+	AtCapacity               // the node is at its limit
+	NumReasons               // number of reasons
 )
 
-// String is the reason's name in logs and figures.
+// String returns the reason's name in logs and metrics.
 func (r Reason) String() string {
 	switch r {
 	case Allowed:
@@ -65,30 +66,30 @@
 	return "unknown"
 }
 
-// StallAllowance is by how much what an attempt tells of the client's time may be over what is left: a process may be held up for as long
+// StallAllowance is how far the timeout sent to a server may exceed the client's remaining time: a process may be stalled this long
 // between reading its clock and writing.
 const StallAllowance = 150 * time.Millisecond
 
-// Effect says what repeating a request may do.
+// Effect classifies what repeating a request may do.
 type Effect uint8
 
-// The effects, from the freest to the strictest.
+// The effects, from the least to the most restrictive.
 const (
-	Safe   Effect = iota // may be repeated at will
-	Keyed                // servers of its group drop a repeat for a while
-	Unsafe               // may be repeated only when it provably never ran
+	Safe   Effect = iota // may be repeated freely
+	Keyed                // servers of one scope drop repeats of a key within the window
+	Unsafe               // may be repeated only if it provably never ran
 )
 
-// PriorAttempt is what is known of an earlier attempt of a request.
+// PriorAttempt describes an earlier attempt of a request.
 type PriorAttempt struct {
-	Done      bool          // it has ended
-	NeverRan  bool          // provably
-	Age       time.Duration // since it was begun
-	SameScope bool          // its server and the next one drop each other's repeats
+	Done      bool          // the attempt has ended
+	NeverRan  bool          // it provably never ran
+	Age       time.Duration // time since it was started
+	SameScope bool          // its server and the next one deduplicate for each other
 }
 
-// CheckRepeat decides whether a request may be sent again, as far as one earlier attempt tells. The window is how long servers remember
-// a keyed request.
+// CheckRepeat decides whether one earlier attempt allows a request to be sent again. The window is how long servers remember a keyed
+// request.
 func CheckRepeat(effect Effect, window time.Duration, e PriorAttempt) Reason {
 	switch {
 	case effect == Safe || e.Done && e.NeverRan:
@@ -105,16 +106,16 @@
 	return Allowed
 }
 
-// Attempt is what is known as an attempt is about to be written.
+// Attempt describes an attempt that is about to be written.
 type Attempt struct {
 	Answered      bool          // the request has its final answer
-	ClientGone    bool          // as far as is known
-	Remaining     time.Duration // of the client's time
-	Timeout       time.Duration // what the attempt tells its server
-	ServerAccepts bool          // it may get something new
+	ClientGone    bool          // the client is known to have disconnected
+	Remaining     time.Duration // time until the client's deadline
+	Timeout       time.Duration // timeout sent to the server
+	ServerAccepts bool          // the server may receive new work
 }
 
-// CheckSend decides whether an attempt may be written now. Repeat decides the rest.
+// CheckSend decides whether an attempt may be written now. CheckRepeat covers the earlier attempts of the request.
 func CheckSend(a Attempt) Reason {
 	switch {
 	case !a.ServerAccepts:
@@ -131,14 +132,14 @@
 	return Allowed
 }
 
-// Connection is what is known of a client's connection that the node is about to close by itself.
+// Connection describes a client connection that the node is about to close on its own initiative.
 type Connection struct {
-	Unanswered int  // requests on it that were taken and have no final answer
-	Unread     bool // something has come that was not read
-	Broken     bool // its client breaks the protocol, or nothing more of it will be read: what is unread counts for nothing
+	Unanswered int  // accepted requests on it without a final answer
+	Unread     bool // received bytes have not been read
+	Broken     bool // the client violates the protocol or nothing more will be read; unread bytes are ignored
 }
 
-// CheckClose decides whether a client's connection may be closed now.
+// CheckClose decides whether a client connection may be closed now.
 func CheckClose(c Connection) Reason {
 	switch {
 	case c.Unanswered > 0:
@@ -149,11 +150,11 @@
 	return Allowed
 }
 
-// Request is what is known of a request that has been read.
+// Request describes a request that has been read.
 type Request struct {
-	DuplicateID bool          // its id is another's
-	Remaining   time.Duration // of its client's time
-	AtCapacity  bool          // the node has no room for it
+	DuplicateID bool          // another request has its id
+	Remaining   time.Duration // time until the client's deadline
+	AtCapacity  bool          // the node has no capacity for it
 }
 
 // CheckStart decides whether work on a request may begin.
--- a/decide/safety/safety_test.go
+++ b/decide/safety/safety_test.go
@@ -20,16 +20,16 @@
 		change func(e *PriorAttempt)
 		want   Reason
 	}{
-		{"safe, out", Safe, func(e *PriorAttempt) { e.Done = false }, Allowed},
+		{"safe, in flight", Safe, func(e *PriorAttempt) { e.Done = false }, Allowed},
 		{"safe, may have run", Safe, func(*PriorAttempt) {}, Allowed},
 		{"unsafe, never ran", Unsafe, func(e *PriorAttempt) { e.NeverRan = true }, Allowed},
 		{"unsafe, may have run", Unsafe, func(*PriorAttempt) {}, MayHaveRun},
-		{"unsafe, out", Unsafe, func(e *PriorAttempt) { e.Done, e.NeverRan = false, true }, InFlight},
-		{"keyed, in its window", Keyed, func(*PriorAttempt) {}, Allowed},
-		{"keyed, out", Keyed, func(e *PriorAttempt) { e.Done = false }, InFlight},
-		{"keyed, held up past the window", Keyed, func(e *PriorAttempt) { e.Age = 2*sec - StallAllowance }, WindowExpired},
-		{"keyed, just in time", Keyed, func(e *PriorAttempt) { e.Age = 2*sec - StallAllowance - 1 }, Allowed},
-		{"keyed, another group", Keyed, func(e *PriorAttempt) { e.SameScope = false }, OtherScope},
+		{"unsafe, in flight", Unsafe, func(e *PriorAttempt) { e.Done, e.NeverRan = false, true }, InFlight},
+		{"keyed, within its window", Keyed, func(*PriorAttempt) {}, Allowed},
+		{"keyed, in flight", Keyed, func(e *PriorAttempt) { e.Done = false }, InFlight},
+		{"keyed, stalled past the window", Keyed, func(e *PriorAttempt) { e.Age = 2*sec - StallAllowance }, WindowExpired},
+		{"keyed, at the end of its window", Keyed, func(e *PriorAttempt) { e.Age = 2*sec - StallAllowance - 1 }, Allowed},
+		{"keyed, another scope", Keyed, func(e *PriorAttempt) { e.SameScope = false }, OtherScope},
 		{"keyed, never ran, past the window", Keyed, func(e *PriorAttempt) { e.NeverRan, e.Age = true, 9*sec }, Allowed},
 	} {
 		e := ran
@@ -46,13 +46,13 @@
 		change func(a *Attempt)
 		want   Reason
 	}{
-		{"as it should be", func(*Attempt) {}, Allowed},
+		{"allowed", func(*Attempt) {}, Allowed},
 		{"answered", func(a *Attempt) { a.Answered = true }, Answered},
-		{"the client has gone", func(a *Attempt) { a.ClientGone = true }, ClientGone},
-		{"the server leaves", func(a *Attempt) { a.ServerAccepts = false }, ServerUnavailable},
-		{"no time", func(a *Attempt) { a.Remaining = 0 }, DeadlineExceeded},
-		{"told more than is left", func(a *Attempt) { a.Timeout = a.Remaining + StallAllowance + 1 }, TimeoutTooLong},
-		{"told what is left, a hold-up ago", func(a *Attempt) { a.Timeout = a.Remaining + StallAllowance }, Allowed},
+		{"client disconnected", func(a *Attempt) { a.ClientGone = true }, ClientGone},
+		{"server not accepting", func(a *Attempt) { a.ServerAccepts = false }, ServerUnavailable},
+		{"no time remaining", func(a *Attempt) { a.Remaining = 0 }, DeadlineExceeded},
+		{"timeout too long", func(a *Attempt) { a.Timeout = a.Remaining + StallAllowance + 1 }, TimeoutTooLong},
+		{"timeout within the stall allowance", func(a *Attempt) { a.Timeout = a.Remaining + StallAllowance }, Allowed},
 	} {
 		a := Attempt{Remaining: 100 * ms, Timeout: 90 * ms, ServerAccepts: true}
 		c.change(&a)
@@ -79,23 +79,23 @@
 	}
 }
 
-// Whatever the facts, what may have run goes again only where the rules let it, and every reason has a name of its own.
+// For arbitrary facts, a request that may have run is repeated only where the rules allow it. Every reason has a distinct name.
 func TestNothingRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		effect := Effect(rapid.IntRange(int(Safe), int(Unsafe)).Draw(t, "effect"))
 		window := time.Duration(rapid.IntRange(0, 3000).Draw(t, "window")) * ms
 		e := PriorAttempt{Done: rapid.Bool().Draw(t, "done"), NeverRan: rapid.Bool().Draw(t, "never"),
 			Age: time.Duration(rapid.IntRange(0, 4000).Draw(t, "age")) * ms, SameScope: rapid.Bool().Draw(t, "group")}
-		mayRun := !e.Done || !e.NeverRan
+		mayHaveRun := !e.Done || !e.NeverRan
 		forgotten := e.Age+StallAllowance >= window || !e.SameScope
-		if CheckRepeat(effect, window, e) == Allowed && mayRun && (effect == Unsafe || effect == Keyed && (forgotten || !e.Done)) {
-			t.Fatalf("effect %d, window %v: %+v may go again", effect, window, e)
+		if CheckRepeat(effect, window, e) == Allowed && mayHaveRun && (effect == Unsafe || effect == Keyed && (forgotten || !e.Done)) {
+			t.Fatalf("effect %d, window %v: %+v may be repeated", effect, window, e)
 		}
 	})
 	seen := map[string]bool{}
 	for r := range NumReasons {
 		if seen[r.String()] || r.String() == "" {
-			t.Errorf("reason %d is called %q", r, r)
+			t.Errorf("reason %d is named %q", r, r)
 		}
 		seen[r.String()] = true
 	}
--- a/decide/starts/starts.go
+++ b/decide/starts/starts.go
@@ -1,57 +1,57 @@
-// Package starts settles when servers started, on the clock of whoever asks. A list tells starts by the wall clock of the server's
-// machine, or of the list's, which may be off by any amount; what was seen of the list bounds them. It is pure: the caller passes
-// the time.
+// Package starts determines when servers started, on the local clock. A server list reports start times by the wall clock of the
+// server's machine or of the list, which may be off by any amount; the local observations of the list bound them. The package is
+// pure: the caller passes the time.
 package starts
 
 import "time"
 
-// MaxDeparted bounds the servers off the list whose starts are remembered.
+// MaxDeparted bounds the servers off the list whose start times are remembered.
 const MaxDeparted = 1024
 
-// start is a server's start as the list told it and as it counts here.
-type start struct {
-	told  time.Duration
-	begun time.Duration
+// startTimes holds a server's start time as the list reported it and as it counts locally.
+type startTimes struct {
+	reported time.Duration
+	local    time.Duration
 }
 
-// History knows what was seen of starts. The zero History has seen nothing.
+// History remembers the observed start times. The zero History has observed nothing.
 type History struct {
 	watched  bool
-	departed map[string]start
-	order    []string // of the departed, the oldest first
+	departed map[string]startTimes
+	order    []string // ids in departed, oldest first
 }
 
-// MarkWatched notes that the list has been told: what changes from now on changes as it is told.
-func (b *History) MarkWatched() { b.watched = true }
+// MarkWatched records that a list has been received: later changes are observed as they happen.
+func (h *History) MarkWatched() { h.watched = true }
 
-// StartTime is when a server counts as started whose start the list tells for the first time, or anew: as the news comes if the list was
-// watched before, and else as told, but no later than now. One that has left and returns with the start that it had has not been
-// restarted. 0 is long ago. Guards against a clock behind this one, by which a cold server is warm as it joins, and one ahead, by
-// which it stays cold.
-func (b *History) StartTime(now time.Duration, id string, told time.Duration) time.Duration {
-	if told == 0 {
+// StartTime returns the local start time of a server whose start the list reports for the first time, or with a new value. If the
+// list was watched before, that is the time of the report, otherwise the reported time, but no later than now. A server that left
+// and returns with the same reported start has not been restarted. 0 means long ago. Guards against a server clock behind the local
+// one, which would make a cold server count as warm when it joins, and one ahead, which would keep it cold.
+func (h *History) StartTime(now time.Duration, id string, reported time.Duration) time.Duration {
+	if reported == 0 {
 		return 0
 	}
-	if s, known := b.departed[id]; known && s.told == told {
-		return s.begun
+	if s, known := h.departed[id]; known && s.reported == reported {
+		return s.local
 	}
-	if b.watched {
+	if h.watched {
 		return now
 	}
-	return min(told, now)
+	return min(reported, now)
 }
 
-// RecordDeparture remembers the start of a server that leaves the list.
-func (b *History) RecordDeparture(id string, told, begun time.Duration) {
-	if b.departed == nil {
-		b.departed = map[string]start{}
+// RecordDeparture remembers the start times of a server that leaves the list.
+func (h *History) RecordDeparture(id string, reported, local time.Duration) {
+	if h.departed == nil {
+		h.departed = map[string]startTimes{}
 	}
-	if _, known := b.departed[id]; !known {
-		b.order = append(b.order, id)
+	if _, known := h.departed[id]; !known {
+		h.order = append(h.order, id)
 	}
-	b.departed[id] = start{told, begun}
-	if len(b.order) > MaxDeparted {
-		delete(b.departed, b.order[0])
-		b.order = b.order[1:]
+	h.departed[id] = startTimes{reported, local}
+	if len(h.order) > MaxDeparted {
+		delete(h.departed, h.order[0])
+		h.order = h.order[1:]
 	}
 }
--- a/decide/starts/starts_test.go
+++ b/decide/starts/starts_test.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-func TestBegun(t *testing.T) {
+func TestStartTime(t *testing.T) {
 	const now = 100 * time.Hour
 	for _, c := range []struct {
-		name    string
-		watched bool
-		told    time.Duration
-		want    time.Duration
+		name     string
+		watched  bool
+		reported time.Duration
+		want     time.Duration
 	}{
 		{"long ago, first list", false, 0, 0},
 		{"first list", false, now - time.Second, now - time.Second},
-		{"first list, a clock ahead", false, now + time.Hour, now},
+		{"first list, server clock ahead", false, now + time.Hour, now},
 		{"long ago, watched", true, 0, 0},
 		{"watched", true, now - time.Second, now},
-		{"watched, a clock behind", true, now - time.Hour, now},
-		{"watched, a clock ahead", true, now + time.Hour, now},
+		{"watched, server clock behind", true, now - time.Hour, now},
+		{"watched, server clock ahead", true, now + time.Hour, now},
 	} {
-		var b History
+		var h History
 		if c.watched {
-			b.MarkWatched()
+			h.MarkWatched()
 		}
-		if got := b.StartTime(now, "s", c.told); got != c.want {
+		if got := h.StartTime(now, "s", c.reported); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestWhoReturnsAsItLeftHasNotStarted(t *testing.T) {
-	var b History
-	b.MarkWatched()
-	b.RecordDeparture("s", 7, 9)
-	if got := b.StartTime(time.Hour, "s", 7); got != 9 {
-		t.Errorf("returned with its start: %v", got)
+func TestReturningServerKeepsItsStart(t *testing.T) {
+	var h History
+	h.MarkWatched()
+	h.RecordDeparture("s", 7, 9)
+	if got := h.StartTime(time.Hour, "s", 7); got != 9 {
+		t.Errorf("returned with the same start: %v", got)
 	}
-	if got := b.StartTime(time.Hour, "s", 8); got != time.Hour {
+	if got := h.StartTime(time.Hour, "s", 8); got != time.Hour {
 		t.Errorf("returned with another start: %v", got)
 	}
 	for i := range 3 * MaxDeparted {
-		b.RecordDeparture(fmt.Sprint(i), 1, 1)
-		b.RecordDeparture(fmt.Sprint(i), 2, 2)
+		h.RecordDeparture(fmt.Sprint(i), 1, 1)
+		h.RecordDeparture(fmt.Sprint(i), 2, 2)
 	}
-	if len(b.departed) != MaxDeparted || len(b.order) != MaxDeparted {
-		t.Errorf("%d are remembered in an order of %d", len(b.departed), len(b.order))
+	if len(h.departed) != MaxDeparted || len(h.order) != MaxDeparted {
+		t.Errorf("%d departed servers remembered, %d in order", len(h.departed), len(h.order))
 	}
-	if got := b.StartTime(time.Hour, fmt.Sprint(3*MaxDeparted-1), 2); got != 2 {
-		t.Errorf("the last one that left: %v", got)
+	if got := h.StartTime(time.Hour, fmt.Sprint(3*MaxDeparted-1), 2); got != 2 {
+		t.Errorf("the most recently departed server: %v", got)
 	}
 }
