--- a/decide/handover/handover.go
+++ b/decide/handover/handover.go
@@ -1,72 +1,72 @@
-// Package handover decides how the processes of one node, an old one and those that come to take its place, share what the
-// one node may have. It is pure: each process is told what the others have made known of themselves, which may be old.
+// Package handover decides how the processes of one node, a predecessor and its successors in an upgrade, share the resources of the
+// node. It is pure: each process is given what the other processes have published about themselves, which may be stale.
 //
-// The ordinary path: a process alone takes everything. The departure: while others live, an elder takes what it had, at
-// most half or what it holds, and never more as long as a younger one lives; the youngest takes what the elders leave.
-// An elder's word counts for the youngest only once it has been given in sight of it. So all together never take more than
-// there is, however late they hear of each other.
+// A process that runs alone takes everything. While several run, a predecessor keeps at most the larger of half and what it holds,
+// and never raises its limit while a successor runs; the youngest process takes what the predecessors leave. A predecessor's limit
+// counts for the youngest process only once it has been settled with the youngest known. The limits therefore never add up to more
+// than the total, however late the processes learn of each other, unless a successor gives up waiting for an unresponsive predecessor.
 package handover
 
 import "slices"
 
-// Stage is where a process is in its life.
+// Stage is a process's stage of life.
 type Stage int
 
 // The stages, in order.
 const (
-	Starting Stage = iota // it takes no clients yet
-	Serving               // it takes clients
-	Leaving               // it finishes what it has
+	Starting Stage = iota // accepts no clients yet
+	Serving               // accepts clients
+	Leaving               // finishes the work that it has
 )
 
 const (
-	leavingSlack = 8 // descriptors beyond what a leaving process holds, to finish what it has taken
-	deafPart     = 4 // of everything, the part that the youngest takes where elders don't answer
+	leavingSpareFDs     = 8 // descriptors above those held that a leaving process keeps to finish its work
+	unresponsiveDivisor = 4 // the youngest process takes this fraction of the total if predecessors do not answer
 )
 
-// Process is what a process makes known of itself.
+// Process is what a process publishes about itself.
 type Process struct {
-	Order      int64 // by start; no two have the same
+	Order      int64 // start order; unique
 	Stage      Stage
-	OpenFDs    int   `json:"Open"` // file descriptors that it holds
+	OpenFDs    int   `json:"Open"` // file descriptors in use
 	FDLimit    int   `json:"Room"` // file descriptors that it may use
-	SettledFor int64 `json:"Made"` // the order of the youngest process known when FDLimit was last settled
+	SettledFor int64 `json:"Made"` // order of the youngest process known when FDLimit was settled
 }
 
-// AllocateFDs settles what a process takes of so many descriptors; Room is the one that it had. It reports whether all elders
-// have made room for it, without which it must not take clients, unless it has waited for long.
+// AllocateFDs settles how many of total file descriptors a process may use; self.FDLimit holds its previous limit. It reports whether
+// all predecessors have made room for the process. Without that, it must not accept clients unless it has waited for long.
 func AllocateFDs(total int, self Process, others []Process, waitedLong bool) (Process, bool) {
-	youngest, left, made := self.Order, total, true
+	youngest, left, settled := self.Order, total, true
 	for _, o := range others {
 		if youngest = max(youngest, o.Order); o.Order < self.Order {
-			made = made && o.SettledFor >= self.Order
+			settled = settled && o.SettledFor >= self.Order
 		}
 		left -= o.FDLimit
 	}
 	if self.Order < youngest {
 		want := max(self.OpenFDs, total/2)
 		if self.Stage == Leaving {
-			want = self.OpenFDs + leavingSlack
+			want = self.OpenFDs + leavingSpareFDs
 		}
 		self.FDLimit, self.SettledFor = min(self.FDLimit, want), youngest
 		return self, true
 	}
 	self.SettledFor = self.Order
 	switch {
-	case made:
+	case settled:
 		self.FDLimit = max(0, left)
-	case waitedLong: // an elder that stands still holds what it holds; a node that can't be replaced is worse
-		self.FDLimit = max(left, total/deafPart)
+	case waitedLong: // an unresponsive predecessor keeps what it holds, but a node that cannot be replaced is worse than exceeding the total
+		self.FDLimit = max(left, total/unresponsiveDivisor)
 	default:
 		self.FDLimit = 0
 	}
-	return self, made
+	return self, settled
 }
 
-// MemoryShare is the part of the memory that each of the processes may use.
+// MemoryShare returns how much of the memory each process may use.
 func MemoryShare(total int, others int) int { return max(1, total/(1+others)) }
 
-// HasSuccessor reports whether a younger process takes clients in a process's place.
+// HasSuccessor reports whether a younger process accepts clients in place of self.
 func HasSuccessor(self Process, others []Process) bool {
 	return slices.ContainsFunc(others, func(o Process) bool { return o.Order > self.Order && o.Stage == Serving })
 }
--- a/decide/lease/lease_test.go
+++ b/decide/lease/lease_test.go
@@ -10,38 +10,38 @@
 
 const ms = time.Millisecond
 
-// model is a registry that grants leases, in virtual time, and one keeper.
-type model struct {
-	now     time.Duration
-	k       *Keeper
-	call    Call
-	wake    time.Duration
-	notes   []string
-	down    bool
-	lost    bool // what is done there takes effect, its answer does not come
-	serial  int
-	leases  map[string]time.Duration // until when
-	entry   string                   // the value stored
-	under   string                   // its lease
-	calls   int
-	latency time.Duration
+// fakeRegistry is an in-memory registry that grants leases, in virtual time, with one keeper as its client.
+type fakeRegistry struct {
+	now         time.Duration
+	keeper      *Keeper
+	call        Call
+	wakeAt      time.Duration
+	notes       []string
+	down        bool
+	dropAnswers bool // calls take effect, but their answers are lost
+	lastLease   int
+	expiry      map[string]time.Duration // expiry time by lease
+	entry       string                   // stored value
+	entryLease  string                   // lease of the stored value
+	calls       int
+	latency     time.Duration
 }
 
-func newModel(cfg Config) *model {
-	m := &model{leases: map[string]time.Duration{}, latency: 5 * ms}
-	m.k = New(cfg, []byte("v1"), 1, m)
+func newFakeRegistry(cfg Config) *fakeRegistry {
+	m := &fakeRegistry{expiry: map[string]time.Duration{}, latency: 5 * ms}
+	m.keeper = New(cfg, []byte("v1"), 1, m)
 	return m
 }
 
-func (m *model) Do(c Call)               { m.call = c; m.calls++ }
-func (m *model) Wake(at time.Duration)   { m.wake = at }
-func (m *model) Note(event, why string)  { m.notes = append(m.notes, event+" "+why) }
-func (m *model) alive(lease string) bool { return m.leases[lease] > m.now }
+func (m *fakeRegistry) Do(c Call)               { m.call = c; m.calls++ }
+func (m *fakeRegistry) Wake(at time.Duration)   { m.wakeAt = at }
+func (m *fakeRegistry) Note(event, why string)  { m.notes = append(m.notes, event+" "+why) }
+func (m *fakeRegistry) alive(lease string) bool { return m.expiry[lease] > m.now }
 
-// present reports whether the entry is there.
-func (m *model) present() bool { return m.entry != "" && m.alive(m.under) }
+// present reports whether the entry is stored under a live lease.
+func (m *fakeRegistry) present() bool { return m.entry != "" && m.alive(m.entryLease) }
 
-func (m *model) serve() {
+func (m *fakeRegistry) serve() {
 	c := m.call
 	if c.ID == 0 || m.down {
 		return
@@ -51,91 +51,91 @@
 	ttl := c.TTL
 	switch c.Op {
 	case Grant:
-		m.serial++
-		c.Lease = fmt.Sprint("L", m.serial)
-		m.leases[c.Lease] = m.now + ttl
+		m.lastLease++
+		c.Lease = fmt.Sprint("L", m.lastLease)
+		m.expiry[c.Lease] = m.now + ttl
 	case Put:
 		if !m.alive(c.Lease) {
-			m.k.Fail(m.now, c.ID, "no such lease", true)
+			m.keeper.Fail(m.now, c.ID, "no such lease", true)
 			return
 		}
-		m.entry, m.under = string(c.Value), c.Lease
+		m.entry, m.entryLease = string(c.Value), c.Lease
 	case Renew:
 		if !m.alive(c.Lease) {
 			ttl = 0
 		} else {
-			m.leases[c.Lease] = m.now + ttl
+			m.expiry[c.Lease] = m.now + ttl
 		}
 	case Revoke:
-		delete(m.leases, c.Lease)
+		delete(m.expiry, c.Lease)
 	}
-	if !m.lost {
-		m.k.Done(m.now, c.ID, c.Lease, ttl)
+	if !m.dropAnswers {
+		m.keeper.Done(m.now, c.ID, c.Lease, ttl)
 	}
 }
 
-func (m *model) run(d time.Duration) {
+func (m *fakeRegistry) run(d time.Duration) {
 	for end := m.now + d; ; {
 		m.serve()
 		if m.call.ID != 0 && !m.down {
 			continue
 		}
-		if m.wake == 0 || m.wake > end {
+		if m.wakeAt == 0 || m.wakeAt > end {
 			m.now = max(m.now, end)
 			return
 		}
-		m.now = max(m.now, m.wake)
-		m.wake = 0
-		m.k.Timer(m.now)
+		m.now = max(m.now, m.wakeAt)
+		m.wakeAt = 0
+		m.keeper.Timer(m.now)
 	}
 }
 
 func TestKeepsItsEntry(t *testing.T) {
-	m := newModel(Config{TTL: 6 * time.Second})
-	m.k.Start(0)
+	m := newFakeRegistry(Config{TTL: 6 * time.Second})
+	m.keeper.Start(0)
 	for range 100 {
 		m.run(time.Second)
-		if !m.present() || !m.k.Held(m.now) {
-			t.Fatalf("gone after %v", m.now)
+		if !m.present() || !m.keeper.Held(m.now) {
+			t.Fatalf("entry missing after %v", m.now)
 		}
 	}
-	if m.k.Granted != 1 || m.k.Renewed < 45 || m.k.Renewed > 75 {
-		t.Errorf("%d granted, %d renewed", m.k.Granted, m.k.Renewed)
+	if m.keeper.Granted != 1 || m.keeper.Renewed < 45 || m.keeper.Renewed > 75 {
+		t.Errorf("%d leases granted, %d renewals", m.keeper.Granted, m.keeper.Renewed)
 	}
-	m.k.SetValue(m.now, []byte("v2"))
+	m.keeper.SetValue(m.now, []byte("v2"))
 	m.run(100 * ms)
 	if m.entry != "v2" {
 		t.Errorf("%q", m.entry)
 	}
-	m.k.Stop(m.now)
+	m.keeper.Stop(m.now)
 	m.run(100 * ms)
-	if m.present() || !m.k.Finished() {
-		t.Error("it outlives its process")
+	if m.present() || !m.keeper.Finished() {
+		t.Error("the entry remains after Stop")
 	}
 	before := m.calls
 	m.run(time.Minute)
 	if m.calls != before {
-		t.Error("calls go on after the end")
+		t.Error("calls continue after the end")
 	}
 }
 
-// Through any outages and lost answers the entry is there again soon after the registry is, never held to stand when its
-// lease may have lapsed, and calls stay few.
+// After arbitrary outages and lost answers, the entry is stored again soon after the registry is reachable, and the call rate stays
+// bounded.
 func TestAnyOutages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newModel(Config{TTL: 6 * time.Second, Endpoints: rapid.IntRange(1, 3).Draw(t, "endpoints")})
-		m.k.Start(0)
+		m := newFakeRegistry(Config{TTL: 6 * time.Second, Endpoints: rapid.IntRange(1, 3).Draw(t, "endpoints")})
+		m.keeper.Start(0)
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				m.down = !m.down
 			case 1:
-				m.lost = !m.lost
+				m.dropAnswers = !m.dropAnswers
 			case 2:
-				clear(m.leases) // the registry was wiped
+				clear(m.expiry) // the registry loses its data
 				m.entry = ""
 			case 3:
-				m.k.SetValue(m.now, []byte(rapid.StringN(1, 3, 9).Draw(t, "value")))
+				m.keeper.SetValue(m.now, []byte(rapid.StringN(1, 3, 9).Draw(t, "value")))
 			}
 			before, begin := m.calls, m.now
 			m.run(time.Duration(rapid.IntRange(0, 20000).Draw(t, "wait")) * ms)
@@ -143,30 +143,30 @@
 				t.Fatalf("%d calls in %v", calls, m.now-begin)
 			}
 		}
-		m.down, m.lost = false, false
+		m.down, m.dropAnswers = false, false
 		m.run(10 * time.Second)
-		if !m.present() || m.entry != string(m.k.value) || !m.k.Held(m.now) {
-			t.Fatalf("entry %q, %q", m.entry, m.notes)
+		if !m.present() || m.entry != string(m.keeper.value) || !m.keeper.Held(m.now) {
+			t.Fatalf("entry %q; notes %q", m.entry, m.notes)
 		}
 	})
 }
 
-// While the registry cannot be reached, the entry is not held to stand past its lease.
+// While the registry cannot be reached, the entry does not count as held past the expiry of its lease.
 func TestNotHeldPastItsLease(t *testing.T) {
-	m := newModel(Config{TTL: 3 * time.Second})
-	m.k.Start(0)
+	m := newFakeRegistry(Config{TTL: 3 * time.Second})
+	m.keeper.Start(0)
 	m.run(time.Second)
 	m.down = true
 	m.run(10 * time.Second)
-	if m.k.Held(m.now) {
-		t.Error("held though its lease has lapsed")
+	if m.keeper.Held(m.now) {
+		t.Error("held although its lease has expired")
 	}
 	if n := len(m.notes); n == 0 || n > 8 {
 		t.Errorf("%q", m.notes)
 	}
-	m.k.Stop(m.now)
+	m.keeper.Stop(m.now)
 	m.run(10 * time.Second)
-	if !m.k.Finished() {
-		t.Error("a revocation that fails is tried for good")
+	if !m.keeper.Finished() {
+		t.Error("a failing revocation is retried without end")
 	}
 }
