--- a/decide/roster/api.go
+++ b/decide/roster/api.go
@@ -1,8 +1,8 @@
-// Package roster decides how a node follows a registry's list of servers: what is asked next and of which endpoint, what an
-// answer means, when a change counts, how long to wait after a failure, and what a list that lacks known servers means.
+// Package roster decides how a node follows a registry's list of servers: what to ask next and at which endpoint, what an
+// answer means, when a change takes effect, how long to back off after a failure, and what a list without known servers means.
 //
-// This file is the module's interface: settings, events, actions. The decisions are in roster.go, what it remembers in
-// state.go. It does no I/O and reads no clock: the caller passes the time (since any fixed zero) with each event and
+// This file is the package's interface: settings, events and actions. The decisions are in roster.go, the state is in
+// state.go. The package does no I/O and reads no clock: the caller passes the time (since any fixed zero) with each event and
 // carries out the actions. The same events and seed give the same actions.
 package roster
 
@@ -12,109 +12,112 @@
 	"lapisshelf/policy"
 )
 
-// DefaultCallRate is how many calls a second all nodes together may make while calls fail, where that is not told.
+// DefaultCallRate is the default limit on calls per second by all nodes together while calls fail.
 const DefaultCallRate = 100.0
 
-// Config is what a follower is told at its start, and again when the registry's address changes.
+// Config holds the settings of a follower. They are set at the start and again when the registry's address changes.
 type Config struct {
 	Endpoints int // of one registry, at least 1
-	Nodes     int // followers of it, this one included; at least 1
-	// AskWithin is the longest spell without a call after which a node counts as told all the same; waits between failed
-	// calls grow from a sixteenth to a quarter of it, but never beyond what lets a change be known 6 s after the registry
-	// had it and could be reached. 0 takes 20 s.
+	Nodes     int // number of followers, this one included; at least 1
+	// AskWithin is the longest time without a call before a node counts as notified of a change anyway. Delays between failed
+	// calls grow from a sixteenth to a quarter of it, but only as far as a change is still known 6 s after the registry
+	// had it and was reachable. 0 selects 20 s.
 	AskWithin time.Duration
-	// CallRate is how many calls a second all nodes together may make while calls fail. 0 takes DefaultCalls. It goes before the 6 s:
-	// MostNodes tells the largest fleet for which both hold.
+	// CallRate limits the calls per second by all nodes together while calls fail. 0 selects DefaultCallRate. It takes precedence
+	// over the 6 s: MaxNodes returns the largest fleet for which both hold.
 	CallRate float64
-	// Streaming: a watch says at once that it stands, then each change as it comes, for as long as it lasts; else it is one
-	// answer, which comes with the first change or after Watch.
+	// Streaming means that a watch is confirmed at once and then delivers each change as it happens, until it ends. Otherwise a
+	// watch is a long poll: a single answer, sent with the first change or after WatchTimeout.
 	Streaming bool
-	// WatchTimeout is how long a watch may wait for news at most before it is asked anew, a part of it drawn: with a cut line, how
-	// long a node does not know.
+	// WatchTimeout is the longest wait of a watch for changes before it is renewed; jitter shortens it. On a dead connection it
+	// bounds how long a node misses changes.
 	WatchTimeout time.Duration
-	// CallTimeout is how long a call may take besides; up to 3 s after one that hung, and for a node that knows no list. It is cut
-	// where several endpoints must be asked in the time there is.
+	// CallTimeout bounds a call in addition to its wait. It is raised to 3 s after a call that hung and for a node without a
+	// list, and reduced where several endpoints must be asked within the available time.
 	CallTimeout time.Duration
-	// PushedRetryDelay is the longest wait behind a call that failed, where the list is pushed to an agent beside the node: asking that
-	// anew costs the registry nothing, and what it has counts as told. 0: waits follow from Within, Nodes and Calls.
+	// PushedRetryDelay is the longest delay after a failed call if the list is pushed to an agent beside the node: asking the
+	// agent costs the registry nothing, and the agent's list counts as delivered to the node. With 0, delays follow from
+	// AskWithin, Nodes and CallRate.
 	PushedRetryDelay time.Duration
-	// ImmediateFirstWatch makes the first watch from a saved list return at once with what is newer.
+	// ImmediateFirstWatch makes the first watch after Restore return immediately with whatever is newer.
 	ImmediateFirstWatch bool
-	// HoldTime is how long servers are kept that vanish in a mass, without having drained; 0: they go at once.
+	// HoldTime is how long servers are kept that vanish in a mass without having drained. With 0 they are removed at once.
 	HoldTime time.Duration
-	// HoldPart is the part of the ready servers that is a mass: more than that gone, and at least two. 0 takes a half.
+	// HoldPart is the fraction of the ready servers above which vanished servers are a mass; a mass has at least two. 0 selects
+	// a half.
 	HoldPart float64
-	// RewindAfter is how long all endpoints must tell of an older list before it is taken for the registry's (a restored backup);
-	// four times as long where some of them say nothing. 0 takes 30 s.
+	// RewindAfter is how long all endpoints must report an older list before it is accepted as the registry's (a restored
+	// backup); four times as long if some of them do not answer. 0 selects 30 s.
 	RewindAfter time.Duration
-	// PageSize is how many entries a read asks for at once; 0: all.
+	// PageSize is the number of entries that a read requests at a time; 0 requests all.
 	PageSize int
-	// MaxEntries bounds the entries that are followed; what comes beyond is left out. 0 takes 100,000.
+	// MaxEntries limits the entries that are followed; further ones are left out. 0 selects 100,000.
 	MaxEntries int
 }
 
-// Entry is a server as the registry has it.
+// Entry is a server as the registry stores it.
 type Entry struct {
 	policy.Server
-	Addr string // where it listens
+	Addr string // listening address
 }
 
-// Change is what the registry says of one key.
+// Change is the registry's state of one key.
 type Change struct {
 	Key       string
-	Revision  int64 // of the change; 0: that of the answer
+	Revision  int64 // of the change; 0 means that of the answer
 	Deleted   bool
-	Entry     Entry // unless it is gone
-	Malformed bool  // the entry does not parse: the last good one stands
+	Entry     Entry // unless deleted
+	Malformed bool  // the entry does not parse; the last valid one stays in effect
 }
 
-// Call is what is to be asked. One call is out at a time.
+// Call is a call to the registry. At most one is outstanding.
 type Call struct {
 	ID       uint64
 	Endpoint int  // from 0
-	ReadList bool // a read of the list, else a watch
-	// Revision: of a read, at which it must be made (0: the present one); of a watch, what is newer than it.
+	ReadList bool // a read of the list; otherwise a watch
+	// Revision is, for a read, the revision to read at (0 for the current one) and, for a watch, the one after which changes
+	// are wanted.
 	Revision int64
-	After    string        // of a read: the key after which the page begins
-	PageSize int           // of a read: entries at most; 0: all
-	Wait     time.Duration // of a watch: it returns by then with what there is
+	After    string        // of a read: key after which the page begins
+	PageSize int           // of a read: maximum number of entries; 0 for all
+	Wait     time.Duration // of a watch: time after which it returns without changes
 }
 
-// Kind is what an answer is.
+// Kind is the kind of an answer.
 type Kind int
 
 // The kinds of answers.
 const (
-	List      Kind = iota // entries of the whole list, or a page of them
-	Changes               // changes, in the order of their revisions; perhaps none
-	Heartbeat             // nothing, but the registry is there and at this revision
-	Progress              // all changes up to this revision have been told
-	Compacted             // what was asked for is forgotten there
+	List      Kind = iota // entries of the whole list or of a page of it
+	Changes               // changes in the order of their revisions; possibly none
+	Heartbeat             // no changes: the registry is reachable and at this revision
+	Progress              // all changes up to this revision have been sent
+	Compacted             // the requested revision is no longer available
 )
 
-// Answer is something that the registry said to a call.
+// Answer is an answer of the registry to a call, or one of several in a stream.
 type Answer struct {
 	Call     uint64
 	Kind     Kind
 	Revision int64 // of the registry
-	// Epoch names the registry; another one means another numbering of revisions. Empty: it tells none.
+	// Epoch identifies the registry; a different one numbers its revisions differently. Empty if the registry has none.
 	Epoch         string
 	Changes       []Change
-	NextPageAfter string // of a page: the key after which the next begins; empty: it was the last
+	NextPageAfter string // of a page: key after which the next page begins; empty for the last page
 	Final         bool   // the call ends with this answer
 }
 
-// Update is what a node must be told.
+// Update is reported to the node when its servers change.
 type Update struct {
-	Complete bool // all servers there are; else only what has changed, those that are gone among it
+	Complete bool // Entries holds all servers; otherwise only the changed ones, including those that are gone
 	Entries  []Entry
 }
 
-// Actions is what a follower may do.
+// Actions are the effects of a follower, carried out by the caller.
 type Actions interface {
-	Ask(c Call)             // begin a call
-	Drop(id uint64)         // end a call, whatever it may still say
-	Apply(u Update)         // tell the node of the list
-	Wake(at time.Duration)  // call Timer then; it replaces what was asked before
-	Note(event, why string) // for the log, rare
+	Ask(c Call)             // start a call
+	Drop(id uint64)         // end a call and ignore further answers to it
+	Apply(u Update)         // report the list to the node
+	Wake(at time.Duration)  // call Timer at that time; replaces the time set before
+	Note(event, why string) // write a log line; rare
 }
--- a/decide/roster/ready_test.go
+++ b/decide/roster/ready_test.go
@@ -137,7 +137,7 @@
 			m.set("k", entry("s", policy.Draining))
 			at := m.now
 			m.run(10 * time.Second)
-			if p.drain == 0 || p.drain-at > counted-callRoom+answer {
+			if p.drain == 0 || p.drain-at > notifyDelay-callReserve+answer {
 				t.Errorf("saved %v: the change at %v is known at %v; %q", saved, at, p.drain, p.log)
 			}
 			before := m.calls
--- a/decide/roster/roster_test.go
+++ b/decide/roster/roster_test.go
@@ -180,7 +180,7 @@
 		if p.told["s1"].State != policy.Draining {
 			t.Fatal(p.list())
 		}
-		m.lag[p.f.at] = 1 // one lags: the other goes on
+		m.lag[p.f.current] = 1 // one lags: the other goes on
 		m.breakAll()
 		m.run(2 * time.Second)
 		m.set("k2", entry("s2", policy.Draining))
@@ -297,7 +297,7 @@
 	m.start()
 	m.run(time.Second)
 	p := m.followers[0]
-	m.mute[p.f.at] = true
+	m.mute[p.f.current] = true
 	m.set("k", entry("s", policy.Draining))
 	m.run(p.f.cfg.WatchTimeout + p.f.cfg.CallTimeout + time.Second)
 	if p.list() != m.list() {
--- a/decide/roster/state.go
+++ b/decide/roster/state.go
@@ -11,90 +11,90 @@
 
 // Follower follows one registry. It is not safe for concurrent use.
 type Follower struct {
-	cfg  Config
-	act  Actions
-	rng  *rand.Rand
-	now  time.Duration
-	ends []endpoint
-	at   int // the endpoint in use
-
-	serial  uint64
-	call    Call          // that is out; ID 0: none
-	asked   time.Duration // when it was made
-	heard   bool          // it has said something
-	by      time.Duration // when it has failed, or a stream is asked anew
-	begun   time.Duration // since when a part of what it says has come, and the rest is due; 0: it is not
-	rest    time.Duration // by, where that is not so
-	looking bool          // a watch has fallen silent or a call failed, and nothing was answered since: what is new is wanted first
-	missed  bool          // a watch has fallen silent, or the registry moved, and nothing was answered since
-	slow    bool          // the last call that was to be answered at once has hung until its limit, or took half of it
-	idle    int           // watches in a row that came back early with nothing
-	retry   time.Duration // when the next is made; 0: not planned
-	fails   int           // calls that failed since the last answer
-	noted   time.Duration // when a failure was noted last
-
-	rev     int64            // of the list held: a watch goes on from there
-	listRev int64            // of the last whole list
-	caught  int64            // the last progress told
-	buried  []string         // keys of graves, the first first
-	graves  map[string]int64 // keys that are gone since the last whole list, and the revision of that
-	epoch   string
-	known   bool          // a list is held that this registry, or the one before it, has told
-	whole   bool          // the next call reads the list
-	anew    bool          // the registry is another one: its next list counts, whatever its revision
-	older   time.Duration // since when all it says is older than the list held; 0: it is not
-	pages   []Change
-	pageRev int64
-
-	byKey    map[string]*record
-	byID     map[string][]*record
-	byAddr   map[string][]*record
-	shown    map[string]Entry         // what the node has been told, ready or draining, by id
-	held     map[string]time.Duration // of these, those that have vanished in a mass, and until when they are kept
-	suspects map[string]bool          // of the held, those that may yet be part of a mass
-	touched  map[string]bool          // ids whose entry, or whose place at an address, may have changed
-	live     int                      // of the shown, those that are ready
-	lost     []time.Duration          // when servers vanished lately
-	bad      map[string]bool          // keys whose entries do not parse, noted once
-	over     int                      // entries left out for want of room
-
-	// Counts of what has happened, for reports.
+	cfg       Config
+	act       Actions
+	rng       *rand.Rand
+	now       time.Duration
+	endpoints []endpoint
+	current   int // index of the endpoint in use
+
+	lastCallID    uint64
+	call          Call          // outstanding call; ID 0 if there is none
+	calledAt      time.Duration // when it was made
+	answered      bool          // an answer to it has been received
+	deadline      time.Duration // when the call times out, or a stream is renewed
+	pendingSince  time.Duration // since when an answer has been partially received and its rest is due; 0 if none is
+	savedDeadline time.Duration // deadline to restore when no rest is due any more
+	wantImmediate bool          // a watch fell silent or a call failed, with no answer since: the next watch returns at once
+	mayHaveMissed bool          // a watch fell silent or the registry changed, with no answer since
+	slow          bool          // the last call due an immediate answer timed out or took more than half its timeout
+	earlyEmpty    int           // consecutive watches that returned early without changes
+	nextCallAt    time.Duration // when the next call is made; 0 if none is planned
+	failures      int           // failed calls since the last answer
+	notedAt       time.Duration // when a failure was last logged
+
+	revision      int64            // of the current list: a watch continues from there
+	listRevision  int64            // of the last complete list
+	progress      int64            // revision of the last Progress answer
+	deletedOrder  []string         // keys of deleted, oldest first
+	deleted       map[string]int64 // revisions of the keys deleted since the last complete list
+	epoch         string
+	hasList       bool          // the list comes from this registry or the one before it
+	needList      bool          // the next call reads the list
+	newRegistry   bool          // the registry was changed: its next list is accepted whatever its revision
+	olderSince    time.Duration // since when all answers are older than the current list; 0 if they are not
+	pages         []Change
+	pagesRevision int64
+
+	byKey        map[string]*record
+	byID         map[string][]*record
+	byAddr       map[string][]*record
+	reported     map[string]Entry         // servers reported to the node, ready or draining, by id
+	heldUntil    map[string]time.Duration // reported servers that have vanished but are kept, and until when
+	undecided    map[string]bool          // servers in heldUntil that may yet turn out to be part of a mass
+	dirty        map[string]bool          // ids whose entry, or whose claim to an address, may have changed
+	readyCount   int                      // number of ready servers in reported
+	recentLosses []time.Duration          // when servers recently vanished
+	malformed    map[string]bool          // keys whose entries do not parse; each is logged once
+	leftOut      int                      // entries left out because of MaxEntries
+
+	// Counts counts events for reports.
 	Counts Counts
 }
 
-// Counts tells what has happened since the start.
+// Counts holds the numbers of events since the start.
 type Counts struct {
 	Calls, Failed, Answers   int64
-	Lists, Changes, Repeated int64 // whole lists, changes applied, changes that were known already
-	SilentWatches            int64 // watches that said nothing though their wait was over
-	Compacted, OlderAnswers  int64 // forgotten revisions, answers older than the list held
+	Lists, Changes, Repeated int64 // complete lists, changes applied, changes already known
+	SilentWatches            int64 // watches without an answer when their wait was over
+	Compacted, OlderAnswers  int64 // compacted revisions, answers older than the current list
 	BadEntries, LeftOut      int64
-	Held, Conflicts          int64 // servers kept that vanished in a mass; entries that stand behind another
+	Held, Conflicts          int64 // servers kept that vanished in a mass; entries superseded by another
 }
 
-// endpoint is one address of the registry.
+// endpoint is the state of one address of the registry.
 type endpoint struct {
-	fails int           // straight
-	last  time.Duration // when it failed last
-	older bool          // it has told of an older list than the one held
+	failures      int // consecutive
+	lastFailure   time.Duration
+	reportedOlder bool // it has reported a list older than the current one
 }
 
-// record is an entry as the registry has it.
+// record is an entry as stored in the registry.
 type record struct {
 	key   string
 	rev   int64
 	entry Entry
 }
 
-// blank returns a follower that knows nothing.
-func blank(now time.Duration, cfg Config, seed uint64, act Actions) *Follower {
-	return &Follower{cfg: cfg.whole(), act: act, now: now, rng: rand.New(rand.NewPCG(seed, 0x726f73746572)), rev: -1, graves: map[string]int64{},
-		byKey: map[string]*record{}, byID: map[string][]*record{}, byAddr: map[string][]*record{}, shown: map[string]Entry{},
-		held: map[string]time.Duration{}, suspects: map[string]bool{}, touched: map[string]bool{}, bad: map[string]bool{}}
+// newFollower returns a follower without a list.
+func newFollower(now time.Duration, cfg Config, seed uint64, act Actions) *Follower {
+	return &Follower{cfg: cfg.withDefaults(), act: act, now: now, rng: rand.New(rand.NewPCG(seed, 0x726f73746572)), revision: -1, deleted: map[string]int64{},
+		byKey: map[string]*record{}, byID: map[string][]*record{}, byAddr: map[string][]*record{}, reported: map[string]Entry{},
+		heldUntil: map[string]time.Duration{}, undecided: map[string]bool{}, dirty: map[string]bool{}, malformed: map[string]bool{}}
 }
 
-// whole fills in what is not told.
-func (c Config) whole() Config {
+// withDefaults returns the configuration with defaults for unset values.
+func (c Config) withDefaults() Config {
 	c.Endpoints, c.Nodes = max(1, c.Endpoints), max(1, c.Nodes)
 	c.AskWithin = cmp.Or(c.AskWithin, 20*time.Second)
 	c.CallRate = cmp.Or(c.CallRate, DefaultCallRate)
@@ -106,7 +106,7 @@
 	return c
 }
 
-// put takes an entry in; it reports whether there was room.
+// put adds or replaces an entry. It reports whether MaxEntries allows it.
 func (f *Follower) put(key string, rev int64, e Entry) bool {
 	if f.byKey[key] == nil && len(f.byKey) >= f.cfg.MaxEntries {
 		return false
@@ -116,46 +116,46 @@
 	f.byKey[key] = r
 	f.byID[e.ID] = append(f.byID[e.ID], r)
 	f.byAddr[e.Addr] = append(f.byAddr[e.Addr], r)
-	f.touch(r)
+	f.markDirty(r)
 	return true
 }
 
-// remove takes an entry out.
+// remove deletes an entry.
 func (f *Follower) remove(key string) {
 	r := f.byKey[key]
 	if r == nil {
 		return
 	}
-	f.touch(r)
+	f.markDirty(r)
 	delete(f.byKey, key)
-	drop(f.byID, r.entry.ID, r)
-	drop(f.byAddr, r.entry.Addr, r)
+	removeRecord(f.byID, r.entry.ID, r)
+	removeRecord(f.byAddr, r.entry.Addr, r)
 }
 
-// touch marks an entry's id and those at its address.
-func (f *Follower) touch(r *record) {
-	f.touched[r.entry.ID] = true
+// markDirty marks an entry's id and the ids at its address as possibly changed.
+func (f *Follower) markDirty(r *record) {
+	f.dirty[r.entry.ID] = true
 	for _, x := range f.byAddr[r.entry.Addr] {
-		f.touched[x.entry.ID] = true
+		f.dirty[x.entry.ID] = true
 	}
 }
 
-func drop(m map[string][]*record, name string, r *record) {
+func removeRecord(m map[string][]*record, name string, r *record) {
 	list := slices.DeleteFunc(m[name], func(x *record) bool { return x == r })
 	if m[name] = list; len(list) == 0 {
 		delete(m, name)
 	}
 }
 
-// standing is the entry under which an id is known: of several keys with that id the one changed last, unless another id
-// stands at its address with a later start or change.
-func (f *Follower) standing(id string) (*record, bool) {
+// effective returns the entry that is in effect for an id: of several keys with that id the one changed last. It reports false if
+// another id holds the same address with a later start or change.
+func (f *Follower) effective(id string) (*record, bool) {
 	r := latest(f.byID[id])
 	if r == nil {
 		return nil, false
 	}
 	for _, x := range f.byAddr[r.entry.Addr] {
-		if x.entry.ID != id && latest(f.byID[x.entry.ID]) == x && later(x, r) {
+		if x.entry.ID != id && latest(f.byID[x.entry.ID]) == x && supersedes(x, r) {
 			return r, false
 		}
 	}
@@ -171,33 +171,33 @@
 	return best
 }
 
-// later reports whether x took the address from r.
-func later(x, r *record) bool {
+// supersedes reports whether x replaces r at their address.
+func supersedes(x, r *record) bool {
 	return cmp.Or(cmp.Compare(x.entry.Started, r.entry.Started), cmp.Compare(x.rev, r.rev), cmp.Compare(x.key, r.key)) > 0
 }
 
-// show notes what the node is told of a server; gone takes it off.
-func (f *Follower) show(e Entry, gone bool) {
-	if old, known := f.shown[e.ID]; known && old.State == policy.Ready {
-		f.live--
+// setReported records what is reported to the node about a server; gone removes it.
+func (f *Follower) setReported(e Entry, gone bool) {
+	if old, known := f.reported[e.ID]; known && old.State == policy.Ready {
+		f.readyCount--
 	}
 	if gone {
-		delete(f.shown, e.ID)
-		delete(f.held, e.ID)
-		delete(f.suspects, e.ID)
+		delete(f.reported, e.ID)
+		delete(f.heldUntil, e.ID)
+		delete(f.undecided, e.ID)
 		return
 	}
-	f.shown[e.ID] = e
+	f.reported[e.ID] = e
 	if e.State == policy.Ready {
-		f.live++
+		f.readyCount++
 	}
 }
 
-// Revision is that of the list held, -1 for none, and Servers how many the node has been told of.
-func (f *Follower) Revision() int64 { return f.rev }
+// Revision returns the revision of the current list, or -1 if there is none.
+func (f *Follower) Revision() int64 { return f.revision }
 
-// Servers is how many servers the node has been told of.
-func (f *Follower) Servers() int { return len(f.shown) }
+// Servers returns the number of servers reported to the node.
+func (f *Follower) Servers() int { return len(f.reported) }
 
-// HeldServers is how many of them are kept though they have vanished.
-func (f *Follower) HeldServers() int { return len(f.held) - len(f.suspects) }
+// HeldServers returns how many of them are kept although they vanished in a mass.
+func (f *Follower) HeldServers() int { return len(f.heldUntil) - len(f.undecided) }
--- a/decide/roster/told_test.go
+++ b/decide/roster/told_test.go
@@ -114,9 +114,9 @@
 		leave()
 		p.hush, hangs = p.call.ID, true
 	}
-	over := p.f.by // when the call that hangs is given up; a watch is, a little after its wait
-	if p.f.waits() {
-		over -= overdue
+	over := p.f.deadline // when the call that hangs is given up; a watch is, a little after its wait
+	if p.f.longPolling() {
+		over -= watchOverrun
 	}
 	long := time.Duration(r.Int64N(int64([]time.Duration{2 * time.Second, 30 * time.Second, 3 * time.Minute}[r.IntN(3)])))
 	end := m.now + long
@@ -145,10 +145,10 @@
 	}
 	told := over + 2*time.Second // what a silent watch misses counts so long after its wait
 	if s.ends > 2 {
-		told = over + counted // some of the endpoints that are asked instead may be away
+		told = over + notifyDelay // some of the endpoints that are asked instead may be away
 	}
-	if hangs && told > at+counted {
-		return known - (told - counted)
+	if hangs && told > at+notifyDelay {
+		return known - (told - notifyDelay)
 	}
 	return known - at
 }
@@ -174,9 +174,9 @@
 			t.Parallel()
 			cfg := Config{Endpoints: s.ends}
 			s.config(0)(&cfg)
-			bound := counted
+			bound := notifyDelay
 			if s.nodes > MaxNodes(cfg) { // a call of each in their calls a second, a tenth of it drawn
-				bound = max(bound, time.Duration(float64(s.nodes)/100/0.9*float64(time.Second))+callRoom)
+				bound = max(bound, time.Duration(float64(s.nodes)/100/0.9*float64(time.Second))+callReserve)
 			}
 			for _, o := range append(outages, mixed) {
 				worst, sum, late, slowest := time.Duration(0), time.Duration(0), 0, uint64(0)
@@ -248,7 +248,7 @@
 				if most > 150 {
 					t.Errorf("%d nodes: %d calls in a second", nodes, most)
 				}
-				if late := last > counted-callRoom+4*m.latency; late != (nodes > MaxNodes(Config{})) {
+				if late := last > notifyDelay-callReserve+4*m.latency; late != (nodes > MaxNodes(Config{})) {
 					t.Errorf("%d nodes: the last knows after %v", nodes, last)
 				}
 			}
@@ -273,7 +273,7 @@
 							m.start()
 							m.run(2*time.Second + time.Duration(r.Int64N(int64(10*time.Second))))
 							id := p.call.ID
-							if id == 0 || p.call.ReadList || p.call.Wait == glance {
+							if id == 0 || p.call.ReadList || p.call.Wait == immediateWait {
 								t.Fatalf("no watch is out: %+v", p.call)
 							}
 							m.later(p, 0, func() {
@@ -290,7 +290,7 @@
 							m.set("k", entry("s", policy.Draining))
 							at := m.now
 							m.run(10 * time.Second)
-							if p.drain == 0 || p.drain-at > counted {
+							if p.drain == 0 || p.drain-at > notifyDelay {
 								t.Fatalf("seed %d: the change at %v is known at %v; %q", seed, at, p.drain, p.log)
 							}
 						}
