--- a/decide/roster/roster.go
+++ b/decide/roster/roster.go
@@ -167,15 +167,15 @@
 }
 
 // SetAnswerPending reports that part of an answer to a watch, or of an object in a stream, has been received, so that the rest is due
-// within the timeout of any call; or, with on false, that no rest is due and the watch may wait for as long as it allows. Guards
+// within the timeout of any call; or, with pending false, that no rest is due and the watch may wait for as long as it allows. Guards
 // against an answer that stops midway or trickles without end: its content was available when it began, yet the watch was kept for
 // all of its wait, 60 s with 60 nodes.
-func (f *Follower) SetAnswerPending(now time.Duration, call uint64, on bool) {
+func (f *Follower) SetAnswerPending(now time.Duration, call uint64, pending bool) {
 	f.now = now
-	switch may := call == f.call.ID && (f.longPolling() || f.cfg.Streaming && f.answered); {
-	case may && on && f.pendingSince == 0:
+	switch relevant := call == f.call.ID && (f.longPolling() || f.cfg.Streaming && f.answered); {
+	case relevant && pending && f.pendingSince == 0:
 		f.pendingSince, f.savedDeadline, f.deadline = f.now, f.deadline, min(f.deadline, f.now+f.callTimeout())
-	case may && !on && f.pendingSince > 0:
+	case relevant && !pending && f.pendingSince > 0:
 		f.pendingSince, f.deadline = 0, f.savedDeadline
 	}
 	f.scheduleWake()
@@ -251,12 +251,12 @@
 	e := &f.endpoints[f.current]
 	e.failures++
 	e.lastFailure = f.now
-	first := f.failures == 0 && !f.wantImmediate
+	firstFailure := f.failures == 0 && !f.wantImmediate
 	best := (f.current + 1) % len(f.endpoints)
 	for i := 2; i < len(f.endpoints); i++ {
 		j := (f.current + i) % len(f.endpoints)
 		x, y := f.endpoints[j], f.endpoints[best]
-		if first && x.failures < y.failures || (!first || x.failures == y.failures) && x.lastFailure < y.lastFailure {
+		if firstFailure && x.failures < y.failures || (!firstFailure || x.failures == y.failures) && x.lastFailure < y.lastFailure {
 			best = j
 		}
 	}
@@ -338,7 +338,7 @@
 	if f.failures > 1 {
 		f.act.Note("list_back", fmt.Sprintf("failed=%d", f.failures))
 	}
-	late := f.failures > 0 && !f.hasList
+	firstListDelayed := f.failures > 0 && !f.hasList
 	f.failures, f.answered, f.wantImmediate, f.mayHaveMissed = 0, true, false, false
 	f.endpoints[f.current] = endpoint{}
 	f.pendingSince = 0 // the answer is complete
@@ -372,7 +372,7 @@
 			break
 		}
 		f.startCall()
-	case late && f.hasList && f.cfg.PushedRetryDelay == 0:
+	case firstListDelayed && f.hasList && f.cfg.PushedRetryDelay == 0:
 		// Guards against a registry that refuses excess calls: new nodes without a list go before those that have one and want a
 		// watch. The watch is opened well before AskWithin is over.
 		f.earlyEmpty, f.call = 0, Call{}
@@ -456,17 +456,17 @@
 		return false
 	}
 	f.Counts.Lists++
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, c := range f.pages {
-		named[c.Key] = true
+		listed[c.Key] = true
 		f.applyChange(c, cmp.Or(c.Revision, f.pagesRevision))
 	}
 	for _, key := range slices.Sorted(maps.Keys(f.byKey)) {
-		if !named[key] {
+		if !listed[key] {
 			f.remove(key)
 		}
 	}
-	maps.DeleteFunc(f.malformed, func(key string, _ bool) bool { return !named[key] })
+	maps.DeleteFunc(f.malformed, func(key string, _ bool) bool { return !listed[key] })
 	f.revision, f.listRevision, f.progress = f.pagesRevision, f.pagesRevision, 0
 	f.deletedOrder = nil
 	clear(f.deleted)
@@ -540,10 +540,10 @@
 	}
 	var changed, vanished []Entry
 	for _, id := range slices.Sorted(maps.Keys(f.dirty)) {
-		r, stands := f.effective(id)
+		r, inEffect := f.effective(id)
 		old, known := f.reported[id]
 		switch {
-		case stands:
+		case inEffect:
 			delete(f.heldUntil, id)
 			delete(f.undecided, id)
 			if !known || old != r.entry {
@@ -552,7 +552,7 @@
 		case known:
 			vanished = append(vanished, old)
 		}
-		if r != nil && !stands {
+		if r != nil && !inEffect {
 			f.Counts.Conflicts++
 		}
 	}
--- a/decide/roster/size_test.go
+++ b/decide/roster/size_test.go
@@ -8,9 +8,9 @@
 	"lapisshelf/policy"
 )
 
-// BenchmarkFleet plays whole fleets of followers in virtual time: the calls a second while nothing changes, those of one change, the
-// worst second of an outage of a minute and a half, and when the last node knows of what changed at its end. Its counts are the
-// same in each run; docs/CAPACITY.md has them.
+// BenchmarkFleet simulates whole fleets of followers in virtual time. It reports the calls per second while nothing changes, the calls
+// caused by one change, the worst second of an outage of 90 s, and when the last node learns of a change made at its end. The counts
+// are the same in each run; docs/CAPACITY.md has them.
 func BenchmarkFleet(b *testing.B) {
 	for _, x := range []struct {
 		nodes int
@@ -18,14 +18,14 @@
 	}{{300, 100}, {450, 100}, {950, 212}, {1900, 100}, {1900, 423}} {
 		b.Run(fmt.Sprintf("nodes=%d/calls=%g", x.nodes, x.calls), func(b *testing.B) {
 			for range b.N {
-				m := newModel(b, poll, 1, x.nodes, func(c *Config) {
-					fleet{style: poll, nodes: x.nodes}.config(20 * time.Second)(c)
+				m := newModel(b, longPoll, 1, x.nodes, func(c *Config) {
+					scenario{style: longPoll, nodes: x.nodes}.config(20 * time.Second)(c)
 					c.CallRate = x.calls
 				})
 				m.set("k", entry("s", policy.Ready))
 				m.start()
-				m.run(2 * time.Minute) // waits have drifted apart
-				clear(m.byTime)
+				m.run(2 * time.Minute) // the waits of the nodes have drifted apart
+				clear(m.callsBySecond)
 				before := m.calls
 				m.run(15 * time.Minute)
 				b.ReportMetric(float64(m.calls-before)/900, "quiet-calls/s")
@@ -33,31 +33,31 @@
 				m.set("k", entry("s", policy.Draining))
 				m.run(time.Second)
 				b.ReportMetric(float64(m.calls-before), "calls-of-a-change")
-				away := true
-				m.fails = func(p *peer, c Call) bool {
-					if away {
-						outages[0].fail(m, p, c)
+				unavailable := true
+				m.intercept = func(p *peer, c Call) bool {
+					if unavailable {
+						outageKinds[0].handle(m, p, c)
 					}
-					return away
+					return unavailable
 				}
-				m.breakAll()
+				m.failOutstanding()
 				m.run(5 * time.Second)
-				clear(m.byTime)
+				clear(m.callsBySecond)
 				m.run(90 * time.Second)
-				most := 0
-				for _, n := range m.byTime {
-					most = max(most, n)
+				worst := 0
+				for _, n := range m.callsBySecond {
+					worst = max(worst, n)
 				}
-				b.ReportMetric(float64(most), "outage-calls/s")
-				away = false
+				b.ReportMetric(float64(worst), "outage-calls/s")
+				unavailable = false
 				m.set("k", entry("s", policy.Ready))
 				at, last := m.now, time.Duration(0)
 				m.run(time.Minute)
 				for _, p := range m.followers {
-					if p.told["s"].State != policy.Ready {
-						b.Fatal("never known")
+					if p.servers["s"].State != policy.Ready {
+						b.Fatal("a node never learns of the change")
 					}
-					last = max(last, p.when["s"]-at)
+					last = max(last, p.reportedAt["s"]-at)
 				}
 				b.ReportMetric(last.Seconds(), "last-knows-s")
 			}
--- a/decide/roster/told_test.go
+++ b/decide/roster/told_test.go
@@ -1,6 +1,6 @@
 package roster
 
-// A change counts as told 6 s after the registry had it and could be reached, whatever failed before.
+// A node counts as notified of a change 6 s after the registry had it and was reachable, whatever failed before.
 
 import (
 	"fmt"
@@ -12,53 +12,53 @@
 	"lapisshelf/policy"
 )
 
-// outage is how calls fail while the registry is away.
+// outage is a way in which calls fail while the registry is unavailable.
 type outage struct {
-	name string
-	fail func(m *model, p *peer, c Call) // what becomes of a call that arrives
+	name   string
+	handle func(m *model, p *peer, c Call) // handles a call that arrives
 }
 
-// failing ends a call after a time.
-func failing(after func(r *rand.Rand) time.Duration) func(*model, *peer, Call) {
+// failAfter returns a handler that fails a call after a delay.
+func failAfter(after func(r *rand.Rand) time.Duration) func(*model, *peer, Call) {
 	return func(m *model, p *peer, c Call) {
-		m.later(p, after(m.rng), func() { p.f.Failed(m.now, c.ID, "away") })
+		m.schedule(p, after(m.rng), func() { p.f.Failed(m.now, c.ID, "away") })
 	}
 }
 
-var outages = []outage{
-	{"refused", failing(func(*rand.Rand) time.Duration { return 0 })},
-	{"reset", failing(func(r *rand.Rand) time.Duration { return time.Duration(r.Int64N(int64(1400 * ms))) })},
-	{"no connection", failing(func(*rand.Rand) time.Duration { return time.Second })}, // as internal/registry gives one up
+var outageKinds = []outage{
+	{"refused", failAfter(func(*rand.Rand) time.Duration { return 0 })},
+	{"reset", failAfter(func(r *rand.Rand) time.Duration { return time.Duration(r.Int64N(int64(1400 * ms))) })},
+	{"no connection", failAfter(func(*rand.Rand) time.Duration { return time.Second })}, // the connect timeout of internal/registry
 	{"silent", func(*model, *peer, Call) {}},
-	{"half an answer", func(m *model, p *peer, c Call) { // a page of several, and nothing more; nothing of a single answer
+	{"half an answer", func(m *model, p *peer, c Call) { // the first of several pages, then nothing; no part of a single answer
 		if c.ReadList && c.PageSize > 0 && c.After == "" {
-			page := m.at(m.rev)
+			page := m.listAt(m.rev)
 			m.answer(p, Answer{Kind: List, Revision: m.rev, Changes: page[:1], NextPageAfter: page[0].Key})
 		}
 	}},
-	{"dropped", func(m *model, p *peer, c Call) { // an answer that makes no sense
+	{"dropped", func(m *model, p *peer, c Call) { // an invalid answer
 		m.answer(p, Answer{Kind: Changes, Revision: -1, Final: true})
 	}},
-	{"busy", failing(func(r *rand.Rand) time.Duration { return time.Duration(r.Int64N(int64(200 * ms))) })},
+	{"busy", failAfter(func(r *rand.Rand) time.Duration { return time.Duration(r.Int64N(int64(200 * ms))) })},
 }
 
-// mixed has each call fail in another way.
-var mixed = outage{"any of them", func(m *model, p *peer, c Call) { outages[m.rng.IntN(len(outages))].fail(m, p, c) }}
+// mixed fails each call in a random way.
+var mixed = outage{"any of them", func(m *model, p *peer, c Call) { outageKinds[m.rng.IntN(len(outageKinds))].handle(m, p, c) }}
 
-// fleet is one follower out of so many, at a registry of some kind.
-type fleet struct {
-	style  style
-	pushed bool
-	nodes  int
-	ends   int
+// scenario is one follower of a fleet of the given size, at a registry of the given style.
+type scenario struct {
+	style     style
+	pushed    bool
+	nodes     int
+	endpoints int
 }
 
-func (s fleet) String() string {
-	return fmt.Sprintf("%s, pushed %v, %d nodes, %d endpoints", []string{"stream", "poll", "whole"}[s.style], s.pushed, s.nodes, s.ends)
+func (s scenario) String() string {
+	return fmt.Sprintf("%s, pushed %v, %d nodes, %d endpoints", []string{"stream", "poll", "whole"}[s.style], s.pushed, s.nodes, s.endpoints)
 }
 
-// config is a follower's, as internal/node makes it.
-func (s fleet) config(within time.Duration) func(*Config) {
+// config returns the settings of a follower as internal/node makes them.
+func (s scenario) config(within time.Duration) func(*Config) {
 	return func(c *Config) {
 		c.Nodes, c.CallTimeout, c.AskWithin, c.PageSize, c.ImmediateFirstWatch = s.nodes, 1500*ms, within, 2, true
 		c.WatchTimeout = min(60*time.Second, max(5*time.Second, time.Duration(s.nodes)*time.Second))
@@ -68,120 +68,120 @@
 	}
 }
 
-// back plays one outage and its end: the calls that are out break, or hang, or the process begins in it; then all calls
-// fail for a time, and from a moment on none does. A change is made in the outage, or up to a while after it; perhaps the
-// node is moved to that registry in between. It gives how long after the registry had the change and could be reached the
-// node knew of it, and how much of that was due to a watch that fell silent, which has a rule of its own.
-func back(t *testing.T, s fleet, o outage, seed uint64) (took time.Duration) {
-	r := rand.New(rand.NewPCG(seed, uint64(s.nodes)))
+// notifyLatency simulates one outage and its end. Outstanding calls break or hang, or the process starts during the outage; all calls
+// fail for a while, then none does. A change is made during the outage or shortly after it, and the node may be switched to the
+// registry in between. It returns how long after the registry had the change and was reachable the node learned of it, less the
+// time allowed for a watch that fell silent.
+func notifyLatency(t *testing.T, sc scenario, o outage, seed uint64) (took time.Duration) {
+	r := rand.New(rand.NewPCG(seed, uint64(sc.nodes)))
 	within := []time.Duration{0, 4 * time.Second, 10 * time.Second, 20 * time.Second, time.Hour}[r.IntN(5)]
-	m := newModel(t, s.style, s.ends, 1, s.config(within))
+	m := newModel(t, sc.style, sc.endpoints, 1, sc.config(within))
 	m.rng = r
-	m.latency = time.Duration(1+r.IntN([]int{20, 240}[r.IntN(2)])) * ms // a call takes two of them, half a second at most
+	m.latency = time.Duration(1+r.IntN([]int{20, 240}[r.IntN(2)])) * ms // a call takes two latencies, at most half a second
 	p := m.followers[0]
 	p.f.rng = rand.New(rand.NewPCG(seed, 7))
 	m.set("k", entry("s", policy.Ready))
 	m.set("l", entry("l", policy.Ready))
-	away := make([]bool, s.ends)
-	m.fails = func(p *peer, c Call) bool {
-		if away[c.Endpoint] {
-			o.fail(m, p, c)
+	unavailable := make([]bool, sc.endpoints)
+	m.intercept = func(p *peer, c Call) bool {
+		if unavailable[c.Endpoint] {
+			o.handle(m, p, c)
 		}
-		return away[c.Endpoint]
+		return unavailable[c.Endpoint]
 	}
-	leave := func() {
-		for i := range away {
-			away[i] = true
+	failAll := func() {
+		for i := range unavailable {
+			unavailable[i] = true
 		}
 	}
 	hangs := false
 	switch r.IntN(3) {
-	case 0: // the process begins in the outage, perhaps with a list
-		leave()
+	case 0: // the process starts during the outage, perhaps with a saved list
+		failAll()
 		if r.IntN(2) == 0 {
-			p.told = map[string]Entry{"s": entry("s", policy.Ready), "l": entry("l", policy.Ready)}
-			p.f.Restore(2, []Entry{p.told["s"], p.told["l"]})
+			p.servers = map[string]Entry{"s": entry("s", policy.Ready), "l": entry("l", policy.Ready)}
+			p.f.Restore(2, []Entry{p.servers["s"], p.servers["l"]})
 		}
 		m.start()
-	case 1: // calls that are out break
+	case 1: // outstanding calls break
 		m.start()
 		m.run(time.Duration(r.Int64N(int64(10 * time.Second))))
-		leave()
-		m.breakAll()
-	default: // they hang
+		failAll()
+		m.failOutstanding()
+	default: // outstanding calls hang
 		m.start()
 		m.run(2*time.Second + time.Duration(r.Int64N(int64(10*time.Second))))
-		leave()
-		p.hush, hangs = p.call.ID, true
+		failAll()
+		p.silencedCall, hangs = p.call.ID, true
 	}
-	over := p.f.deadline // when the call that hangs is given up; a watch is, a little after its wait
+	waitOver := p.f.deadline // when the hanging call times out; a watch does so a little after its wait
 	if p.f.longPolling() {
-		over -= watchOverrun
+		waitOver -= watchOverrun
 	}
-	long := time.Duration(r.Int64N(int64([]time.Duration{2 * time.Second, 30 * time.Second, 3 * time.Minute}[r.IntN(3)])))
-	end := m.now + long
-	if r.IntN(3) == 0 { // SIGHUP, at any time of it
-		m.run(time.Duration(r.Int64N(int64(long) + 1)))
+	outageLength := time.Duration(r.Int64N(int64([]time.Duration{2 * time.Second, 30 * time.Second, 3 * time.Minute}[r.IntN(3)])))
+	end := m.now + outageLength
+	if r.IntN(3) == 0 { // the settings are reloaded at any time of the outage
+		m.run(time.Duration(r.Int64N(int64(outageLength) + 1)))
 		p.f.ChangeRegistry(m.now, p.f.cfg)
 	}
 	m.run(max(0, end-m.now))
-	for i := range away {
-		away[i] = i < (s.ends-1)/2 // a majority is back: a change of a registry needs one
+	for i := range unavailable {
+		unavailable[i] = i < (sc.endpoints-1)/2 // a majority is available again: a registry needs one to accept a change
 	}
-	if s.ends > 1 {
-		r.Shuffle(len(away), func(i, j int) { away[i], away[j] = away[j], away[i] })
+	if sc.endpoints > 1 {
+		r.Shuffle(len(unavailable), func(i, j int) { unavailable[i], unavailable[j] = unavailable[j], unavailable[i] })
 	}
 	if r.IntN(2) == 0 {
 		m.run(time.Duration(r.Int64N(int64(2 * time.Second))))
 	}
 	m.set("k", entry("s", policy.Draining))
 	at := m.now
-	for p.drain == 0 && m.now < at+time.Hour/2 {
+	for p.firstDrain == 0 && m.now < at+time.Hour/2 {
 		m.run(time.Second)
 	}
-	known := p.drain
+	known := p.firstDrain
 	if known == 0 {
-		known = m.now // not yet
+		known = m.now // not known yet
 	}
-	told := over + 2*time.Second // what a silent watch misses counts so long after its wait
-	if s.ends > 2 {
-		told = over + notifyDelay // some of the endpoints that are asked instead may be away
+	notifiedAt := waitOver + 2*time.Second // a node counts as notified of what a silent watch missed this long after its wait
+	if sc.endpoints > 2 {
+		notifiedAt = waitOver + notifyDelay // some of the endpoints asked instead may be unavailable
 	}
-	if hangs && told > at+notifyDelay {
-		return known - (told - notifyDelay)
+	if hangs && notifiedAt > at+notifyDelay {
+		return known - (notifiedAt - notifyDelay)
 	}
 	return known - at
 }
 
-// Guards against waits behind failures that leave nothing of the 6 s for the call itself, or for one that began in the
-// outage and hangs until its limit (28 s in the mean with 1,900 nodes), and against a watch that is begun in an outage, hangs,
-// and is held for all of its wait (60 s with 60 nodes or more). A fleet beyond MostNodes keeps to its calls a second: what it
-// takes longer is bounded too.
+// Guards against delays after failures that leave no part of the 6 s for the call itself, or for a call that began in the outage and
+// hangs until its timeout (28 s on average with 1,900 nodes), and against a watch that is begun in an outage, hangs, and is kept for
+// the complete heads wait (60 s with 60 nodes or more). A fleet larger than MaxNodes keeps to its call rate, and its longer latency is
+// bounded too.
 func TestAChangeIsKnownBeforeItCounts(t *testing.T) {
 	const seeds = 400
-	var fleets []fleet
+	var scenarios []scenario
 	for _, nodes := range []int{2, 30, 300, 450, 1900} {
-		for _, st := range []style{stream, poll, whole} {
-			fleets = append(fleets, fleet{st, false, nodes, 1})
+		for _, st := range []style{stream, longPoll, fullList} {
+			scenarios = append(scenarios, scenario{st, false, nodes, 1})
 		}
-		fleets = append(fleets, fleet{poll, true, nodes, 1})
+		scenarios = append(scenarios, scenario{longPoll, true, nodes, 1})
 	}
 	for _, ends := range []int{2, 3, 5} {
-		fleets = append(fleets, fleet{stream, false, 30, ends}, fleet{whole, false, 100, ends})
+		scenarios = append(scenarios, scenario{stream, false, 30, ends}, scenario{fullList, false, 100, ends})
 	}
-	for _, s := range fleets {
+	for _, s := range scenarios {
 		t.Run(s.String(), func(t *testing.T) {
 			t.Parallel()
-			cfg := Config{Endpoints: s.ends}
+			cfg := Config{Endpoints: s.endpoints}
 			s.config(0)(&cfg)
 			bound := notifyDelay
-			if s.nodes > MaxNodes(cfg) { // a call of each in their calls a second, a tenth of it drawn
+			if s.nodes > MaxNodes(cfg) { // one call per node at the call rate, a tenth of it random
 				bound = max(bound, time.Duration(float64(s.nodes)/100/0.9*float64(time.Second))+callReserve)
 			}
-			for _, o := range append(outages, mixed) {
+			for _, o := range append(outageKinds, mixed) {
 				worst, sum, late, slowest := time.Duration(0), time.Duration(0), 0, uint64(0)
 				for seed := range uint64(seeds) {
-					took := back(t, s, o, seed)
+					took := notifyLatency(t, s, o, seed)
 					if sum += took; took > worst {
 						worst, slowest = took, seed
 					}
@@ -190,17 +190,16 @@
 					}
 				}
 				if t.Logf("%v, %s: mean %v, worst %v", s, o.name, (sum / seeds).Round(ms), worst.Round(ms)); late > 0 {
-					t.Errorf("%s: known later than %v in %d of %d seeds, the worst is %d", o.name, bound, late, seeds, slowest)
+					t.Errorf("%s: known later than %v in %d of %d seeds, worst seed %d", o.name, bound, late, seeds, slowest)
 				}
 			}
 		})
 	}
 }
 
-// The largest fleet that the calls a second let know in time, by the arithmetic of the settings, and by playing it: a fleet
-// of that size keeps to its calls a second in an outage however long, however it began, and nobody is late when it ends;
-// one a fifth larger keeps to them too, but is late.
-func TestMostNodes(t *testing.T) {
+// Checks MaxNodes by the arithmetic of the settings and by simulation: a fleet of that size keeps to its call rate during an outage,
+// and no node is late when it ends; a fleet larger by a fifth keeps to the rate too, but is late.
+func TestMaxNodes(t *testing.T) {
 	for _, c := range []struct {
 		cfg  Config
 		want int
@@ -212,57 +211,57 @@
 			t.Errorf("%+v: %d nodes, want %d", c.cfg, n, c.want)
 		}
 	}
-	for _, s := range []style{stream, poll} {
-		for _, kind := range []outage{outages[0], outages[3]} {
+	for _, s := range []style{stream, longPoll} {
+		for _, kind := range []outage{outageKinds[0], outageKinds[3]} {
 			for _, nodes := range []int{300, MaxNodes(Config{}), 540} {
-				m := newModel(t, s, 1, nodes, fleet{style: s, nodes: nodes}.config(20*time.Second))
+				m := newModel(t, s, 1, nodes, scenario{style: s, nodes: nodes}.config(20*time.Second))
 				m.set("k", entry("s", policy.Ready))
 				m.start()
 				m.run(20 * time.Second)
-				away := true
-				m.fails = func(p *peer, c Call) bool {
-					if away {
-						kind.fail(m, p, c)
+				unavailable := true
+				m.intercept = func(p *peer, c Call) bool {
+					if unavailable {
+						kind.handle(m, p, c)
 					}
-					return away
+					return unavailable
 				}
-				m.breakAll()
-				clear(m.byTime)
+				m.failOutstanding()
+				clear(m.callsBySecond)
 				m.run(90 * time.Second)
-				most := 0
-				for _, n := range m.byTime {
-					most = max(most, n)
+				worst := 0
+				for _, n := range m.callsBySecond {
+					worst = max(worst, n)
 				}
-				away = false
+				unavailable = false
 				m.set("k", entry("s", policy.Draining))
 				at := m.now
 				m.run(30 * time.Second)
 				last := time.Duration(0)
 				for _, p := range m.followers {
-					if p.drain == 0 {
-						t.Fatal("never known")
+					if p.firstDrain == 0 {
+						t.Fatal("a node never learns of the change")
 					}
-					last = max(last, p.drain-at)
+					last = max(last, p.firstDrain-at)
 				}
-				t.Logf("%d nodes, style %d, %s: %d calls in the worst second, the last knows after %v", nodes, s, kind.name, most, last.Round(ms))
-				if most > 150 {
-					t.Errorf("%d nodes: %d calls in a second", nodes, most)
+				t.Logf("%d nodes, style %d, %s: %d calls in the worst second, last node notified after %v", nodes, s, kind.name, worst, last.Round(ms))
+				if worst > 150 {
+					t.Errorf("%d nodes: %d calls in a second", nodes, worst)
 				}
 				if late := last > notifyDelay-callReserve+4*m.latency; late != (nodes > MaxNodes(Config{})) {
-					t.Errorf("%d nodes: the last knows after %v", nodes, last)
+					t.Errorf("%d nodes: last node notified after %v", nodes, last)
 				}
 			}
 		}
 	}
 }
 
-// Guards against holding a watch for all of its wait whose answer has begun and stops, or trickles for ever, or breaks off: what
-// it was to tell was there when it began. With 60 nodes or more a watch waits for 60 s.
-func TestAnAnswerThatStopsInItsMidstIsAskedForAgain(t *testing.T) {
+// Guards against keeping a watch for all of its wait although its answer has begun and then stops, trickles without end or breaks
+// off: its content was available when it began. With 60 nodes or more a watch waits for 60 s.
+func TestPartialAnswerIsRetried(t *testing.T) {
 	for _, nodes := range []int{2, 30, 300, 450} {
-		for _, s := range []fleet{{stream, false, nodes, 1}, {poll, false, nodes, 1}, {whole, false, nodes, 1}, {poll, true, nodes, 1}} {
+		for _, s := range []scenario{{stream, false, nodes, 1}, {longPoll, false, nodes, 1}, {fullList, false, nodes, 1}, {longPoll, true, nodes, 1}} {
 			for _, breaks := range []bool{false, true} {
-				for _, after := range []bool{false, true} { // the next call hangs too
+				for _, after := range []bool{false, true} { // whether the next call hangs too
 					t.Run(fmt.Sprintf("%s, breaks %t, the next hangs %t", s, breaks, after), func(t *testing.T) {
 						for seed := range uint64(50) {
 							r := rand.New(rand.NewPCG(seed, uint64(nodes)))
@@ -274,24 +273,24 @@
 							m.run(2*time.Second + time.Duration(r.Int64N(int64(10*time.Second))))
 							id := p.call.ID
 							if id == 0 || p.call.ReadList || p.call.Wait == immediateWait {
-								t.Fatalf("no watch is out: %+v", p.call)
+								t.Fatalf("no watch is outstanding: %+v", p.call)
 							}
-							m.later(p, 0, func() {
+							m.schedule(p, 0, func() {
 								p.f.SetAnswerPending(m.now, id, true)
-								for i := range 20 { // and goes on to come
-									m.later(p, time.Duration(i)*100*ms, func() { p.f.SetAnswerPending(m.now, id, true) })
+								for i := range 20 { // further parts arrive
+									m.schedule(p, time.Duration(i)*100*ms, func() { p.f.SetAnswerPending(m.now, id, true) })
 								}
 								if breaks {
-									m.later(p, time.Duration(r.Int64N(int64(1400*ms))), func() { p.f.Failed(m.now, id, "broken") })
+									m.schedule(p, time.Duration(r.Int64N(int64(1400*ms))), func() { p.f.Failed(m.now, id, "broken") })
 								}
 							})
-							m.fails = func(_ *peer, c Call) bool { return c.ID == id || after && !breaks && c.ID == id+1 && s.style != stream }
-							p.lost = id
+							m.intercept = func(_ *peer, c Call) bool { return c.ID == id || after && !breaks && c.ID == id+1 && s.style != stream }
+							p.droppedCall = id
 							m.set("k", entry("s", policy.Draining))
 							at := m.now
 							m.run(10 * time.Second)
-							if p.drain == 0 || p.drain-at > notifyDelay {
-								t.Fatalf("seed %d: the change at %v is known at %v; %q", seed, at, p.drain, p.log)
+							if p.firstDrain == 0 || p.firstDrain-at > notifyDelay {
+								t.Fatalf("seed %d: the change at %v is known at %v; %q", seed, at, p.firstDrain, p.notes)
 							}
 						}
 					})
@@ -301,29 +300,29 @@
 	}
 }
 
-// Guards against giving up a watch whose head comes at once and whose body when there is something to tell, or a stream behind a
-// whole object: nothing is owed then, and all nodes would ask anew all the time.
-func TestAWatchThatOwesNothingIsLeftToWait(t *testing.T) {
-	each(t, func(t *testing.T, s style) {
-		m := newModel(t, s, 1, 1, fleet{style: s, nodes: 300}.config(20*time.Second))
+// Guards against abandoning a watch whose head arrives at once and whose body follows with the first change, or a stream after a
+// complete object: no rest is due then, and all nodes would call again all the time.
+func TestWatchWithoutPartialAnswerKeepsWaiting(t *testing.T) {
+	forEachStyle(t, func(t *testing.T, s style) {
+		m := newModel(t, s, 1, 1, scenario{style: s, nodes: 300}.config(20*time.Second))
 		p := m.followers[0]
 		m.set("k", entry("s", policy.Ready))
 		m.start()
 		m.run(5 * time.Second)
 		calls, id := m.calls, p.call.ID
-		p.f.SetAnswerPending(m.now, id, true) // half a head
+		p.f.SetAnswerPending(m.now, id, true) // part of a head
 		m.run(time.Second)
-		p.f.SetAnswerPending(m.now, id, false) // all of it
+		p.f.SetAnswerPending(m.now, id, false) // the complete head
 		m.run(30 * time.Second)
 		if m.calls != calls || p.call.ID != id {
-			t.Errorf("%d calls more; %q", m.calls-calls, p.log)
+			t.Errorf("%d further calls; %q", m.calls-calls, p.notes)
 		}
-		p.f.SetAnswerPending(m.now, id-1, true) // another call's
+		p.f.SetAnswerPending(m.now, id-1, true) // for another call
 		m.run(5 * time.Second)
 		m.set("k", entry("s", policy.Draining))
 		m.run(time.Second)
-		if m.calls > calls+1 || p.drain == 0 {
-			t.Errorf("%d calls more, the change known at %v; %q", m.calls-calls, p.drain, p.log)
+		if m.calls > calls+1 || p.firstDrain == 0 {
+			t.Errorf("%d further calls, change known at %v; %q", m.calls-calls, p.firstDrain, p.notes)
 		}
 	})
 }
