--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -2,10 +2,10 @@
 // soon after the process ends. It does no I/O and reads no clock: the caller passes the time with each event and carries out the
 // actions. The same events and seed give the same actions.
 //
-// Normally a lease is granted, the entry is put under it, and the lease is renewed after each third of its TTL. A failed call is
-// retried at another endpoint, after a backoff with jitter that grows up to a third of the TTL. If the lease is lost or may have
-// expired, a new one is granted and the entry is put again. A changed entry is put at once. At the end the lease is revoked; if that
-// fails, it expires by itself.
+// Normally a lease is granted, the entry is put under it, and the lease is renewed each time a third of its TTL has passed. A
+// failed call is retried at another endpoint, after a backoff with jitter that grows up to a third of the TTL. If the lease is
+// lost or may have expired, a new one is granted and the entry is put again. A changed entry is put at once. At the end the lease
+// is revoked; if that fails, it expires by itself.
 package lease
 
 import (
@@ -64,8 +64,8 @@
 	stored     bool          // the current value is stored under the lease
 	endpoint   int           // index of the endpoint in use
 	lastCallID uint64
-	call       Call // outstanding call; ID 0 if there is none
-	deadline   time.Duration
+	call       Call          // outstanding call; ID 0 if there is none
+	deadline   time.Duration // when the outstanding call times out
 	nextAt     time.Duration // when the next renewal or retry is due
 	failures   int
 	stopping   bool
@@ -147,7 +147,8 @@
 	k.act.Wake(k.deadline)
 }
 
-// Done reports that a call has succeeded: lease is the one granted, for Grant, and ttl its remaining time to live; 0 means that it is gone.
+// Done reports that a call has been answered. For Grant, lease is the new lease; ttl is its time to live, and 0 means that it no
+// longer exists.
 func (k *Keeper) Done(now time.Duration, call uint64, lease string, ttl time.Duration) {
 	if k.now = now; call != k.call.ID || call == 0 {
 		return
--- a/decide/roster/model_test.go
+++ b/decide/roster/model_test.go
@@ -249,9 +249,9 @@
 		return
 	}
 	if p.sentRevision >= 0 && rev > p.sentRevision {
-		news := m.changesSince(p.sentRevision, rev)
+		changes := m.changesSince(p.sentRevision, rev)
 		p.sentRevision = rev
-		m.answer(p, Answer{Kind: Changes, Revision: rev, Changes: news})
+		m.answer(p, Answer{Kind: Changes, Revision: rev, Changes: changes})
 		if m.duplicate { // also repeated changes, and a progress answer that overtakes the changes it covers
 			m.answer(p, Answer{Kind: Changes, Revision: rev, Changes: m.changesSince(rev-6, rev)})
 			m.answer(p, Answer{Kind: Changes, Revision: rev, Changes: m.changesSince(rev-6, rev-2)})
@@ -268,11 +268,11 @@
 		p.f.Answer(m.now, Answer{Call: c.ID, Kind: List, Revision: rev, Epoch: m.epoch, Changes: m.listAt(rev), Final: true})
 		return
 	}
-	news := m.changesSince(c.Revision, rev)
-	for i := range news {
-		news[i].Revision = 0 // discovery sends no revisions of changes
+	changes := m.changesSince(c.Revision, rev)
+	for i := range changes {
+		changes[i].Revision = 0 // discovery sends no revisions of changes
 	}
-	p.f.Answer(m.now, Answer{Call: c.ID, Kind: Changes, Revision: rev, Epoch: m.epoch, Changes: news, Final: true})
+	p.f.Answer(m.now, Answer{Call: c.ID, Kind: Changes, Revision: rev, Epoch: m.epoch, Changes: changes, Final: true})
 }
 
 // run advances the virtual time.
--- a/decide/roster/roster.go
+++ b/decide/roster/roster.go
@@ -578,7 +578,7 @@
 	}
 }
 
-// holdMissing decides which of the vanished servers are kept, and returns the others. A single server is removed after
+// holdMissing decides which of the vanished servers are kept and returns the others. A single server is removed after
 // massDetectDelay, in which others that vanish with it show; a mass is kept.
 func (f *Follower) holdMissing(vanished []Entry) (gone []Entry) {
 	f.recentLosses = slices.DeleteFunc(f.recentLosses, func(at time.Duration) bool { return f.now-at > massLossWindow })
--- a/decide/roster/roster_test.go
+++ b/decide/roster/roster_test.go
@@ -427,8 +427,8 @@
 	}
 }
 
-// A node counts as notified of a pushed list whether or not a watch is open. After a reset watch, and when the agent is available again
-// after an outage of any length, the list is requested within a quarter of the drain grace; at the start, at once.
+// A node counts as notified of a pushed list whether or not a watch is open. After a reset watch, and when the agent is available
+// again after an outage of any length, the list is requested within a quarter of the drain grace; at the start, at once.
 func TestAPushedListIsAskedForAtOnce(t *testing.T) {
 	const pause = 100 * ms
 	m := newModel(t, longPoll, 1, 300, func(c *Config) { c.PushedRetryDelay, c.AskWithin, c.ImmediateFirstWatch = pause, 20*time.Second, true })
--- a/decide/roster/state.go
+++ b/decide/roster/state.go
@@ -43,8 +43,8 @@
 	needList      bool          // the next call reads the list
 	newRegistry   bool          // the registry was changed: its next list is accepted whatever its revision
 	olderSince    time.Duration // since when all answers are older than the current list; 0 if they are not
-	pages         []Change
-	pagesRevision int64
+	pages         []Change      // of a list that is being read
+	pagesRevision int64         // of that list
 
 	byKey        map[string]*record
 	byID         map[string][]*record
