--- a/decide/plan/plan.go
+++ b/decide/plan/plan.go
@@ -58,17 +58,17 @@
 		}
 		s := p.servers[e.ID]
 		if s == nil {
-			s = &server{factor: 1, startedAt: p.starts.Begun(now, e.ID, e.Started)}
+			s = &server{factor: 1, startedAt: p.starts.StartTime(now, e.ID, e.Started)}
 			p.servers[e.ID] = s
 		} else if e.Started != s.Started { // a new process, whatever its clock says: nothing learned before holds
-			s.factor, s.answerTally, s.knownAnswers, s.dueAnswers, s.startedAt = 1, tally{}, 0, 0, p.starts.Begun(now, e.ID, e.Started)
+			s.factor, s.answerTally, s.knownAnswers, s.dueAnswers, s.startedAt = 1, tally{}, 0, 0, p.starts.StartTime(now, e.ID, e.Started)
 		}
 		s.Server, named[e.ID] = e, true
 	}
-	p.starts.Watched()
+	p.starts.MarkWatched()
 	maps.DeleteFunc(p.servers, func(id string, s *server) bool {
 		if !named[id] {
-			p.starts.Left(id, s.Started, s.startedAt)
+			p.starts.RecordDeparture(id, s.Started, s.startedAt)
 		}
 		return !named[id]
 	})
--- a/decide/plan/state.go
+++ b/decide/plan/state.go
@@ -13,7 +13,7 @@
 // The state of a Planner, and the bookkeeping on it.
 
 type state struct {
-	starts         starts.Book // start times of servers, by this planner's clock where it saw them start
+	starts         starts.History // start times of servers, by this planner's clock where it saw them start
 	cfg            Config
 	epoch          uint64
 	leader         string // of the leases; empty: none is known
