--- a/decide/follow/follow_test.go
+++ b/decide/follow/follow_test.go
@@ -25,7 +25,7 @@
 func view(planner string, epoch uint64, made time.Duration, factors ...float64) plan.View {
 	v := plan.View{Epoch: epoch, Planner: planner, Made: made, Valid: 3 * sec}
 	for i, f := range factors {
-		v.Servers = append(v.Servers, policy.Share{ID: fmt.Sprintf("c%d", i), Factor: f})
+		v.Servers = append(v.Servers, policy.ServerView{ID: fmt.Sprintf("c%d", i), Factor: f})
 	}
 	return v
 }
@@ -73,7 +73,7 @@
 	f := New(Config{Fade: 10 * sec})
 	v := view("a", 1, sec, 0.5, 1)
 	v.Admit, v.Servers[1].Allow = 0.6, 2
-	v.Hot, v.Tenants = []policy.Heat{{Key: 4, Load: 3}}, []policy.Use{{Name: "x", Asked: 5}}
+	v.Hot, v.Tenants = []policy.HotKey{{Key: 4, Load: 3}}, []policy.TenantDemand{{Name: "x", Asked: 5}}
 	f.Take(100*sec, v, ready(2))
 	for _, c := range []struct{ age, trust, factor, admit, allow float64 }{{0, 1, 0.5, 0.6, 2}, {3, 1, 0.5, 0.6, 2}, {8, 0.5, 0.75, 0.8, 4}} {
 		got, trust := f.Now(100*sec + time.Duration(c.age*float64(sec)))
--- a/decide/plan/brief_test.go
+++ b/decide/plan/brief_test.go
@@ -520,14 +520,14 @@
 // A key that was told stays told until it has cooled well below what makes one hot, and its load is told anew only when it is
 // off by more than chance.
 func TestHotKeysStayTold(t *testing.T) {
-	heat := func(list ...float64) (hot []policy.Heat) {
+	heat := func(list ...float64) (hot []policy.HotKey) {
 		for i, x := range list {
-			hot = append(hot, policy.Heat{Key: uint32(i), Load: x})
+			hot = append(hot, policy.HotKey{Key: uint32(i), Load: x})
 		}
 		return hot
 	}
 	for i, c := range []struct {
-		old, now []policy.Heat
+		old, now []policy.HotKey
 		mean     float64
 		told     int
 		news     bool
--- a/decide/plan/change.go
+++ b/decide/plan/change.go
@@ -27,22 +27,22 @@
 
 // Change is what a planner tells a forwarder that holds one of its revisions.
 type Change struct {
-	Epoch      uint64         // as in View
-	Planner    string         // as in View
-	Made       time.Duration  // as in View
-	Valid      time.Duration  // as in View
-	History    uint64         // which life of the planner's counting; never 0
-	Base       uint64         // the revision that it counts from; 0: none, all is told
-	Revision   uint64         // what is held after it; never 0
-	Count      int            // servers that serve by the planner's list
-	Servers    []policy.Share // ID and Factor alone, in steps of a thousandth: what changed since Base; 1: nothing is told of it any more
-	Admit      float64        // part of the reads that may go to the origin, in thousandths; 0: all. Always told
-	Hot        []policy.Heat  // if HotSet: the whole new set
-	HotSet     bool           // always with Base 0
-	Tenants    []policy.Use   // if TenantsSet: the whole new set
-	TenantsSet bool           // always with Base 0
-	Sum        uint32         // of the state at Revision, see Sum
-	Grants     []Grant        // for this forwarder alone
+	Epoch      uint64                // as in View
+	Planner    string                // as in View
+	Made       time.Duration         // as in View
+	Valid      time.Duration         // as in View
+	History    uint64                // which life of the planner's counting; never 0
+	Base       uint64                // the revision that it counts from; 0: none, all is told
+	Revision   uint64                // what is held after it; never 0
+	Count      int                   // servers that serve by the planner's list
+	Servers    []policy.ServerView   // ID and Factor alone, in steps of a thousandth: what changed since Base; 1: nothing is told of it any more
+	Admit      float64               // part of the reads that may go to the origin, in thousandths; 0: all. Always told
+	Hot        []policy.HotKey       // if HotSet: the whole new set
+	HotSet     bool                  // always with Base 0
+	Tenants    []policy.TenantDemand // if TenantsSet: the whole new set
+	TenantsSet bool                  // always with Base 0
+	Sum        uint32                // of the state at Revision, see Sum
+	Grants     []Grant               // for this forwarder alone
 	// With grants: the number of the last digest of this forwarder that the planner has had, and how long it has had that.
 	// By them a forwarder knows how long the grants may have been on their way, see MostTravel.
 	Answers uint64
@@ -92,7 +92,7 @@
 
 // Sum is a hash of a state: the factors that are not 1, the origin's part, hot keys and tenants, in any order of the servers
 // and in the told order of the others.
-func Sum(factors map[string]float64, admit float64, hot []policy.Heat, tenants []policy.Use) uint32 {
+func Sum(factors map[string]float64, admit float64, hot []policy.HotKey, tenants []policy.TenantDemand) uint32 {
 	var buf []byte
 	text := func(s string) { buf = append(binary.AppendUvarint(buf, uint64(len(s))), s...) }
 	number := func(x float64) { buf = binary.BigEndian.AppendUint64(buf, math.Float64bits(x)) }
@@ -122,9 +122,9 @@
 	oldest   uint64 // changes are known from here on
 	factors  map[string]toldFactor
 	admit    float64
-	hot      []policy.Heat
+	hot      []policy.HotKey
 	hotAt    uint64
-	tenants  []policy.Use
+	tenants  []policy.TenantDemand
 	useAt    uint64
 	sum      uint32
 }
@@ -136,7 +136,7 @@
 
 // settle brings the told state in line with what is so, by steps: while what is so hardly moves there is no new revision.
 // It is called once a Make.
-func (t *told) settle(serving []*server, admit float64, hot []policy.Heat, use []policy.Use, mean, memory float64) {
+func (t *told) settle(serving []*server, admit float64, hot []policy.HotKey, use []policy.TenantDemand, mean, memory float64) {
 	next := t.revision + 1
 	changed := t.revision == 0
 	now := make(map[string]bool, len(t.factors))
@@ -199,12 +199,12 @@
 
 // nextHot says what is to be told of hot keys, and whether that is new: other keys, or a load off by over an eighth and by
 // more than chance. Mean is a cache's mean load, in requests of the planner's memory.
-func nextHot(old, hot []policy.Heat, mean float64) ([]policy.Heat, bool) {
+func nextHot(old, hot []policy.HotKey, mean float64) ([]policy.HotKey, bool) {
 	before := map[uint32]float64{}
 	for _, h := range old {
 		before[h.Key] = h.Load
 	}
-	var next []policy.Heat
+	var next []policy.HotKey
 	moved := false
 	for _, h := range hot {
 		was, known := before[h.Key]
@@ -222,12 +222,12 @@
 
 // nextUse says what is to be told of tenants, and whether that is new: others, or a rate off by over a tenth and by more
 // than chance. Memory is the planner's, in seconds.
-func nextUse(old, use []policy.Use, memory float64) ([]policy.Use, bool) {
+func nextUse(old, use []policy.TenantDemand, memory float64) ([]policy.TenantDemand, bool) {
 	before := map[string]float64{}
 	for _, u := range old {
 		before[u.Name] = u.Asked
 	}
-	next := make([]policy.Use, 0, len(use))
+	next := make([]policy.TenantDemand, 0, len(use))
 	moved := len(use) != len(old)
 	for _, u := range use {
 		was, known := before[u.Name]
@@ -270,10 +270,10 @@
 	}
 	for id, f := range t.factors {
 		if f.at > c.Base && !(whole && f.factor == 1) {
-			c.Servers = append(c.Servers, policy.Share{ID: id, Factor: f.factor})
+			c.Servers = append(c.Servers, policy.ServerView{ID: id, Factor: f.factor})
 		}
 	}
-	slices.SortFunc(c.Servers, func(x, y policy.Share) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(c.Servers, func(x, y policy.ServerView) int { return cmp.Compare(x.ID, y.ID) })
 	if c.HotSet = whole || t.hotAt > c.Base; c.HotSet {
 		c.Hot = slices.Clone(t.hot)
 	}
--- a/decide/plan/plan.go
+++ b/decide/plan/plan.go
@@ -493,7 +493,7 @@
 }
 
 // heat finds the keys that bring at least half a cache's mean load, or nearly so, and what tenants use, each most first.
-func (p *Planner) heat(mean float64) (hot []policy.Heat, use []policy.Use) {
+func (p *Planner) heat(mean float64) (hot []policy.HotKey, use []policy.TenantDemand) {
 	mean = max(mean, fewest)
 	least := 0.1
 	if len(p.keys) > keysHeld/2 { // those that are far from hot make room
@@ -503,18 +503,20 @@
 		if n < least {
 			delete(p.keys, k)
 		} else if load := n / mean; load >= hotStays*hotLeast {
-			hot = append(hot, policy.Heat{Key: k, Load: load})
+			hot = append(hot, policy.HotKey{Key: k, Load: load})
 		}
 	}
-	slices.SortFunc(hot, func(x, y policy.Heat) int { return cmp.Or(cmp.Compare(y.Load, x.Load), cmp.Compare(x.Key, y.Key)) })
+	slices.SortFunc(hot, func(x, y policy.HotKey) int { return cmp.Or(cmp.Compare(y.Load, x.Load), cmp.Compare(x.Key, y.Key)) })
 	for t, n := range p.users {
 		if n < 0.1 {
 			delete(p.users, t)
 		} else {
-			use = append(use, policy.Use{Name: t, Asked: n / max(n, p.asked) * p.rate})
+			use = append(use, policy.TenantDemand{Name: t, Asked: n / max(n, p.asked) * p.rate})
 		}
 	}
-	slices.SortFunc(use, func(x, y policy.Use) int { return cmp.Or(cmp.Compare(y.Asked, x.Asked), cmp.Compare(x.Name, y.Name)) })
+	slices.SortFunc(use, func(x, y policy.TenantDemand) int {
+		return cmp.Or(cmp.Compare(y.Asked, x.Asked), cmp.Compare(x.Name, y.Name))
+	})
 	return hot, use[:min(len(use), MostTenants)]
 }
 
@@ -526,7 +528,7 @@
 	v.Admit, v.Hot, v.Tenants = p.told.admit, slices.Clone(p.told.hot), slices.Clone(p.told.tenants)
 	grants := p.Grants(now, to)
 	for _, s := range p.serving {
-		share := policy.Share{ID: s.ID, Factor: 1}
+		share := policy.ServerView{ID: s.ID, Factor: 1}
 		if f, is := p.told.factors[s.ID]; is {
 			share.Factor = f.factor
 		}
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -86,7 +86,7 @@
 // hands brings the pools in line with what the module has been told by hand.
 func (n *Node) hands() {
 	clear(n.bans)
-	for _, h := range n.policy.Hands() {
+	for _, h := range n.policy.Overrides() {
 		n.bans[h.ID] = h.Banned
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
--- a/internal/planwire/planwire.go
+++ b/internal/planwire/planwire.go
@@ -310,13 +310,13 @@
 	x := in.View
 	v := &plan.View{Epoch: x.Epoch, Planner: x.Planner, Made: time.Duration(x.Made), Valid: time.Duration(x.Valid), View: policy.View{Admit: x.Admit}}
 	for _, s := range x.Servers {
-		v.Servers = append(v.Servers, policy.Share(s))
+		v.Servers = append(v.Servers, policy.ServerView(s))
 	}
 	for _, h := range x.Hot {
-		v.Hot = append(v.Hot, policy.Heat{Key: h.Key, Load: h.Load})
+		v.Hot = append(v.Hot, policy.HotKey{Key: h.Key, Load: h.Load})
 	}
 	for _, u := range x.Tenants {
-		v.Tenants = append(v.Tenants, policy.Use{Name: u.Tenant, Asked: u.Rate})
+		v.Tenants = append(v.Tenants, policy.TenantDemand{Name: u.Tenant, Asked: u.Rate})
 	}
 	return Message{View: v}, used, nil
 }
@@ -329,13 +329,13 @@
 	c := &plan.Change{Epoch: x.Epoch, Planner: x.Planner, Made: time.Duration(x.Made), Valid: time.Duration(x.Valid), History: x.History, Base: x.Base, Revision: x.Revision, Count: x.Count,
 		Admit: float64(x.Admit) / thousand, HotSet: x.HotSet, TenantsSet: x.TenantsSet, Sum: x.Sum}
 	for _, s := range x.Servers {
-		c.Servers = append(c.Servers, policy.Share{ID: s.ID, Factor: float64(s.Factor) / thousand})
+		c.Servers = append(c.Servers, policy.ServerView{ID: s.ID, Factor: float64(s.Factor) / thousand})
 	}
 	for _, h := range x.Hot {
-		c.Hot = append(c.Hot, policy.Heat{Key: h.Key, Load: h.Load})
+		c.Hot = append(c.Hot, policy.HotKey{Key: h.Key, Load: h.Load})
 	}
 	for _, u := range x.Tenants {
-		c.Tenants = append(c.Tenants, policy.Use{Name: u.Tenant, Asked: u.Rate})
+		c.Tenants = append(c.Tenants, policy.TenantDemand{Name: u.Tenant, Asked: u.Rate})
 	}
 	for _, g := range grants {
 		c.Grants = append(c.Grants, plan.Grant(g))
