--- a/policy/policy.go
+++ b/policy/policy.go
@@ -348,7 +348,7 @@
 		t.requests.add(now, b.set.FallWindow)
 		expected := t.Quota * b.set.FallWindow.Seconds() / float64(max(1, b.set.Balancers))
 		r.overQuota = t.requests.value > expected+2*math.Sqrt(expected) // two standard deviations above the quota
-		if t.fleetRate > 0 {                                  // planners know the rate over the fleet
+		if t.fleetRate > 0 {                                            // planners know the rate over the fleet
 			r.overQuota = t.fleetRate > t.Quota
 		}
 	}
