--- a/decide/plan/brief_test.go
+++ b/decide/plan/brief_test.go
@@ -521,14 +521,14 @@
 // A published key stays published until it has cooled well below the threshold for hot keys, and its load is published again
 // only when it differs by more than noise.
 func TestHotKeysStayTold(t *testing.T) {
-	heat := func(list ...float64) (hot []policy.Heat) {
+	heat := func(list ...float64) (hot []policy.HotKey) {
 		for i, x := range list {
-			hot = append(hot, policy.Heat{Key: uint32(i), Load: x})
+			hot = append(hot, policy.HotKey{Key: uint32(i), Load: x})
 		}
 		return hot
 	}
 	for i, c := range []struct {
-		old, now []policy.Heat
+		old, now []policy.HotKey
 		mean     float64
 		want     int
 		news     bool
--- a/decide/plan/change.go
+++ b/decide/plan/change.go
@@ -28,22 +28,22 @@
 
 // Change is what a planner sends to a forwarder that holds one of its revisions.
 type Change struct {
-	Epoch      uint64         // as in View
-	Planner    string         // as in View
-	Made       time.Duration  // as in View
-	Valid      time.Duration  // as in View
-	History    uint64         // the Config.History of the planner's run; never 0
-	Base       uint64         // the revision that the change starts from; 0: none, the change is the full state
-	Revision   uint64         // the revision that it leads to; never 0
-	Count      int            // ready servers in the planner's list
-	Servers    []policy.Share // ID and Factor only, in thousandths: those that changed since Base; Factor 1 removes the server's entry
-	Admit      float64        // part of the reads that may go to the origin, in thousandths; 0: all. Sent with every change
-	Hot        []policy.Heat  // if HotSet: the complete new set
-	HotSet     bool           // always set with Base 0
-	Tenants    []policy.Use   // if TenantsSet: the complete new set
-	TenantsSet bool           // always set with Base 0
-	Sum        uint32         // of the state at Revision, see Sum
-	Grants     []Grant        // for this forwarder only
+	Epoch      uint64                // as in View
+	Planner    string                // as in View
+	Made       time.Duration         // as in View
+	Valid      time.Duration         // as in View
+	History    uint64                // the Config.History of the planner's run; never 0
+	Base       uint64                // the revision that the change starts from; 0: none, the change is the full state
+	Revision   uint64                // the revision that it leads to; never 0
+	Count      int                   // ready servers in the planner's list
+	Servers    []policy.ServerView   // ID and Factor only, in thousandths: those that changed since Base; Factor 1 removes the server's entry
+	Admit      float64               // part of the reads that may go to the origin, in thousandths; 0: all. Sent with every change
+	Hot        []policy.HotKey       // if HotSet: the complete new set
+	HotSet     bool                  // always set with Base 0
+	Tenants    []policy.TenantDemand // if TenantsSet: the complete new set
+	TenantsSet bool                  // always set with Base 0
+	Sum        uint32                // of the state at Revision, see Sum
+	Grants     []Grant               // for this forwarder only
 	// With grants: the number of the latest digest that the planner has received from this forwarder, and the time since it
 	// arrived. They let the forwarder bound the time that the grants were in transit, see MaxGrantTransit.
 	Answers uint64
@@ -93,7 +93,7 @@
 
 // Sum returns a hash of a state: the factors other than 1 in the order of the ids, the part of the reads admitted to the
 // origin, and the hot keys and tenants in the order given.
-func Sum(factors map[string]float64, admit float64, hot []policy.Heat, tenants []policy.Use) uint32 {
+func Sum(factors map[string]float64, admit float64, hot []policy.HotKey, tenants []policy.TenantDemand) uint32 {
 	var buf []byte
 	text := func(s string) { buf = append(binary.AppendUvarint(buf, uint64(len(s))), s...) }
 	number := func(x float64) { buf = binary.BigEndian.AppendUint64(buf, math.Float64bits(x)) }
@@ -123,9 +123,9 @@
 	oldestBase      uint64 // the lowest revision that a change may start from
 	factors         map[string]publishedFactor
 	admit           float64
-	hot             []policy.Heat
+	hot             []policy.HotKey
 	hotRevision     uint64
-	tenants         []policy.Use
+	tenants         []policy.TenantDemand
 	tenantsRevision uint64
 	checksum        uint32
 }
@@ -136,7 +136,7 @@
 }
 
 // refresh updates the published state, in steps: small movements do not make a new revision. It is called once per Update.
-func (t *published) refresh(serving []*server, admit float64, hot []policy.Heat, use []policy.Use, meanLoad, decaySeconds float64) {
+func (t *published) refresh(serving []*server, admit float64, hot []policy.HotKey, use []policy.TenantDemand, meanLoad, decaySeconds float64) {
 	next := t.revision + 1
 	changed := t.revision == 0
 	ready := make(map[string]bool, len(t.factors))
@@ -199,12 +199,12 @@
 
 // nextHotKeys returns the hot keys to publish, and whether that is a change: the set of keys differs, or a load differs by
 // over an eighth and by more than noise. meanLoad is a cache's mean load, in requests per DecayTime.
-func nextHotKeys(old, hot []policy.Heat, meanLoad float64) ([]policy.Heat, bool) {
+func nextHotKeys(old, hot []policy.HotKey, meanLoad float64) ([]policy.HotKey, bool) {
 	oldLoads := map[uint32]float64{}
 	for _, h := range old {
 		oldLoads[h.Key] = h.Load
 	}
-	var next []policy.Heat
+	var next []policy.HotKey
 	changed := false
 	for _, h := range hot {
 		oldLoad, known := oldLoads[h.Key]
@@ -222,12 +222,12 @@
 
 // nextTenants returns the tenants to publish, and whether that is a change: the set of tenants differs, or a rate differs
 // by over a tenth and by more than noise. decaySeconds is Config.DecayTime in seconds.
-func nextTenants(old, use []policy.Use, decaySeconds float64) ([]policy.Use, bool) {
+func nextTenants(old, use []policy.TenantDemand, decaySeconds float64) ([]policy.TenantDemand, bool) {
 	oldRates := map[string]float64{}
 	for _, u := range old {
 		oldRates[u.Name] = u.Asked
 	}
-	next := make([]policy.Use, 0, len(use))
+	next := make([]policy.TenantDemand, 0, len(use))
 	changed := len(use) != len(old)
 	for _, u := range use {
 		oldRate, known := oldRates[u.Name]
@@ -271,10 +271,10 @@
 	}
 	for id, f := range t.factors {
 		if f.changedAt > c.Base && !(whole && f.factor == 1) {
-			c.Servers = append(c.Servers, policy.Share{ID: id, Factor: f.factor})
+			c.Servers = append(c.Servers, policy.ServerView{ID: id, Factor: f.factor})
 		}
 	}
-	slices.SortFunc(c.Servers, func(x, y policy.Share) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(c.Servers, func(x, y policy.ServerView) int { return cmp.Compare(x.ID, y.ID) })
 	if c.HotSet = whole || t.hotRevision > c.Base; c.HotSet {
 		c.Hot = slices.Clone(t.hot)
 	}
--- a/decide/plan/collector.go
+++ b/decide/plan/collector.go
@@ -74,7 +74,7 @@
 	}
 	l.Sends++
 	switch {
-	case own || o == policy.Cancelled || o == policy.Moot:
+	case own || o == policy.Cancelled || o == policy.NotSent:
 	case o == policy.OK || o == policy.Miss:
 		at := latencyBucket(took)
 		for len(l.Times) <= at {
--- a/decide/plan/plan.go
+++ b/decide/plan/plan.go
@@ -498,7 +498,7 @@
 }
 
 // hotKeysAndTenants returns the keys whose load is at or near hotMinLoad, and the tenants' rates, both in descending order.
-func (p *Planner) hotKeysAndTenants(mean float64) (hot []policy.Heat, tenants []policy.Use) {
+func (p *Planner) hotKeysAndTenants(mean float64) (hot []policy.HotKey, tenants []policy.TenantDemand) {
 	mean = max(mean, minAnswers)
 	minCount := 0.1
 	if len(p.keyRequests) > maxTrackedKeys/2 { // make room by dropping keys that are far from hot
@@ -508,18 +508,20 @@
 		if n < minCount {
 			delete(p.keyRequests, k)
 		} else if load := n / mean; load >= hotKeepRatio*hotMinLoad {
-			hot = append(hot, policy.Heat{Key: k, Load: load})
+			hot = append(hot, policy.HotKey{Key: k, Load: load})
 		}
 	}
-	slices.SortFunc(hot, func(x, y policy.Heat) int { return cmp.Or(cmp.Compare(y.Load, x.Load), cmp.Compare(x.Key, y.Key)) })
+	slices.SortFunc(hot, func(x, y policy.HotKey) int { return cmp.Or(cmp.Compare(y.Load, x.Load), cmp.Compare(x.Key, y.Key)) })
 	for t, n := range p.tenantRequests {
 		if n < 0.1 {
 			delete(p.tenantRequests, t)
 		} else {
-			tenants = append(tenants, policy.Use{Name: t, Asked: n / max(n, p.requests) * p.requestRate})
+			tenants = append(tenants, policy.TenantDemand{Name: t, Asked: n / max(n, p.requests) * p.requestRate})
 		}
 	}
-	slices.SortFunc(tenants, func(x, y policy.Use) int { return cmp.Or(cmp.Compare(y.Asked, x.Asked), cmp.Compare(x.Name, y.Name)) })
+	slices.SortFunc(tenants, func(x, y policy.TenantDemand) int {
+		return cmp.Or(cmp.Compare(y.Asked, x.Asked), cmp.Compare(x.Name, y.Name))
+	})
 	return hot, tenants[:min(len(tenants), MaxTenants)]
 }
 
@@ -531,7 +533,7 @@
 	v.Admit, v.Hot, v.Tenants = p.published.admit, slices.Clone(p.published.hot), slices.Clone(p.published.tenants)
 	grants := p.Grants(now, to)
 	for _, s := range p.serving {
-		share := policy.Share{ID: s.ID, Factor: 1}
+		share := policy.ServerView{ID: s.ID, Factor: 1}
 		if f, is := p.published.factors[s.ID]; is {
 			share.Factor = f.factor
 		}
--- a/policy/leave_test.go
+++ b/policy/leave_test.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Clients that leave while their request waits in the module: nothing is sent for it from then on, whatever ends or comes
-// back, its place is free, and those who waited on its fetch are served. Cancels may be allowed or not.
+// Clients may leave while their request waits in the balancer. Nothing is sent for it from then on, whatever ends or recovers, its
+// slot is released, and the reads that waited for its fetch are served. This holds with and without cancellation.
 func TestNothingIsSentForWhoHasLeft(t *testing.T) {
 	left := false
-	leave := func(w *world) {
+	leave := func(w *fixture) {
 		left = true
 		w.b.Abandoned(w.now, "gone")
 	}
 	for _, cancel := range []bool{false, true} {
-		for name, play := range map[string]func(w *world){
-			"held for room": func(w *world) {
+		for name, play := range map[string]func(w *fixture){
+			"held for room": func(w *fixture) {
 				s := w.fill("k")
 				w.request("gone", "read", "k")
-				if w.b.open["gone"].held != s {
+				if w.b.open["gone"].heldFor != s {
 					t.Fatalf("%s is not held for %s", "gone", s.ID)
 				}
 				leave(w)
 				if len(s.queue) != 0 {
-					t.Error("its place is taken")
+					t.Error("its place in the queue is taken")
 				}
-				w.answer(w.sends[0], OK, NoteHit, 5*ms) // there is room now
+				w.answer(w.sends[0], OK, CacheHit, 5*ms) // now there is room
 				w.b.Timer(w.now, "sweep")
 			},
-			"held for a server that leaves": func(w *world) {
+			"held for a server that leaves": func(w *fixture) {
 				s := w.fill("k")
 				w.request("gone", "read", "k")
 				leave(w)
@@ -36,88 +36,88 @@
 				drained.State = Draining
 				w.b.Members(w.now, ListChanges, []Server{drained})
 			},
-			"for another's fetch": func(w *world) {
+			"for another's fetch": func(w *fixture) {
 				w.request("lead", "read", "k")
-				w.answer(w.last(), Miss, NoteMiss, ms)
+				w.answer(w.last(), Miss, CacheMiss, ms)
 				w.request("gone", "read", "k")
 				leave(w)
-				w.answer(w.last(), OK, NoteMiss, 10*ms)
+				w.answer(w.last(), OK, CacheMiss, 10*ms)
 			},
-			"its attempt fails behind it": func(w *world) {
+			"its attempt fails behind it": func(w *fixture) {
 				w.request("gone", "read", "k")
 				first := w.last()
 				leave(w)
-				w.answer(first, ConnectFailed, NoNote, 5*ms)
+				w.answer(first, ConnectFailed, CacheUnreported, 5*ms)
 				if w.b.open["gone"] != nil {
-					t.Error("it is not forgotten")
+					t.Error("it is still indexed")
 				}
 			},
-			"its attempt misses behind it": func(w *world) {
+			"its attempt misses behind it": func(w *fixture) {
 				w.request("gone", "read", "k")
 				first := w.last()
 				leave(w)
-				w.answer(first, Miss, NoteMiss, 5*ms)
+				w.answer(first, Miss, CacheMiss, 5*ms)
 			},
-			"held for the origin": func(w *world) {
+			"held for the origin": func(w *fixture) {
 				out := heldForOrigin(t, w)
 				leave(w)
-				w.answer(out, OK, NoteMiss, 5*ms)
+				w.answer(out, OK, CacheMiss, 5*ms)
 			},
-			"held for the origin, others waiting on it": func(w *world) {
+			"held for the origin, others waiting on it": func(w *fixture) {
 				out := heldForOrigin(t, w)
 				w.request("w1", "read", "k")
 				leave(w)
-				w.answer(out, OK, NoteMiss, 5*ms)
+				w.answer(out, OK, CacheMiss, 5*ms)
 				if s := w.last(); s.id != "w1" {
 					t.Errorf("%v, want w1 sent", s)
 				}
 			},
-			"until a cache has told its load": func(w *world) {
+			"held until a cache reports its load": func(w *fixture) {
 				w.b.set.MayProbe = true
-				w.b.slow.add(w.now, skipSpell) // answers come late
+				w.b.lateAnswers.add(w.now, skipDuration) // answers are late
 				w.request("gone", "read", "k")
-				s := w.b.open["gone"].held
+				s := w.b.open["gone"].heldFor
 				if len(w.probed) != 1 || s == nil || !s.probing {
 					t.Fatalf("probed %v, held for %v", w.probed, s)
 				}
 				leave(w)
 				w.b.Probed(w.now+ms, w.probed[0], true, Report{})
 				if len(s.queue) != 0 {
-					t.Error("its place is taken")
+					t.Error("its place in the queue is taken")
 				}
 			},
-			"its write half come": func(w *world) {
+			"its write half come": func(w *fixture) {
 				s := w.fill("k")
-				w.b.Request(w.now, Request{ID: "gone", Class: "read", Key: "k", Left: time.Minute, Coming: true})
+				w.b.Request(w.now, Request{ID: "gone", Class: "read", Key: "k", Remaining: time.Minute, BodyPending: true})
 				leave(w)
-				w.b.Came(w.now, "gone", time.Second)
+				w.b.BodyReceived(w.now, "gone", time.Second)
 				if len(s.queue) != 0 {
-					t.Error("its place is taken")
+					t.Error("its place in the queue is taken")
 				}
-				w.answer(w.sends[0], OK, NoteHit, 5*ms)
+				w.answer(w.sends[0], OK, CacheHit, 5*ms)
 			},
-			"one of its two attempts fails behind it": func(w *world) {
+			"one of its two attempts fails behind it": func(w *fixture) {
 				w.request("gone", "read", "k")
 				first := w.last()
-				w.answer(first, TimedOut, NoNote, 200*ms)
-				if w.tries["gone"] != 2 {
-					t.Fatalf("%d attempts", w.tries["gone"])
+				w.answer(first, TimedOut, CacheUnreported, 200*ms)
+				if w.attempts["gone"] != 2 {
+					t.Fatalf("%d attempts", w.attempts["gone"])
 				}
 				leave(w)
-				w.answer(w.last(), Reset, NoNote, 5*ms)
+				w.answer(w.last(), Reset, CacheUnreported, 5*ms)
 			},
-			"as the leader of a fetch": func(w *world) {
+			"as the leader of a fetch": func(w *fixture) {
 				w.request("gone", "read", "k")
-				w.answer(w.last(), Miss, NoteMiss, ms)
+				w.answer(w.last(), Miss, CacheMiss, ms)
 				fetch := w.last()
 				w.request("w1", "read", "k")
 				w.request("w2", "read", "k")
 				leave(w)
-				w.answer(fetch, Cancelled, NoNote, 5*ms)
+				w.answer(fetch, Cancelled, CacheUnreported, 5*ms)
 				if s := w.last(); s.id != "w1" || s.server != "o" {
 					t.Errorf("the fetch passed to %v", s)
 				}
-				w.answer(w.last(), OK, NoteMiss, 5*ms)
+				w.answer(w.last(), OK, CacheMiss, 5*ms)
 				if s := w.last(); s.id != "w2" {
 					t.Errorf("%v, want w2 at its cache", s)
 				}
@@ -126,8 +126,8 @@
 			t.Run(name, func(t *testing.T) {
 				set := settings()
 				set.Mode, set.MayCancel = Aside, cancel
-				w := start(t, set, 4)
-				w.cold = true
+				w := newFixture(t, set, 4)
+				w.noHotKeys = true
 				left = false
 				w.onSend = func(id, server string) {
 					if left && id == "gone" {
@@ -135,26 +135,26 @@
 					}
 				}
 				play(w)
-				for range 400 { // whatever is due, is
+				for range 400 { // all due timers expire
 					w.now += 5 * ms
 					w.b.Timer(w.now, "sweep")
 				}
 				if r := w.b.open["gone"]; r != nil && !r.ended || w.ended["gone"] != "" {
-					t.Errorf("it is open still, or answered %q", w.ended["gone"])
+					t.Errorf("it is still open, or answered %q", w.ended["gone"])
 				}
 			})
 		}
 	}
 }
 
-// fill sends the top server of a key all that it has room for, so that the key's next request is held there.
-func (w *world) fill(key string) *server {
+// fill takes up the limits of all caches, so that the next request for the key is held for the server returned, its first one.
+func (w *fixture) fill(key string) *server {
 	s := w.b.rank(key)[0]
 	for _, x := range w.b.caches {
 		x.limit = 1
 	}
-	w.b.usual = float64(ms)
-	for i := range 4 { // each cache has one out, of a key of its own
+	w.b.meanLatency = float64(ms)
+	for i := range 4 { // each cache has one attempt in flight, for a key of its own
 		x := w.b.caches[i]
 		k := ""
 		for j := 0; w.b.rank(k)[0] != x || k == ""; j++ {
@@ -165,16 +165,16 @@
 	return s
 }
 
-// heldForOrigin has the request "gone" wait for room at the origin, behind an attempt, which it returns.
-func heldForOrigin(t *testing.T, w *world) sent {
+// heldForOrigin makes the request "gone" wait for room at the origin behind an attempt, which it returns.
+func heldForOrigin(t *testing.T, w *fixture) sentAttempt {
 	t.Helper()
 	w.b.origin.limit = 1
 	w.request("lead", "read", "other")
-	w.answer(w.last(), Miss, NoteMiss, ms)
+	w.answer(w.last(), Miss, CacheMiss, ms)
 	out := w.last()
 	w.request("gone", "read", "k")
-	w.answer(w.last(), Miss, NoteMiss, ms)
-	if w.b.open["gone"].held != w.b.origin {
+	w.answer(w.last(), Miss, CacheMiss, ms)
+	if w.b.open["gone"].heldFor != w.b.origin {
 		t.Fatal("it is not held for the origin")
 	}
 	return out
--- a/policy/override.go
+++ b/policy/override.go
@@ -8,50 +8,51 @@
 	"time"
 )
 
-// Overrides: what operators said of servers by hand, to this process of the node or to another. The latest word holds. Words
-// are ordered by Hand.At, a version that each new word raises; no clock of another process decides anything.
+// Operators ban servers and lift bans through this process of the node or another one. The latest override of a server is in
+// force. Overrides are ordered by Override.At, a version that each new one raises, so clocks of other processes do not matter.
 
-// mostLifted bounds the lifted overrides that are kept. They are not forgotten by time: a process that was stopped, or a file
-// that could not be removed, may still tell of the ban that was lifted.
-const mostLifted = 256
+// mostLifted bounds the number of lifted bans that are kept. They do not expire with time: a process that was suspended, or a file
+// that could not be removed, may still report the ban that was lifted.
+const maxLifted = 256
 
-// Ban has a server get nothing more, whatever the list says of it, until the ban is lifted.
+// Ban stops all new attempts at a server, whatever its listed state, until the ban is lifted.
 func (b *Balancer) Ban(now time.Duration, id string, on bool) {
-	b.Hand(now, Hand{ID: id, Banned: on, At: max(now, b.hands[id].At+1)})
+	b.Override(now, Override{ID: id, Banned: on, At: max(now, b.overrides[id].At+1)})
 }
 
-// Hand takes an override. Whoever lifts a ban vouches for the server: what was held against it is void. It counts as started
-// as the call back is heard, unless it was seen to start since the ban: it was banned to be restarted. Since and Back of a
-// word that another process took are of that one's clock and count for whether they are set alone.
-func (b *Balancer) Hand(now time.Duration, h Hand) {
+// Override applies an operator's decision if it is newer than the known one. Lifting a ban clears the failures and the reduced
+// limit recorded for the server. The server then counts as started at the time when this process is notified, unless it was seen
+// to start after the ban, because a ban usually serves to restart a server. Since and Back of an override from another
+// process are on that process's clock, so only whether they are set is used.
+func (b *Balancer) Override(now time.Duration, h Override) {
 	b.now = now
-	known, is := b.hands[h.ID]
+	known, is := b.overrides[h.ID]
 	if is && h.At <= known.At {
 		return
 	}
-	next := Hand{ID: h.ID, Banned: h.Banned, At: h.At, Since: known.Since, Back: known.Back}
+	next := Override{ID: h.ID, Banned: h.Banned, At: h.At, Since: known.Since, Back: known.Back}
 	switch {
 	case h.Banned:
 		next.Since = now
 	case known.Banned:
 		next.Back = now
-	case !is && h.Since > 0: // a ban of which this process never heard
+	case !is && h.Since > 0: // a ban that this process was never notified of
 		next.Since, next.Back = now, now
 	}
-	b.hands[h.ID] = next
-	b.boundLifted()
+	b.overrides[h.ID] = next
+	b.evictLifted()
 	if s := b.servers[h.ID]; s != nil && !h.Banned {
-		s.fails, s.skipUntil, s.late, s.limit, s.strained = 0, 0, fading{}, max(s.limit, firstLimit), false
+		s.failures, s.skipUntil, s.late, s.limit, s.overloaded = 0, 0, decayingCount{}, max(s.limit, initialLimit), false
 	}
 	b.reindex()
-	b.regate()
+	b.rerouteHeld()
 }
 
-// boundLifted forgets the oldest of too many lifted overrides.
-func (b *Balancer) boundLifted() {
-	var oldest Hand
+// evictLifted removes the oldest lifted ban when more than maxLifted are kept.
+func (b *Balancer) evictLifted() {
+	var oldest Override
 	lifted := 0
-	for _, h := range b.hands {
+	for _, h := range b.overrides {
 		if h.Banned {
 			continue
 		}
@@ -59,20 +60,20 @@
 			oldest = h
 		}
 	}
-	if lifted > mostLifted {
-		delete(b.hands, oldest.ID)
+	if lifted > maxLifted {
+		delete(b.overrides, oldest.ID)
 	}
 }
 
-// Hands gives the overrides that still count, by id.
-func (b *Balancer) Hands() []Hand {
-	return slices.SortedFunc(maps.Values(b.hands), func(x, y Hand) int { return strings.Compare(x.ID, y.ID) })
+// Overrides returns the overrides in force and the lifted bans that are kept, sorted by server id.
+func (b *Balancer) Overrides() []Override {
+	return slices.SortedFunc(maps.Values(b.overrides), func(x, y Override) int { return strings.Compare(x.ID, y.ID) })
 }
 
-// startedAt is when a server counts as started: when it was seen to, or when a ban was lifted since.
-func (h Hand) startedAt(s *server) time.Duration {
-	if s.begun > h.Since {
-		return s.begun
+// startedAt returns when a server counts as started: at its observed start or, if later, when its last ban was lifted.
+func (h Override) startedAt(s *server) time.Duration {
+	if s.startTime > h.Since {
+		return s.startTime
 	}
-	return max(s.begun, cmp.Or(h.Back, s.begun))
+	return max(s.startTime, cmp.Or(h.Back, s.startTime))
 }
--- a/policy/view_test.go
+++ b/policy/view_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// A view lowers weights and never brings back what the list or the node itself keeps off; an empty one undoes it.
+// A view lowers weights and never brings back a server that the list or the node itself excludes; an empty view undoes it.
 func TestAViewLowersWeights(t *testing.T) {
-	w := start(t, settings(), 4)
+	w := newFixture(t, settings(), 4)
 	tops := func() map[string]int {
 		n := map[string]int{}
 		for i := range 2000 {
@@ -19,13 +19,13 @@
 	}
 	plain := tops()
 	id := w.b.caches[0].ID
-	v := View{Servers: []Share{{ID: id, Factor: 0.25}, {ID: "no such", Factor: 1}}}
+	v := View{Servers: []ServerView{{ID: id, Factor: 0.25}, {ID: "no such", Factor: 1}}}
 	w.b.View(w.now, v)
 	cut := tops()
 	if got, want := float64(cut[id])/2000, 0.25/3.25; math.Abs(got-want) > 0.03 {
 		t.Errorf("%.3f of the keys, want %.3f", got, want)
 	}
-	for other, n := range plain { // keys move off the server alone
+	for other, n := range plain { // keys move away from that server only
 		if other != id && cut[other] < n {
 			t.Errorf("%s lost keys: %d of %d left", other, cut[other], n)
 		}
@@ -33,7 +33,7 @@
 	s := w.b.servers[id].Server
 	s.State = Draining
 	w.b.Members(w.now, ListChanges, []Server{s})
-	w.b.View(w.now, View{Servers: []Share{{ID: id, Factor: 1}}})
+	w.b.View(w.now, View{Servers: []ServerView{{ID: id, Factor: 1}}})
 	if n := tops()[id]; n > 0 {
 		t.Errorf("a view brings a draining server back: %d keys", n)
 	}
@@ -47,29 +47,29 @@
 	}
 }
 
-// A cold server gets no more than a view leaves to this node, however little that is, and the node's own bound stands.
+// A cold server gets no more than the view's limit for this node, however low, and the node's own limit still applies.
 func TestAViewBoundsAColdServer(t *testing.T) {
 	run := func(allow float64) (cold int) {
-		w := start(t, settings(), 4)
+		w := newFixture(t, settings(), 4)
 		for _, s := range w.b.servers {
 			s.limit = 100
 		}
 		id := w.b.caches[0].ID
 		w.restart(id)
-		w.b.View(w.now, View{Servers: []Share{{ID: id, Factor: 1, Allow: allow}}})
+		w.b.View(w.now, View{Servers: []ServerView{{ID: id, Factor: 1, Allow: allow}}})
 		for i := range 2000 {
 			w.request(fmt.Sprint("r", i), "read", fmt.Sprint("k", i))
 			if w.last().server == id {
 				cold++
 			}
-			w.answer(w.last(), OK, NoteHit, ms)
+			w.answer(w.last(), OK, CacheHit, ms)
 			w.now += ms
 		}
 		return cold // in four seconds
 	}
 	own := run(0)
 	if own < 50 {
-		t.Fatalf("%d by itself: nothing is bounded here", own)
+		t.Fatalf("%d without a view: the limit has no effect here", own)
 	}
 	for _, c := range []struct {
 		allow float64
@@ -81,12 +81,12 @@
 	}
 }
 
-// Planners thin out the reads that go to the origin, evenly; writes go on, and what is thinned out is refused at once.
+// A view thins out the reads that go to the origin, evenly. Writes are unaffected, and the other reads are refused at once.
 func TestAViewThinsTheOriginsReads(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
 	for _, part := range []float64{0, 0.25, 0.6, 1} {
-		w := start(t, set, 3)
+		w := newFixture(t, set, 3)
 		for _, s := range w.b.servers {
 			s.limit = 1000
 		}
@@ -96,12 +96,12 @@
 			id, class := fmt.Sprint("r", i), []string{"read", "write"}[i%2]
 			w.request(id, class, fmt.Sprint("k", i))
 			if s := w.last(); class == "read" && s.id == id {
-				w.answer(s, Miss, NoteMiss, 0)
+				w.answer(s, Miss, CacheMiss, 0)
 			}
 			switch s := w.last(); {
 			case s.id == id && s.server == "o":
 				at[class]++
-				w.answer(s, OK, NoNote, 0)
+				w.answer(s, OK, CacheUnreported, 0)
 			case w.ended[id] == "refused":
 				refused++
 			}
@@ -116,19 +116,19 @@
 	}
 }
 
-// A key that planners name as hot starts at as many caches as can carry it, though this node has seen it once.
+// A key that a view names as hot is spread over as many caches as can carry it, though this node has seen it only once.
 func TestAViewsHotKeySpreads(t *testing.T) {
-	w := start(t, settings(), 6)
+	w := newFixture(t, settings(), 6)
 	for _, s := range w.b.servers {
 		s.limit = 100
 	}
-	w.b.View(w.now, View{Hot: []Heat{{Key: Digest("hot"), Load: 2.5}}})
+	w.b.View(w.now, View{Hot: []HotKey{{Key: Digest("hot"), Load: 2.5}}})
 	seen := map[string]bool{}
 	for i := range 60 {
 		w.request(fmt.Sprint("r", i), "read", "hot")
 		seen[w.last().server] = true
-		w.answer(w.last(), OK, NoteHit, ms)
-		w.cool()
+		w.answer(w.last(), OK, CacheHit, ms)
+		w.forgetHotKeys()
 		w.now += time.Second
 	}
 	if len(seen) != 3 {
