--- a/cmd/lapislab/planted_test.go
+++ b/cmd/lapislab/planted_test.go
@@ -37,7 +37,7 @@
 	{name: "what stood unread counts from when it is read", seeds: 20, edits: []replacement{
 		{"internal/loop/loop.go", "func (l *Loop) Came() time.Duration { return l.came }", "func (l *Loop) Came() time.Duration { return l.Now() }"}}},
 	{name: "bans are not taken over", seeds: 12, edits: []replacement{
-		{"internal/node/succession.go", "n.guard(\"hand\", func() { n.policy.Hand(now, h) })", "_ = now"}}},
+		{"internal/node/succession.go", "n.guard(\"hand\", func() { n.policy.Override(now, h) })", "_ = now"}}},
 	{name: "requests are not failed as their time ends", seeds: 20, edits: []replacement{
 		{"internal/node/node.go", "c.timer = n.loop.After(c.deadline-last-now, func() { n.overdue(c) })", "c.timer = n.loop.After(c.deadline+5*time.Second+0*last-now, func() { n.overdue(c) })"}}},
 	{name: "a planned end closes over open requests", seeds: 6, edits: []replacement{
--- a/decide/follow/change_test.go
+++ b/decide/follow/change_test.go
@@ -204,7 +204,7 @@
 	const h = 7
 	whole := func(revision uint64, made time.Duration, factor float64) plan.Change {
 		c := plan.Change{Epoch: 1, Planner: "a", Made: made, Valid: 3 * sec, History: h, Revision: revision, Count: 4, HotSet: true, TenantsSet: true,
-			Servers: []policy.Share{{ID: "c1", Factor: factor}}}
+			Servers: []policy.ServerView{{ID: "c1", Factor: factor}}}
 		c.Sum = plan.Sum(map[string]float64{"c1": factor}, 0, nil, nil)
 		return c
 	}
@@ -246,7 +246,7 @@
 			c.Servers = nil
 			for i := range 4 {
 				id := fmt.Sprintf("c%d", i)
-				c.Servers, factors[id] = append(c.Servers, policy.Share{ID: id, Factor: 0.1}), 0.1
+				c.Servers, factors[id] = append(c.Servers, policy.ServerView{ID: id, Factor: 0.1}), 0.1
 			}
 			c.Sum = plan.Sum(factors, 0, nil, nil)
 		}), Absurd, 0.5, 6},
@@ -275,12 +275,12 @@
 func TestGrantsBind(t *testing.T) {
 	f := New(Config{Fade: 10 * sec})
 	c := plan.Change{Planner: "a", Made: 1, Valid: 3 * sec, History: 1, Revision: 1, Count: 4, HotSet: true, TenantsSet: true,
-		Servers: []policy.Share{{ID: "c1", Factor: 0.5}}, Grants: []plan.Grant{{ID: "c1", Rate: 2}, {ID: "c0", Rate: 8}}, Answers: 7}
+		Servers: []policy.ServerView{{ID: "c1", Factor: 0.5}}, Grants: []plan.Grant{{ID: "c1", Rate: 2}, {ID: "c0", Rate: 8}}, Answers: 7}
 	c.Sum = plan.Sum(map[string]float64{"c1": 0.5}, 0, nil, nil)
 	f.Sent(100*sec, 7)
 	f.TakeChange(100*sec, c, ready(4))
 	v, _ := f.Now(102 * sec)
-	if want := []policy.Share{{ID: "c0", Factor: 1, Allow: 8}, {ID: "c1", Factor: 0.5, Allow: 2}}; !slices.Equal(v.Servers, want) {
+	if want := []policy.ServerView{{ID: "c0", Factor: 1, Allow: 8}, {ID: "c1", Factor: 0.5, Allow: 2}}; !slices.Equal(v.Servers, want) {
 		t.Errorf("%+v", v.Servers)
 	}
 	turns := f.Turns()
--- a/decide/follow/follow.go
+++ b/decide/follow/follow.go
@@ -197,13 +197,13 @@
 
 // view is the state and one's own grants, by id.
 func (s *state) view(grants []plan.Grant) policy.View {
-	shares := make(map[string]policy.Share, len(s.factors)+len(grants))
+	shares := make(map[string]policy.ServerView, len(s.factors)+len(grants))
 	for id, x := range s.factors {
-		shares[id] = policy.Share{ID: id, Factor: x}
+		shares[id] = policy.ServerView{ID: id, Factor: x}
 	}
 	for _, g := range grants {
 		x := shares[g.ID]
-		shares[g.ID] = policy.Share{ID: g.ID, Factor: cmp.Or(x.Factor, 1), Allow: g.Rate}
+		shares[g.ID] = policy.ServerView{ID: g.ID, Factor: cmp.Or(x.Factor, 1), Allow: g.Rate}
 	}
 	v := policy.View{Admit: s.admit, Hot: s.hot, Tenants: s.tenants}
 	for _, id := range slices.Sorted(maps.Keys(shares)) {
@@ -293,7 +293,7 @@
 	}
 	var v policy.View
 	for _, s := range f.held.Servers {
-		v.Servers = append(v.Servers, policy.Share{ID: s.ID, Factor: 1 - trust*(1-s.Factor), Allow: s.Allow / trust})
+		v.Servers = append(v.Servers, policy.ServerView{ID: s.ID, Factor: 1 - trust*(1-s.Factor), Allow: s.Allow / trust})
 	}
 	if a := f.held.Admit; a > 0 {
 		v.Admit = 1 - trust*(1-a)
--- a/decide/follow/follow_test.go
+++ b/decide/follow/follow_test.go
@@ -25,7 +25,7 @@
 func view(planner string, epoch uint64, made time.Duration, factors ...float64) plan.View {
 	v := plan.View{Epoch: epoch, Planner: planner, Made: made, Valid: 3 * sec}
 	for i, f := range factors {
-		v.Servers = append(v.Servers, policy.Share{ID: fmt.Sprintf("c%d", i), Factor: f})
+		v.Servers = append(v.Servers, policy.ServerView{ID: fmt.Sprintf("c%d", i), Factor: f})
 	}
 	return v
 }
--- a/decide/follow/fresh_test.go
+++ b/decide/follow/fresh_test.go
@@ -36,12 +36,12 @@
 			f.Sent(at, seq+1)
 		}
 		c := plan.Change{Planner: "a", Made: 1, Valid: 3 * sec, History: 1, Revision: 1, Count: 4, HotSet: true, TenantsSet: true,
-			Servers: []policy.Share{{ID: "c1", Factor: 0.5}}, Grants: []plan.Grant{{ID: "c0", Rate: 8}}, Answers: x.answers, After: x.after}
+			Servers: []policy.ServerView{{ID: "c1", Factor: 0.5}}, Grants: []plan.Grant{{ID: "c0", Rate: 8}}, Answers: x.answers, After: x.after}
 		c.Sum = plan.Sum(map[string]float64{"c1": 0.5}, 0, nil, nil)
 		why, err := f.TakeChange(at+x.comes, c, ready(4))
 		v, _ := f.Now(at + x.comes)
 		granted := v.Servers[0].Allow == 8
-		if why != Taken || granted != x.fresh || (f.Stale == 0) != x.fresh || v.Servers[len(v.Servers)-1] != (policy.Share{ID: "c1", Factor: 0.5}) {
+		if why != Taken || granted != x.fresh || (f.Stale == 0) != x.fresh || v.Servers[len(v.Servers)-1] != (policy.ServerView{ID: "c1", Factor: 0.5}) {
 			t.Errorf("%s: %s, %v, %+v, %d stale", name, why, err, v.Servers, f.Stale)
 		}
 		if len(f.sent) > mostSent {
@@ -70,13 +70,15 @@
 			t.Fatal(why, err)
 		}
 	}
-	is := func(want ...policy.Share) {
+	is := func(want ...policy.ServerView) {
 		t.Helper()
 		if v, trust := f.Now(now); trust != 1 || !slices.Equal(v.Servers, want) {
 			t.Errorf("%+v, trusted %v, want %+v", v.Servers, trust, want)
 		}
 	}
-	share := func(id string, allow float64) policy.Share { return policy.Share{ID: id, Factor: 1, Allow: allow} }
+	share := func(id string, allow float64) policy.ServerView {
+		return policy.ServerView{ID: id, Factor: 1, Allow: allow}
+	}
 	tell("a", plan.Grant{ID: "c0", Rate: 8})
 	is(share("c0", 8))
 	turns := f.Turns()
--- a/decide/plan/change.go
+++ b/decide/plan/change.go
@@ -27,22 +27,22 @@
 
 // Change is what a planner tells a forwarder that holds one of its revisions.
 type Change struct {
-	Epoch      uint64         // as in View
-	Planner    string         // as in View
-	Made       time.Duration  // as in View
-	Valid      time.Duration  // as in View
-	History    uint64         // which life of the planner's counting; never 0
-	Base       uint64         // the revision that it counts from; 0: none, all is told
-	Revision   uint64         // what is held after it; never 0
-	Count      int            // servers that serve by the planner's list
-	Servers    []policy.Share // ID and Factor alone, in steps of a thousandth: what changed since Base; 1: nothing is told of it any more
-	Admit      float64        // part of the reads that may go to the origin, in thousandths; 0: all. Always told
-	Hot        []policy.Heat  // if HotSet: the whole new set
-	HotSet     bool           // always with Base 0
-	Tenants    []policy.Use   // if TenantsSet: the whole new set
-	TenantsSet bool           // always with Base 0
-	Sum        uint32         // of the state at Revision, see Sum
-	Grants     []Grant        // for this forwarder alone
+	Epoch      uint64              // as in View
+	Planner    string              // as in View
+	Made       time.Duration       // as in View
+	Valid      time.Duration       // as in View
+	History    uint64              // which life of the planner's counting; never 0
+	Base       uint64              // the revision that it counts from; 0: none, all is told
+	Revision   uint64              // what is held after it; never 0
+	Count      int                 // servers that serve by the planner's list
+	Servers    []policy.ServerView // ID and Factor alone, in steps of a thousandth: what changed since Base; 1: nothing is told of it any more
+	Admit      float64             // part of the reads that may go to the origin, in thousandths; 0: all. Always told
+	Hot        []policy.Heat       // if HotSet: the whole new set
+	HotSet     bool                // always with Base 0
+	Tenants    []policy.Use        // if TenantsSet: the whole new set
+	TenantsSet bool                // always with Base 0
+	Sum        uint32              // of the state at Revision, see Sum
+	Grants     []Grant             // for this forwarder alone
 	// With grants: the number of the last digest of this forwarder that the planner has had, and how long it has had that.
 	// By them a forwarder knows how long the grants may have been on their way, see MostTravel.
 	Answers uint64
@@ -270,10 +270,10 @@
 	}
 	for id, f := range t.factors {
 		if f.at > c.Base && !(whole && f.factor == 1) {
-			c.Servers = append(c.Servers, policy.Share{ID: id, Factor: f.factor})
+			c.Servers = append(c.Servers, policy.ServerView{ID: id, Factor: f.factor})
 		}
 	}
-	slices.SortFunc(c.Servers, func(x, y policy.Share) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(c.Servers, func(x, y policy.ServerView) int { return cmp.Compare(x.ID, y.ID) })
 	if c.HotSet = whole || t.hotAt > c.Base; c.HotSet {
 		c.Hot = slices.Clone(t.hot)
 	}
--- a/decide/plan/gather.go
+++ b/decide/plan/gather.go
@@ -74,7 +74,7 @@
 	}
 	l.Sends++
 	switch {
-	case own || o == policy.Cancelled || o == policy.Moot:
+	case own || o == policy.Cancelled || o == policy.NotSent:
 	case o == policy.OK || o == policy.Miss:
 		at := timeOf(took)
 		for len(l.Times) <= at {
--- a/decide/plan/plan.go
+++ b/decide/plan/plan.go
@@ -514,7 +514,9 @@
 			use = append(use, policy.Use{Name: t, Asked: n / max(n, p.asked) * p.rate})
 		}
 	}
-	slices.SortFunc(use, func(x, y policy.Use) int { return cmp.Or(cmp.Compare(y.Asked, x.Asked), cmp.Compare(x.Name, y.Name)) })
+	slices.SortFunc(use, func(x, y policy.Use) int {
+		return cmp.Or(cmp.Compare(y.Asked, x.Asked), cmp.Compare(x.Name, y.Name))
+	})
 	return hot, use[:min(len(use), MostTenants)]
 }
 
@@ -526,7 +528,7 @@
 	v.Admit, v.Hot, v.Tenants = p.told.admit, slices.Clone(p.told.hot), slices.Clone(p.told.tenants)
 	grants := p.Grants(now, to)
 	for _, s := range p.serving {
-		share := policy.Share{ID: s.ID, Factor: 1}
+		share := policy.ServerView{ID: s.ID, Factor: 1}
 		if f, is := p.told.factors[s.ID]; is {
 			share.Factor = f.factor
 		}
--- a/internal/handover/faults_test.go
+++ b/internal/handover/faults_test.go
@@ -55,7 +55,7 @@
 	for _, calls := range [][]system.Call{{system.CallOpen}, {system.CallRead}} {
 		l, dir := newLoop(t), t.TempDir()
 		old := join(t, l, dir, "n1")
-		old.say(t, func(s *State) { s.Hands = []policy.Hand{{ID: "s-1", Banned: true, At: 5}} })
+		old.say(t, func(s *State) { s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5}} })
 		old.die()
 		end := failing(t, unix.ENOSPC, calls...)
 		fresh := join(t, l, dir, "n1")
@@ -80,14 +80,14 @@
 		for _, errno := range []unix.Errno{unix.ENOSPC, unix.EIO} {
 			l, dir := newLoop(t), t.TempDir()
 			old := join(t, l, dir, "n1")
-			old.say(t, func(s *State) { s.Hands = []policy.Hand{{ID: "s-1", Banned: true, At: 5}} })
+			old.say(t, func(s *State) { s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5}} })
 			old.die()
 			fresh := join(t, l, dir, "n1")
 			if len(fresh.Left()) != 1 {
 				t.Fatal("nothing is left by the one before")
 			}
 			s := fresh.Self()
-			s.Hands = []policy.Hand{{ID: "s-1", Banned: true, At: 5}, {ID: "s-2", Banned: true, At: 6}}
+			s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5}, {ID: "s-2", Banned: true, At: 6}}
 			end := failing(t, errno, call)
 			for range 2 {
 				if err := fresh.Publish(s); err == nil || fresh.Owed() == nil || len(fresh.Left()) != 1 {
--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -184,7 +184,7 @@
 	if err := d.Decode(&s); err != nil {
 		return s, err
 	}
-	senseless := func(h policy.Hand) bool { return h.At < 0 || h.At >= mostOrder }
+	senseless := func(h policy.Override) bool { return h.At < 0 || h.At >= mostOrder }
 	switch {
 	case s.Version != version:
 		return s, fmt.Errorf("version %d, not %d", s.Version, version)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -35,14 +35,14 @@
 
 // State is what a process makes known.
 type State struct {
-	Version int            `json:"version"`
-	Name    string         `json:"name"`
-	Listen  string         `json:"listen"`
-	PID     int            `json:"pid"`
-	Process decide.Process `json:"process"`
-	Hands   []policy.Hand  `json:"hands,omitempty"` // what was said of servers by hand
-	Lame    Lame           `json:"lame"`
-	List    List           `json:"list"`
+	Version int               `json:"version"`
+	Name    string            `json:"name"`
+	Listen  string            `json:"listen"`
+	PID     int               `json:"pid"`
+	Process decide.Process    `json:"process"`
+	Hands   []policy.Override `json:"hands,omitempty"` // what was said of servers by hand
+	Lame    Lame              `json:"lame"`
+	List    List              `json:"list"`
 }
 
 // Lame is the last word on whether the node is drained.
@@ -78,10 +78,10 @@
 	pause  time.Duration // before the next try to be made known
 	retry  time.Duration // when that is due
 	self   State
-	said   []byte        // as written last; nil: nothing, or it has gone
-	words  []policy.Hand // as synced last
-	owed   error         // why self is not written; nil: it is
-	early  map[int]bool  // ids of processes that were there before this one
+	said   []byte            // as written last; nil: nothing, or it has gone
+	words  []policy.Override // as synced last
+	owed   error             // why self is not written; nil: it is
+	early  map[int]bool      // ids of processes that were there before this one
 	known  map[string]State
 	peers  []State
 	left   []ended
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -76,7 +76,7 @@
 	l, dir := newLoop(t), t.TempDir()
 	old := join(t, l, dir, "n1")
 	old.say(t, func(s *State) {
-		s.Hands = []policy.Hand{{ID: "s-1", Banned: true, At: 5, Since: 5}}
+		s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5, Since: 5}}
 		s.Process.Room = 100
 	})
 	fresh := join(t, l, dir, "n1")
@@ -98,7 +98,7 @@
 	if h := fresh.Left()[0].Hands; len(h) != 1 || h[0].ID != "s-1" {
 		t.Errorf("left by hand: %v", h)
 	}
-	fresh.say(t, func(s *State) { s.Hands = []policy.Hand{{ID: "s-1", Banned: true, At: 5, Since: 5}} })
+	fresh.say(t, func(s *State) { s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5, Since: 5}} })
 	names, _ := filepath.Glob(filepath.Join(dir, fresh.prefix+"*"))
 	if len(names) != 2 || len(fresh.Left()) != 0 {
 		t.Errorf("what the old one left is still there: %v", names)
@@ -109,7 +109,7 @@
 func TestBadFiles(t *testing.T) {
 	l, dir := newLoop(t), t.TempDir()
 	good := join(t, l, dir, "n1")
-	good.say(t, func(s *State) { s.Hands = []policy.Hand{{ID: "s-1", Banned: true, At: 5}} })
+	good.say(t, func(s *State) { s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5}} })
 	whole, err := os.ReadFile(good.own + ".json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -47,7 +47,7 @@
 	c.timer.Stop()
 	c.body = b
 	n.count.bodies++
-	n.guard("begun", func() { n.policy.Begun(n.loop.Now(), c.id, t.n) })
+	n.guard("begun", func() { n.policy.ResponseStarted(n.loop.Now(), c.id, t.n) })
 	c.client.flush() // its turn may have come
 }
 
--- a/internal/node/caches.go
+++ b/internal/node/caches.go
@@ -52,11 +52,11 @@
 	}
 	switch {
 	case m.Waits:
-		a.note = policy.NoteFetching
+		a.note = policy.CacheFetching
 	case m.Hit == '1':
-		a.note = policy.NoteHit
+		a.note = policy.CacheHit
 	case m.Hit == '0':
-		a.note = policy.NoteMiss
+		a.note = policy.CacheMiss
 	}
 	return a, used, nil
 }
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -45,7 +45,7 @@
 func (n *Node) refuseSend(t *try, why safety.Reason) {
 	n.count.sendsRefused[why]++
 	n.noteAttempt(attemptRefused, t, why, 0)
-	outcome := policy.Moot
+	outcome := policy.NotSent
 	switch why {
 	case safety.ServerClosed:
 		outcome = policy.ConnectFailed
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -19,7 +19,7 @@
 	bodies, brokenOff, uploads                                  int64
 	clientsBad, clientsIdle, sameID                             int64
 	violations, tooLate                                         int64
-	outcomes                                                    [policy.Moot + 1]int64
+	outcomes                                                    [policy.NotSent + 1]int64
 	sendsRefused, violated                                      [safety.Reasons]int64
 	closings                                                    [closings]int64
 	ended                                                       [endings]int64 // of the classes together
@@ -55,7 +55,7 @@
 
 var outcomeNames = [...]string{policy.OK: "ok", policy.Miss: "miss", policy.Errored: "error", policy.Full: "busy",
 	policy.TimedOut: "timeout", policy.ConnectFailed: "connect_failed", policy.Reset: "reset",
-	policy.Cancelled: "cancelled", policy.Moot: "moot"}
+	policy.Cancelled: "cancelled", policy.NotSent: "moot"}
 
 func (c *counters) outcome(o policy.Outcome) { c.outcomes[o]++ }
 
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -40,7 +40,7 @@
 	}
 	f.one("attempts_total", "counter", "Attempts written whole to servers.", n.count.written)
 	f.one("in_flight", "gauge", "Requests taken and not ended.", int64(n.inFlight))
-	known, excluded := n.policy.Known(n.loop.Now())
+	known, excluded := n.policy.CacheCounts(n.loop.Now())
 	f.one("cache_servers_known", "gauge", "Cache servers in the list.", int64(known))
 	f.one("cache_servers_excluded", "gauge", "Listed cache servers that are avoided now.", int64(excluded))
 	f.one("reloads_ok_total", "counter", "Configurations reread and taken.", n.count.reloads)
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -60,7 +60,7 @@
 	n.classes["read"] = &class{name: "read", longest: 25 * time.Second}
 	n.cfg.Transport.ConnectTimeout = 20 * time.Second
 	n.policy = policy.New(n.loop.Now(), set, 1, actions{n})
-	n.members(policy.ListWhole, []roster.Entry{{Server: policy.Server{ID: "c-1", Weight: -1}, Addr: c.Addr()}})
+	n.members(policy.ListComplete, []roster.Entry{{Server: policy.Server{ID: "c-1", Weight: -1}, Addr: c.Addr()}})
 	b.pool = n.pools["c-1"]
 	return &stage{b, c}
 }
@@ -215,7 +215,7 @@
 		third.stuck.Stop() // which TestWhatWaitsBehindOthersBytesIsTakenBack is about
 		b.node.abandon(second.call)
 		b.run("it is taken back", func() bool { return second.done })
-		if !second.done || b.outcomes(policy.Moot) != 1 || third.done || len(l.tries) != 2 {
+		if !second.done || b.outcomes(policy.NotSent) != 1 || third.done || len(l.tries) != 2 {
 			t.Fatalf("%v, %d on the connection", b.node.count.outcomes, len(l.tries))
 		}
 		far, err := b.ln.Accept()
--- a/internal/node/leave_turn_test.go
+++ b/internal/node/leave_turn_test.go
@@ -116,7 +116,7 @@
 	set := policy.Settings{Classes: []policy.Class{{Name: "read", Aim: 20 * time.Second}, {Name: "quick", Aim: 10 * time.Millisecond}}, MaxAttempts: 6, MayCancel: cancel,
 		Mode: policy.Aside, OriginKind: "origin", Tick: 5 * time.Millisecond, FallWindow: time.Second, FallMultiple: 3}
 	n.policy = policy.New(n.loop.Now(), set, 1, actions{n})
-	n.members(policy.ListWhole, []roster.Entry{{Server: policy.Server{ID: "c-1", Weight: -1}, Addr: s.cache.Addr()},
+	n.members(policy.ListComplete, []roster.Entry{{Server: policy.Server{ID: "c-1", Weight: -1}, Addr: s.cache.Addr()},
 		{Server: policy.Server{ID: "o-1", Kind: "origin", Weight: -1}, Addr: o.Addr()}})
 	return func() (ids []string) {
 		for _, line := range o.Lines() {
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -32,7 +32,7 @@
 	r := &c.Roster
 	r.Nodes, r.Within = cfg.Settings.Balancers, cfg.Settings.AskWithin
 	r.Limit, r.Quick = callFor, true
-	if !cfg.Settings.MustAsk {
+	if !cfg.Settings.MustSubscribe {
 		r.Pause = cmp.Or(cfg.Transport.DrainGrace, usualGrace) / gracePart
 	}
 	if r.Watch == 0 {
@@ -91,7 +91,7 @@
 func (n *Node) told(u roster.Update) {
 	kind := policy.ListChanges
 	if u.Whole {
-		kind = policy.ListWhole
+		kind = policy.ListComplete
 	}
 	n.members(kind, u.Entries)
 }
@@ -113,7 +113,7 @@
 		servers[i], named[e.ID] = e.Server, e.State == policy.Ready
 	}
 	n.guard("members", func() { n.policy.Members(n.loop.Now(), kind, servers) })
-	whole := kind == policy.ListWhole || kind == policy.ListSaved
+	whole := kind == policy.ListComplete || kind == policy.ListSaved
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
 		if ready, told := named[id]; told && !ready || !told && whole {
 			n.succession.noteState(id, policy.Gone)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -128,7 +128,7 @@
 // answer is what a server said of an attempt. Its slices are good only while they are being handled.
 type answer struct {
 	outcome policy.Outcome
-	note    policy.Note
+	note    policy.CacheStatus
 	value   []byte
 	receipt []byte
 	stored  bool   // served without a value: a receipt
@@ -206,8 +206,8 @@
 	}
 	n.guard("request", func() {
 		n.policy.Request(now, policy.Request{ID: c.id, Class: c.class.name, Tenant: meta.Text(info, "t"),
-			Key: string(c.command.Key), Left: c.end - now, Write: c.command.Kind == meta.Set,
-			Coming: c.upload != nil})
+			Key: string(c.command.Key), Remaining: c.end - now, Write: c.command.Kind == meta.Set,
+			BodyPending: c.upload != nil})
 	})
 }
 
@@ -361,8 +361,8 @@
 		}
 		n.reply(c, text, served)
 	}
-	res := policy.Result{ID: c.id, N: t.n, Server: t.pool.id, Outcome: a.outcome, Note: a.note, Final: c.answered,
-		Kept: a.kept, Spent: c.upload != nil && c.upload.spent}
+	res := policy.Result{ID: c.id, N: t.n, Server: t.pool.id, Outcome: a.outcome, CacheStatus: a.note, Final: c.answered,
+		ReusedConn: a.kept, BodyDiscarded: c.upload != nil && c.upload.spent}
 	n.guard("result", func() { n.policy.Result(now, res) })
 	n.settle(c)
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -258,11 +258,11 @@
 // off, since nothing has run. One half written, with nothing else on its connection, ends with that: nor has it run.
 func (p *pool) withdraw(t *try) {
 	l := t.link
-	if t.done || l == nil || l.gone || l.takeOut(t, policy.Moot) {
+	if t.done || l == nil || l.gone || l.takeOut(t, policy.NotSent) {
 		return
 	}
 	if t.last > l.conn.Written() && len(l.tries) == 1 {
-		p.giveUp(t, answer{outcome: policy.Moot})
+		p.giveUp(t, answer{outcome: policy.NotSent})
 	}
 }
 
--- a/internal/node/protocol_test.go
+++ b/internal/node/protocol_test.go
@@ -70,17 +70,17 @@
 	for _, c := range []struct {
 		in      string
 		outcome policy.Outcome
-		note    policy.Note
+		note    policy.CacheStatus
 		bad     bool
 	}{
-		{"VA 1 O1 h1\r\nx\r\n", policy.OK, policy.NoteHit, false},
-		{"EN O1 h0\r\n", policy.Miss, policy.NoteMiss, false},
-		{"EN O1 h0 Z\r\n", policy.Miss, policy.NoteFetching, false},
-		{"EN O1\r\n", policy.Miss, policy.NoNote, false},
-		{"SERVER_ERROR busy Lqueue=4\r\n", policy.Full, policy.NoNote, false},
-		{"SERVER_ERROR failed h0\r\n", policy.Errored, policy.NoteMiss, false},
-		{"SERVER_ERROR busybody\r\n", policy.Errored, policy.NoNote, false},
-		{"CLIENT_ERROR no\r\n", policy.Errored, policy.NoNote, false},
+		{"VA 1 O1 h1\r\nx\r\n", policy.OK, policy.CacheHit, false},
+		{"EN O1 h0\r\n", policy.Miss, policy.CacheMiss, false},
+		{"EN O1 h0 Z\r\n", policy.Miss, policy.CacheFetching, false},
+		{"EN O1\r\n", policy.Miss, policy.CacheUnreported, false},
+		{"SERVER_ERROR busy Lqueue=4\r\n", policy.Full, policy.CacheUnreported, false},
+		{"SERVER_ERROR failed h0\r\n", policy.Errored, policy.CacheMiss, false},
+		{"SERVER_ERROR busybody\r\n", policy.Errored, policy.CacheUnreported, false},
+		{"CLIENT_ERROR no\r\n", policy.Errored, policy.CacheUnreported, false},
 		{"VA 1 O2\r\nx\r\n", 0, 0, true},
 		{"EN O2\r\n", 0, 0, true},
 	} {
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -40,7 +40,7 @@
 	for i := range caches {
 		list = append(list, policy.Server{ID: fmt.Sprintf("s-%05d", i), Weight: 1})
 	}
-	n.policy.Members(l.Now(), policy.ListWhole, list)
+	n.policy.Members(l.Now(), policy.ListComplete, list)
 	b.Cleanup(func() {
 		n.clients.listener.Close()
 		for _, p := range n.pools {
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -98,7 +98,7 @@
 	for _, p := range slices.Concat(s.member.Left(), s.member.Peers()) {
 		for _, h := range p.Hands {
 			n.listed.add(h.ID)
-			n.guard("hand", func() { n.policy.Hand(now, h) })
+			n.guard("hand", func() { n.policy.Override(now, h) })
 			news = true
 		}
 		for _, id := range p.List.Listed {
@@ -130,7 +130,7 @@
 		}
 		for _, id := range p.List.Leaving {
 			if pool := n.pools[id]; pool != nil && pool.ready {
-				n.guard("drains", func() { n.policy.Drains(n.loop.Now(), id) })
+				n.guard("drains", func() { n.policy.MarkDraining(n.loop.Now(), id) })
 				pool.ready = false
 				pool.leave()
 			}
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -135,7 +135,7 @@
 	}
 	now := n.loop.Now()
 	n.clock(c, now, n.within(max(leastWait, u.wait-(now-u.client.arrived)), now))
-	n.guard("came", func() { n.policy.Came(now, c.id, c.end-now) })
+	n.guard("came", func() { n.policy.BodyReceived(now, c.id, c.end-now) })
 	if t := u.try; t != nil {
 		t.began = now
 		t.timer = n.loop.After(c.end-now, func() { t.pool.timeout(t) })
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -259,8 +259,8 @@
 		return policy.Settings{}, settings.Transport{}, false
 	}
 	set := policy.Settings{OriginKind: s.OriginKind, OriginFalls: s.OriginFalls, Balancers: s.Balancers,
-		MustAsk: true, AskWithin: s.AskWithin.D(), Tick: s.Tick.D(), MaxAttempts: s.Attempts, Parallel: s.Parallel, MayCancel: s.Cancel,
-		MaxAdvice: s.MaxRetryAfter.D(), ColdFrom: s.ColdFrom, WarmUp: s.WarmUp.D(), FallMultiple: s.FallMultiple,
+		MustSubscribe: true, AskWithin: s.AskWithin.D(), Tick: s.Tick.D(), MaxAttempts: s.Attempts, Parallel: s.Parallel, MayCancel: s.Cancel,
+		RetryAfterLimit: s.MaxRetryAfter.D(), ColdFrom: s.ColdFrom, WarmUp: s.WarmUp.D(), FallMultiple: s.FallMultiple,
 		FallWindow: s.FallWindow.D(), Weighted: s.Weighted, MayProbe: s.Probes, Zone: s.Zone}
 	if s.Mode == "aside" {
 		set.Mode = policy.Aside
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -23,7 +23,7 @@
 	}
 	set, transport, ok := f.Settings()
 	if !ok || set.Mode != policy.Aside || len(set.Classes) != 2 || set.Classes[1].Window != 1200*time.Millisecond || set.Classes[0].Worth != 3 ||
-		transport.Deadlines["put"] != 600*time.Millisecond || set.Tenants[0].Quota != 50 || !set.MustAsk || set.MaxAttempts != 3 {
+		transport.Deadlines["put"] != 600*time.Millisecond || set.Tenants[0].Quota != 50 || !set.MustSubscribe || set.MaxAttempts != 3 {
 		t.Errorf("%+v %+v", set, transport)
 	}
 	// What it shows as defaults are the defaults.
--- a/internal/planwire/planwire.go
+++ b/internal/planwire/planwire.go
@@ -310,7 +310,7 @@
 	x := in.View
 	v := &plan.View{Epoch: x.Epoch, Planner: x.Planner, Made: time.Duration(x.Made), Valid: time.Duration(x.Valid), View: policy.View{Admit: x.Admit}}
 	for _, s := range x.Servers {
-		v.Servers = append(v.Servers, policy.Share(s))
+		v.Servers = append(v.Servers, policy.ServerView(s))
 	}
 	for _, h := range x.Hot {
 		v.Hot = append(v.Hot, policy.Heat{Key: h.Key, Load: h.Load})
@@ -329,7 +329,7 @@
 	c := &plan.Change{Epoch: x.Epoch, Planner: x.Planner, Made: time.Duration(x.Made), Valid: time.Duration(x.Valid), History: x.History, Base: x.Base, Revision: x.Revision, Count: x.Count,
 		Admit: float64(x.Admit) / thousand, HotSet: x.HotSet, TenantsSet: x.TenantsSet, Sum: x.Sum}
 	for _, s := range x.Servers {
-		c.Servers = append(c.Servers, policy.Share{ID: s.ID, Factor: float64(s.Factor) / thousand})
+		c.Servers = append(c.Servers, policy.ServerView{ID: s.ID, Factor: float64(s.Factor) / thousand})
 	}
 	for _, h := range x.Hot {
 		c.Hot = append(c.Hot, policy.Heat{Key: h.Key, Load: h.Load})
--- a/internal/planwire/planwire_test.go
+++ b/internal/planwire/planwire_test.go
@@ -20,13 +20,13 @@
 	return []Message{
 		{Digest: &plan.Digest{From: "f", Start: 5, Seq: 7, Span: time.Second, Asked: 3, Answered: 2, Servers: []plan.Load{{ID: "c1", Sends: 3, Timely: 1, Late: 1, Failed: 1, Times: []int{0, 1, 0, 1}}},
 			Origin: plan.Load{Sends: 1, Timely: 1}, Hot: []plan.Heat{{Key: 8, Asked: 3}}, Tenants: []plan.Use{{Tenant: "a", Asked: 3}}}},
-		{View: &plan.View{Epoch: 3, Planner: "p", Made: 9 * time.Second, Valid: time.Second, View: policy.View{Admit: 0.5, Servers: []policy.Share{{ID: "c1", Factor: 0.3, Allow: 4}},
+		{View: &plan.View{Epoch: 3, Planner: "p", Made: 9 * time.Second, Valid: time.Second, View: policy.View{Admit: 0.5, Servers: []policy.ServerView{{ID: "c1", Factor: 0.3, Allow: 4}},
 			Hot: []policy.Heat{{Key: 8, Load: 1.5}}, Tenants: []policy.Use{{Name: "a", Asked: 20}}}}},
-		{View: &plan.View{Planner: "p", Valid: time.Second, View: policy.View{Servers: []policy.Share{{ID: "c1", Factor: math.Inf(1)}}}}},
+		{View: &plan.View{Planner: "p", Valid: time.Second, View: policy.View{Servers: []policy.ServerView{{ID: "c1", Factor: math.Inf(1)}}}}},
 		{Digest: &plan.Digest{From: "f", Start: 5, Seq: 8, Span: time.Second, Asked: 9, Brief: true, Rest: plan.Load{Sends: 5, Timely: 5, Times: []int{5}}, Bad: []plan.Load{{ID: "c2", Sends: 24, Late: 1}}, Past: 310},
 			Hold: &plan.Hold{History: 1 << 63, Revision: 4, Follows: true}, Next: 1 << 40},
 		{Digest: &plan.Digest{From: "f", Start: 5, Seq: 9, Span: time.Second}, Hold: &plan.Hold{}},
-		{Change: &plan.Change{Epoch: 3, Planner: "p", Made: 9 * time.Second, Valid: time.Second, History: 1 << 63, Base: 4, Revision: 6, Count: 20, Servers: []policy.Share{{ID: "c1", Factor: 0.537}, {ID: "c2", Factor: 1}},
+		{Change: &plan.Change{Epoch: 3, Planner: "p", Made: 9 * time.Second, Valid: time.Second, History: 1 << 63, Base: 4, Revision: 6, Count: 20, Servers: []policy.ServerView{{ID: "c1", Factor: 0.537}, {ID: "c2", Factor: 1}},
 			Admit: 0.8, Hot: []policy.Heat{{Key: 8, Load: 1.5}}, HotSet: true, TenantsSet: true, Sum: 77, Grants: []plan.Grant{{ID: "c3", Rate: 0.25}}, Answers: 8, After: time.Second}},
 		{Change: &plan.Change{Planner: "p", History: 1, Revision: 1, Tenants: []policy.Use{{Name: "a", Asked: 20}}, TenantsSet: true, HotSet: true}},
 	}
@@ -62,7 +62,7 @@
 
 // The form on the wire is the documented one, by hand.
 func TestTheForm(t *testing.T) {
-	got, err := Append(nil, Message{View: &plan.View{Epoch: 3, Planner: "p", Made: 9, Valid: 10, View: policy.View{Servers: []policy.Share{{ID: "c", Factor: 0.5}}}}})
+	got, err := Append(nil, Message{View: &plan.View{Epoch: 3, Planner: "p", Made: 9, Valid: 10, View: policy.View{Servers: []policy.ServerView{{ID: "c", Factor: 0.5}}}}})
 	// length 24; {0: 1, 2: {1: 3, 2: "p", 3: 9, 4: 10, 5: [{1: "c", 2: 0.5}]}}
 	if want := "00000018" + "a2" + "0001" + "02a5" + "0103" + "026170" + "0309" + "040a" + "0581a2016163" + "02f93800"; err != nil || hex.EncodeToString(got) != want {
 		t.Errorf("%x, %v, want %s", got, err, want)
@@ -86,7 +86,7 @@
 		"a change expected": {Message{Digest: &plan.Digest{From: "f", Start: 1, Seq: 2, Span: 3}, Hold: &plan.Hold{}, Next: 3},
 			"00000014" + "a3" + "0001" + "01a5" + "016166" + "0201" + "0302" + "0403" + "08a0" + "03a10403"},
 		// {0: 1, 4: {2: "p", 3: 9, 4: 10, 5: 7, 6: 5, 7: 6, 8: 4, 9: [{1: "c", 2: 500}], 10: 800, 15: 1}, 5: [{1: "d", 2: 0.5}], 6: {1: 9, 2: 2}}
-		"change": {Message{Change: &plan.Change{Planner: "p", Made: 9, Valid: 10, History: 7, Base: 5, Revision: 6, Count: 4, Servers: []policy.Share{{ID: "c", Factor: 0.5}}, Admit: 0.8, Sum: 1,
+		"change": {Message{Change: &plan.Change{Planner: "p", Made: 9, Valid: 10, History: 7, Base: 5, Revision: 6, Count: 4, Servers: []policy.ServerView{{ID: "c", Factor: 0.5}}, Admit: 0.8, Sum: 1,
 			Grants: []plan.Grant{{ID: "d", Rate: 0.5}}, Answers: 9, After: 2}},
 			"00000034" + "a4" + "0001" + "04aa" + "026170" + "0309" + "040a" + "0507" + "0605" + "0706" + "0804" + "0981a20161630219" + "01f4" + "0a190320" + "0f01" + "0581a2016164" + "02f93800" + "06a2" + "0109" + "0202"},
 	} {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -212,11 +212,11 @@
 func (w *object) decisions() (policy.Settings, error) {
 	g, l := w.Guarantees, w.Limits
 	s := policy.Settings{
-		Balancers: w.Balancers, MustAsk: w.MembershipMode == "subscribe",
+		Balancers: w.Balancers, MustSubscribe: w.MembershipMode == "subscribe",
 		AskWithin: time.Duration(g.AskWithin), Tick: time.Duration(w.Tick),
 		MaxAttempts: l.SendCap, Parallel: l.ParallelTries, MayCancel: l.Cancel,
-		MaxAdvice: time.Duration(l.MaxRetryAfter),
-		ColdFrom:  g.ColdFrom, WarmUp: time.Duration(g.WarmUp),
+		RetryAfterLimit: time.Duration(l.MaxRetryAfter),
+		ColdFrom:        g.ColdFrom, WarmUp: time.Duration(g.WarmUp),
 		FallMultiple: g.FallMultiple, FallWindow: time.Duration(g.OverloadFor),
 		OriginFalls: w.FamilyInfo.OriginFallMultiple > 0, Weighted: w.Weights != "off",
 	}
@@ -227,7 +227,7 @@
 		s.Zone = w.Az
 	}
 	if !l.RetryAfter {
-		s.MaxAdvice = 0
+		s.RetryAfterLimit = 0
 	}
 	if w.FamilyInfo.Mode == "aside" {
 		s.Mode = policy.Aside
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -21,8 +21,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if set.Mode != policy.Aside || set.OriginKind != "origin" || set.Balancers != 3 || !set.MustAsk || !set.Weighted ||
-		set.MaxAttempts != 6 || !set.MayCancel || set.MaxAdvice != 1200*time.Millisecond || len(set.Classes) != 2 {
+	if set.Mode != policy.Aside || set.OriginKind != "origin" || set.Balancers != 3 || !set.MustSubscribe || !set.Weighted ||
+		set.MaxAttempts != 6 || !set.MayCancel || set.RetryAfterLimit != 1200*time.Millisecond || len(set.Classes) != 2 {
 		t.Errorf("%+v", set)
 	}
 	if c := set.Classes[1]; c.Effect != policy.Keyed || c.Scope != policy.ScopeZone || c.Window != 1200*time.Millisecond {
--- a/internal/simhost/simhost.go
+++ b/internal/simhost/simhost.go
@@ -16,7 +16,7 @@
 type balancer interface {
 	Members(now time.Duration, kind policy.ListKind, list []policy.Server)
 	Request(now time.Duration, q policy.Request)
-	Begun(now time.Duration, id string, n int)
+	ResponseStarted(now time.Duration, id string, n int)
 	Result(now time.Duration, res policy.Result)
 	Abandoned(now time.Duration, id string)
 	Timer(now time.Duration, token string)
@@ -76,7 +76,7 @@
 	case simwire.Request:
 		b.Request(now, e.Request)
 	case simwire.FirstByte:
-		b.Begun(now, e.ID, e.N)
+		b.ResponseStarted(now, e.ID, e.N)
 	case simwire.Result:
 		b.Result(now, e.Result)
 	case simwire.Abandoned:
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -40,7 +40,7 @@
 
 var outcomes = map[int]policy.Outcome{
 	100: policy.OK, 101: policy.Miss, 301: policy.Errored, 302: policy.Full, 303: policy.TimedOut,
-	304: policy.ConnectFailed, 305: policy.Reset, 306: policy.Cancelled, 307: policy.Moot,
+	304: policy.ConnectFailed, 305: policy.Reset, 306: policy.Cancelled, 307: policy.NotSent,
 }
 
 // Event is one event for one instance; only the fields of its kind are set.
@@ -191,7 +191,7 @@
 		e.ListKind, e.Entries, err = r.list(l)
 	case Request:
 		e.Request = policy.Request{ID: l.Handle, Class: l.Grade, Key: l.Resource.String(),
-			Left: time.Duration(l.Grace), Write: l.Write}
+			Remaining: time.Duration(l.Grace), Write: l.Write}
 		e.Request.Tenant, _ = l.Org.(string)
 	case Result:
 		e.Result, err = result(l)
@@ -203,7 +203,7 @@
 }
 
 func (r *Reader) list(l line) (policy.ListKind, []policy.Server, error) {
-	kind, known := map[string]policy.ListKind{"Partial": policy.ListChanges, "Complete": policy.ListWhole,
+	kind, known := map[string]policy.ListKind{"Partial": policy.ListChanges, "Complete": policy.ListComplete,
 		"Persisted": policy.ListSaved, "Error": policy.ListFailed}[l.How]
 	if !known {
 		return 0, nil, fmt.Errorf("unknown kind of list %q", l.How)
@@ -244,7 +244,7 @@
 	if !ok {
 		return policy.Result{}, fmt.Errorf("unknown outcome %d", l.Ending)
 	}
-	return policy.Result{ID: l.Handle, N: l.N, Server: l.Server, Outcome: end, Note: policy.Note(l.Remark),
+	return policy.Result{ID: l.Handle, N: l.N, Server: l.Server, Outcome: end, CacheStatus: policy.CacheStatus(l.Remark),
 		Final: l.Settled}, nil
 }
 
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -388,7 +388,7 @@
 	if n.forwarder != nil {
 		n.forwarder.gather.Request(t.Key, t.Tenant)
 	}
-	n.policy.Request(n.clock(), policy.Request{ID: t.ID, Class: t.Class, Tenant: t.Tenant, Key: t.Key, Left: c.end - s.now, Write: t.Write})
+	n.policy.Request(n.clock(), policy.Request{ID: t.ID, Class: t.Class, Tenant: t.Tenant, Key: t.Key, Remaining: c.end - s.now, Write: t.Write})
 	n.settle()
 }
 
@@ -433,7 +433,7 @@
 }
 
 // finished takes the end of an attempt.
-func (n *node) finished(a *attempt, o policy.Outcome, note policy.Note) {
+func (n *node) finished(a *attempt, o policy.Outcome, note policy.CacheStatus) {
 	c := a.call
 	if a.done || c.life != n.lives || !n.up {
 		return
@@ -443,7 +443,7 @@
 	if o == policy.OK {
 		n.answer(c, seen.Served, 0, a.rec)
 	}
-	n.policy.Result(n.clock(), policy.Result{ID: c.try.t.ID, N: a.n, Server: a.rec.Server, Outcome: o, Note: note, Final: c.answered})
+	n.policy.Result(n.clock(), policy.Result{ID: c.try.t.ID, N: a.n, Server: a.rec.Server, Outcome: o, CacheStatus: note, Final: c.answered})
 	n.settle()
 	n.forget(c)
 }
@@ -469,7 +469,7 @@
 		left = min(left, wait)
 	}
 	if left <= 0 || c.answered {
-		s.after(0, func() { n.finished(x, policy.Moot, 0) })
+		s.after(0, func() { n.finished(x, policy.NotSent, 0) })
 		return
 	}
 	s.after(left, func() { n.giveUp(x, policy.TimedOut) })
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -100,7 +100,7 @@
 }
 
 // reply sends an attempt's answer back.
-func (c *cache) reply(n *node, a *attempt, o policy.Outcome, note policy.Note, said seen.Said) {
+func (c *cache) reply(n *node, a *attempt, o policy.Outcome, note policy.CacheStatus, said seen.Said) {
 	s := c.sim
 	if c.silent {
 		return
@@ -125,20 +125,20 @@
 		switch d.Ending {
 		case world.Hit, world.Fetched:
 			r.Version = d.Version
-			note := policy.NoteHit
+			note := policy.CacheHit
 			if d.Ending == world.Fetched {
-				note = policy.NoteMiss
+				note = policy.CacheMiss
 			}
 			c.reply(j.node, j.a, policy.OK, c.tells(note), seen.Value)
 		case world.Stored:
 			r.Receipt = d.Receipt
 			c.reply(j.node, j.a, policy.OK, 0, seen.Receipt)
 		case world.Failed:
-			c.reply(j.node, j.a, policy.Errored, c.tells(policy.NoteMiss), seen.Error)
+			c.reply(j.node, j.a, policy.Errored, c.tells(policy.CacheMiss), seen.Error)
 		default:
-			note := policy.NoteMiss
+			note := policy.CacheMiss
 			if d.Ending == world.Fetching {
-				note = policy.NoteFetching
+				note = policy.CacheFetching
 			}
 			j.a.call.missed = append(j.a.call.missed, c)
 			c.reply(j.node, j.a, policy.Miss, c.tells(note), seen.Absent)
@@ -158,9 +158,9 @@
 	c.plan()
 }
 
-func (c *cache) tells(n policy.Note) policy.Note {
+func (c *cache) tells(n policy.CacheStatus) policy.CacheStatus {
 	if !*c.sim.x.Service.Hits {
-		return policy.NoNote
+		return policy.CacheUnreported
 	}
 	return n
 }
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -191,7 +191,7 @@
 func (n *hollowNode) told(u roster.Update) {
 	kind := policy.ListChanges
 	if u.Whole {
-		kind = policy.ListWhole
+		kind = policy.ListComplete
 		clear(n.entries)
 		clear(n.ready)
 	}
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -437,12 +437,12 @@
 		for range 5 {
 			calm[servers] = step(-1)
 		}
-		if v, _ := x.followers[0].Now(x.now); slices.ContainsFunc(v.Servers, func(s policy.Share) bool { return s.Factor < 1 }) {
+		if v, _ := x.followers[0].Now(x.now); slices.ContainsFunc(v.Servers, func(s policy.ServerView) bool { return s.Factor < 1 }) {
 			t.Errorf("%d servers in the calm: %v", servers, v.Servers)
 		}
 		told := func() bool {
 			v, _ := x.followers[0].Now(x.now)
-			return slices.ContainsFunc(v.Servers, func(s policy.Share) bool { return s.ID == serverID(0) && s.Factor < 1 })
+			return slices.ContainsFunc(v.Servers, func(s policy.ServerView) bool { return s.ID == serverID(0) && s.Factor < 1 })
 		}
 		for k := 0; k < 10 && !told(); k++ {
 			jam[servers] = step(0)
@@ -453,7 +453,7 @@
 		for k := 0; k < 60 && told(); k++ {
 			step(-1)
 		}
-		if v, _ := x.followers[0].Now(x.now); slices.ContainsFunc(v.Servers, func(s policy.Share) bool { return s.Factor < 1 }) {
+		if v, _ := x.followers[0].Now(x.now); slices.ContainsFunc(v.Servers, func(s policy.ServerView) bool { return s.Factor < 1 }) {
 			t.Errorf("%d servers, a minute after the jam: %v", servers, v.Servers)
 		}
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -40,11 +40,11 @@
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	NotSent
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
-func (o Outcome) NeverRan() bool { return o == Miss || o == Full || o == ConnectFailed || o == Moot }
+func (o Outcome) NeverRan() bool { return o == Miss || o == Full || o == ConnectFailed || o == NotSent }
 
 // Class holds what is known of a request class.
 type Class struct {
@@ -73,26 +73,26 @@
 
 // Settings are what a balancer is told at its start.
 type Settings struct {
-	Classes      []Class
-	Tenants      []Tenant
-	Mode         Mode
-	OriginKind   string // kind of the list entry that is the origin; empty when it is not listed
-	OriginFalls  bool   // the origin stops when too many misses reach it
-	Balancers    int    // balancers in the fleet, this one included
-	Zone         string // this one's zone, where sends into others are priced; empty elsewhere
-	MayProbe     bool   // servers may be probed, and tell then how many wait and how many they serve
-	MustAsk      bool
-	AskWithin    time.Duration // with MustAsk: longest spell without asking
-	Tick         time.Duration // events come at most this often
-	MaxAttempts  int
-	Parallel     bool // a request may have two attempts out
-	MayCancel    bool
-	MaxAdvice    time.Duration // longest advice to return that clients follow; 0 when they get none
-	ColdFrom     float64       // part of its capacity that a starting server has at least
-	WarmUp       time.Duration
-	FallMultiple float64 // times its present capacity that pushes a cold server over
-	FallWindow   time.Duration
-	Weighted     bool // the list carries weights
+	Classes         []Class
+	Tenants         []Tenant
+	Mode            Mode
+	OriginKind      string // kind of the list entry that is the origin; empty when it is not listed
+	OriginFalls     bool   // the origin stops when too many misses reach it
+	Balancers       int    // balancers in the fleet, this one included
+	Zone            string // this one's zone, where sends into others are priced; empty elsewhere
+	MayProbe        bool   // servers may be probed, and tell then how many wait and how many they serve
+	MustSubscribe   bool
+	AskWithin       time.Duration // with MustAsk: longest spell without asking
+	Tick            time.Duration // events come at most this often
+	MaxAttempts     int
+	Parallel        bool // a request may have two attempts out
+	MayCancel       bool
+	RetryAfterLimit time.Duration // longest advice to return that clients follow; 0 when they get none
+	ColdFrom        float64       // part of its capacity that a starting server has at least
+	WarmUp          time.Duration
+	FallMultiple    float64 // times its present capacity that pushes a cold server over
+	FallWindow      time.Duration
+	Weighted        bool // the list carries weights
 }
 
 // State is where a listed server is in its life.
@@ -116,8 +116,8 @@
 	Started time.Duration // last start by the wall clock of whoever tells the list, in Unix time; 0 for long ago
 }
 
-// Hand is the last word said of a server by hand.
-type Hand struct {
+// Override is the last word said of a server by hand.
+type Override struct {
 	ID          string
 	Banned      bool
 	At          time.Duration // its version: higher than that of the word before it, whoever took that; near to when it was said
@@ -129,57 +129,57 @@
 
 // The kinds of list news.
 const (
-	ListChanges ListKind = iota // only what changed
-	ListWhole                   // replaces the list
-	ListSaved                   // the list as it was last held, perhaps stale
-	ListFailed                  // asking failed or the subscription broke
+	ListChanges  ListKind = iota // only what changed
+	ListComplete                 // replaces the list
+	ListSaved                    // the list as it was last held, perhaps stale
+	ListFailed                   // asking failed or the subscription broke
 )
 
 // Request is a request that the balancer has taken.
 type Request struct {
-	ID     string
-	Class  string
-	Tenant string
-	Key    string        // empty when it has none
-	Left   time.Duration // until this try of the client is given up
-	Write  bool
-	Coming bool // its last byte has yet to come, which Came will tell; Left is how long it may wait to be sent
+	ID          string
+	Class       string
+	Tenant      string
+	Key         string        // empty when it has none
+	Remaining   time.Duration // until this try of the client is given up
+	Write       bool
+	BodyPending bool // its last byte has yet to come, which Came will tell; Left is how long it may wait to be sent
 }
 
-// Note says what a cache did for a read, where caches tell.
-type Note int
+// CacheStatus says what a cache did for a read, where caches tell.
+type CacheStatus int
 
 // The notes.
 const (
-	NoNote Note = iota
-	NoteHit
-	NoteMiss
-	NoteFetching // a miss while another fetch of the key is out
+	CacheUnreported CacheStatus = iota
+	CacheHit
+	CacheMiss
+	CacheFetching // a miss while another fetch of the key is out
 )
 
 // Result is the end of one attempt.
 type Result struct {
-	ID      string
-	N       int // which attempt, in the order of the sends
-	Server  string
-	Outcome Outcome
-	Note    Note
-	Final   bool // nothing more is owed for the request
-	Spent   bool // what has been sent of the request is not kept: it cannot be sent again
-	Kept    bool // a reset of a connection that had answered before: its end, not the server's, as far as that tells
+	ID            string
+	N             int // which attempt, in the order of the sends
+	Server        string
+	Outcome       Outcome
+	CacheStatus   CacheStatus
+	Final         bool // nothing more is owed for the request
+	BodyDiscarded bool // what has been sent of the request is not kept: it cannot be sent again
+	ReusedConn    bool // a reset of a connection that had answered before: its end, not the server's, as far as that tells
 }
 
 // View is what planners that see the whole fleet tell one balancer, where there are any. It can only lower weights and add
 // limits: the list, and what the balancer has seen itself, come first.
 type View struct {
-	Servers []Share
+	Servers []ServerView
 	Admit   float64 // part of the reads that may go to the origin, above 0 to 1; 0: all
 	Hot     []Heat
 	Tenants []Use
 }
 
-// Share is what a view says of one server.
-type Share struct {
+// ServerView is what a view says of one server.
+type ServerView struct {
 	ID     string
 	Factor float64 // of its weight, above 0 to 1
 	Allow  float64 // sends a second that this balancer may make; 0: no limit
--- a/policy/ban_test.go
+++ b/policy/ban_test.go
@@ -35,7 +35,7 @@
 	say(ListChanges, func(s *Server) { s.Started = w.now })
 	check("restarted")
 	say(ListChanges, func(s *Server) { s.State = Draining })
-	if listed, avoided := w.b.Known(w.now); listed != 4 || avoided != 1 {
+	if listed, avoided := w.b.CacheCounts(w.now); listed != 4 || avoided != 1 {
 		t.Errorf("%d listed, %d avoided", listed, avoided)
 	}
 	say(ListChanges, func(*Server) {})
@@ -93,10 +93,10 @@
 	w := start(t, set, 3)
 	w.b.Ban(w.now, "o", true)
 	w.request("r", "read", "k")
-	w.answer(w.last(), Miss, NoteMiss, ms)
+	w.answer(w.last(), Miss, CacheMiss, ms)
 	for range 3 { // the other caches may have it
 		if w.ended["r"] == "" && len(w.sends) > 0 {
-			w.answer(w.last(), Miss, NoteMiss, ms)
+			w.answer(w.last(), Miss, CacheMiss, ms)
 		}
 	}
 	w.request("p", "write", "k2")
@@ -155,19 +155,19 @@
 
 // Of what two processes of a node were told, the latest word holds, whatever the order in which it is heard.
 func TestTheLatestWordHolds(t *testing.T) {
-	ban := Hand{ID: "c01", Banned: true, At: 10, Since: 10}
-	lift := Hand{ID: "c01", At: 20} // by a process that had not heard of the ban
-	again := Hand{ID: "c01", Banned: true, At: 30, Since: 30}
+	ban := Override{ID: "c01", Banned: true, At: 10, Since: 10}
+	lift := Override{ID: "c01", At: 20} // by a process that had not heard of the ban
+	again := Override{ID: "c01", Banned: true, At: 30, Since: 30}
 	for _, c := range []struct {
-		words  []Hand
+		words  []Override
 		banned bool
 	}{
-		{[]Hand{ban, lift}, false}, {[]Hand{lift, ban}, false}, {[]Hand{again, ban, lift}, true}, {[]Hand{lift, again, ban}, true},
+		{[]Override{ban, lift}, false}, {[]Override{lift, ban}, false}, {[]Override{again, ban, lift}, true}, {[]Override{lift, again, ban}, true},
 	} {
 		w := start(t, settings(), 3)
 		w.now = 40
 		for _, h := range c.words {
-			w.b.Hand(w.now, h)
+			w.b.Override(w.now, h)
 		}
 		if s := w.b.servers["c01"]; s.banned != c.banned || len(w.b.Hands()) != 1 {
 			t.Errorf("%v: banned %v", c.words, s.banned)
@@ -175,8 +175,8 @@
 	}
 	w := start(t, settings(), 3)
 	w.now = 40
-	w.b.Hand(w.now, ban)
-	w.b.Hand(w.now, lift)
+	w.b.Override(w.now, ban)
+	w.b.Override(w.now, lift)
 	if w.b.servers["c01"].started != w.now { // as it was heard: the clock of who took it tells nothing here
 		t.Errorf("started %d: the lifted ban is not known", w.b.servers["c01"].started)
 	}
--- a/policy/begun_test.go
+++ b/policy/begun_test.go
@@ -9,22 +9,22 @@
 	set.Mode = Aside
 	w := start(t, set, 2)
 	w.request("a", "read", "k")
-	w.answer(w.last(), Miss, NoteMiss, ms)
+	w.answer(w.last(), Miss, CacheMiss, ms)
 	fetch := w.last()
 	if fetch.server != "o" {
 		t.Fatalf("a miss goes to %s", fetch.server)
 	}
 	w.request("b", "read", "k") // joins the fetch
 	sends := len(w.sends)
-	w.b.Begun(w.now, "a", fetch.n)
-	w.b.Begun(w.now, "a", fetch.n) // told twice it changes nothing
+	w.b.ResponseStarted(w.now, "a", fetch.n)
+	w.b.ResponseStarted(w.now, "a", fetch.n) // told twice it changes nothing
 	if len(w.b.origin.sent) != 0 || w.b.out < 0 {
 		t.Errorf("%d out at the origin, %d at caches", len(w.b.origin.sent), w.b.out)
 	}
 	if len(w.sends) != sends+1 || w.last().id != "b" {
 		t.Error("the read that waited does not go on")
 	}
-	w.answer(w.last(), OK, NoteHit, ms)
+	w.answer(w.last(), OK, CacheHit, ms)
 	limit := w.b.origin.limit
 	for range 40 {
 		w.now += 100 * ms
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -14,7 +14,7 @@
 		w := start(t, settings(), 4)
 		w.now += 2 * time.Hour
 		said := w.now + skew
-		w.b.Hand(w.now, Hand{ID: "c01", Banned: true, At: said, Since: said})
+		w.b.Override(w.now, Override{ID: "c01", Banned: true, At: said, Since: said})
 		if !w.b.servers["c01"].banned {
 			t.Fatalf("skew %v: the ban taken over does not hold", skew)
 		}
@@ -36,7 +36,7 @@
 		w := start(t, settings(), 4)
 		w.now += 2 * time.Hour
 		said := w.now + skew
-		w.b.Hand(w.now, Hand{ID: "c01", At: said, Since: said - time.Second, Back: said})
+		w.b.Override(w.now, Override{ID: "c01", At: said, Since: said - time.Second, Back: said})
 		s := w.b.servers["c01"]
 		if got := w.b.warmth(s); got != w.b.set.ColdFrom {
 			t.Errorf("skew %v: warmth %v at the call back", skew, got)
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -199,7 +199,7 @@
 // request brings the node a request.
 func (n *coldNode) request(q Request) {
 	if !n.rests(func() { n.request(q) }) && !n.gone {
-		n.ends[q.ID] = n.day.now + q.Left
+		n.ends[q.ID] = n.day.now + q.Remaining
 		n.b.Request(n.day.now, q)
 	}
 }
@@ -213,7 +213,7 @@
 	if d.origin != nil {
 		list = append(slices.Clone(list), *d.origin)
 	}
-	n.b.Members(d.now, ListWhole, list)
+	n.b.Members(d.now, ListComplete, list)
 	return n
 }
 
@@ -229,7 +229,7 @@
 		x -= d.nodes[i].part
 	}
 	d.asked++
-	d.nodes[i].request(Request{ID: fmt.Sprint(d.asked), Class: "read", Key: fmt.Sprint(d.rng.Intn(1 << 20)), Left: 600 * ms})
+	d.nodes[i].request(Request{ID: fmt.Sprint(d.asked), Class: "read", Key: fmt.Sprint(d.rng.Intn(1 << 20)), Remaining: 600 * ms})
 }
 
 func (d *coldDay) run(until time.Duration) {
--- a/policy/coming_test.go
+++ b/policy/coming_test.go
@@ -12,7 +12,7 @@
 	set.Mode = Aside
 	w := start(t, set, 2)
 	w.b.origin.limit = 1
-	w.b.Request(w.now, Request{ID: "slow", Class: "once", Key: "k", Left: time.Second, Write: true, Coming: true})
+	w.b.Request(w.now, Request{ID: "slow", Class: "once", Key: "k", Remaining: time.Second, Write: true, BodyPending: true})
 	if w.last().server != "o" || len(w.b.origin.sent) != 0 {
 		t.Fatalf("sent to %s, %d out there", w.last().server, len(w.b.origin.sent))
 	}
@@ -21,7 +21,7 @@
 	if w.last().id != "quick" || len(w.b.origin.sent) != 1 {
 		t.Error("what is still coming keeps others out")
 	}
-	w.answer(w.last(), OK, NoNote, ms)
+	w.answer(w.last(), OK, CacheUnreported, ms)
 	for range 50 {
 		w.now += 100 * ms
 		w.sweep()
@@ -29,12 +29,12 @@
 	if w.ended["slow"] != "" {
 		t.Errorf("%s while it is coming", w.ended["slow"])
 	}
-	w.b.Came(w.now, "slow", time.Second)
-	w.b.Came(w.now, "slow", time.Minute) // told twice it changes nothing
+	w.b.BodyReceived(w.now, "slow", time.Second)
+	w.b.BodyReceived(w.now, "slow", time.Minute) // told twice it changes nothing
 	if r := w.b.open["slow"]; r.aim != w.now+400*ms || r.end != w.now+time.Second || len(w.b.origin.sent) != 1 {
 		t.Errorf("aim %v, end %v from now, %d out", r.aim-w.now, r.end-w.now, len(w.b.origin.sent))
 	}
-	w.answer(slow, Full, NoNote, ms)
+	w.answer(slow, Full, CacheUnreported, ms)
 	if w.ended["slow"] != "refused" || len(w.b.open) != 0 || len(w.b.origin.sent) != 0 {
 		t.Errorf("%q, %d open, %d out", w.ended["slow"], len(w.b.open), len(w.b.origin.sent))
 	}
@@ -56,8 +56,8 @@
 		{"write", Reset, true, 1, "failed"},
 	} {
 		w := start(t, settings(), 3)
-		w.b.Request(w.now, Request{ID: "a", Class: c.class, Key: "k", Left: time.Second, Write: true, Coming: true})
-		w.b.Result(w.now+ms, Result{ID: "a", Server: w.last().server, Outcome: c.outcome, Spent: c.spent})
+		w.b.Request(w.now, Request{ID: "a", Class: c.class, Key: "k", Remaining: time.Second, Write: true, BodyPending: true})
+		w.b.Result(w.now+ms, Result{ID: "a", Server: w.last().server, Outcome: c.outcome, BodyDiscarded: c.spent})
 		if len(w.sends) != c.sends || w.ended["a"] != c.end {
 			t.Errorf("%s %v spent %v: %d sends, %q", c.class, c.outcome, c.spent, len(w.sends), w.ended["a"])
 		}
--- a/policy/leave_test.go
+++ b/policy/leave_test.go
@@ -25,7 +25,7 @@
 				if len(s.queue) != 0 {
 					t.Error("its place is taken")
 				}
-				w.answer(w.sends[0], OK, NoteHit, 5*ms) // there is room now
+				w.answer(w.sends[0], OK, CacheHit, 5*ms) // there is room now
 				w.b.Timer(w.now, "sweep")
 			},
 			"held for a server that leaves": func(w *world) {
@@ -38,16 +38,16 @@
 			},
 			"for another's fetch": func(w *world) {
 				w.request("lead", "read", "k")
-				w.answer(w.last(), Miss, NoteMiss, ms)
+				w.answer(w.last(), Miss, CacheMiss, ms)
 				w.request("gone", "read", "k")
 				leave(w)
-				w.answer(w.last(), OK, NoteMiss, 10*ms)
+				w.answer(w.last(), OK, CacheMiss, 10*ms)
 			},
 			"its attempt fails behind it": func(w *world) {
 				w.request("gone", "read", "k")
 				first := w.last()
 				leave(w)
-				w.answer(first, ConnectFailed, NoNote, 5*ms)
+				w.answer(first, ConnectFailed, CacheUnreported, 5*ms)
 				if w.b.open["gone"] != nil {
 					t.Error("it is not forgotten")
 				}
@@ -56,18 +56,18 @@
 				w.request("gone", "read", "k")
 				first := w.last()
 				leave(w)
-				w.answer(first, Miss, NoteMiss, 5*ms)
+				w.answer(first, Miss, CacheMiss, 5*ms)
 			},
 			"held for the origin": func(w *world) {
 				out := heldForOrigin(t, w)
 				leave(w)
-				w.answer(out, OK, NoteMiss, 5*ms)
+				w.answer(out, OK, CacheMiss, 5*ms)
 			},
 			"held for the origin, others waiting on it": func(w *world) {
 				out := heldForOrigin(t, w)
 				w.request("w1", "read", "k")
 				leave(w)
-				w.answer(out, OK, NoteMiss, 5*ms)
+				w.answer(out, OK, CacheMiss, 5*ms)
 				if s := w.last(); s.id != "w1" {
 					t.Errorf("%v, want w1 sent", s)
 				}
@@ -88,36 +88,36 @@
 			},
 			"its write half come": func(w *world) {
 				s := w.fill("k")
-				w.b.Request(w.now, Request{ID: "gone", Class: "read", Key: "k", Left: time.Minute, Coming: true})
+				w.b.Request(w.now, Request{ID: "gone", Class: "read", Key: "k", Remaining: time.Minute, BodyPending: true})
 				leave(w)
-				w.b.Came(w.now, "gone", time.Second)
+				w.b.BodyReceived(w.now, "gone", time.Second)
 				if len(s.queue) != 0 {
 					t.Error("its place is taken")
 				}
-				w.answer(w.sends[0], OK, NoteHit, 5*ms)
+				w.answer(w.sends[0], OK, CacheHit, 5*ms)
 			},
 			"one of its two attempts fails behind it": func(w *world) {
 				w.request("gone", "read", "k")
 				first := w.last()
-				w.answer(first, TimedOut, NoNote, 200*ms)
+				w.answer(first, TimedOut, CacheUnreported, 200*ms)
 				if w.tries["gone"] != 2 {
 					t.Fatalf("%d attempts", w.tries["gone"])
 				}
 				leave(w)
-				w.answer(w.last(), Reset, NoNote, 5*ms)
+				w.answer(w.last(), Reset, CacheUnreported, 5*ms)
 			},
 			"as the leader of a fetch": func(w *world) {
 				w.request("gone", "read", "k")
-				w.answer(w.last(), Miss, NoteMiss, ms)
+				w.answer(w.last(), Miss, CacheMiss, ms)
 				fetch := w.last()
 				w.request("w1", "read", "k")
 				w.request("w2", "read", "k")
 				leave(w)
-				w.answer(fetch, Cancelled, NoNote, 5*ms)
+				w.answer(fetch, Cancelled, CacheUnreported, 5*ms)
 				if s := w.last(); s.id != "w1" || s.server != "o" {
 					t.Errorf("the fetch passed to %v", s)
 				}
-				w.answer(w.last(), OK, NoteMiss, 5*ms)
+				w.answer(w.last(), OK, CacheMiss, 5*ms)
 				if s := w.last(); s.id != "w2" {
 					t.Errorf("%v, want w2 at its cache", s)
 				}
@@ -170,10 +170,10 @@
 	t.Helper()
 	w.b.origin.limit = 1
 	w.request("lead", "read", "other")
-	w.answer(w.last(), Miss, NoteMiss, ms)
+	w.answer(w.last(), Miss, CacheMiss, ms)
 	out := w.last()
 	w.request("gone", "read", "k")
-	w.answer(w.last(), Miss, NoteMiss, ms)
+	w.answer(w.last(), Miss, CacheMiss, ms)
 	if w.b.open["gone"].held != w.b.origin {
 		t.Fatal("it is not held for the origin")
 	}
--- a/policy/override.go
+++ b/policy/override.go
@@ -17,19 +17,19 @@
 
 // Ban has a server get nothing more, whatever the list says of it, until the ban is lifted.
 func (b *Balancer) Ban(now time.Duration, id string, on bool) {
-	b.Hand(now, Hand{ID: id, Banned: on, At: max(now, b.hands[id].At+1)})
+	b.Override(now, Override{ID: id, Banned: on, At: max(now, b.hands[id].At+1)})
 }
 
-// Hand takes an override. Whoever lifts a ban vouches for the server: what was held against it is void. It counts as started
+// Override takes an override. Whoever lifts a ban vouches for the server: what was held against it is void. It counts as started
 // as the call back is heard, unless it was seen to start since the ban: it was banned to be restarted. Since and Back of a
 // word that another process took are of that one's clock and count for whether they are set alone.
-func (b *Balancer) Hand(now time.Duration, h Hand) {
+func (b *Balancer) Override(now time.Duration, h Override) {
 	b.now = now
 	known, is := b.hands[h.ID]
 	if is && h.At <= known.At {
 		return
 	}
-	next := Hand{ID: h.ID, Banned: h.Banned, At: h.At, Since: known.Since, Back: known.Back}
+	next := Override{ID: h.ID, Banned: h.Banned, At: h.At, Since: known.Since, Back: known.Back}
 	switch {
 	case h.Banned:
 		next.Since = now
@@ -49,7 +49,7 @@
 
 // boundLifted forgets the oldest of too many lifted overrides.
 func (b *Balancer) boundLifted() {
-	var oldest Hand
+	var oldest Override
 	lifted := 0
 	for _, h := range b.hands {
 		if h.Banned {
@@ -65,12 +65,12 @@
 }
 
 // Hands gives the overrides that still count, by id.
-func (b *Balancer) Hands() []Hand {
-	return slices.SortedFunc(maps.Values(b.hands), func(x, y Hand) int { return strings.Compare(x.ID, y.ID) })
+func (b *Balancer) Hands() []Override {
+	return slices.SortedFunc(maps.Values(b.hands), func(x, y Override) int { return strings.Compare(x.ID, y.ID) })
 }
 
 // startedAt is when a server counts as started: when it was seen to, or when a ban was lifted since.
-func (h Hand) startedAt(s *server) time.Duration {
+func (h Override) startedAt(s *server) time.Duration {
 	if s.begun > h.Since {
 		return s.begun
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -43,7 +43,7 @@
 	b.within = cmp.Or(set.AskWithin, 4*skipSpell) // no limit told must not mean no pause
 	b.askWait = b.within / 16
 	b.late, b.usual = float64(b.shortest)/2, float64(b.shortest)/4 // until answers tell
-	if set.MustAsk {
+	if set.MustSubscribe {
 		act.Subscribe()
 	}
 	return b
@@ -65,8 +65,8 @@
 	b.regate()
 }
 
-// Drains notes that a server drains, as another process of the node knows by a newer list than this one has.
-func (b *Balancer) Drains(now time.Duration, id string) {
+// MarkDraining notes that a server drains, as another process of the node knows by a newer list than this one has.
+func (b *Balancer) MarkDraining(now time.Duration, id string) {
 	b.now = now
 	if s := b.servers[id]; s != nil && s.State == Ready {
 		s.State = Draining
@@ -314,8 +314,8 @@
 // Request takes a new request.
 func (b *Balancer) Request(now time.Duration, q Request) {
 	b.now = now
-	c := cmp.Or(b.classes[q.Class], &Class{Name: q.Class, Aim: q.Left, Effect: Unsafe}) // unknown: no repeats
-	r := &request{Request: q, class: c, aim: now + min(c.Aim, q.Left), end: now + q.Left, dice: b.draw(q)}
+	c := cmp.Or(b.classes[q.Class], &Class{Name: q.Class, Aim: q.Remaining, Effect: Unsafe}) // unknown: no repeats
+	r := &request{Request: q, class: c, aim: now + min(c.Aim, q.Remaining), end: now + q.Remaining, dice: b.draw(q)}
 	b.open[q.ID] = r
 	b.order = append(b.order, r)
 	b.keyed[r.Key]++
@@ -335,15 +335,15 @@
 	b.route(r)
 }
 
-// Came notes that the last byte of a request has come, so long before it is given up. Its time counts from
+// BodyReceived notes that the last byte of a request has come, so long before it is given up. Its time counts from
 // here, and so does the room that its attempt takes: how long a client takes to write is no server's work.
-func (b *Balancer) Came(now time.Duration, id string, left time.Duration) {
+func (b *Balancer) BodyReceived(now time.Duration, id string, left time.Duration) {
 	b.now = now
 	r := b.open[id]
-	if r == nil || r.ended || !r.Coming {
+	if r == nil || r.ended || !r.BodyPending {
 		return
 	}
-	r.Coming, r.aim, r.end = false, now+min(r.class.Aim, left), now+left
+	r.BodyPending, r.aim, r.end = false, now+min(r.class.Aim, left), now+left
 	for _, a := range r.tries {
 		if !a.done {
 			a.at = now
@@ -451,7 +451,7 @@
 	a := &attempt{n: len(r.tries), req: r, srv: s, at: b.now, origin: s == b.origin}
 	r.tries = append(r.tries, a)
 	r.out++
-	if !r.Coming {
+	if !r.BodyPending {
 		b.occupy(a)
 	}
 	s.sends.add(b.now, b.set.FallWindow)
@@ -475,7 +475,7 @@
 	case r.ended || r.out > 0:
 		return
 	case r.mayRefuse():
-		b.act.Refuse(r.ID, min(b.set.MaxAdvice, r.class.Aim))
+		b.act.Refuse(r.ID, min(b.set.RetryAfterLimit, r.class.Aim))
 	default:
 		b.act.Fail(r.ID)
 	}
@@ -512,7 +512,7 @@
 	a := r.tries[res.N]
 	a.done, a.clean = true, res.Outcome.NeverRan()
 	r.out--
-	r.spent = r.spent || res.Spent
+	r.spent = r.spent || res.BodyDiscarded
 	b.free(a)
 	b.learn(a, res)
 	defer b.admit(a.srv)
@@ -523,7 +523,7 @@
 	case res.Final:
 		b.end(r, res.Outcome == OK)
 	case r.out > 0: // its other copy may yet answer
-	case res.Outcome == Moot, res.Outcome == Full && (a.origin || b.clogged()):
+	case res.Outcome == NotSent, res.Outcome == Full && (a.origin || b.clogged()):
 		b.giveUp(r)
 	case b.set.Mode == Aside && (a.origin || res.Outcome == Miss):
 		b.fetch(r)
@@ -532,10 +532,10 @@
 	}
 }
 
-// Begun notes that an answer has begun to flow. The request is bound to the attempt: it gets no other, and no
+// ResponseStarted notes that an answer has begun to flow. The request is bound to the attempt: it gets no other, and no
 // time-out. The server has done its part: how long the client takes to read is not held against its room or
 // the reads that wait for the fetch (large values).
-func (b *Balancer) Begun(now time.Duration, id string, n int) {
+func (b *Balancer) ResponseStarted(now time.Duration, id string, n int) {
 	b.now = now
 	r := b.open[id]
 	if r == nil || n < 0 || n >= len(r.tries) || r.tries[n].done || r.tries[n].begun > 0 {
@@ -553,10 +553,10 @@
 	s, o := a.srv, res.Outcome
 	b.tally(a, o)
 	// Guards against skipping one that answers others, or for a connection's end.
-	if o == OK || o != TimedOut && o != Reset || s.heard <= a.at && !res.Kept {
+	if o == OK || o != TimedOut && o != Reset || s.heard <= a.at && !res.ReusedConn {
 		b.health(s, o)
 	}
-	if o != Moot && o != Cancelled && o != ConnectFailed {
+	if o != NotSent && o != Cancelled && o != ConnectFailed {
 		// Over half the aim leaves too little for a further try. Writes take as long as they take.
 		late := o == Full || a.took(b.now) > a.req.class.Aim/2 && !a.req.Write
 		if !a.judged {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -99,7 +99,7 @@
 }
 
 func (w *world) request(id, class, key string) {
-	w.b.Request(w.now, Request{ID: id, Class: class, Key: key, Left: time.Second, Write: class != "read"})
+	w.b.Request(w.now, Request{ID: id, Class: class, Key: key, Remaining: time.Second, Write: class != "read"})
 	if w.cold {
 		w.cool()
 	}
@@ -114,9 +114,9 @@
 }
 
 // answer ends the attempt s after a time.
-func (w *world) answer(s sent, o Outcome, note Note, after time.Duration) {
+func (w *world) answer(s sent, o Outcome, note CacheStatus, after time.Duration) {
 	w.now += after
-	w.b.Result(w.now, Result{ID: s.id, N: s.n, Server: s.server, Outcome: o, Note: note, Final: o == OK})
+	w.b.Result(w.now, Result{ID: s.id, N: s.n, Server: s.server, Outcome: o, CacheStatus: note, Final: o == OK})
 }
 
 // restart tells the balancer, a minute on, that a server has just started anew.
@@ -205,7 +205,7 @@
 
 func TestWeightsOfTheList(t *testing.T) {
 	w := start(t, settings(), 0)
-	w.b.Members(w.now, ListWhole, []Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 3}, {ID: "c", Weight: -1},
+	w.b.Members(w.now, ListComplete, []Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 3}, {ID: "c", Weight: -1},
 		{ID: "d", Weight: 0}})
 	for id, want := range map[string]float64{"a": 1, "b": 3, "c": 4.0 / 3, "d": 0} {
 		if got := w.b.servers[id].weight; math.Abs(got-want) > 1e-9 {
@@ -229,15 +229,15 @@
 	set.Classes = append(set.Classes, zone, cell)
 	for _, c := range []struct {
 		name, class string
-		outcome     Outcome // of the first attempt, at c00 (zone z0, cell 0); Moot+1: still out
+		outcome     Outcome // of the first attempt, at c00 (zone z0, cell 0); NotSent+1: still out
 		after       time.Duration
 		parallel    bool
 		want        map[string]bool // server to allowed
 		refuse      bool
 	}{
 		{"safe after a time-out", "read", TimedOut, ms, true, map[string]bool{"c00": true, "c01": true}, true},
-		{"safe, second copy", "read", Moot + 1, ms, true, map[string]bool{"c01": true}, true},
-		{"safe, no second copy allowed", "read", Moot + 1, ms, false, map[string]bool{"c01": false}, true},
+		{"safe, second copy", "read", NotSent + 1, ms, true, map[string]bool{"c01": true}, true},
+		{"safe, no second copy allowed", "read", NotSent + 1, ms, false, map[string]bool{"c01": false}, true},
 		{"unsafe after a time-out", "once", TimedOut, ms, true, map[string]bool{"c00": false, "c01": false}, false},
 		{"unsafe, never ran", "once", ConnectFailed, ms, true, map[string]bool{"c01": true}, true},
 		{"unsafe, turned away", "once", Full, ms, true, map[string]bool{"c01": true}, true},
@@ -246,17 +246,17 @@
 		{"keyed by zone", "zone", Reset, ms, true, map[string]bool{"c02": true, "c01": false}, false},
 		{"keyed by cell", "cell", Reset, ms, true, map[string]bool{"c04": true, "c02": false, "c01": false}, false},
 		{"keyed, cancelled", "cell", Cancelled, ms, true, map[string]bool{"c01": false}, false},
-		{"keyed, still out", "write", Moot + 1, ms, true, map[string]bool{"c01": false}, false},
+		{"keyed, still out", "write", NotSent + 1, ms, true, map[string]bool{"c01": false}, false},
 		{"at the deadline", "read", TimedOut, time.Second, true, map[string]bool{"c01": false}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set.Parallel = c.parallel
 			w := start(t, set, 8)
-			r := &request{Request: Request{ID: "r", Left: time.Second}, class: w.b.classes[c.class],
+			r := &request{Request: Request{ID: "r", Remaining: time.Second}, class: w.b.classes[c.class],
 				end: w.now + time.Second}
 			a := &attempt{req: r, srv: w.b.servers["c00"], at: w.now}
 			r.tries = append(r.tries, a)
-			if c.outcome > Moot {
+			if c.outcome > NotSent {
 				r.out = 1
 			} else {
 				a.done, a.clean = true, c.outcome.NeverRan()
@@ -298,7 +298,7 @@
 		if first.by != 0 {
 			t.Errorf("%s: the first attempt must go out by %v", c.class, first.by)
 		}
-		w.answer(first, c.first, NoNote, 50*ms)
+		w.answer(first, c.first, CacheUnreported, 50*ms)
 		again := w.last()
 		if want := at + w.b.classes[c.class].Window - safety.Slack; len(w.sends) != 2 || c.told && again.by != want || !c.told && again.by != 0 {
 			t.Errorf("%s after %v: %d sends, the second by %v", c.class, c.first, len(w.sends), again.by)
@@ -311,7 +311,7 @@
 	set.Classes[1].Window = 300 * ms
 	w := start(t, set, 3)
 	w.request("r", "write", "k")
-	w.answer(w.last(), Reset, NoNote, 300*ms)
+	w.answer(w.last(), Reset, CacheUnreported, 300*ms)
 	if len(w.sends) != 1 || w.ended["r"] != "failed" {
 		t.Errorf("sends %v, end %q: want one send and a failure, as the repeat could run", w.sends, w.ended["r"])
 	}
@@ -327,7 +327,7 @@
 		w := start(t, set, 3)
 		w.request("r", "write", "k")
 		began := w.now
-		w.answer(w.last(), Reset, NoNote, took)
+		w.answer(w.last(), Reset, CacheUnreported, took)
 		switch again := w.last(); {
 		case took < 500*ms-heldUp && (len(w.sends) != 2 || again.by > began+500*ms-heldUp):
 			t.Errorf("after %v: %d sends, the last by %v", took, len(w.sends), again.by-began)
@@ -347,7 +347,7 @@
 	if got := w.last().server; got == top {
 		t.Errorf("sent to %s, which drains", got)
 	}
-	w.b.Members(w.now, ListWhole, []Server{{ID: "c09", Weight: 1}})
+	w.b.Members(w.now, ListComplete, []Server{{ID: "c09", Weight: 1}})
 	w.request("r2", "read", "k2")
 	if got := w.last().server; got != "c09" {
 		t.Errorf("sent to %s, which a whole list no longer names", got)
@@ -374,14 +374,14 @@
 		if s.server != top {
 			t.Fatalf("request %d went to %s, want %s", i, s.server, top)
 		}
-		w.answer(s, Reset, NoNote, ms)
-		w.answer(w.last(), OK, NoteHit, ms)
+		w.answer(s, Reset, CacheUnreported, ms)
+		w.answer(w.last(), OK, CacheHit, ms)
 	}
 	w.request("skip", "read", "k")
 	if s := w.last(); s.server == top {
 		t.Errorf("sent to %s after %d straight failures", top, failsToSkip)
 	}
-	w.answer(w.last(), OK, NoteHit, ms)
+	w.answer(w.last(), OK, CacheHit, ms)
 	w.now += skipSpell
 	w.request("trial", "read", "k")
 	trial := w.last()
@@ -392,7 +392,7 @@
 	if s := w.last(); s.server == top {
 		t.Error("a second request went along with the trial")
 	}
-	w.answer(trial, OK, NoteHit, ms)
+	w.answer(trial, OK, CacheHit, ms)
 	w.request("back", "read", "k")
 	if s := w.last(); s.server != top {
 		t.Errorf("not back after a good trial: sent to %s", s.server)
@@ -415,11 +415,11 @@
 			}
 			if !kept {
 				w.request(fmt.Sprint("other", i), "read", "k")
-				w.answer(w.last(), OK, NoteHit, ms)
+				w.answer(w.last(), OK, CacheHit, ms)
 			}
 			w.now += ms
-			w.b.Result(w.now, Result{ID: s.id, N: s.n, Server: s.server, Outcome: Reset, Kept: kept})
-			w.answer(w.last(), OK, NoteHit, ms)
+			w.b.Result(w.now, Result{ID: s.id, N: s.n, Server: s.server, Outcome: Reset, ReusedConn: kept})
+			w.answer(w.last(), OK, CacheHit, ms)
 		}
 	}
 }
@@ -440,8 +440,8 @@
 		w.request(fmt.Sprint("slow", i), "read", "k")
 		slow := w.last()
 		w.request(fmt.Sprint("quick", i), "read", "k")
-		w.answer(w.last(), OK, NoteHit, ms)
-		w.answer(slow, TimedOut, NoNote, ms)
+		w.answer(w.last(), OK, CacheHit, ms)
+		w.answer(slow, TimedOut, CacheUnreported, ms)
 		w.b.Abandoned(w.now, slow.id)
 	}
 	if s := w.b.servers[ranking(w, "k")[0]]; s.fails != 0 {
@@ -457,7 +457,7 @@
 	w.cold = true
 	w.request("lead", "read", "k")
 	first := w.last()
-	w.answer(first, Miss, NoteMiss, ms)
+	w.answer(first, Miss, CacheMiss, ms)
 	fetch := w.last()
 	if fetch.server != "o" {
 		t.Fatalf("a miss went to %s, want the origin", fetch.server)
@@ -467,7 +467,7 @@
 	if len(w.sends) != count {
 		t.Errorf("sent %v while the key was being fetched", w.last())
 	}
-	w.answer(fetch, OK, NoteMiss, 10*ms)
+	w.answer(fetch, OK, CacheMiss, 10*ms)
 	if s := w.last(); s.id != "wait" || s.server != first.server {
 		t.Errorf("after the fetch: %v, want wait at %s", s, first.server)
 	}
@@ -478,7 +478,7 @@
 	set.Mode = Aside
 	w := start(t, set, 4)
 	w.request("lead", "read", "k")
-	w.answer(w.last(), Miss, NoteMiss, ms)
+	w.answer(w.last(), Miss, CacheMiss, ms)
 	w.request("wait", "read", "k")
 	w.b.Abandoned(w.now, "lead")
 	if s := w.last(); s.id != "wait" || s.server != "o" {
@@ -505,11 +505,11 @@
 		w.request(fmt.Sprint("r", i), "read", "k")
 	}
 	all := w.sends
-	w.answer(all[0], OK, NoteHit, 300*ms)
+	w.answer(all[0], OK, CacheHit, 300*ms)
 	if s.limit != 2 {
 		t.Errorf("limit %v after a late answer, want 2", s.limit)
 	}
-	w.answer(all[1], OK, NoteHit, 0)
+	w.answer(all[1], OK, CacheHit, 0)
 	if s.limit != 2 {
 		t.Errorf("limit %v: cut twice for one round", s.limit)
 	}
@@ -528,7 +528,7 @@
 		w.request("other", "read", "l")
 		other := w.last()
 		if alone {
-			w.answer(other, OK, NoteHit, ms)
+			w.answer(other, OK, CacheHit, ms)
 		}
 		limit := s.limit
 		w.now = w.b.open[hangs.id].aim - 2*ms - time.Duration(w.b.usual)
@@ -536,7 +536,7 @@
 		if cut := s.limit < limit; cut == alone {
 			t.Errorf("alone %v: limit %v after %v", alone, s.limit, limit)
 		}
-		w.answer(hangs, TimedOut, NoNote, 0)
+		w.answer(hangs, TimedOut, CacheUnreported, 0)
 		if cut := s.limit < limit; cut == alone {
 			t.Errorf("alone %v, at its end: limit %v after %v", alone, s.limit, limit)
 		}
@@ -565,7 +565,7 @@
 			atOrigin := func(id, class string) sent {
 				w.request(id, class, id)
 				if class == "read" {
-					w.answer(w.last(), Miss, NoteMiss, 0)
+					w.answer(w.last(), Miss, CacheMiss, 0)
 				}
 				if w.last().server != "o" {
 					t.Fatalf("%s is sent to %s", id, w.last().server)
@@ -576,7 +576,7 @@
 			hangs, began := atOrigin("hangs", x.class), w.now
 			w.now += ms
 			if other := atOrigin("other", "read"); x.alone {
-				w.answer(other, OK, NoNote, ms)
+				w.answer(other, OK, CacheUnreported, ms)
 			}
 			if x.strain {
 				w.b.origin.cutAt = w.now
@@ -588,7 +588,7 @@
 				t.Errorf("called off %d times, want %d", w.off["hangs"], x.off)
 			}
 			if x.off > 0 {
-				w.answer(hangs, Cancelled, NoNote, 0)
+				w.answer(hangs, Cancelled, CacheUnreported, 0)
 				if again := w.last(); again.id != "hangs" || again.server != "o" || again.n == hangs.n {
 					t.Errorf("not sent again, last was %v", again)
 				}
@@ -676,7 +676,7 @@
 			}
 			w.request(fmt.Sprint(i), "read", key)
 			w.now += 200 * ms
-			w.answer(w.last(), OK, NoNote, 100*ms)
+			w.answer(w.last(), OK, CacheUnreported, 100*ms)
 		}
 		for _, top := range ranking(w, "hot")[:1] {
 			s := w.b.servers[top].Server
@@ -740,7 +740,7 @@
 
 func TestListFailureAsksAgainWithinTheLimit(t *testing.T) {
 	set := settings()
-	set.MustAsk, set.AskWithin = true, 8*time.Second
+	set.MustSubscribe, set.AskWithin = true, 8*time.Second
 	w := start(t, set, 2)
 	if w.asked != 1 {
 		t.Fatalf("asked %d times at the start", w.asked)
@@ -870,7 +870,7 @@
 		if o == OK {
 			l.finished = true
 		}
-		w.b.Result(w.now, Result{ID: s.id, N: s.n, Server: s.server, Outcome: o, Note: Note(rng.Intn(4)),
+		w.b.Result(w.now, Result{ID: s.id, N: s.n, Server: s.server, Outcome: o, CacheStatus: CacheStatus(rng.Intn(4)),
 			Final: l.finished})
 		if rng.Intn(10) == 0 { // the same outcome again must change nothing
 			w.b.Result(w.now, Result{ID: s.id, N: s.n, Server: s.server, Outcome: o, Final: l.finished})
@@ -885,10 +885,10 @@
 			class := set.Classes[rng.Intn(len(set.Classes))]
 			left := time.Duration(50+rng.Intn(900)) * ms
 			lives[id] = &life{class: class, end: w.now + left}
-			w.b.Request(w.now, Request{ID: id, Class: class.Name, Key: fmt.Sprint(rng.Intn(12)), Left: left,
+			w.b.Request(w.now, Request{ID: id, Class: class.Name, Key: fmt.Sprint(rng.Intn(12)), Remaining: left,
 				Write: class.Name != "read"})
 		case p < 16 && len(out) > 0:
-			close(rng.Intn(len(out)), Outcome(rng.Intn(int(Moot)+1)))
+			close(rng.Intn(len(out)), Outcome(rng.Intn(int(NotSent)+1)))
 		case p == 16:
 			s := servers[rng.Intn(len(servers))]
 			switch s.State = State(rng.Intn(3)); rng.Intn(2) {
@@ -936,7 +936,7 @@
 		if first.wait != 200*ms {
 			t.Fatalf("time-out %v, want half the aim", first.wait)
 		}
-		w.answer(first, TimedOut, NoNote, first.wait)
+		w.answer(first, TimedOut, CacheUnreported, first.wait)
 		if s := w.last(); s.n != 1 || s.server == first.server {
 			t.Errorf("after the time-out: %v, want a further try elsewhere", s)
 		}
@@ -958,7 +958,7 @@
 		if s.id != fmt.Sprint("r", i) || s.wait != 0 {
 			t.Fatalf("r%d: last sent %v, want it without a time-out", i, s)
 		}
-		w.answer(s, TimedOut, NoNote, 900*ms)
+		w.answer(s, TimedOut, CacheUnreported, 900*ms)
 		w.b.Abandoned(w.now, s.id)
 	}
 }
@@ -991,7 +991,7 @@
 			if s.id != id {
 				continue // spared
 			}
-			w.answer(s, Full, NoNote, ms)
+			w.answer(s, Full, CacheUnreported, ms)
 			if clogged && (w.tries[id] != 1 || w.ended[id] != "refused") {
 				t.Fatalf("%s: %d tries and end %q after a full server", id, w.tries[id], w.ended[id])
 			}
@@ -1030,13 +1030,13 @@
 			if w.last().server != top {
 				t.Fatalf("%s: %s began at %s, want its top server %s", c.name, key, w.last().server, top)
 			}
-			w.answer(w.last(), ConnectFailed, NoNote, ms)
+			w.answer(w.last(), ConnectFailed, CacheUnreported, ms)
 			if s := w.last(); s.id != id || s.n != 1 {
 				t.Fatalf("%s: %s got no further try", c.name, key)
 			} else if w.b.servers[s.server].Zone != "z1" {
 				crossed++
 			}
-			w.answer(w.last(), OK, NoNote, ms)
+			w.answer(w.last(), OK, CacheUnreported, ms)
 			w.b.servers[top].fails = 0 // or it is skipped, and others come first
 		}
 		if want := c.zone == "" || c.gone; (crossed > 0) != want {
@@ -1058,7 +1058,7 @@
 		if s := w.last(); w.b.servers[s.server].Zone != "z1" {
 			t.Errorf("r%d of a hot key left the zone for %s", i, s.server)
 		}
-		w.answer(w.last(), OK, NoNote, ms)
+		w.answer(w.last(), OK, CacheUnreported, ms)
 	}
 }
 
@@ -1070,19 +1070,19 @@
 	w := start(t, set, 4)
 	w.b.origin.limit = 1
 	w.request("first", "read", "a")
-	w.answer(w.last(), Miss, NoteMiss, ms)
+	w.answer(w.last(), Miss, CacheMiss, ms)
 	out := w.last()
 	w.request("held", "read", "b")
 	cache := w.last()
-	w.answer(cache, Miss, NoteMiss, ms)
+	w.answer(cache, Miss, CacheMiss, ms)
 	if w.tries["held"] != 1 || w.ended["held"] != "" {
 		t.Fatalf("%d tries, end %q with no room at the origin", w.tries["held"], w.ended["held"])
 	}
-	w.answer(out, OK, NoNote, ms)
+	w.answer(out, OK, CacheUnreported, ms)
 	if s := w.last(); s.id != "held" || s.server != cache.server {
 		t.Fatalf("sent %v once the origin had room, want held at %s", s, cache.server)
 	}
-	w.answer(w.last(), Miss, NoteMiss, ms)
+	w.answer(w.last(), Miss, CacheMiss, ms)
 	if s := w.last(); s.id != "held" || s.server != "o" {
 		t.Errorf("sent %v after a second miss, want held at the origin", s)
 	}
@@ -1097,21 +1097,21 @@
 		w := start(t, set, 4)
 		w.b.origin.limit = 2
 		w.request("slow", "read", "a")
-		w.answer(w.last(), Miss, NoteMiss, ms)
+		w.answer(w.last(), Miss, CacheMiss, ms)
 		w.request("quick", "read", "b")
-		w.answer(w.last(), Miss, NoteMiss, ms)
+		w.answer(w.last(), Miss, CacheMiss, ms)
 		quick := w.last()
 		if waiting {
 			w.request("held", "read", "c")
-			w.answer(w.last(), Miss, NoteMiss, ms)
+			w.answer(w.last(), Miss, CacheMiss, ms)
 			w.request("more", "read", "d")
-			w.answer(w.last(), Miss, NoteMiss, ms)
+			w.answer(w.last(), Miss, CacheMiss, ms)
 		}
-		w.answer(quick, OK, NoNote, ms)
+		w.answer(quick, OK, CacheUnreported, ms)
 		w.b.origin.limit = 2
 		for _, s := range w.sends[len(w.sends)-2:] { // those that waited ask their caches again
 			if waiting {
-				w.answer(s, Miss, NoteMiss, ms)
+				w.answer(s, Miss, CacheMiss, ms)
 			}
 		}
 		w.now += 201 * ms
@@ -1129,7 +1129,9 @@
 	set.Mode, set.MayProbe = Aside, true
 	w := start(t, set, 4)
 	w.b.usual = float64(40 * ms)
-	tell := func(ok bool, queue float64) { w.b.Probed(w.now, w.probed[len(w.probed)-1], ok, Report{queue, 10}) }
+	tell := func(ok bool, queue float64) {
+		w.b.Probed(w.now, w.probed[len(w.probed)-1], ok, Report{queue, 10})
+	}
 	w.request("calm", "read", "k")
 	if len(w.probed) != 0 || w.tries["calm"] != 1 {
 		t.Fatal("probed with no answer late")
@@ -1176,7 +1178,7 @@
 	set.Tenants = []Tenant{{Name: "small", Quota: 1}, {Name: "large", Quota: 1000}}
 	w := start(t, set, 1)
 	ask := func(id, tenant string) {
-		w.b.Request(w.now, Request{ID: id, Class: "read", Tenant: tenant, Key: "k", Left: time.Second})
+		w.b.Request(w.now, Request{ID: id, Class: "read", Tenant: tenant, Key: "k", Remaining: time.Second})
 	}
 	for i := range 9 {
 		ask(fmt.Sprint("s", i), "small")
@@ -1251,7 +1253,7 @@
 		} else if top := ranking(w, key)[0]; s.server != top {
 			t.Errorf("%s went to %s, want its top %s", key, s.server, top)
 		}
-		w.answer(w.last(), OK, NoteHit, 10*ms)
+		w.answer(w.last(), OK, CacheHit, 10*ms)
 		w.now += time.Second
 	}
 	if len(met) < 3 {
@@ -1269,7 +1271,7 @@
 		w.request(fmt.Sprint(i), "read", fmt.Sprint("k", i))
 		if s := w.last(); s.wait > 0 {
 			short++
-			w.answer(s, TimedOut, NoNote, ms)
+			w.answer(s, TimedOut, CacheUnreported, ms)
 		}
 	}
 	if short == 0 || short > 3 {
@@ -1277,7 +1279,7 @@
 	}
 	for i := range 20 {
 		w.request(fmt.Sprint("ok", i), "read", fmt.Sprint("o", i))
-		w.answer(w.last(), OK, NoteHit, ms)
+		w.answer(w.last(), OK, CacheHit, ms)
 	}
 	w.request("again", "read", "again")
 	if w.last().wait == 0 {
@@ -1377,7 +1379,7 @@
 	w := start(t, set, 4)
 	o := w.b.origin
 	w.request("r", "read", "k")
-	w.answer(w.last(), Miss, NoNote, ms)
+	w.answer(w.last(), Miss, CacheUnreported, ms)
 	fetch := w.last()
 	before := o.limit
 	w.now += set.Classes[0].Aim/2 + 10*ms
@@ -1386,7 +1388,7 @@
 		t.Fatalf("limit %v after half the aim, was %v", o.limit, before)
 	}
 	cut := o.limit
-	w.answer(fetch, TimedOut, NoNote, 100*ms)
+	w.answer(fetch, TimedOut, CacheUnreported, 100*ms)
 	if o.limit != cut {
 		t.Errorf("limit %v after the end, %v before: the attempt counted twice", o.limit, cut)
 	}
@@ -1399,11 +1401,11 @@
 	set.Mode = Aside
 	w := start(t, set, 4)
 	w.request("r", "read", "k")
-	w.answer(w.last(), Miss, NoNote, ms)
+	w.answer(w.last(), Miss, CacheUnreported, ms)
 	if n := w.b.answers.value; n != 0 {
 		t.Errorf("a miss counts as %v answers", n)
 	}
-	w.answer(w.last(), OK, NoNote, ms)
+	w.answer(w.last(), OK, CacheUnreported, ms)
 	if n := w.b.answers.value; n < 0.99 {
 		t.Errorf("a miss that the origin answered counts as %v", n)
 	}
@@ -1425,7 +1427,7 @@
 		t.Fatalf("%d timers while requests are open, want a second", n)
 	}
 	for _, s := range append([]sent(nil), w.sends...) {
-		w.answer(s, OK, NoteHit, ms)
+		w.answer(s, OK, CacheHit, ms)
 	}
 	w.sweep()
 	if n := w.timers["sweep"]; n != 2 {
@@ -1509,7 +1511,7 @@
 		if w.request(fmt.Sprint(i), "read", key); key == "hot" {
 			met[w.last().server]++
 		}
-		w.answer(w.last(), OK, NoteHit, 10*ms)
+		w.answer(w.last(), OK, CacheHit, 10*ms)
 		w.now += time.Second
 	}
 	if len(met) != 1 || met[top] == 0 {
@@ -1565,7 +1567,7 @@
 	w := start(t, settings(), 3)
 	for i := range 200 {
 		old, fresh := fleet(w.b.set, 3)[:2], Server{ID: fmt.Sprint("n", i), Weight: 1}
-		w.b.Members(w.now, ListWhole, append(old, fresh))
+		w.b.Members(w.now, ListComplete, append(old, fresh))
 	}
 	if n := len(w.b.servers); n > 5 {
 		t.Errorf("%d servers remembered of 3 listed", n)
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -46,7 +46,7 @@
 func (p *prompt) serve(i int, key string) {
 	p.now += time.Second / 842
 	id := fmt.Sprint("r", i)
-	p.b.Request(p.now, Request{ID: id, Class: "read", Key: key, Left: time.Second})
+	p.b.Request(p.now, Request{ID: id, Class: "read", Key: key, Remaining: time.Second})
 	for _, s := range p.out {
 		p.b.Result(p.now+2*ms, Result{ID: s.id, N: s.n, Server: s.server, Outcome: OK, Final: true})
 	}
@@ -104,7 +104,7 @@
 			p := newPrompt(n)
 			var v View
 			for _, s := range p.b.caches {
-				v.Servers = append(v.Servers, Share{ID: s.ID, Factor: 1})
+				v.Servers = append(v.Servers, ServerView{ID: s.ID, Factor: 1})
 			}
 			b.ReportAllocs()
 			for range b.N {
--- a/policy/state.go
+++ b/policy/state.go
@@ -98,7 +98,7 @@
 	tenants map[string]*tenant
 	classes map[string]*Class
 	servers map[string]*server
-	hands   map[string]Hand // by id, listed or not
+	hands   map[string]Override // by id, listed or not
 
 	starts  starts.Book // of servers, as far as they were seen
 	caches  []*server   // ready, by id
@@ -139,7 +139,7 @@
 // blank returns a balancer that has decided nothing yet.
 func blank(now time.Duration, set Settings, seed uint64, act Actions) *Balancer {
 	b := &Balancer{set: set, act: act, now: now, rng: rand.New(rand.NewSource(int64(seed))),
-		classes: map[string]*Class{}, servers: map[string]*server{}, hands: map[string]Hand{}, open: map[string]*request{},
+		classes: map[string]*Class{}, servers: map[string]*server{}, hands: map[string]Override{}, open: map[string]*request{},
 		fetches: map[string]*fetch{}, keyed: map[string]int{}, recent: recent{count: map[note]int{}},
 		tenants: map[string]*tenant{}, memo: map[string][]uint64{}, shortest: math.MaxInt64,
 		period: max(2*set.Tick, time.Millisecond)}
@@ -234,8 +234,8 @@
 	}
 }
 
-// Known tells how many caches the list has, and how many of these are avoided now.
-func (b *Balancer) Known(now time.Duration) (listed, avoided int) {
+// CacheCounts tells how many caches the list has, and how many of these are avoided now.
+func (b *Balancer) CacheCounts(now time.Duration) (listed, avoided int) {
 	b.now = now
 	for _, s := range b.servers {
 		if s == b.origin || s.State == Gone {
@@ -462,7 +462,7 @@
 		}
 		s.Server = e
 	}
-	if kind == ListChanges || kind == ListWhole {
+	if kind == ListChanges || kind == ListComplete {
 		b.starts.Watched()
 	}
 	b.reindex()
--- a/policy/view_test.go
+++ b/policy/view_test.go
@@ -19,7 +19,7 @@
 	}
 	plain := tops()
 	id := w.b.caches[0].ID
-	v := View{Servers: []Share{{ID: id, Factor: 0.25}, {ID: "no such", Factor: 1}}}
+	v := View{Servers: []ServerView{{ID: id, Factor: 0.25}, {ID: "no such", Factor: 1}}}
 	w.b.View(w.now, v)
 	cut := tops()
 	if got, want := float64(cut[id])/2000, 0.25/3.25; math.Abs(got-want) > 0.03 {
@@ -33,7 +33,7 @@
 	s := w.b.servers[id].Server
 	s.State = Draining
 	w.b.Members(w.now, ListChanges, []Server{s})
-	w.b.View(w.now, View{Servers: []Share{{ID: id, Factor: 1}}})
+	w.b.View(w.now, View{Servers: []ServerView{{ID: id, Factor: 1}}})
 	if n := tops()[id]; n > 0 {
 		t.Errorf("a view brings a draining server back: %d keys", n)
 	}
@@ -56,13 +56,13 @@
 		}
 		id := w.b.caches[0].ID
 		w.restart(id)
-		w.b.View(w.now, View{Servers: []Share{{ID: id, Factor: 1, Allow: allow}}})
+		w.b.View(w.now, View{Servers: []ServerView{{ID: id, Factor: 1, Allow: allow}}})
 		for i := range 2000 {
 			w.request(fmt.Sprint("r", i), "read", fmt.Sprint("k", i))
 			if w.last().server == id {
 				cold++
 			}
-			w.answer(w.last(), OK, NoteHit, ms)
+			w.answer(w.last(), OK, CacheHit, ms)
 			w.now += ms
 		}
 		return cold // in four seconds
@@ -96,12 +96,12 @@
 			id, class := fmt.Sprint("r", i), []string{"read", "write"}[i%2]
 			w.request(id, class, fmt.Sprint("k", i))
 			if s := w.last(); class == "read" && s.id == id {
-				w.answer(s, Miss, NoteMiss, 0)
+				w.answer(s, Miss, CacheMiss, 0)
 			}
 			switch s := w.last(); {
 			case s.id == id && s.server == "o":
 				at[class]++
-				w.answer(s, OK, NoNote, 0)
+				w.answer(s, OK, CacheUnreported, 0)
 			case w.ended[id] == "refused":
 				refused++
 			}
@@ -127,7 +127,7 @@
 	for i := range 60 {
 		w.request(fmt.Sprint("r", i), "read", "hot")
 		seen[w.last().server] = true
-		w.answer(w.last(), OK, NoteHit, ms)
+		w.answer(w.last(), OK, CacheHit, ms)
 		w.cool()
 		w.now += time.Second
 	}
