--- a/cmd/lapislab/lapislab_test.go
+++ b/cmd/lapislab/lapislab_test.go
@@ -201,8 +201,8 @@
 		{"a ban that is only said", "internal/node/operate.go", "	n.guard(\"ban\", func() { n.policy.Ban(n.loop.Now(), id, on) })\n", "", banned, "drains", "sent_to_banned"},
 		{"a drain that keeps its clients", "internal/node/operate.go", "		n.clients.drain(false)\n", "", lame, "one_answer", "not_drained"},
 		{"a drain that is not told", "internal/node/commands.go", "		case n.lame:\n", "		case false:\n", lame, "one_answer", "not_drained"},
-		{"a burst at a cold cache", "policy/policy.go", "	age := b.now - s.started\n	if s.started == 0 || age >= b.set.WarmUp {",
-			"	age := b.now - s.started\n	if s.started == 0 || age >= 0 {", cold, "cold", "cold_pushed"},
+		{"a burst at a cold cache", "policy/policy.go", "	age := b.now - s.warmingSince\n	if s.warmingSince == 0 || age >= b.set.WarmUp {",
+			"	age := b.now - s.warmingSince\n	if s.warmingSince == 0 || age >= 0 {", cold, "cold", "cold_pushed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/policy/ban_test.go
+++ b/policy/ban_test.go
@@ -60,27 +60,27 @@
 		for _, s := range w.b.servers {
 			s.limit = 1
 		}
-		w.b.usual = float64(ms)
+		w.b.meanLatency = float64(ms)
 		top := ranking(w, "k")[0]
 		other := ranking(w, "k")[1]
 		w.request("a", "write", "k")
 		w.request("b", "write", "k")
 		w.request("c", "write", "k") // both are full now: it is held
 		r := w.b.open["c"]
-		if r == nil || r.held == nil {
+		if r == nil || r.heldFor == nil {
 			t.Fatalf("%s: nothing is held", name)
 		}
-		held := r.held.ID
+		heldFor := r.heldFor.ID
 		for _, s := range w.b.servers {
-			if s.ID != held {
+			if s.ID != heldFor {
 				s.limit = 4 // room came meanwhile
 			}
 		}
-		shut(w, held)
-		if got := w.last(); got.id != "c" || got.server == held || (got.server != top && got.server != other) {
-			t.Errorf("%s: last sent %v, held for %s", name, got, held)
+		shut(w, heldFor)
+		if got := w.last(); got.id != "c" || got.server == heldFor || (got.server != top && got.server != other) {
+			t.Errorf("%s: last sent %v, held for %s", name, got, heldFor)
 		}
-		if len(w.b.servers[held].queue) > 0 {
+		if len(w.b.servers[heldFor].queue) > 0 {
 			t.Errorf("%s: still queued", name)
 		}
 	}
@@ -121,12 +121,12 @@
 func TestBackFromABanItIsCold(t *testing.T) {
 	w := start(t, settings(), 4)
 	s := w.b.servers["c01"]
-	s.fails, s.skipUntil, s.limit = failsToSkip, w.now+time.Hour, 0.1
+	s.failures, s.skipUntil, s.limit = failuresToSkip, w.now+time.Hour, 0.1
 	w.b.Ban(w.now, "c01", true)
 	w.now += time.Second
 	w.b.Ban(w.now, "c01", false)
-	if s.fails != 0 || s.limit < firstLimit || w.b.warmth(s) != w.b.set.ColdFrom {
-		t.Errorf("back with %d failures, limit %v, warmth %v", s.fails, s.limit, w.b.warmth(s))
+	if s.failures != 0 || s.limit < initialLimit || w.b.warmth(s) != w.b.set.ColdFrom {
+		t.Errorf("back with %d failures, limit %v, warmth %v", s.failures, s.limit, w.b.warmth(s))
 	}
 	e := s.Server // the list tells of the restart, which was before the call back
 	e.Started = w.now - 500*ms
@@ -139,13 +139,13 @@
 	if w.b.warmth(s) != 1 {
 		t.Errorf("warmth %v after the warm-up", w.b.warmth(s))
 	}
-	for i := range 2 * mostLifted { // words are forgotten by their number: a process that was stopped may tell older ones
+	for i := range 2 * maxLifted { // words are forgotten by their number: a process that was stopped may tell older ones
 		id := fmt.Sprint("gone", i)
 		w.b.Ban(w.now, id, true)
 		w.b.Ban(w.now, id, false)
 	}
-	if len(w.b.hands) != mostLifted {
-		t.Errorf("%d words by hand are kept", len(w.b.hands))
+	if len(w.b.overrides) != maxLifted {
+		t.Errorf("%d words by hand are kept", len(w.b.overrides))
 	}
 	w.b.Ban(w.now, "c02", false) // a call back of what was not banned makes nothing cold
 	if w.b.warmth(w.b.servers["c02"]) != 1 {
@@ -177,7 +177,7 @@
 	w.now = 40
 	w.b.Override(w.now, ban)
 	w.b.Override(w.now, lift)
-	if w.b.servers["c01"].started != w.now { // as it was heard: the clock of who took it tells nothing here
-		t.Errorf("started %d: the lifted ban is not known", w.b.servers["c01"].started)
+	if w.b.servers["c01"].warmingSince != w.now { // as it was heard: the clock of who took it tells nothing here
+		t.Errorf("started %d: the lifted ban is not known", w.b.servers["c01"].warmingSince)
 	}
 }
--- a/policy/begun_test.go
+++ b/policy/begun_test.go
@@ -18,8 +18,8 @@
 	sends := len(w.sends)
 	w.b.ResponseStarted(w.now, "a", fetch.n)
 	w.b.ResponseStarted(w.now, "a", fetch.n) // told twice it changes nothing
-	if len(w.b.origin.sent) != 0 || w.b.out < 0 {
-		t.Errorf("%d out at the origin, %d at caches", len(w.b.origin.sent), w.b.out)
+	if len(w.b.origin.inFlight) != 0 || w.b.outstanding < 0 {
+		t.Errorf("%d out at the origin, %d at caches", len(w.b.origin.inFlight), w.b.outstanding)
 	}
 	if len(w.sends) != sends+1 || w.last().id != "b" {
 		t.Error("the read that waited does not go on")
@@ -34,7 +34,7 @@
 		t.Errorf("while it flows: %d sends, ended %q, %d called off, limit %v", len(w.sends)-sends, w.ended["a"], w.off["a"], w.b.origin.limit)
 	}
 	w.b.Result(w.now, Result{ID: "a", N: fetch.n, Server: "o", Outcome: OK, Final: true})
-	if w.b.out != 0 || len(w.b.open) != 0 || w.b.origin.limit < limit {
-		t.Errorf("at its end: %d out, %d open, limit %v", w.b.out, len(w.b.open), w.b.origin.limit)
+	if w.b.outstanding != 0 || len(w.b.open) != 0 || w.b.origin.limit < limit {
+		t.Errorf("at its end: %d out, %d open, limit %v", w.b.outstanding, len(w.b.open), w.b.origin.limit)
 	}
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -294,7 +294,7 @@
 		set.ColdFrom, set.FallMultiple, set.WarmUp = 0.5, 4, 1200*ms
 	}
 	const warm = 3
-	rate := x.part * float64(x.modules) / (coldSafety * set.FallMultiple * set.ColdFrom * set.FallWindow.Seconds())
+	rate := x.part * float64(x.modules) / (coldBudgetFraction * set.FallMultiple * set.ColdFrom * set.FallWindow.Seconds())
 	d := &coldDay{set: set, rng: rand.New(rand.NewSource(seed)), now: time.Hour, rate: warm * rate, excess: math.Inf(-1)}
 	if x.aside {
 		d.set.Mode, d.set.OriginKind = Aside, "origin"
--- a/policy/coming_test.go
+++ b/policy/coming_test.go
@@ -13,12 +13,12 @@
 	w := start(t, set, 2)
 	w.b.origin.limit = 1
 	w.b.Request(w.now, Request{ID: "slow", Class: "once", Key: "k", Remaining: time.Second, Write: true, BodyPending: true})
-	if w.last().server != "o" || len(w.b.origin.sent) != 0 {
-		t.Fatalf("sent to %s, %d out there", w.last().server, len(w.b.origin.sent))
+	if w.last().server != "o" || len(w.b.origin.inFlight) != 0 {
+		t.Fatalf("sent to %s, %d out there", w.last().server, len(w.b.origin.inFlight))
 	}
 	slow := w.last()
 	w.request("quick", "once", "k2")
-	if w.last().id != "quick" || len(w.b.origin.sent) != 1 {
+	if w.last().id != "quick" || len(w.b.origin.inFlight) != 1 {
 		t.Error("what is still coming keeps others out")
 	}
 	w.answer(w.last(), OK, CacheUnreported, ms)
@@ -31,12 +31,12 @@
 	}
 	w.b.BodyReceived(w.now, "slow", time.Second)
 	w.b.BodyReceived(w.now, "slow", time.Minute) // told twice it changes nothing
-	if r := w.b.open["slow"]; r.aim != w.now+400*ms || r.end != w.now+time.Second || len(w.b.origin.sent) != 1 {
-		t.Errorf("aim %v, end %v from now, %d out", r.aim-w.now, r.end-w.now, len(w.b.origin.sent))
+	if r := w.b.open["slow"]; r.aim != w.now+400*ms || r.deadline != w.now+time.Second || len(w.b.origin.inFlight) != 1 {
+		t.Errorf("aim %v, end %v from now, %d out", r.aim-w.now, r.deadline-w.now, len(w.b.origin.inFlight))
 	}
 	w.answer(slow, Full, CacheUnreported, ms)
-	if w.ended["slow"] != "refused" || len(w.b.open) != 0 || len(w.b.origin.sent) != 0 {
-		t.Errorf("%q, %d open, %d out", w.ended["slow"], len(w.b.open), len(w.b.origin.sent))
+	if w.ended["slow"] != "refused" || len(w.b.open) != 0 || len(w.b.origin.inFlight) != 0 {
+		t.Errorf("%q, %d open, %d out", w.ended["slow"], len(w.b.open), len(w.b.origin.inFlight))
 	}
 }
 
--- a/policy/leave_test.go
+++ b/policy/leave_test.go
@@ -18,7 +18,7 @@
 			"held for room": func(w *world) {
 				s := w.fill("k")
 				w.request("gone", "read", "k")
-				if w.b.open["gone"].held != s {
+				if w.b.open["gone"].heldFor != s {
 					t.Fatalf("%s is not held for %s", "gone", s.ID)
 				}
 				leave(w)
@@ -74,9 +74,9 @@
 			},
 			"until a cache has told its load": func(w *world) {
 				w.b.set.MayProbe = true
-				w.b.slow.add(w.now, skipSpell) // answers come late
+				w.b.lateAnswers.add(w.now, skipDuration) // answers come late
 				w.request("gone", "read", "k")
-				s := w.b.open["gone"].held
+				s := w.b.open["gone"].heldFor
 				if len(w.probed) != 1 || s == nil || !s.probing {
 					t.Fatalf("probed %v, held for %v", w.probed, s)
 				}
@@ -153,7 +153,7 @@
 	for _, x := range w.b.caches {
 		x.limit = 1
 	}
-	w.b.usual = float64(ms)
+	w.b.meanLatency = float64(ms)
 	for i := range 4 { // each cache has one out, of a key of its own
 		x := w.b.caches[i]
 		k := ""
@@ -174,7 +174,7 @@
 	out := w.last()
 	w.request("gone", "read", "k")
 	w.answer(w.last(), Miss, CacheMiss, ms)
-	if w.b.open["gone"].held != w.b.origin {
+	if w.b.open["gone"].heldFor != w.b.origin {
 		t.Fatal("it is not held for the origin")
 	}
 	return out
--- a/policy/override.go
+++ b/policy/override.go
@@ -13,11 +13,11 @@
 
 // mostLifted bounds the lifted overrides that are kept. They are not forgotten by time: a process that was stopped, or a file
 // that could not be removed, may still tell of the ban that was lifted.
-const mostLifted = 256
+const maxLifted = 256
 
 // Ban has a server get nothing more, whatever the list says of it, until the ban is lifted.
 func (b *Balancer) Ban(now time.Duration, id string, on bool) {
-	b.Override(now, Override{ID: id, Banned: on, At: max(now, b.hands[id].At+1)})
+	b.Override(now, Override{ID: id, Banned: on, At: max(now, b.overrides[id].At+1)})
 }
 
 // Override takes an override. Whoever lifts a ban vouches for the server: what was held against it is void. It counts as started
@@ -25,7 +25,7 @@
 // word that another process took are of that one's clock and count for whether they are set alone.
 func (b *Balancer) Override(now time.Duration, h Override) {
 	b.now = now
-	known, is := b.hands[h.ID]
+	known, is := b.overrides[h.ID]
 	if is && h.At <= known.At {
 		return
 	}
@@ -38,20 +38,20 @@
 	case !is && h.Since > 0: // a ban of which this process never heard
 		next.Since, next.Back = now, now
 	}
-	b.hands[h.ID] = next
-	b.boundLifted()
+	b.overrides[h.ID] = next
+	b.evictLifted()
 	if s := b.servers[h.ID]; s != nil && !h.Banned {
-		s.fails, s.skipUntil, s.late, s.limit, s.strained = 0, 0, fading{}, max(s.limit, firstLimit), false
+		s.failures, s.skipUntil, s.late, s.limit, s.overloaded = 0, 0, decayingCount{}, max(s.limit, initialLimit), false
 	}
 	b.reindex()
-	b.regate()
+	b.rerouteHeld()
 }
 
 // boundLifted forgets the oldest of too many lifted overrides.
-func (b *Balancer) boundLifted() {
+func (b *Balancer) evictLifted() {
 	var oldest Override
 	lifted := 0
-	for _, h := range b.hands {
+	for _, h := range b.overrides {
 		if h.Banned {
 			continue
 		}
@@ -59,20 +59,20 @@
 			oldest = h
 		}
 	}
-	if lifted > mostLifted {
-		delete(b.hands, oldest.ID)
+	if lifted > maxLifted {
+		delete(b.overrides, oldest.ID)
 	}
 }
 
 // Hands gives the overrides that still count, by id.
 func (b *Balancer) Hands() []Override {
-	return slices.SortedFunc(maps.Values(b.hands), func(x, y Override) int { return strings.Compare(x.ID, y.ID) })
+	return slices.SortedFunc(maps.Values(b.overrides), func(x, y Override) int { return strings.Compare(x.ID, y.ID) })
 }
 
 // startedAt is when a server counts as started: when it was seen to, or when a ban was lifted since.
 func (h Override) startedAt(s *server) time.Duration {
-	if s.begun > h.Since {
-		return s.begun
+	if s.startTime > h.Since {
+		return s.startTime
 	}
-	return max(s.begun, cmp.Or(h.Back, s.begun))
+	return max(s.startTime, cmp.Or(h.Back, s.startTime))
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -128,7 +128,7 @@
 }
 
 // cool makes the balancer forget which keys are hot, for tests that use one key again and again.
-func (w *world) cool() { w.b.recent = recent{count: map[note]int{}} }
+func (w *world) cool() { w.b.recentKeys = recentKeys{count: map[keyDigest]int{}} }
 
 func (w *world) sweep() { w.b.Timer(w.now, "sweep") }
 
@@ -197,7 +197,7 @@
 
 func TestRaceStaysFinite(t *testing.T) {
 	for _, h := range []uint64{0, 1, math.MaxUint64, math.MaxUint64 - 1, 1 << 63} {
-		if v := race(h, 1); math.IsInf(v, 0) || math.IsNaN(v) || v <= 0 {
+		if v := weightedScore(h, 1); math.IsInf(v, 0) || math.IsNaN(v) || v <= 0 {
 			t.Errorf("race(%x) = %v", h, v)
 		}
 	}
@@ -253,17 +253,17 @@
 			set.Parallel = c.parallel
 			w := start(t, set, 8)
 			r := &request{Request: Request{ID: "r", Remaining: time.Second}, class: w.b.classes[c.class],
-				end: w.now + time.Second}
+				deadline: w.now + time.Second}
 			a := &attempt{req: r, srv: w.b.servers["c00"], at: w.now}
-			r.tries = append(r.tries, a)
+			r.attempts = append(r.attempts, a)
 			if c.outcome > NotSent {
-				r.out = 1
+				r.outstanding = 1
 			} else {
-				a.done, a.clean = true, c.outcome.NeverRan()
+				a.done, a.neverRan = true, c.outcome.NeverRan()
 			}
 			w.b.now += c.after
 			for id, want := range c.want {
-				if got := w.b.may(r, w.b.servers[id]); got != want {
+				if got := w.b.mayAttempt(r, w.b.servers[id]); got != want {
 					t.Errorf("may go to %s: %v, want %v", id, got, want)
 				}
 			}
@@ -279,8 +279,8 @@
 		w := start(t, settings(), 2)
 		s := w.b.servers["c00"]
 		s.State = state
-		r := &request{class: w.b.classes["read"], end: w.now + time.Second}
-		if w.b.may(r, s) {
+		r := &request{class: w.b.classes["read"], deadline: w.now + time.Second}
+		if w.b.mayAttempt(r, s) {
 			t.Errorf("a request may go to a server in state %d", state)
 		}
 	}
@@ -368,7 +368,7 @@
 	w := start(t, settings(), 4)
 	w.cold = true
 	top := ranking(w, "k")[0]
-	for i := range failsToSkip {
+	for i := range failuresToSkip {
 		w.request(fmt.Sprint("f", i), "read", "k")
 		s := w.last()
 		if s.server != top {
@@ -379,10 +379,10 @@
 	}
 	w.request("skip", "read", "k")
 	if s := w.last(); s.server == top {
-		t.Errorf("sent to %s after %d straight failures", top, failsToSkip)
+		t.Errorf("sent to %s after %d straight failures", top, failuresToSkip)
 	}
 	w.answer(w.last(), OK, CacheHit, ms)
-	w.now += skipSpell
+	w.now += skipDuration
 	w.request("trial", "read", "k")
 	trial := w.last()
 	if trial.server != top {
@@ -407,7 +407,7 @@
 		w.cold = true
 		top := ranking(w, "k")[0]
 		w.b.servers[top].limit = 9
-		for i := range failsToSkip + 2 {
+		for i := range failuresToSkip + 2 {
 			w.request(fmt.Sprint("cut", i), "read", "k")
 			s := w.last()
 			if s.server != top {
@@ -433,10 +433,10 @@
 	}
 	for _, s := range w.b.caches { // all are known to be quick: none is spared
 		for range 50 {
-			w.b.answered(s, OK, false)
+			w.b.recordAnswer(s, OK, false)
 		}
 	}
-	for i := range failsToSkip + 1 {
+	for i := range failuresToSkip + 1 {
 		w.request(fmt.Sprint("slow", i), "read", "k")
 		slow := w.last()
 		w.request(fmt.Sprint("quick", i), "read", "k")
@@ -444,8 +444,8 @@
 		w.answer(slow, TimedOut, CacheUnreported, ms)
 		w.b.Abandoned(w.now, slow.id)
 	}
-	if s := w.b.servers[ranking(w, "k")[0]]; s.fails != 0 {
-		t.Errorf("%d failures counted", s.fails)
+	if s := w.b.servers[ranking(w, "k")[0]]; s.failures != 0 {
+		t.Errorf("%d failures counted", s.failures)
 	}
 }
 
@@ -521,7 +521,7 @@
 	for _, alone := range []bool{true, false} {
 		w := start(t, settings(), 1)
 		s := w.b.caches[0]
-		s.limit, s.strained = 3, true
+		s.limit, s.overloaded = 3, true
 		w.request("hangs", "read", "k")
 		hangs := w.last()
 		w.now += ms
@@ -531,7 +531,7 @@
 			w.answer(other, OK, CacheHit, ms)
 		}
 		limit := s.limit
-		w.now = w.b.open[hangs.id].aim - 2*ms - time.Duration(w.b.usual)
+		w.now = w.b.open[hangs.id].aim - 2*ms - time.Duration(w.b.meanLatency)
 		w.sweep()
 		if cut := s.limit < limit; cut == alone {
 			t.Errorf("alone %v: limit %v after %v", alone, s.limit, limit)
@@ -579,7 +579,7 @@
 				w.answer(other, OK, CacheUnreported, ms)
 			}
 			if x.strain {
-				w.b.origin.cutAt = w.now
+				w.b.origin.limitCutAt = w.now
 			}
 			w.now = began + w.b.open["hangs"].class.Aim*3/5
 			w.sweep()
@@ -628,7 +628,7 @@
 	for _, s := range w.b.caches {
 		s.limit = 0 // all crowded
 	}
-	r := &request{Request: Request{ID: "c", Key: "cold"}, class: w.b.classes["read"], end: w.now + time.Second}
+	r := &request{Request: Request{ID: "c", Key: "cold"}, class: w.b.classes["read"], deadline: w.now + time.Second}
 	if s := w.b.pick(r); s.ID != ranking(w, "cold")[0] {
 		t.Error("with all crowded the top of the ranking does not stand")
 	}
@@ -641,15 +641,15 @@
 	w := start(t, set, 4)
 	w.restart("c00")
 	for _, s := range w.b.caches {
-		s.sends.value, s.sends.when = 1000, w.now
-		w.b.answers.value, w.b.answers.when = 40, w.now
+		s.sends.value, s.sends.updatedAt = 1000, w.now
+		w.b.answeredReads.value, w.b.answeredReads.updatedAt = 40, w.now
 	}
 	s := w.b.servers["c00"]
 	s.sends.value = 0
 	w.b.now = w.now
 	w.b.rank("any")
 	n := 0
-	for r := (&request{}); w.b.coldRoom(r, s) && n < 100; n++ {
+	for r := (&request{}); w.b.withinColdBudget(r, s) && n < 100; n++ {
 		s.sends.add(w.now, set.FallWindow)
 	}
 	if limit := int(set.FallMultiple * set.ColdFrom * 10); n < 1 || n > limit {
@@ -668,7 +668,7 @@
 		w := start(t, set, 10)
 		w.b.rng = rand.New(rand.NewSource(int64(node)))
 		key := "hot" // seen by each node, as by all
-		for i := range heatSpan * 10 {
+		for i := range recentKeysPerCache * 10 {
 			if i%5 > 0 {
 				key = fmt.Sprint("k", node, "-", i)
 			} else {
@@ -756,8 +756,8 @@
 	for range 20 {
 		w.b.Members(w.now, ListFailed, nil)
 	}
-	if w.b.askWait > set.AskWithin/4 {
-		t.Errorf("waits grew to %v of %v", w.b.askWait, set.AskWithin)
+	if w.b.subscribeDelay > set.AskWithin/4 {
+		t.Errorf("waits grew to %v of %v", w.b.subscribeDelay, set.AskWithin)
 	}
 }
 
@@ -767,12 +767,12 @@
 	last := time.Duration(0)
 	for range 20 {
 		w.b.Members(w.now, ListFailed, nil)
-		if w.b.askWait <= 0 || w.b.askWait < last || w.b.askWait > skipSpell {
-			t.Fatalf("a wait of %v after %v", w.b.askWait, last)
+		if w.b.subscribeDelay <= 0 || w.b.subscribeDelay < last || w.b.subscribeDelay > skipDuration {
+			t.Fatalf("a wait of %v after %v", w.b.subscribeDelay, last)
 		}
-		last = w.b.askWait
+		last = w.b.subscribeDelay
 	}
-	if last != skipSpell {
+	if last != skipDuration {
 		t.Errorf("waits grew to %v", last)
 	}
 }
@@ -930,7 +930,7 @@
 		set := settings()
 		set.Parallel, set.Mode = parallel, Aside
 		w := start(t, set, 4)
-		w.b.late = float64(90 * ms)
+		w.b.lateLatency = float64(90 * ms)
 		w.request("r", "read", "k")
 		first := w.last()
 		if first.wait != 200*ms {
@@ -952,7 +952,7 @@
 // next one is sent as ever.
 func TestSlowFetchesBarNothing(t *testing.T) {
 	w := start(t, settings(), 4)
-	for i := range 2 * failsToSkip {
+	for i := range 2 * failuresToSkip {
 		w.request(fmt.Sprint("r", i), "read", fmt.Sprint("k", i))
 		s := w.last()
 		if s.id != fmt.Sprint("r", i) || s.wait != 0 {
@@ -971,14 +971,14 @@
 		top := ranking(w, "k")[0]
 		for _, s := range w.b.caches {
 			for range 40 {
-				w.b.answered(s, OK, false)
+				w.b.recordAnswer(s, OK, false)
 			}
 			for range 20 {
 				if clogged {
-					w.b.answered(s, OK, true)
+					w.b.recordAnswer(s, OK, true)
 				}
 			}
-			w.b.answered(s, Full, true) // which alone is no reason
+			w.b.recordAnswer(s, Full, true) // which alone is no reason
 		}
 		w.cool()
 		for i := range 20 {
@@ -1037,7 +1037,7 @@
 				crossed++
 			}
 			w.answer(w.last(), OK, CacheUnreported, ms)
-			w.b.servers[top].fails = 0 // or it is skipped, and others come first
+			w.b.servers[top].failures = 0 // or it is skipped, and others come first
 		}
 		if want := c.zone == "" || c.gone; (crossed > 0) != want {
 			t.Errorf("%s: %d of 20 further tries left z1", c.name, crossed)
@@ -1051,7 +1051,7 @@
 	set.Zone = "z1"
 	w := start(t, set, 8)
 	for range 20 {
-		w.b.recent.add(noteOf("hot"), 32)
+		w.b.recentKeys.add(digestOf("hot"), 32)
 	}
 	for i := range 10 {
 		w.request(fmt.Sprint("r", i), "read", "hot")
@@ -1128,7 +1128,7 @@
 	set := settings()
 	set.Mode, set.MayProbe = Aside, true
 	w := start(t, set, 4)
-	w.b.usual = float64(40 * ms)
+	w.b.meanLatency = float64(40 * ms)
 	tell := func(ok bool, queue float64) {
 		w.b.Probed(w.now, w.probed[len(w.probed)-1], ok, Report{queue, 10})
 	}
@@ -1137,9 +1137,9 @@
 		t.Fatal("probed with no answer late")
 	}
 	for _, s := range w.b.caches {
-		w.b.answered(s, OK, false)
+		w.b.recordAnswer(s, OK, false)
 	}
-	w.b.answered(w.b.servers["c00"], OK, true)
+	w.b.recordAnswer(w.b.servers["c00"], OK, true)
 	rank := ranking(w, "j")
 	w.request("jam", "read", "j")
 	if len(w.probed) != 1 || w.probed[0] != rank[0] || w.tries["jam"] != 0 {
@@ -1203,17 +1203,17 @@
 	for range 9 {
 		w.now += time.Second
 		w.b.now = w.now
-		w.b.steer(s, w.now, true)
+		w.b.adjustLimit(s, w.now, true)
 	}
 	if want := 1 / float64(settings().Balancers); s.limit != want {
 		t.Errorf("limit %v after long strain, want %v", s.limit, want)
 	}
-	s.freed = w.now
-	if w.b.room(s) {
+	s.freedAt = w.now
+	if w.b.hasRoom(s) {
 		t.Error("a limit of a half left no pause after an attempt")
 	}
-	w.b.now += time.Duration(w.b.usual)
-	if !w.b.room(s) {
+	w.b.now += time.Duration(w.b.meanLatency)
+	if !w.b.hasRoom(s) {
 		t.Error("no room after the pause")
 	}
 }
@@ -1224,7 +1224,7 @@
 	set.Mode = Aside
 	w := start(t, set, 2)
 	for _, s := range w.b.caches {
-		s.limit, s.freed = 0.01, w.now
+		s.limit, s.freedAt = 0.01, w.now
 	}
 	w.request("r", "read", "k")
 	if s := w.last(); s.server != "o" {
@@ -1294,26 +1294,26 @@
 	spared := func() (n int) {
 		w.b.now = w.now
 		for range 1000 {
-			if w.b.strained(&request{}, s) {
+			if w.b.overloaded(&request{}, s) {
 				n++
 			}
 		}
 		return n
 	}
 	for range 10 {
-		w.b.answered(s, OK, false)
+		w.b.recordAnswer(s, OK, false)
 	}
-	w.b.answered(s, OK, true)
+	w.b.recordAnswer(s, OK, true)
 	if n := spared(); n > 0 {
 		t.Errorf("spared %d of 1000 times with one late answer in eleven", n)
 	}
 	for range 30 {
-		w.b.answered(s, OK, true)
+		w.b.recordAnswer(s, OK, true)
 	}
 	if n := spared(); n < 500 || n == 1000 {
 		t.Errorf("spared %d of 1000 times with 31 of 41 answers late", n)
 	}
-	w.now += 10 * skipSpell
+	w.now += 10 * skipDuration
 	if n := spared(); n > 50 {
 		t.Errorf("still spared %d of 1000 times long after", n)
 	}
@@ -1331,16 +1331,16 @@
 		w.now += time.Second
 		w.b.now = w.now
 		o.sends.add(w.now, set.FallWindow)
-		w.b.steer(o, w.now, true)
+		w.b.adjustLimit(o, w.now, true)
 	}
-	if gap := time.Duration(w.b.usual / o.limit); gap > skipSpell {
-		t.Errorf("after a slow spell one trial in %v, want one in %v", gap, skipSpell)
+	if gap := time.Duration(w.b.meanLatency / o.limit); gap > skipDuration {
+		t.Errorf("after a slow spell one trial in %v, want one in %v", gap, skipDuration)
 	}
 	n := 0
 	for ; o.limit < 0.5 && n < 20; n++ {
-		w.now += skipSpell
+		w.now += skipDuration
 		w.b.now = w.now
-		w.b.steer(o, w.now-10*ms, false)
+		w.b.adjustLimit(o, w.now-10*ms, false)
 	}
 	if n > 8 {
 		t.Errorf("%d answers well in time until the limit was half of one again", n)
@@ -1359,14 +1359,14 @@
 		o.sends.add(w.now, set.FallWindow)
 	}
 	w.b.now = w.now
-	w.b.steer(o, w.now, true)
-	o.freed = w.now
+	w.b.adjustLimit(o, w.now, true)
+	o.freedAt = w.now
 	w.b.now = w.now + 900*ms
-	if w.b.room(o) {
+	if w.b.hasRoom(o) {
 		t.Error("room for the next read a second on: what is sent has not been halved")
 	}
-	w.b.now = w.now + skipSpell
-	if !w.b.room(o) {
+	w.b.now = w.now + skipDuration
+	if !w.b.hasRoom(o) {
 		t.Error("no trial after a spell")
 	}
 }
@@ -1402,11 +1402,11 @@
 	w := start(t, set, 4)
 	w.request("r", "read", "k")
 	w.answer(w.last(), Miss, CacheUnreported, ms)
-	if n := w.b.answers.value; n != 0 {
+	if n := w.b.answeredReads.value; n != 0 {
 		t.Errorf("a miss counts as %v answers", n)
 	}
 	w.answer(w.last(), OK, CacheUnreported, ms)
-	if n := w.b.answers.value; n < 0.99 {
+	if n := w.b.answeredReads.value; n < 0.99 {
 		t.Errorf("a miss that the origin answered counts as %v", n)
 	}
 }
@@ -1446,7 +1446,7 @@
 	for _, s := range w.b.caches {
 		s.limit = 1000 // there is room: only lateness speaks against them
 		for range 200 {
-			w.b.answered(s, OK, true)
+			w.b.recordAnswer(s, OK, true)
 		}
 	}
 	refused := 0
@@ -1474,7 +1474,7 @@
 	for i := range 100 {
 		ranking(w, fmt.Sprint(i))
 	}
-	if n := len(w.b.memo); n > 6 {
+	if n := len(w.b.scoreCache); n > 6 {
 		t.Errorf("scores of %d keys kept with 6 caches", n)
 	}
 	before := ranking(w, "99")
@@ -1527,14 +1527,14 @@
 	w := start(t, set, 10)
 	w.restart("c00")
 	s := w.b.servers["c00"]
-	passed := func(r *request, sends, answers float64, top bool) (n int) {
+	passed := func(r *request, sends, answeredReads float64, top bool) (n int) {
 		w.b.now = w.now
 		for i := 0; (w.b.rank(fmt.Sprint("k", i))[0] == s) != top; i++ {
 		}
-		w.b.asked.value, w.b.asked.when = sends, w.now
-		w.b.answers.value, w.b.answers.when = answers, w.now
+		w.b.cacheRequests.value, w.b.cacheRequests.updatedAt = sends, w.now
+		w.b.answeredReads.value, w.b.answeredReads.updatedAt = answeredReads, w.now
 		for range 1000 {
-			if w.b.coldRoom(r, s) {
+			if w.b.withinColdBudget(r, s) {
 				n++
 			}
 		}
@@ -1547,7 +1547,7 @@
 	if n := passed(first, 15, 1, true); n < 50 || n > 200 { // 0.5 * 3 * 1 / 15
 		t.Errorf("%d of 1000 fresh keys pass with one answer for 15 sends, want about 100", n)
 	}
-	if n := passed(&request{Request: first.Request, tries: []*attempt{{}}}, 6, 6, true); n > 0 {
+	if n := passed(&request{Request: first.Request, attempts: []*attempt{{}}}, 6, 6, true); n > 0 {
 		t.Errorf("%d of 1000 further tries pass", n)
 	}
 	// A key that had just become hot came to every node as a new one, and all sent it (launceston-platform-later he67fa9).
--- a/policy/state.go
+++ b/policy/state.go
@@ -20,67 +20,67 @@
 
 type server struct {
 	Server
-	banned    bool          // by hand
-	begun     time.Duration // its start as it counts here, see decide/starts
-	started   time.Duration // that, or when a ban was lifted since
-	weight    float64       // listed, or the mean where none is listed, times the factor of the view
-	allow     float64       // sends a second that the view leaves to this node; 0: no limit
-	score     float64       // of the ranking being made
-	sent      []*attempt    // out now, oldest first
-	limit     float64       // attempts that may be out
-	strained  bool          // the limit was reached once
-	cutAt     time.Duration // when it was cut last
-	freed     time.Duration // when an attempt last ended
-	queue     []*request    // held until there is room
-	fails     int           // straight failures
-	skipUntil time.Duration
-	heard     time.Duration // last sign of life
-	prompt    time.Duration // when the latest attempt that was answered well within its aim was sent
-	sends     fading        // own sends lately
-	late      fading        // late answers lately
-	timely    fading        // and those in time
-	probedAt  time.Duration // when it was last probed
-	probing   bool          // and has not answered
-	toldAt    time.Duration // when it last answered that
-	wait      time.Duration // what it said: how long a request waits there
+	banned       bool          // by hand
+	startTime    time.Duration // its start as it counts here, see decide/starts
+	warmingSince time.Duration // that, or when a ban was lifted since
+	weight       float64       // listed, or the mean where none is listed, times the factor of the view
+	maxRate      float64       // sends a second that the view leaves to this node; 0: no limit
+	score        float64       // of the ranking being made
+	inFlight     []*attempt    // out now, oldest first
+	limit        float64       // attempts that may be out
+	overloaded   bool          // the limit was reached once
+	limitCutAt   time.Duration // when it was cut last
+	freedAt      time.Duration // when an attempt last ended
+	queue        []*request    // held until there is room
+	failures     int           // straight failures
+	skipUntil    time.Duration
+	lastAnswerAt time.Duration // last sign of life
+	promptSentAt time.Duration // when the latest attempt that was answered well within its aim was sent
+	sends        decayingCount // own sends lately
+	late         decayingCount // late answers lately
+	timely       decayingCount // and those in time
+	probedAt     time.Duration // when it was last probed
+	probing      bool          // and has not answered
+	reportedAt   time.Duration // when it last answered that
+	reportedWait time.Duration // what it said: how long a request waits there
 }
 
 // open reports whether the server may get anything new.
 func (s *server) open() bool { return s.State == Ready && !s.banned }
 
 type attempt struct {
-	n      int
-	req    *request
-	srv    *server
-	at     time.Duration
-	begun  time.Duration // when its answer began to flow, where that is told
-	counts bool          // it takes room at its server
-	done   bool
-	judged bool // known to be late before its end
-	clean  bool // proven never to have run
-	missed bool
-	filled bool // what it missed has been stored there since
-	origin bool
+	n           int
+	req         *request
+	srv         *server
+	at          time.Duration
+	firstByteAt time.Duration // when its answer began to flow, where that is told
+	occupies    bool          // it takes room at its server
+	done        bool
+	countedLate bool // known to be late before its end
+	neverRan    bool // proven never to have run
+	missed      bool
+	filled      bool // what it missed has been stored there since
+	origin      bool
 }
 
 type request struct {
 	Request
-	class    *Class
-	aim, end time.Duration // when the worth falls, when this try of the client is over
-	tries    []*attempt
-	out      int
-	ended    bool
-	spent    bool    // it cannot be sent again
-	over     bool    // beyond its tenant's quota
-	dice     float64 // 0 to 1, the same whenever it is looked at
-	held     *server // waits for room there
+	class         *Class
+	aim, deadline time.Duration // when the worth falls, when this try of the client is over
+	attempts      []*attempt
+	outstanding   int
+	ended         bool
+	bodyDiscarded bool    // it cannot be sent again
+	overQuota     bool    // beyond its tenant's quota
+	sample        float64 // 0 to 1, the same whenever it is looked at
+	heldFor       *server // waits for room there
 }
 
 // tenant is what a tenant has asked of this node lately.
 type tenant struct {
 	Tenant
-	asked fading
-	fleet float64 // requests a second of the whole fleet, as the view tells; 0: not told
+	requests  decayingCount
+	fleetRate float64 // requests a second of the whole fleet, as the view tells; 0: not told
 }
 
 // fetch is a read of a key at the origin and the reads that wait for it.
@@ -91,63 +91,63 @@
 
 // Balancer decides for one node. It is not safe for concurrent use.
 type Balancer struct {
-	set     Settings
-	act     Actions
-	rng     *rand.Rand
-	now     time.Duration
-	tenants map[string]*tenant
-	classes map[string]*Class
-	servers map[string]*server
-	hands   map[string]Override // by id, listed or not
-
-	starts  starts.Book // of servers, as far as they were seen
-	caches  []*server   // ready, by id
-	weights float64     // the sum of their weights as ranked last
-	steady  float64     // and of those that are warm
-	origin  *server
-	open    map[string]*request
-	order   []*request     // open requests by arrival
-	keyed   map[string]int // open requests by key
-	fetches map[string]*fetch
-	hash    hash.Hash
-	scratch []byte
-	ranked  []*server
-	recent  recent  // keys asked for last
-	asked   fading  // requests for caches taken lately
-	answers fading  // reads answered lately
-	chilly  fading  // those of them by cold caches
-	past    fading  // and by the origin, with no miss before
-	lost    fading  // attempts at caches that timed out lately
-	out     int     // attempts out at caches
-	late    float64 // quantile lateQuant of answer times, ns
-	usual   float64 // mean of answer times, ns
-	askWait time.Duration
-	within  time.Duration // longest spell without asking for the list
-
-	shortest time.Duration       // of the classes' aims
-	period   time.Duration       // between looks at what is open
-	memo     map[string][]uint64 // scores of some keys, while the list stays
-	awake    bool                // a look is due
-	slow     fading              // late answers of all caches lately
-	quick    fading              // and those in time
-
-	thinned float64          // part of the reads that may not go to the origin, by the view
-	view    View             // of planners; empty where there are none
-	heat    map[note]float64 // of its hot keys
+	set       Settings
+	act       Actions
+	rng       *rand.Rand
+	now       time.Duration
+	tenants   map[string]*tenant
+	classes   map[string]*Class
+	servers   map[string]*server
+	overrides map[string]Override // by id, listed or not
+
+	starts          starts.Book // of servers, as far as they were seen
+	caches          []*server   // ready, by id
+	totalWeight     float64     // the sum of their weights as ranked last
+	warmWeight      float64     // and of those that are warm
+	origin          *server
+	open            map[string]*request
+	order           []*request     // open requests by arrival
+	openByKey       map[string]int // open requests by key
+	fetches         map[string]*fetch
+	hash            hash.Hash
+	scratch         []byte
+	ranked          []*server
+	recentKeys      recentKeys    // keys asked for last
+	cacheRequests   decayingCount // requests for caches taken lately
+	answeredReads   decayingCount // reads answered lately
+	coldAnswers     decayingCount // those of them by cold caches
+	originAnswers   decayingCount // and by the origin, with no miss before
+	timeouts        decayingCount // attempts at caches that timed out lately
+	outstanding     int           // attempts out at caches
+	lateLatency     float64       // quantile lateQuant of answer times, ns
+	meanLatency     float64       // mean of answer times, ns
+	subscribeDelay  time.Duration
+	maxSubscribeGap time.Duration // longest spell without asking for the list
+
+	shortestAim    time.Duration       // of the classes' aims
+	sweepInterval  time.Duration       // between looks at what is open
+	scoreCache     map[string][]uint64 // scores of some keys, while the list stays
+	sweepScheduled bool                // a look is due
+	lateAnswers    decayingCount       // late answers of all caches lately
+	timelyAnswers  decayingCount       // and those in time
+
+	originThinning float64               // part of the reads that may not go to the origin, by the view
+	view           View                  // of planners; empty where there are none
+	hotKeys        map[keyDigest]float64 // of its hot keys
 }
 
 // blank returns a balancer that has decided nothing yet.
-func blank(now time.Duration, set Settings, seed uint64, act Actions) *Balancer {
+func newBalancer(now time.Duration, set Settings, seed uint64, act Actions) *Balancer {
 	b := &Balancer{set: set, act: act, now: now, rng: rand.New(rand.NewSource(int64(seed))),
-		classes: map[string]*Class{}, servers: map[string]*server{}, hands: map[string]Override{}, open: map[string]*request{},
-		fetches: map[string]*fetch{}, keyed: map[string]int{}, recent: recent{count: map[note]int{}},
-		tenants: map[string]*tenant{}, memo: map[string][]uint64{}, shortest: math.MaxInt64,
-		period: max(2*set.Tick, time.Millisecond)}
+		classes: map[string]*Class{}, servers: map[string]*server{}, overrides: map[string]Override{}, open: map[string]*request{},
+		fetches: map[string]*fetch{}, openByKey: map[string]int{}, recentKeys: recentKeys{count: map[keyDigest]int{}},
+		tenants: map[string]*tenant{}, scoreCache: map[string][]uint64{}, shortestAim: math.MaxInt64,
+		sweepInterval: max(2*set.Tick, time.Millisecond)}
 	b.hash, _ = blake2b.New(8, nil) // fails only for a bad size or key
 	for i := range set.Classes {
 		c := &b.set.Classes[i]
 		b.classes[c.Name] = c
-		b.shortest = min(b.shortest, c.Aim)
+		b.shortestAim = min(b.shortestAim, c.Aim)
 	}
 	for _, t := range set.Tenants {
 		b.tenants[t.Name] = &tenant{Tenant: t}
@@ -156,66 +156,66 @@
 }
 
 // note is a digest of a key. Its last two bits are zero: planners and forwarders have told keys so from the first.
-type note uint32
+type keyDigest uint32
 
 // noteOf shortens a key for counting and for views.
-func noteOf(key string) note {
+func digestOf(key string) keyDigest {
 	h := fnv.New32a()
 	h.Write([]byte(key))
-	return note(h.Sum32()) &^ 3
+	return keyDigest(h.Sum32()) &^ 3
 }
 
 // arrived counts a new request and remembers its key. A write that only the origin takes asks nothing of the caches.
-func (b *Balancer) arrived(r *request) {
-	b.recent.add(noteOf(r.Key), heatSpan*len(b.caches))
+func (b *Balancer) recordArrival(r *request) {
+	b.recentKeys.add(digestOf(r.Key), recentKeysPerCache*len(b.caches))
 	if b.set.Mode == Through || !r.Write {
-		b.asked.add(b.now, b.set.FallWindow)
+		b.cacheRequests.add(b.now, b.set.FallWindow)
 	}
 }
 
 // answered counts how a cache that may get requests has answered. A full one was late, but not slow.
-func (b *Balancer) answered(s *server, o Outcome, late bool) {
+func (b *Balancer) recordAnswer(s *server, o Outcome, late bool) {
 	switch {
 	case !s.open():
 	case o != Full && o != TimedOut && !late:
-		s.timely.add(b.now, skipSpell)
-		b.quick.add(b.now, skipSpell)
+		s.timely.add(b.now, skipDuration)
+		b.timelyAnswers.add(b.now, skipDuration)
 	default:
-		s.late.add(b.now, skipSpell)
+		s.late.add(b.now, skipDuration)
 		if o != Full {
-			b.slow.add(b.now, skipSpell)
+			b.lateAnswers.add(b.now, skipDuration)
 		}
 	}
 }
 
 // Digest names a key in views.
-func Digest(key string) uint32 { return uint32(noteOf(key)) }
+func Digest(key string) uint32 { return uint32(digestOf(key)) }
 
 // View takes the latest view of planners in force; an empty one, that there is none.
 func (b *Balancer) View(now time.Duration, v View) {
 	b.now, b.view = now, v
-	b.heat = map[note]float64{}
+	b.hotKeys = map[keyDigest]float64{}
 	for _, h := range v.Hot {
-		b.heat[note(h.Key)] = h.Load
+		b.hotKeys[keyDigest(h.Key)] = h.Load
 	}
-	b.thinned = 0
+	b.originThinning = 0
 	if v.Admit > 0 {
-		b.thinned = 1 - v.Admit
+		b.originThinning = 1 - v.Admit
 	}
 	for _, t := range b.tenants {
-		t.fleet = 0
+		t.fleetRate = 0
 	}
 	for _, u := range v.Tenants {
 		if t := b.tenants[u.Name]; t != nil {
-			t.fleet = u.Asked
+			t.fleetRate = u.Asked
 		}
 	}
 	b.reindex()
 }
 
 // draw gives a request its dice, from its id: with no view the module's own random choices stay as they are.
-func (b *Balancer) draw(q Request) float64 {
-	if b.thinned == 0 {
+func (b *Balancer) sampleOf(q Request) float64 {
+	if b.originThinning == 0 {
 		return 1
 	}
 	h := b.hrw("dice", q.ID)
@@ -223,13 +223,13 @@
 }
 
 // viewed brings the servers in line with the view.
-func (b *Balancer) viewed() {
+func (b *Balancer) applyView() {
 	for _, s := range b.servers {
-		s.allow = 0
+		s.maxRate = 0
 	}
 	for _, x := range b.view.Servers {
 		if s := b.servers[x.ID]; s != nil && s != b.origin {
-			s.weight, s.allow = s.weight*x.Factor, x.Allow
+			s.weight, s.maxRate = s.weight*x.Factor, x.Allow
 		}
 	}
 }
@@ -241,7 +241,7 @@
 		if s == b.origin || s.State == Gone {
 			continue
 		}
-		if listed++; b.down(s) || !s.open() {
+		if listed++; b.skipped(s) || !s.open() {
 			avoided++
 		}
 	}
@@ -250,13 +250,13 @@
 
 // forget takes a request that has ended off all that holds it.
 func (b *Balancer) forget(r *request) {
-	if b.keyed[r.Key]--; b.keyed[r.Key] == 0 {
-		delete(b.keyed, r.Key)
+	if b.openByKey[r.Key]--; b.openByKey[r.Key] == 0 {
+		delete(b.openByKey, r.Key)
 	}
-	if s := r.held; s != nil {
+	if s := r.heldFor; s != nil {
 		s.queue = slices.DeleteFunc(s.queue, func(x *request) bool { return x == r })
 	}
-	if r.out == 0 {
+	if r.outstanding == 0 {
 		delete(b.open, r.ID)
 	}
 }
@@ -265,8 +265,8 @@
 // time that a process that is held up writes it, and it runs again; 0 for one that has not, and for other classes. Guards against a repeat chosen inside the window whose connection comes up, or
 // whose turn on one comes, behind it.
 func (r *request) windowEnd() (end time.Duration) {
-	for _, a := range r.tries {
-		if at := a.at + r.class.Window - safety.Slack; r.class.Effect == Keyed && a.done && !a.clean && (end == 0 || at < end) {
+	for _, a := range r.attempts {
+		if at := a.at + r.class.Window - safety.Slack; r.class.Effect == Keyed && a.done && !a.neverRan && (end == 0 || at < end) {
 			end = at
 		}
 	}
@@ -274,7 +274,7 @@
 }
 
 // leads reports whether the request is one whose answer others wait for.
-func (b *Balancer) leads(r *request) bool {
+func (b *Balancer) leadsFetch(r *request) bool {
 	f := b.fetches[r.Key]
 	return f != nil && f.leader == r
 }
@@ -282,59 +282,59 @@
 // scores gives the caches' scores for a key, kept for some keys while the list stays: hashing is most of the work
 // (hobart-prices i7d9609, 614 nodes and 137 caches, was cut off for it).
 func (b *Balancer) scores(key string) []uint64 {
-	list, known := b.memo[key]
+	list, known := b.scoreCache[key]
 	if !known {
-		if len(b.memo) >= len(b.caches) {
-			clear(b.memo)
+		if len(b.scoreCache) >= len(b.caches) {
+			clear(b.scoreCache)
 		}
 		list = make([]uint64, len(b.caches))
 		for i, s := range b.caches {
 			list[i] = b.hrw(s.ID, key)
 		}
-		b.memo[key] = list
+		b.scoreCache[key] = list
 	}
 	return list
 }
 
 // took is how long the answer to an attempt took, or has taken by now, to its first byte where that is told.
-func (a *attempt) took(now time.Duration) time.Duration { return cmp.Or(a.begun, now) - a.at }
+func (a *attempt) latency(now time.Duration) time.Duration { return cmp.Or(a.firstByteAt, now) - a.at }
 
 // tally counts how an attempt ended. A miss counts as answered when the origin has answered it.
-func (b *Balancer) tally(a *attempt, o Outcome) {
+func (b *Balancer) recordOutcome(a *attempt, o Outcome) {
 	a.missed = o == Miss
 	if o == OK || o == Miss || o == Errored || o == Full {
-		a.srv.heard = b.now
+		a.srv.lastAnswerAt = b.now
 	}
-	if (o == OK || o == Miss) && a.took(b.now) <= a.req.class.Aim/2 {
-		a.srv.prompt = max(a.srv.prompt, a.at)
+	if (o == OK || o == Miss) && a.latency(b.now) <= a.req.class.Aim/2 {
+		a.srv.promptSentAt = max(a.srv.promptSentAt, a.at)
 	}
 	if o == OK && !(a.origin && a.req.Write) {
-		b.answers.add(b.now, b.set.FallWindow)
+		b.answeredReads.add(b.now, b.set.FallWindow)
 		by := a.srv // or the cache that missed
-		for _, t := range a.req.tries[:a.n] {
+		for _, t := range a.req.attempts[:a.n] {
 			if a.origin && t.missed {
 				by = t.srv
 			}
 		}
 		if a.origin && by == a.srv {
-			b.past.add(b.now, b.set.FallWindow)
+			b.originAnswers.add(b.now, b.set.FallWindow)
 		} else if b.warmth(by) < 1 {
-			b.chilly.add(b.now, b.set.FallWindow)
+			b.coldAnswers.add(b.now, b.set.FallWindow)
 		}
 	}
 	if o == OK && !a.origin {
-		b.timed(float64(a.took(b.now)))
+		b.observeLatency(float64(a.latency(b.now)))
 	}
 	if o == TimedOut && !a.origin {
-		b.lost.add(b.now, b.set.FallWindow)
+		b.timeouts.add(b.now, b.set.FallWindow)
 	}
 }
 
 // weigh adds a ranked cache's weight to the sums.
-func (b *Balancer) weigh(s *server, w float64) {
-	b.weights += w
+func (b *Balancer) addWeight(s *server, w float64) {
+	b.totalWeight += w
 	if b.warmth(s) == 1 {
-		b.steady += w
+		b.warmWeight += w
 	}
 }
 
@@ -342,39 +342,39 @@
 // what they can do. What cold ones answer counts at most in proportion to the answers of the warm ones, and one more for
 // chance: it raised their own budgets, past the load that they are stated to bear, where they happened to answer more.
 // With none warm there is nothing else to go by.
-func (b *Balancer) borne() float64 {
+func (b *Balancer) cacheThroughput() float64 {
 	span := b.set.FallWindow
-	all := max(0, b.answers.at(b.now, span)-b.past.at(b.now, span))
-	if b.steady == 0 {
+	all := max(0, b.answeredReads.at(b.now, span)-b.originAnswers.at(b.now, span))
+	if b.warmWeight == 0 {
 		return all
 	}
-	return min(all, (max(0, all-b.chilly.at(b.now, span))+1)*b.weights/b.steady)
+	return min(all, (max(0, all-b.coldAnswers.at(b.now, span))+1)*b.totalWeight/b.warmWeight)
 }
 
 // occupy has an attempt take room at its server, and free gives it back.
 func (b *Balancer) occupy(a *attempt) {
-	a.counts = true
-	a.srv.sent = append(a.srv.sent, a)
+	a.occupies = true
+	a.srv.inFlight = append(a.srv.inFlight, a)
 	if !a.origin {
-		b.out++
+		b.outstanding++
 	}
 }
 
 func (b *Balancer) free(a *attempt) {
-	if !a.counts {
+	if !a.occupies {
 		return
 	}
-	a.counts = false
+	a.occupies = false
 	a.srv.drop(a, b.now)
 	if !a.origin {
-		b.out--
+		b.outstanding--
 	}
 }
 
 // drop takes an attempt that has ended off the server's.
 func (s *server) drop(a *attempt, now time.Duration) {
-	s.freed = now
-	s.sent = slices.DeleteFunc(s.sent, func(x *attempt) bool { return x == a })
+	s.freedAt = now
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(x *attempt) bool { return x == a })
 }
 
 // count counts the servers for which is holds.
@@ -388,7 +388,7 @@
 }
 
 // place is what the request is ranked by; one without a key gets any steady, spread choice.
-func (r *request) place() string {
+func (r *request) rankingKey() string {
 	if r.Key == "" {
 		return r.ID
 	}
@@ -396,40 +396,40 @@
 }
 
 // timed keeps the mean and the quantile lateQuant of answer times.
-func (b *Balancer) timed(took float64) {
-	b.usual += (took - b.usual) / 64
-	step := b.usual / 32
-	if took > b.late {
-		b.late += step * lateQuant
+func (b *Balancer) observeLatency(took float64) {
+	b.meanLatency += (took - b.meanLatency) / 64
+	step := b.meanLatency / 32
+	if took > b.lateLatency {
+		b.lateLatency += step * lateQuantile
 	} else {
-		b.late = max(b.usual, b.late-step*(1-lateQuant))
+		b.lateLatency = max(b.meanLatency, b.lateLatency-step*(1-lateQuantile))
 	}
 }
 
 // fading is a count that forgets evenly over a span.
-type fading struct {
-	value float64
-	when  time.Duration
+type decayingCount struct {
+	value     float64
+	updatedAt time.Duration
 }
 
-func (f *fading) at(now, span time.Duration) float64 {
+func (f *decayingCount) at(now, span time.Duration) float64 {
 	if span > 0 {
-		f.value *= math.Exp(-float64(now-f.when) / float64(span))
+		f.value *= math.Exp(-float64(now-f.updatedAt) / float64(span))
 	}
-	f.when = now
+	f.updatedAt = now
 	return f.value
 }
 
-func (f *fading) add(now, span time.Duration) { f.value = f.at(now, span) + 1 }
+func (f *decayingCount) add(now, span time.Duration) { f.value = f.at(now, span) + 1 }
 
 // recent counts the keys of the last requests.
-type recent struct {
-	keys  []note // oldest first
-	count map[note]int
+type recentKeys struct {
+	keys  []keyDigest // oldest first
+	count map[keyDigest]int
 }
 
 // add takes a key in and forgets those beyond the last size.
-func (c *recent) add(key note, size int) {
+func (c *recentKeys) add(key keyDigest, size int) {
 	c.keys = append(c.keys, key)
 	c.count[key]++
 	for len(c.keys) > max(1, size) {
@@ -441,7 +441,7 @@
 }
 
 // holds reports whether two servers drop each other's repeats.
-func (x Scope) holds(a, s *server) bool {
+func (x Scope) sameGroup(a, s *server) bool {
 	return x == ScopeAll || a.Zone == s.Zone && (x == ScopeZone || a.Cell == s.Cell)
 }
 
@@ -455,10 +455,10 @@
 	for _, e := range list {
 		s := b.servers[e.ID]
 		if s == nil {
-			s = &server{limit: firstLimit, begun: b.starts.Begun(b.now, e.ID, e.Started)}
+			s = &server{limit: initialLimit, startTime: b.starts.Begun(b.now, e.ID, e.Started)}
 			b.servers[e.ID] = s
 		} else if e.Started != s.Started { // a restart: what was learned of the old process is void
-			s.fails, s.skipUntil, s.begun = 0, 0, b.starts.Begun(b.now, e.ID, e.Started)
+			s.failures, s.skipUntil, s.startTime = 0, 0, b.starts.Begun(b.now, e.ID, e.Started)
 		}
 		s.Server = e
 	}
@@ -475,11 +475,11 @@
 	b.origin = nil
 	listed, sum := 0, 0.0
 	for _, s := range b.servers {
-		h := b.hands[s.ID]
-		s.banned, s.started = h.Banned, h.startedAt(s)
+		h := b.overrides[s.ID]
+		s.banned, s.warmingSince = h.Banned, h.startedAt(s)
 		switch {
-		case s.State == Gone && len(s.sent) == 0 && len(s.queue) == 0:
-			b.starts.Left(s.ID, s.Started, s.begun)
+		case s.State == Gone && len(s.inFlight) == 0 && len(s.queue) == 0:
+			b.starts.Left(s.ID, s.Started, s.startTime)
 			delete(b.servers, s.ID) // a fleet that changes for days must not fill the memory
 		case !s.open():
 		case b.set.OriginKind != "" && s.Kind == b.set.OriginKind:
@@ -491,7 +491,7 @@
 		}
 	}
 	slices.SortFunc(b.caches, func(x, y *server) int { return strings.Compare(x.ID, y.ID) })
-	b.memo = map[string][]uint64{}
+	b.scoreCache = map[string][]uint64{}
 	for _, s := range b.caches {
 		if s.Weight >= 0 && b.set.Weighted {
 			sum += s.Weight
@@ -507,5 +507,5 @@
 			s.weight = s.Weight
 		}
 	}
-	b.viewed()
+	b.applyView()
 }
