--- a/policy/ban_test.go
+++ b/policy/ban_test.go
@@ -9,7 +9,7 @@
 
 // A ban outlasts whatever the list says of the server, a restart under its id included, and ends with one call back.
 func TestABanOutlastsTheList(t *testing.T) {
-	w := start(t, settings(), 4)
+	w := newFixture(t, settings(), 4)
 	top := ranking(w, "k")[0]
 	entry := w.b.servers[top].Server
 	w.b.Ban(w.now, top, true)
@@ -47,16 +47,16 @@
 
 // What is held for a server when it is banned, or drains, goes elsewhere at once, not when there is room again.
 func TestWhatIsHeldForABannedServerMovesOn(t *testing.T) {
-	for name, shut := range map[string]func(w *world, id string){
-		"banned": func(w *world, id string) { w.b.Ban(w.now, id, true) },
-		"drains": func(w *world, id string) {
+	for name, shut := range map[string]func(w *fixture, id string){
+		"banned": func(w *fixture, id string) { w.b.Ban(w.now, id, true) },
+		"drains": func(w *fixture, id string) {
 			s := w.b.servers[id].Server
 			s.State = Draining
 			w.b.Members(w.now, ListChanges, []Server{s})
 		},
 	} {
-		w := start(t, settings(), 2)
-		w.cold = true
+		w := newFixture(t, settings(), 2)
+		w.noHotKeys = true
 		for _, s := range w.b.servers {
 			s.limit = 1
 		}
@@ -90,7 +90,7 @@
 func TestTheOriginBanned(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
-	w := start(t, set, 3)
+	w := newFixture(t, set, 3)
 	w.b.Ban(w.now, "o", true)
 	w.request("r", "read", "k")
 	w.answer(w.last(), Miss, CacheMiss, ms)
@@ -119,7 +119,7 @@
 
 // A server comes back from a ban cold, with a clean record, and warm only by the time since its start.
 func TestBackFromABanItIsCold(t *testing.T) {
-	w := start(t, settings(), 4)
+	w := newFixture(t, settings(), 4)
 	s := w.b.servers["c01"]
 	s.failures, s.skipUntil, s.limit = failuresToSkip, w.now+time.Hour, 0.1
 	w.b.Ban(w.now, "c01", true)
@@ -164,7 +164,7 @@
 	}{
 		{[]Override{ban, lift}, false}, {[]Override{lift, ban}, false}, {[]Override{again, ban, lift}, true}, {[]Override{lift, again, ban}, true},
 	} {
-		w := start(t, settings(), 3)
+		w := newFixture(t, settings(), 3)
 		w.now = 40
 		for _, h := range c.words {
 			w.b.Override(w.now, h)
@@ -173,7 +173,7 @@
 			t.Errorf("%v: banned %v", c.words, s.banned)
 		}
 	}
-	w := start(t, settings(), 3)
+	w := newFixture(t, settings(), 3)
 	w.now = 40
 	w.b.Override(w.now, ban)
 	w.b.Override(w.now, lift)
--- a/policy/begun_test.go
+++ b/policy/begun_test.go
@@ -7,7 +7,7 @@
 func TestABegunAnswerBindsAndFreesTheServer(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
-	w := start(t, set, 2)
+	w := newFixture(t, set, 2)
 	w.request("a", "read", "k")
 	w.answer(w.last(), Miss, CacheMiss, ms)
 	fetch := w.last()
@@ -30,8 +30,8 @@
 		w.now += 100 * ms
 		w.sweep()
 	}
-	if len(w.sends) != sends+1 || w.ended["a"] != "" || w.off["a"] != 0 || w.b.origin.limit < limit {
-		t.Errorf("while it flows: %d sends, ended %q, %d called off, limit %v", len(w.sends)-sends, w.ended["a"], w.off["a"], w.b.origin.limit)
+	if len(w.sends) != sends+1 || w.ended["a"] != "" || w.cancels["a"] != 0 || w.b.origin.limit < limit {
+		t.Errorf("while it flows: %d sends, ended %q, %d called off, limit %v", len(w.sends)-sends, w.ended["a"], w.cancels["a"], w.b.origin.limit)
 	}
 	w.b.Result(w.now, Result{ID: "a", N: fetch.n, Server: "o", Outcome: OK, Final: true})
 	if w.b.outstanding != 0 || len(w.b.open) != 0 || w.b.origin.limit < limit {
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -11,7 +11,7 @@
 // An operator's call holds whatever the clock of the process said that took the one before it.
 func TestAnOverrideOfAnotherClockCanBeReplaced(t *testing.T) {
 	for _, skew := range skews {
-		w := start(t, settings(), 4)
+		w := newFixture(t, settings(), 4)
 		w.now += 2 * time.Hour
 		said := w.now + skew
 		w.b.Override(w.now, Override{ID: "c01", Banned: true, At: said, Since: said})
@@ -33,7 +33,7 @@
 // A server called back by another process of the node is cold from then on for one warm-up, whatever that one's clock says.
 func TestACallBackOfAnotherClockMakesCold(t *testing.T) {
 	for _, skew := range skews {
-		w := start(t, settings(), 4)
+		w := newFixture(t, settings(), 4)
 		w.now += 2 * time.Hour
 		said := w.now + skew
 		w.b.Override(w.now, Override{ID: "c01", At: said, Since: said - time.Second, Back: said})
@@ -54,7 +54,7 @@
 func TestAStartSeenWhileWatchedGoesByTheOwnClock(t *testing.T) {
 	for _, skew := range skews {
 		for _, id := range []string{"c01", "new"} {
-			w := start(t, settings(), 4)
+			w := newFixture(t, settings(), 4)
 			w.b.Members(w.now, ListChanges, nil) // from here on the list is watched
 			w.now += time.Minute
 			e := Server{ID: id, Zone: "z1", Cell: 1, Weight: 1, Started: w.now + skew}
@@ -80,7 +80,7 @@
 
 // A start that the first list tells is not later than that list, and one that left and returns unchanged is no start.
 func TestAStartNotSeenIsBoundedByTheFirstList(t *testing.T) {
-	w := start(t, settings(), 4)
+	w := newFixture(t, settings(), 4)
 	e := Server{ID: "c01", Zone: "z1", Cell: 1, Weight: 1, Started: w.now + time.Hour}
 	w.b.Members(w.now, ListChanges, []Server{e})
 	w.now += w.b.set.WarmUp + time.Second
--- a/policy/coming_test.go
+++ b/policy/coming_test.go
@@ -10,7 +10,7 @@
 func TestAWriteThatIsComing(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
-	w := start(t, set, 2)
+	w := newFixture(t, set, 2)
 	w.b.origin.limit = 1
 	w.b.Request(w.now, Request{ID: "slow", Class: "once", Key: "k", Remaining: time.Second, Write: true, BodyPending: true})
 	if w.last().server != "o" || len(w.b.origin.inFlight) != 0 {
@@ -55,7 +55,7 @@
 		{"once", Reset, true, 1, "failed"},
 		{"write", Reset, true, 1, "failed"},
 	} {
-		w := start(t, settings(), 3)
+		w := newFixture(t, settings(), 3)
 		w.b.Request(w.now, Request{ID: "a", Class: c.class, Key: "k", Remaining: time.Second, Write: true, BodyPending: true})
 		w.b.Result(w.now+ms, Result{ID: "a", Server: w.last().server, Outcome: c.outcome, BodyDiscarded: c.spent})
 		if len(w.sends) != c.sends || w.ended["a"] != c.end {
--- a/policy/leave_test.go
+++ b/policy/leave_test.go
@@ -9,13 +9,13 @@
 // back, its place is free, and those who waited on its fetch are served. Cancels may be allowed or not.
 func TestNothingIsSentForWhoHasLeft(t *testing.T) {
 	left := false
-	leave := func(w *world) {
+	leave := func(w *fixture) {
 		left = true
 		w.b.Abandoned(w.now, "gone")
 	}
 	for _, cancel := range []bool{false, true} {
-		for name, play := range map[string]func(w *world){
-			"held for room": func(w *world) {
+		for name, play := range map[string]func(w *fixture){
+			"held for room": func(w *fixture) {
 				s := w.fill("k")
 				w.request("gone", "read", "k")
 				if w.b.open["gone"].heldFor != s {
@@ -28,7 +28,7 @@
 				w.answer(w.sends[0], OK, CacheHit, 5*ms) // there is room now
 				w.b.Timer(w.now, "sweep")
 			},
-			"held for a server that leaves": func(w *world) {
+			"held for a server that leaves": func(w *fixture) {
 				s := w.fill("k")
 				w.request("gone", "read", "k")
 				leave(w)
@@ -36,14 +36,14 @@
 				drained.State = Draining
 				w.b.Members(w.now, ListChanges, []Server{drained})
 			},
-			"for another's fetch": func(w *world) {
+			"for another's fetch": func(w *fixture) {
 				w.request("lead", "read", "k")
 				w.answer(w.last(), Miss, CacheMiss, ms)
 				w.request("gone", "read", "k")
 				leave(w)
 				w.answer(w.last(), OK, CacheMiss, 10*ms)
 			},
-			"its attempt fails behind it": func(w *world) {
+			"its attempt fails behind it": func(w *fixture) {
 				w.request("gone", "read", "k")
 				first := w.last()
 				leave(w)
@@ -52,18 +52,18 @@
 					t.Error("it is not forgotten")
 				}
 			},
-			"its attempt misses behind it": func(w *world) {
+			"its attempt misses behind it": func(w *fixture) {
 				w.request("gone", "read", "k")
 				first := w.last()
 				leave(w)
 				w.answer(first, Miss, CacheMiss, 5*ms)
 			},
-			"held for the origin": func(w *world) {
+			"held for the origin": func(w *fixture) {
 				out := heldForOrigin(t, w)
 				leave(w)
 				w.answer(out, OK, CacheMiss, 5*ms)
 			},
-			"held for the origin, others waiting on it": func(w *world) {
+			"held for the origin, others waiting on it": func(w *fixture) {
 				out := heldForOrigin(t, w)
 				w.request("w1", "read", "k")
 				leave(w)
@@ -72,7 +72,7 @@
 					t.Errorf("%v, want w1 sent", s)
 				}
 			},
-			"until a cache has told its load": func(w *world) {
+			"until a cache has told its load": func(w *fixture) {
 				w.b.set.MayProbe = true
 				w.b.lateAnswers.add(w.now, skipDuration) // answers come late
 				w.request("gone", "read", "k")
@@ -86,7 +86,7 @@
 					t.Error("its place is taken")
 				}
 			},
-			"its write half come": func(w *world) {
+			"its write half come": func(w *fixture) {
 				s := w.fill("k")
 				w.b.Request(w.now, Request{ID: "gone", Class: "read", Key: "k", Remaining: time.Minute, BodyPending: true})
 				leave(w)
@@ -96,17 +96,17 @@
 				}
 				w.answer(w.sends[0], OK, CacheHit, 5*ms)
 			},
-			"one of its two attempts fails behind it": func(w *world) {
+			"one of its two attempts fails behind it": func(w *fixture) {
 				w.request("gone", "read", "k")
 				first := w.last()
 				w.answer(first, TimedOut, CacheUnreported, 200*ms)
-				if w.tries["gone"] != 2 {
-					t.Fatalf("%d attempts", w.tries["gone"])
+				if w.attempts["gone"] != 2 {
+					t.Fatalf("%d attempts", w.attempts["gone"])
 				}
 				leave(w)
 				w.answer(w.last(), Reset, CacheUnreported, 5*ms)
 			},
-			"as the leader of a fetch": func(w *world) {
+			"as the leader of a fetch": func(w *fixture) {
 				w.request("gone", "read", "k")
 				w.answer(w.last(), Miss, CacheMiss, ms)
 				fetch := w.last()
@@ -126,8 +126,8 @@
 			t.Run(name, func(t *testing.T) {
 				set := settings()
 				set.Mode, set.MayCancel = Aside, cancel
-				w := start(t, set, 4)
-				w.cold = true
+				w := newFixture(t, set, 4)
+				w.noHotKeys = true
 				left = false
 				w.onSend = func(id, server string) {
 					if left && id == "gone" {
@@ -148,7 +148,7 @@
 }
 
 // fill sends the top server of a key all that it has room for, so that the key's next request is held there.
-func (w *world) fill(key string) *server {
+func (w *fixture) fill(key string) *server {
 	s := w.b.rank(key)[0]
 	for _, x := range w.b.caches {
 		x.limit = 1
@@ -166,7 +166,7 @@
 }
 
 // heldForOrigin has the request "gone" wait for room at the origin, behind an attempt, which it returns.
-func heldForOrigin(t *testing.T, w *world) sent {
+func heldForOrigin(t *testing.T, w *fixture) sentAttempt {
 	t.Helper()
 	w.b.origin.limit = 1
 	w.request("lead", "read", "other")
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -13,49 +13,49 @@
 const ms = time.Millisecond
 
 // world is a balancer under test and what it has done.
-type world struct {
-	t      *testing.T
-	b      *Balancer
-	now    time.Duration
-	sends  []sent
-	ended  map[string]string // request to "refused" or "failed"
-	logs   []string
-	asked  int
-	probed []string
-	cold   bool // no key counts as hot
-	timers map[string]int
-	tries  map[string]int
-	off    map[string]int // attempts called off
-	onSend func(id, server string)
-	onEnd  func(id, how string)
-}
-
-type sent struct {
+type fixture struct {
+	t             *testing.T
+	b             *Balancer
+	now           time.Duration
+	sends         []sentAttempt
+	ended         map[string]string // request to "refused" or "failed"
+	logs          []string
+	subscriptions int
+	probed        []string
+	noHotKeys     bool // no key counts as hot
+	timers        map[string]int
+	attempts      map[string]int
+	cancels       map[string]int // attempts called off
+	onSend        func(id, server string)
+	onEnd         func(id, how string)
+}
+
+type sentAttempt struct {
 	id, server string
 	n          int
 	wait, by   time.Duration
 }
 
-func (w *world) Send(id, server string, wait, by time.Duration) {
+func (w *fixture) Send(id, server string, wait, by time.Duration) {
 	if w.onSend != nil {
 		w.onSend(id, server)
 	}
-	w.sends = append(w.sends, sent{id, server, w.tries[id], wait, by})
-	w.tries[id]++
+	w.sends = append(w.sends, sentAttempt{id, server, w.attempts[id], wait, by})
+	w.attempts[id]++
 }
-func (w *world) end(id, how string) {
+func (w *fixture) end(id, how string) {
 	if w.onEnd != nil {
 		w.onEnd(id, how)
 	}
 	w.ended[id] = how
 }
-func (w *world) Refuse(id string, _ time.Duration)       { w.end(id, "refused") }
-func (w *world) Fail(id string)                          { w.end(id, "failed") }
-func (w *world) Cancel(id string, _ int)                 { w.off[id]++ }
-func (w *world) Timer(after time.Duration, token string) { w.timers[token]++ }
-func (w *world) Subscribe()                              { w.asked++ }
-func (w *world) Probe(server string)                     { w.probed = append(w.probed, server) }
-func (w *world) Log(text string)                         { w.logs = append(w.logs, text) }
+func (w *fixture) Refuse(id string, _ time.Duration)       { w.end(id, "refused") }
+func (w *fixture) Fail(id string)                          { w.end(id, "failed") }
+func (w *fixture) Cancel(id string, _ int)                 { w.cancels[id]++ }
+func (w *fixture) Timer(after time.Duration, token string) { w.timers[token]++ }
+func (w *fixture) Subscribe()                              { w.subscriptions++ }
+func (w *fixture) Probe(server string)                     { w.probed = append(w.probed, server) }
+func (w *fixture) Log(text string)                         { w.logs = append(w.logs, text) }
 
 func settings() Settings {
 	return Settings{
@@ -70,14 +70,14 @@
 }
 
 // start returns a balancer with n ready caches, and an origin in aside mode.
-func start(t *testing.T, set Settings, n int) *world {
-	w := &world{t: t, now: time.Hour, ended: map[string]string{}, timers: map[string]int{}, tries: map[string]int{},
-		off: map[string]int{}}
+func newFixture(t *testing.T, set Settings, n int) *fixture {
+	w := &fixture{t: t, now: time.Hour, ended: map[string]string{}, timers: map[string]int{}, attempts: map[string]int{},
+		cancels: map[string]int{}}
 	if set.Mode == Aside {
 		set.OriginKind = "origin"
 	}
 	w.b = New(w.now, set, 1, w)
-	w.b.Members(w.now, ListSaved, fleet(set, n))
+	w.b.Members(w.now, ListSaved, serverList(set, n))
 	for _, s := range w.b.servers { // they have proved good for four attempts at once
 		s.limit = 4
 	}
@@ -87,7 +87,7 @@
 	return w
 }
 
-func fleet(set Settings, n int) []Server {
+func serverList(set Settings, n int) []Server {
 	var list []Server
 	for i := range n {
 		list = append(list, Server{ID: fmt.Sprintf("c%02d", i), Zone: fmt.Sprint("z", i%2), Cell: i % 4, Weight: 1})
@@ -98,14 +98,14 @@
 	return list
 }
 
-func (w *world) request(id, class, key string) {
+func (w *fixture) request(id, class, key string) {
 	w.b.Request(w.now, Request{ID: id, Class: class, Key: key, Remaining: time.Second, Write: class != "read"})
-	if w.cold {
-		w.cool()
+	if w.noHotKeys {
+		w.forgetHotKeys()
 	}
 }
 
-func (w *world) last() sent {
+func (w *fixture) last() sentAttempt {
 	w.t.Helper()
 	if len(w.sends) == 0 {
 		w.t.Fatal("nothing was sent")
@@ -114,13 +114,13 @@
 }
 
 // answer ends the attempt s after a time.
-func (w *world) answer(s sent, o Outcome, note CacheStatus, after time.Duration) {
+func (w *fixture) answer(s sentAttempt, o Outcome, note CacheStatus, after time.Duration) {
 	w.now += after
 	w.b.Result(w.now, Result{ID: s.id, N: s.n, Server: s.server, Outcome: o, CacheStatus: note, Final: o == OK})
 }
 
 // restart tells the balancer, a minute on, that a server has just started anew.
-func (w *world) restart(id string) {
+func (w *fixture) restart(id string) {
 	w.now += time.Minute
 	s := w.b.servers[id].Server
 	s.Started = w.now
@@ -128,12 +128,12 @@
 }
 
 // cool makes the balancer forget which keys are hot, for tests that use one key again and again.
-func (w *world) cool() { w.b.recentKeys = recentKeys{count: map[keyDigest]int{}} }
+func (w *fixture) forgetHotKeys() { w.b.recentKeys = recentKeys{count: map[keyDigest]int{}} }
 
-func (w *world) sweep() { w.b.Timer(w.now, "sweep") }
+func (w *fixture) sweep() { w.b.Timer(w.now, "sweep") }
 
 func TestScoresAreTheSharedOnes(t *testing.T) {
-	w := start(t, settings(), 1)
+	w := newFixture(t, settings(), 1)
 	for id, want := range map[string]uint64{"cache-a": 0x3f58b35a89a9e958, "cache-b": 0x7aaf4d5588246133,
 		"cache-c": 0xc82ead9cc646898c, "cache-d": 0xdf00970c6aa5e2b9, "cache-e": 0x990a9ed364f9feaf} {
 		if got := w.b.hrw(id, "user-42"); got != want {
@@ -142,7 +142,7 @@
 	}
 }
 
-func ranking(w *world, key string) []string {
+func ranking(w *fixture, key string) []string {
 	var ids []string
 	for _, s := range w.b.rank(key) {
 		ids = append(ids, s.ID)
@@ -152,16 +152,16 @@
 
 func TestRankingProperties(t *testing.T) {
 	set := settings()
-	full, list := start(t, set, 8), fleet(set, 8)
-	less := start(t, set, 8)
+	full, list := newFixture(t, set, 8), serverList(set, 8)
+	less := newFixture(t, set, 8)
 	gone := list[3]
 	gone.State = Gone
 	less.b.Members(less.now, ListChanges, []Server{gone})
-	turned := start(t, set, 0)
+	turned := newFixture(t, set, 0)
 	for i := range list {
 		turned.b.Members(turned.now, ListChanges, list[len(list)-1-i:len(list)-i])
 	}
-	heavy := start(t, set, 8)
+	heavy := newFixture(t, set, 8)
 	more := list[5]
 	more.Weight = 3
 	heavy.b.Members(heavy.now, ListChanges, []Server{more})
@@ -204,7 +204,7 @@
 }
 
 func TestWeightsOfTheList(t *testing.T) {
-	w := start(t, settings(), 0)
+	w := newFixture(t, settings(), 0)
 	w.b.Members(w.now, ListComplete, []Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 3}, {ID: "c", Weight: -1},
 		{ID: "d", Weight: 0}})
 	for id, want := range map[string]float64{"a": 1, "b": 3, "c": 4.0 / 3, "d": 0} {
@@ -251,7 +251,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set.Parallel = c.parallel
-			w := start(t, set, 8)
+			w := newFixture(t, set, 8)
 			r := &request{Request: Request{ID: "r", Remaining: time.Second}, class: w.b.classes[c.class],
 				deadline: w.now + time.Second}
 			a := &attempt{req: r, srv: w.b.servers["c00"], at: w.now}
@@ -276,7 +276,7 @@
 
 func TestNothingMayGoToWhatIsNotReady(t *testing.T) {
 	for _, state := range []State{Draining, Gone} {
-		w := start(t, settings(), 2)
+		w := newFixture(t, settings(), 2)
 		s := w.b.servers["c00"]
 		s.State = state
 		r := &request{class: w.b.classes["read"], deadline: w.now + time.Second}
@@ -292,7 +292,7 @@
 		first Outcome
 		told  bool
 	}{{"write", Reset, true}, {"write", Errored, true}, {"write", ConnectFailed, false}, {"write", Full, false}, {"read", Reset, false}} {
-		w := start(t, settings(), 4)
+		w := newFixture(t, settings(), 4)
 		w.request("q", c.class, "k")
 		first, at := w.last(), w.now
 		if first.by != 0 {
@@ -309,7 +309,7 @@
 func TestKeyedWindowIsKept(t *testing.T) {
 	set := settings()
 	set.Classes[1].Window = 300 * ms
-	w := start(t, set, 3)
+	w := newFixture(t, set, 3)
 	w.request("r", "write", "k")
 	w.answer(w.last(), Reset, CacheUnreported, 300*ms)
 	if len(w.sends) != 1 || w.ended["r"] != "failed" {
@@ -324,7 +324,7 @@
 	for _, took := range []time.Duration{100 * ms, 500*ms - heldUp, 499 * ms} {
 		set := settings()
 		set.Classes[1].Window = 500 * ms
-		w := start(t, set, 3)
+		w := newFixture(t, set, 3)
 		w.request("r", "write", "k")
 		began := w.now
 		w.answer(w.last(), Reset, CacheUnreported, took)
@@ -338,7 +338,7 @@
 }
 
 func TestDrainStopsAtOnce(t *testing.T) {
-	w := start(t, settings(), 4)
+	w := newFixture(t, settings(), 4)
 	top := ranking(w, "k")[0]
 	s := w.b.servers[top].Server
 	s.State = Draining
@@ -356,7 +356,7 @@
 
 func TestNoServerIsAnsweredAtOnce(t *testing.T) {
 	for _, class := range []string{"read", "write", "once"} {
-		w := start(t, settings(), 0)
+		w := newFixture(t, settings(), 0)
 		w.request("r", class, "k")
 		if w.ended["r"] != "refused" {
 			t.Errorf("%s: %q, want a refusal: it never ran", class, w.ended["r"])
@@ -365,8 +365,8 @@
 }
 
 func TestThreeFailuresSkipThenOneTrial(t *testing.T) {
-	w := start(t, settings(), 4)
-	w.cold = true
+	w := newFixture(t, settings(), 4)
+	w.noHotKeys = true
 	top := ranking(w, "k")[0]
 	for i := range failuresToSkip {
 		w.request(fmt.Sprint("f", i), "read", "k")
@@ -403,8 +403,8 @@
 // server: where networks cut connections now and then, three in a row come often.
 func TestAConnectionsEndIsNoFailureOfItsServer(t *testing.T) {
 	for _, kept := range []bool{true, false} {
-		w := start(t, settings(), 4)
-		w.cold = true
+		w := newFixture(t, settings(), 4)
+		w.noHotKeys = true
 		top := ranking(w, "k")[0]
 		w.b.servers[top].limit = 9
 		for i := range failuresToSkip + 2 {
@@ -426,8 +426,8 @@
 
 // A busy server answers others: a time-out there says that it is late, not dead.
 func TestTimeoutOfAnAnsweringServerIsNoFailure(t *testing.T) {
-	w := start(t, settings(), 4)
-	w.cold = true
+	w := newFixture(t, settings(), 4)
+	w.noHotKeys = true
 	for _, s := range w.b.servers {
 		s.limit = 4
 	}
@@ -453,8 +453,8 @@
 func TestOneFetchAKey(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
-	w := start(t, set, 4)
-	w.cold = true
+	w := newFixture(t, set, 4)
+	w.noHotKeys = true
 	w.request("lead", "read", "k")
 	first := w.last()
 	w.answer(first, Miss, CacheMiss, ms)
@@ -476,7 +476,7 @@
 func TestFailedFetchPassesToTheNextRead(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
-	w := start(t, set, 4)
+	w := newFixture(t, set, 4)
 	w.request("lead", "read", "k")
 	w.answer(w.last(), Miss, CacheMiss, ms)
 	w.request("wait", "read", "k")
@@ -489,7 +489,7 @@
 func TestWritesGoToTheOriginInAsideMode(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
-	w := start(t, set, 4)
+	w := newFixture(t, set, 4)
 	w.request("w", "write", "k")
 	if s := w.last(); s.server != "o" {
 		t.Errorf("the write went to %s", s.server)
@@ -498,7 +498,7 @@
 
 // Servers with deep queues answered nothing in time (burnie-super overload): what they may hold is halved.
 func TestLateAnswersHalveTheLimit(t *testing.T) {
-	w := start(t, settings(), 1)
+	w := newFixture(t, settings(), 1)
 	s := w.b.servers["c00"]
 	s.limit = 4
 	for i := range 4 {
@@ -519,7 +519,7 @@
 // not halve its server's limit; with nothing answered after it, it does.
 func TestAnAttemptLateByItselfIsNoStrain(t *testing.T) {
 	for _, alone := range []bool{true, false} {
-		w := start(t, settings(), 1)
+		w := newFixture(t, settings(), 1)
 		s := w.b.caches[0]
 		s.limit, s.overloaded = 3, true
 		w.request("hangs", "read", "k")
@@ -550,7 +550,7 @@
 		name          string
 		class         string
 		alone, strain bool
-		off           int
+		cancels       int
 	}{
 		{"alone", "read", true, false, 1},
 		{"with the others", "read", false, false, 0},
@@ -560,9 +560,9 @@
 		t.Run(x.name, func(t *testing.T) {
 			set := settings()
 			set.Mode = Aside
-			w := start(t, set, 1)
+			w := newFixture(t, set, 1)
 			w.b.origin.limit, w.b.caches[0].limit = 3, 9
-			atOrigin := func(id, class string) sent {
+			atOrigin := func(id, class string) sentAttempt {
 				w.request(id, class, id)
 				if class == "read" {
 					w.answer(w.last(), Miss, CacheMiss, 0)
@@ -584,10 +584,10 @@
 			w.now = began + w.b.open["hangs"].class.Aim*3/5
 			w.sweep()
 			w.sweep()
-			if w.off["hangs"] != x.off {
-				t.Errorf("called off %d times, want %d", w.off["hangs"], x.off)
+			if w.cancels["hangs"] != x.cancels {
+				t.Errorf("called off %d times, want %d", w.cancels["hangs"], x.cancels)
 			}
-			if x.off > 0 {
+			if x.cancels > 0 {
 				w.answer(hangs, Cancelled, CacheUnreported, 0)
 				if again := w.last(); again.id != "hangs" || again.server != "o" || again.n == hangs.n {
 					t.Errorf("not sent again, last was %v", again)
@@ -598,7 +598,7 @@
 }
 
 func TestWhatWouldWaitInVainIsTurnedAwayAtOnce(t *testing.T) {
-	w := start(t, settings(), 1)
+	w := newFixture(t, settings(), 1)
 	w.b.servers["c00"].limit = 1
 	for i := range 9 {
 		w.request(fmt.Sprint("r", i), "read", "k")
@@ -616,7 +616,7 @@
 // A hot key's requests stuck to two servers that turned them away (launceston-platform ia681be).
 func TestHotKeySpreadsButOthersStay(t *testing.T) {
 	set := settings()
-	w := start(t, set, 8)
+	w := newFixture(t, set, 8)
 	used := map[string]bool{}
 	for i := range 24 {
 		w.request(fmt.Sprint("h", i), "read", "hot")
@@ -638,7 +638,7 @@
 // pushed over (burnie-super overload).
 func TestColdBudgetFollowsAnswersNotSends(t *testing.T) {
 	set := settings()
-	w := start(t, set, 4)
+	w := newFixture(t, set, 4)
 	w.restart("c00")
 	for _, s := range w.b.caches {
 		s.sends.value, s.sends.updatedAt = 1000, w.now
@@ -665,7 +665,7 @@
 	set.Balancers = 200
 	hot, fresh := 0, 0
 	for node := range set.Balancers {
-		w := start(t, set, 10)
+		w := newFixture(t, set, 10)
 		w.b.rng = rand.New(rand.NewSource(int64(node)))
 		key := "hot" // seen by each node, as by all
 		for i := range recentKeysPerCache * 10 {
@@ -706,7 +706,7 @@
 
 func TestWarmthRisesEvenlyAndMovesKeysOnlyIn(t *testing.T) {
 	set := settings()
-	w := start(t, set, 6)
+	w := newFixture(t, set, 6)
 	w.restart("c02")
 	owner := map[string]string{}
 	prev := -1
@@ -741,16 +741,16 @@
 func TestListFailureAsksAgainWithinTheLimit(t *testing.T) {
 	set := settings()
 	set.MustSubscribe, set.AskWithin = true, 8*time.Second
-	w := start(t, set, 2)
-	if w.asked != 1 {
-		t.Fatalf("asked %d times at the start", w.asked)
+	w := newFixture(t, set, 2)
+	if w.subscriptions != 1 {
+		t.Fatalf("asked %d times at the start", w.subscriptions)
 	}
 	w.b.Members(w.now, ListFailed, nil)
 	if w.timers["list"] != 1 {
 		t.Fatal("no new call planned")
 	}
 	w.b.Timer(w.now, "list")
-	if w.asked != 2 {
+	if w.subscriptions != 2 {
 		t.Error("the planned call was not made")
 	}
 	for range 20 {
@@ -763,7 +763,7 @@
 
 // Where the settings tell no limit, the waits grow all the same: a node without it asked again ten times a second for good.
 func TestListFailureWithoutALimit(t *testing.T) {
-	w := start(t, settings(), 2)
+	w := newFixture(t, settings(), 2)
 	last := time.Duration(0)
 	for range 20 {
 		w.b.Members(w.now, ListFailed, nil)
@@ -782,28 +782,28 @@
 // that drains, attempt and copy limits. It replays events; it models no servers.
 func TestRulesHoldUnderAnyEvents(t *testing.T) {
 	for seed := range int64(150) {
-		chaos(t, seed)
+		runRandomEvents(t, seed)
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
 	}
 }
 
-type life struct {
+type requestRecord struct {
 	class    Class
-	end      time.Duration
-	tries    []trial
+	deadline time.Duration
+	attempts []attemptRecord
 	finished bool
 }
 
-type trial struct {
-	server string
-	at     time.Duration
-	done   bool
-	clean  bool
+type attemptRecord struct {
+	server   string
+	at       time.Duration
+	done     bool
+	neverRan bool
 }
 
-func chaos(t *testing.T, seed int64) {
+func runRandomEvents(t *testing.T, seed int64) {
 	rng := rand.New(rand.NewSource(seed))
 	set := settings()
 	set.Mode, set.Parallel = Mode(seed%2), seed%3 > 0
@@ -812,10 +812,10 @@
 		c.Name, c.Scope, c.Window = fmt.Sprint("write", scope), scope, time.Duration(rng.Intn(800))*ms
 		set.Classes = append(set.Classes, c)
 	}
-	w := start(t, set, 6)
-	lives := map[string]*life{}
-	var out []sent
-	servers := fleet(set, 6)
+	w := newFixture(t, set, 6)
+	lives := map[string]*requestRecord{}
+	var out []sentAttempt
+	servers := serverList(set, 6)
 	state, banned := map[string]Server{}, map[string]bool{}
 	for _, s := range servers {
 		state[s.ID] = s
@@ -826,18 +826,18 @@
 		switch {
 		case l.finished:
 			t.Errorf("%s sent after its end", id)
-		case w.now >= l.end:
+		case w.now >= l.deadline:
 			t.Errorf("%s sent after its deadline", id)
 		case s.State != Ready || banned[server]:
 			t.Errorf("%s sent to %s, which is not ready, or banned: %v", id, server, banned[server])
-		case len(l.tries) >= set.MaxAttempts:
-			t.Errorf("%s sent %d times", id, len(l.tries)+1)
+		case len(l.attempts) >= set.MaxAttempts:
+			t.Errorf("%s sent %d times", id, len(l.attempts)+1)
 		}
-		for _, a := range l.tries {
+		for _, a := range l.attempts {
 			if !a.done && !set.Parallel {
 				t.Errorf("%s has two attempts out", id)
 			}
-			if l.class.Effect == Safe || a.done && a.clean {
+			if l.class.Effect == Safe || a.done && a.neverRan {
 				continue
 			}
 			from := state[a.server]
@@ -846,8 +846,8 @@
 				t.Errorf("%s (%s) may take effect twice", id, l.class.Name)
 			}
 		}
-		out = append(out, sent{id: id, server: server, n: len(l.tries)})
-		l.tries = append(l.tries, trial{server: server, at: w.now})
+		out = append(out, sentAttempt{id: id, server: server, n: len(l.attempts)})
+		l.attempts = append(l.attempts, attemptRecord{server: server, at: w.now})
 	}
 	w.onEnd = func(id, how string) {
 		l := lives[id]
@@ -855,8 +855,8 @@
 			t.Errorf("%s answered twice", id)
 		}
 		l.finished = true
-		for _, a := range l.tries {
-			if how == "refused" && l.class.Effect != Safe && !(a.done && a.clean) {
+		for _, a := range l.attempts {
+			if how == "refused" && l.class.Effect != Safe && !(a.done && a.neverRan) {
 				t.Errorf("%s refused though it may have run", id)
 			}
 		}
@@ -865,8 +865,8 @@
 		s := out[i]
 		out = append(out[:i], out[i+1:]...)
 		l := lives[s.id]
-		a := &l.tries[s.n]
-		a.done, a.clean = true, o.NeverRan()
+		a := &l.attempts[s.n]
+		a.done, a.neverRan = true, o.NeverRan()
 		if o == OK {
 			l.finished = true
 		}
@@ -884,7 +884,7 @@
 			id := fmt.Sprint("r", step)
 			class := set.Classes[rng.Intn(len(set.Classes))]
 			left := time.Duration(50+rng.Intn(900)) * ms
-			lives[id] = &life{class: class, end: w.now + left}
+			lives[id] = &requestRecord{class: class, deadline: w.now + left}
 			w.b.Request(w.now, Request{ID: id, Class: class.Name, Key: fmt.Sprint(rng.Intn(12)), Remaining: left,
 				Write: class.Name != "read"})
 		case p < 16 && len(out) > 0:
@@ -905,16 +905,16 @@
 			w.b.Ban(w.now, id, banned[id])
 		}
 		for i := 0; i < len(out); i++ { // deadlines end what is out
-			if l := lives[out[i].id]; !l.finished && w.now >= l.end {
+			if l := lives[out[i].id]; !l.finished && w.now >= l.deadline {
 				close(i, TimedOut)
 				i = -1
 			}
 		}
 		for id, l := range lives {
-			if !l.finished && w.now > l.end+20*ms {
-				t.Errorf("%s (%s) has no answer at %v past its deadline", id, l.class.Name, w.now-l.end)
+			if !l.finished && w.now > l.deadline+20*ms {
+				t.Errorf("%s (%s) has no answer at %v past its deadline", id, l.class.Name, w.now-l.deadline)
 			}
-			if l.finished && len(l.tries) == 0 || l.finished && w.now > l.end+5*time.Second {
+			if l.finished && len(l.attempts) == 0 || l.finished && w.now > l.deadline+5*time.Second {
 				delete(lives, id)
 			}
 		}
@@ -929,7 +929,7 @@
 	for _, parallel := range []bool{true, false} {
 		set := settings()
 		set.Parallel, set.Mode = parallel, Aside
-		w := start(t, set, 4)
+		w := newFixture(t, set, 4)
 		w.b.lateLatency = float64(90 * ms)
 		w.request("r", "read", "k")
 		first := w.last()
@@ -951,7 +951,7 @@
 // four reads refused on a quiet day (poa-renova quiet). A read is let finish where the cache fetches, and the
 // next one is sent as ever.
 func TestSlowFetchesBarNothing(t *testing.T) {
-	w := start(t, settings(), 4)
+	w := newFixture(t, settings(), 4)
 	for i := range 2 * failuresToSkip {
 		w.request(fmt.Sprint("r", i), "read", fmt.Sprint("k", i))
 		s := w.last()
@@ -967,7 +967,7 @@
 // rough-1): they stay with their top server. With answers in time, a full one's request goes on.
 func TestKeysStayPutWhileAnswersAreLateAllOver(t *testing.T) {
 	for _, clogged := range []bool{false, true} {
-		w := start(t, settings(), 4)
+		w := newFixture(t, settings(), 4)
 		top := ranking(w, "k")[0]
 		for _, s := range w.b.caches {
 			for range 40 {
@@ -980,7 +980,7 @@
 			}
 			w.b.recordAnswer(s, Full, true) // which alone is no reason
 		}
-		w.cool()
+		w.forgetHotKeys()
 		for i := range 20 {
 			id := fmt.Sprint("r", i)
 			w.request(id, "read", "k")
@@ -992,10 +992,10 @@
 				continue // spared
 			}
 			w.answer(s, Full, CacheUnreported, ms)
-			if clogged && (w.tries[id] != 1 || w.ended[id] != "refused") {
-				t.Fatalf("%s: %d tries and end %q after a full server", id, w.tries[id], w.ended[id])
+			if clogged && (w.attempts[id] != 1 || w.ended[id] != "refused") {
+				t.Fatalf("%s: %d tries and end %q after a full server", id, w.attempts[id], w.ended[id])
 			}
-			w.cool()
+			w.forgetHotKeys()
 		}
 		if more := len(w.sends) > 20; more == clogged {
 			t.Errorf("clogged %v: %d sends for 20 requests", clogged, len(w.sends))
@@ -1012,10 +1012,10 @@
 	}{{"crossing not priced", "", false}, {"priced", "z1", false}, {"priced, and the zone is lost", "z1", true}} {
 		set, crossed := settings(), 0
 		set.Zone = c.zone
-		w := start(t, set, 8)
+		w := newFixture(t, set, 8)
 		if c.gone {
 			var list []Server
-			for _, s := range fleet(set, 8) {
+			for _, s := range serverList(set, 8) {
 				if s.Zone == c.zone {
 					s.State = Gone
 					list = append(list, s)
@@ -1049,7 +1049,7 @@
 func TestHotKeysStartInTheZone(t *testing.T) {
 	set := settings()
 	set.Zone = "z1"
-	w := start(t, set, 8)
+	w := newFixture(t, set, 8)
 	for range 20 {
 		w.b.recentKeys.add(digestOf("hot"), 32)
 	}
@@ -1067,7 +1067,7 @@
 func TestAReadThatWaitedForTheOriginAsksItsCacheAgain(t *testing.T) {
 	set := settings()
 	set.Mode, set.MaxAttempts = Aside, 3
-	w := start(t, set, 4)
+	w := newFixture(t, set, 4)
 	w.b.origin.limit = 1
 	w.request("first", "read", "a")
 	w.answer(w.last(), Miss, CacheMiss, ms)
@@ -1075,8 +1075,8 @@
 	w.request("held", "read", "b")
 	cache := w.last()
 	w.answer(cache, Miss, CacheMiss, ms)
-	if w.tries["held"] != 1 || w.ended["held"] != "" {
-		t.Fatalf("%d tries, end %q with no room at the origin", w.tries["held"], w.ended["held"])
+	if w.attempts["held"] != 1 || w.ended["held"] != "" {
+		t.Fatalf("%d tries, end %q with no room at the origin", w.attempts["held"], w.ended["held"])
 	}
 	w.answer(out, OK, CacheUnreported, ms)
 	if s := w.last(); s.id != "held" || s.server != cache.server {
@@ -1094,7 +1094,7 @@
 	for _, waiting := range []bool{false, true} {
 		set := settings()
 		set.Mode = Aside
-		w := start(t, set, 4)
+		w := newFixture(t, set, 4)
 		w.b.origin.limit = 2
 		w.request("slow", "read", "a")
 		w.answer(w.last(), Miss, CacheMiss, ms)
@@ -1116,8 +1116,8 @@
 		}
 		w.now += 201 * ms
 		w.sweep()
-		if off := w.off["slow"] == 1; off == waiting {
-			t.Errorf("waiting %v: called off %v", waiting, off)
+		if cancels := w.cancels["slow"] == 1; cancels == waiting {
+			t.Errorf("waiting %v: cancelled %v", waiting, cancels)
 		}
 	}
 }
@@ -1127,13 +1127,13 @@
 func TestJammedCachesAreProbedFirst(t *testing.T) {
 	set := settings()
 	set.Mode, set.MayProbe = Aside, true
-	w := start(t, set, 4)
+	w := newFixture(t, set, 4)
 	w.b.meanLatency = float64(40 * ms)
 	tell := func(ok bool, queue float64) {
 		w.b.Probed(w.now, w.probed[len(w.probed)-1], ok, Report{queue, 10})
 	}
 	w.request("calm", "read", "k")
-	if len(w.probed) != 0 || w.tries["calm"] != 1 {
+	if len(w.probed) != 0 || w.attempts["calm"] != 1 {
 		t.Fatal("probed with no answer late")
 	}
 	for _, s := range w.b.caches {
@@ -1142,8 +1142,8 @@
 	w.b.recordAnswer(w.b.servers["c00"], OK, true)
 	rank := ranking(w, "j")
 	w.request("jam", "read", "j")
-	if len(w.probed) != 1 || w.probed[0] != rank[0] || w.tries["jam"] != 0 {
-		t.Fatalf("probed %v and sent %d times, want the top of %v asked first", w.probed, w.tries["jam"], rank)
+	if len(w.probed) != 1 || w.probed[0] != rank[0] || w.attempts["jam"] != 0 {
+		t.Fatalf("probed %v and sent %d times, want the top of %v asked first", w.probed, w.attempts["jam"], rank)
 	}
 	tell(true, 50) // five seconds' worth of work
 	if len(w.probed) != 2 || w.probed[1] != rank[1] {
@@ -1160,14 +1160,14 @@
 	w.now += 41 * ms // the reports have aged: a probe that fails says nothing, and is not repeated at once
 	w.request("mute", "read", "j")
 	tell(false, 0)
-	if len(w.probed) != 3 || w.tries["mute"] != 1 {
-		t.Errorf("probed %v, sent %d times after a failed probe", w.probed, w.tries["mute"])
+	if len(w.probed) != 3 || w.attempts["mute"] != 1 {
+		t.Errorf("probed %v, sent %d times after a failed probe", w.probed, w.attempts["mute"])
 	}
 	w.now += 41 * ms
 	w.request("lost", "read", "j")
 	w.now += set.Classes[0].Aim / 4 // nothing comes: the request does not wait for good
 	w.sweep()
-	if w.tries["lost"] != 1 {
+	if w.attempts["lost"] != 1 {
 		t.Error("held for a probe that was never answered")
 	}
 }
@@ -1176,14 +1176,14 @@
 func TestBeyondTheQuotaIsNotHeld(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Name: "small", Quota: 1}, {Name: "large", Quota: 1000}}
-	w := start(t, set, 1)
+	w := newFixture(t, set, 1)
 	ask := func(id, tenant string) {
 		w.b.Request(w.now, Request{ID: id, Class: "read", Tenant: tenant, Key: "k", Remaining: time.Second})
 	}
 	for i := range 9 {
 		ask(fmt.Sprint("s", i), "small")
 	}
-	if w.tries["s3"] != 1 {
+	if w.attempts["s3"] != 1 {
 		t.Error("refused beyond its quota though there was room")
 	}
 	if w.ended["s8"] != "refused" {
@@ -1197,7 +1197,7 @@
 
 // Many nodes with one attempt each kept servers crowded (hobart-prices i2f1cd8): limits go below one.
 func TestLimitsFallToOneAttemptForAllNodes(t *testing.T) {
-	w := start(t, settings(), 1)
+	w := newFixture(t, settings(), 1)
 	s := w.b.servers["c00"]
 	s.limit = 1
 	for range 9 {
@@ -1222,7 +1222,7 @@
 func TestTheOriginTakesWhatNoCacheHasRoomFor(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
-	w := start(t, set, 2)
+	w := newFixture(t, set, 2)
 	for _, s := range w.b.caches {
 		s.limit, s.freedAt = 0.01, w.now
 	}
@@ -1240,7 +1240,7 @@
 // A key that outruns its server spreads over its first servers though no node has two requests open for it; the
 // others stay (burnie-super with 122 nodes).
 func TestHotKeySpreadsByWhatWasAskedLately(t *testing.T) {
-	w := start(t, settings(), 10)
+	w := newFixture(t, settings(), 10)
 	met := map[string]int{}
 	for i := range 40 {
 		key := "hot"
@@ -1265,7 +1265,7 @@
 func TestTimeoutsSpendARetryBudget(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
-	w := start(t, set, 10)
+	w := newFixture(t, set, 10)
 	short := 0
 	for i := range 20 {
 		w.request(fmt.Sprint(i), "read", fmt.Sprint("k", i))
@@ -1289,7 +1289,7 @@
 
 // A jammed server's work is all late; sparing it by chance, more the more is late, lets it drain.
 func TestLateServersAreSpared(t *testing.T) {
-	w := start(t, settings(), 4)
+	w := newFixture(t, settings(), 4)
 	s := w.b.caches[0]
 	spared := func() (n int) {
 		w.b.now = w.now
@@ -1324,7 +1324,7 @@
 func TestLimitsUnderOneRecover(t *testing.T) {
 	set := settings()
 	set.Mode, set.Balancers = Aside, 456
-	w := start(t, set, 4)
+	w := newFixture(t, set, 4)
 	o := w.b.origin
 	o.limit = 1
 	for range 20 {
@@ -1351,7 +1351,7 @@
 func TestALateAnswerHalvesWhatIsSent(t *testing.T) {
 	set := settings()
 	set.Mode, set.Balancers = Aside, 456
-	w := start(t, set, 4)
+	w := newFixture(t, set, 4)
 	o := w.b.origin
 	o.limit = 1
 	for range 10 {
@@ -1376,7 +1376,7 @@
 func TestAHangingAttemptCutsTheLimitAtOnce(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
-	w := start(t, set, 4)
+	w := newFixture(t, set, 4)
 	o := w.b.origin
 	w.request("r", "read", "k")
 	w.answer(w.last(), Miss, CacheUnreported, ms)
@@ -1399,7 +1399,7 @@
 func TestAMissCountsOnceItIsFetched(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
-	w := start(t, set, 4)
+	w := newFixture(t, set, 4)
 	w.request("r", "read", "k")
 	w.answer(w.last(), Miss, CacheUnreported, ms)
 	if n := w.b.answeredReads.value; n != 0 {
@@ -1413,7 +1413,7 @@
 
 // Hundreds of nodes woke each 10 ms with nothing to look at.
 func TestNoTimerWithNothingOpen(t *testing.T) {
-	w := start(t, settings(), 4)
+	w := newFixture(t, settings(), 4)
 	if n := w.timers["sweep"]; n != 0 {
 		t.Fatalf("%d timers at the start", n)
 	}
@@ -1426,7 +1426,7 @@
 	if n := w.timers["sweep"]; n != 2 {
 		t.Fatalf("%d timers while requests are open, want a second", n)
 	}
-	for _, s := range append([]sent(nil), w.sends...) {
+	for _, s := range append([]sentAttempt(nil), w.sends...) {
 		w.answer(s, OK, CacheHit, ms)
 	}
 	w.sweep()
@@ -1442,7 +1442,7 @@
 func TestWithAllStrainedARequestIsRefused(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
-	w := start(t, set, 4)
+	w := newFixture(t, set, 4)
 	for _, s := range w.b.caches {
 		s.limit = 1000 // there is room: only lateness speaks against them
 		for range 200 {
@@ -1453,7 +1453,7 @@
 	for i := range 100 {
 		id := fmt.Sprint(i)
 		w.request(id, "read", id)
-		if w.ended[id] == "refused" && w.tries[id] == 0 {
+		if w.ended[id] == "refused" && w.attempts[id] == 0 {
 			refused++
 		}
 	}
@@ -1470,7 +1470,7 @@
 // bounded.
 func TestKeptScoresFollowTheList(t *testing.T) {
 	set := settings()
-	w := start(t, set, 6)
+	w := newFixture(t, set, 6)
 	for i := range 100 {
 		ranking(w, fmt.Sprint(i))
 	}
@@ -1490,7 +1490,7 @@
 // By count a light server had as much of a hot key as a heavy one and jammed (burnie-super with half-core caches);
 // a key whose top can carry it stays there.
 func TestHotKeysGoByWeight(t *testing.T) {
-	w := start(t, settings(), 10)
+	w := newFixture(t, settings(), 10)
 	top := ranking(w, "hot")[0]
 	var list []Server
 	for _, s := range w.b.caches {
@@ -1524,7 +1524,7 @@
 func TestColdPartShrinksWithAnswers(t *testing.T) {
 	set := settings()
 	set.Balancers = 200
-	w := start(t, set, 10)
+	w := newFixture(t, set, 10)
 	w.restart("c00")
 	s := w.b.servers["c00"]
 	passed := func(r *request, sends, answeredReads float64, top bool) (n int) {
@@ -1564,9 +1564,9 @@
 
 // A fleet that changes for days must not fill the memory with servers long gone, nor may one be sent to again.
 func TestServersLongGoneAreForgotten(t *testing.T) {
-	w := start(t, settings(), 3)
+	w := newFixture(t, settings(), 3)
 	for i := range 200 {
-		old, fresh := fleet(w.b.set, 3)[:2], Server{ID: fmt.Sprint("n", i), Weight: 1}
+		old, fresh := serverList(w.b.set, 3)[:2], Server{ID: fmt.Sprint("n", i), Weight: 1}
 		w.b.Members(w.now, ListComplete, append(old, fresh))
 	}
 	if n := len(w.b.servers); n > 5 {
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -11,46 +11,46 @@
 // The slopes that docs/CAPACITY.md multiplies: what a request, a change of the list and a balancer itself cost as the list
 // grows. Counts of allocations are the same on a busy machine, times are not.
 
-var sizes = []int{80, 105, 210, 420}
+var listSizes = []int{80, 105, 210, 420}
 
 // prompt answers each attempt in its turn, 2 ms later.
-type prompt struct {
-	b   *Balancer
-	now time.Duration
-	out []sent
-	n   map[string]int
+type answeringClient struct {
+	b       *Balancer
+	now     time.Duration
+	pending []sentAttempt
+	n       map[string]int
 }
 
-func (p *prompt) Send(id, server string, wait, by time.Duration) {
-	p.out = append(p.out, sent{id: id, server: server, n: p.n[id]})
+func (p *answeringClient) Send(id, server string, wait, by time.Duration) {
+	p.pending = append(p.pending, sentAttempt{id: id, server: server, n: p.n[id]})
 	p.n[id]++
 }
-func (p *prompt) Refuse(string, time.Duration) {}
-func (p *prompt) Fail(string)                  {}
-func (p *prompt) Cancel(string, int)           {}
-func (p *prompt) Timer(time.Duration, string)  {}
-func (p *prompt) Subscribe()                   {}
-func (p *prompt) Probe(string)                 {}
-func (p *prompt) Log(string)                   {}
+func (p *answeringClient) Refuse(string, time.Duration) {}
+func (p *answeringClient) Fail(string)                  {}
+func (p *answeringClient) Cancel(string, int)           {}
+func (p *answeringClient) Timer(time.Duration, string)  {}
+func (p *answeringClient) Subscribe()                   {}
+func (p *answeringClient) Probe(string)                 {}
+func (p *answeringClient) Log(string)                   {}
 
-func newPrompt(caches int) *prompt {
+func newAnsweringClient(caches int) *answeringClient {
 	set := settings()
 	set.Balancers = 1900
-	p := &prompt{now: time.Hour, n: map[string]int{}}
+	p := &answeringClient{now: time.Hour, n: map[string]int{}}
 	p.b = New(p.now, set, 1, p)
-	p.b.Members(p.now, ListSaved, fleet(set, caches))
+	p.b.Members(p.now, ListSaved, serverList(set, caches))
 	return p
 }
 
 // serve takes one request through to its answer, at 842 requests a second.
-func (p *prompt) serve(i int, key string) {
+func (p *answeringClient) serve(i int, key string) {
 	p.now += time.Second / 842
 	id := fmt.Sprint("r", i)
 	p.b.Request(p.now, Request{ID: id, Class: "read", Key: key, Remaining: time.Second})
-	for _, s := range p.out {
+	for _, s := range p.pending {
 		p.b.Result(p.now+2*ms, Result{ID: s.id, N: s.n, Server: s.server, Outcome: OK, Final: true})
 	}
-	p.out = p.out[:0]
+	p.pending = p.pending[:0]
 	delete(p.n, id)
 	if i%4 == 0 {
 		p.b.Timer(p.now, "sweep")
@@ -58,7 +58,7 @@
 }
 
 // keys draws keys: all new ones, or from as many as there are, by a popularity that falls as rank^-1.1.
-func keys(kind string) func(i int) string {
+func keySource(kind string) func(i int) string {
 	if kind == "new" {
 		return func(i int) string { return fmt.Sprint("object/", i) }
 	}
@@ -68,9 +68,9 @@
 
 func BenchmarkRequestBySize(b *testing.B) {
 	for _, kind := range []string{"new", "zipf"} {
-		for _, n := range sizes {
+		for _, n := range listSizes {
 			b.Run(fmt.Sprintf("keys=%s/caches=%d", kind, n), func(b *testing.B) {
-				p, next := newPrompt(n), keys(kind)
+				p, next := newAnsweringClient(n), keySource(kind)
 				for i := range 2000 {
 					p.serve(i, next(i))
 				}
@@ -86,9 +86,9 @@
 
 // One server's weight changes: the list is sorted anew, and what was kept of keys is lost.
 func BenchmarkListChangeBySize(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range listSizes {
 		b.Run(fmt.Sprintf("caches=%d", n), func(b *testing.B) {
-			p := newPrompt(n)
+			p := newAnsweringClient(n)
 			b.ReportAllocs()
 			for i := range b.N {
 				p.b.Members(p.now, ListChanges, []Server{{ID: "c07", Zone: "z1", Cell: 3, Weight: float64(1 + i%2)}})
@@ -99,9 +99,9 @@
 
 // A view that tells a factor for each server, as a planner of protocol 1 without changes sends twice a second.
 func BenchmarkViewBySize(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range listSizes {
 		b.Run(fmt.Sprintf("caches=%d", n), func(b *testing.B) {
-			p := newPrompt(n)
+			p := newAnsweringClient(n)
 			var v View
 			for _, s := range p.b.caches {
 				v.Servers = append(v.Servers, ServerView{ID: s.ID, Factor: 1})
@@ -116,17 +116,17 @@
 
 // What a balancer holds once it has served four new keys for each cache, with nothing open.
 func BenchmarkMemoryBySize(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range listSizes {
 		b.Run(fmt.Sprintf("caches=%d", n), func(b *testing.B) {
 			var before, after runtime.MemStats
-			var held [4]*prompt
+			var held [4]*answeringClient
 			for range b.N {
 				clear(held[:])
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				for k := range held {
-					held[k] = newPrompt(n)
-					next := keys("new")
+					held[k] = newAnsweringClient(n)
+					next := keySource("new")
 					for i := range 4 * n {
 						held[k].serve(i, next(i))
 					}
--- a/policy/view_test.go
+++ b/policy/view_test.go
@@ -9,7 +9,7 @@
 
 // A view lowers weights and never brings back what the list or the node itself keeps off; an empty one undoes it.
 func TestAViewLowersWeights(t *testing.T) {
-	w := start(t, settings(), 4)
+	w := newFixture(t, settings(), 4)
 	tops := func() map[string]int {
 		n := map[string]int{}
 		for i := range 2000 {
@@ -50,7 +50,7 @@
 // A cold server gets no more than a view leaves to this node, however little that is, and the node's own bound stands.
 func TestAViewBoundsAColdServer(t *testing.T) {
 	run := func(allow float64) (cold int) {
-		w := start(t, settings(), 4)
+		w := newFixture(t, settings(), 4)
 		for _, s := range w.b.servers {
 			s.limit = 100
 		}
@@ -86,7 +86,7 @@
 	set := settings()
 	set.Mode = Aside
 	for _, part := range []float64{0, 0.25, 0.6, 1} {
-		w := start(t, set, 3)
+		w := newFixture(t, set, 3)
 		for _, s := range w.b.servers {
 			s.limit = 1000
 		}
@@ -118,7 +118,7 @@
 
 // A key that planners name as hot starts at as many caches as can carry it, though this node has seen it once.
 func TestAViewsHotKeySpreads(t *testing.T) {
-	w := start(t, settings(), 6)
+	w := newFixture(t, settings(), 6)
 	for _, s := range w.b.servers {
 		s.limit = 100
 	}
@@ -128,7 +128,7 @@
 		w.request(fmt.Sprint("r", i), "read", "hot")
 		seen[w.last().server] = true
 		w.answer(w.last(), OK, CacheHit, ms)
-		w.cool()
+		w.forgetHotKeys()
 		w.now += time.Second
 	}
 	if len(seen) != 3 {
