--- a/policy/override.go
+++ b/policy/override.go
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// Overrides: what operators said of servers by hand, to this process of the node or to another. The latest word holds. Words
-// are ordered by Hand.At, a version that each new word raises; no clock of another process decides anything.
+// Operators ban servers and lift bans through this process of the node or another one. The latest override of a server is in
+// force. Overrides are ordered by Override.At, a version that each new one raises, so clocks of other processes do not matter.
 
-// mostLifted bounds the lifted overrides that are kept. They are not forgotten by time: a process that was stopped, or a file
-// that could not be removed, may still tell of the ban that was lifted.
+// mostLifted bounds the number of lifted bans that are kept. They do not expire with time: a process that was suspended, or a file
+// that could not be removed, may still report the ban that was lifted.
 const maxLifted = 256
 
-// Ban has a server get nothing more, whatever the list says of it, until the ban is lifted.
+// Ban stops all new attempts at a server, whatever its listed state, until the ban is lifted.
 func (b *Balancer) Ban(now time.Duration, id string, on bool) {
 	b.Override(now, Override{ID: id, Banned: on, At: max(now, b.overrides[id].At+1)})
 }
 
-// Override takes an override. Whoever lifts a ban vouches for the server: what was held against it is void. It counts as started
-// as the call back is heard, unless it was seen to start since the ban: it was banned to be restarted. Since and Back of a
-// word that another process took are of that one's clock and count for whether they are set alone.
+// Override applies an operator's decision if it is newer than the known one. Lifting a ban clears the failures and the reduced
+// limit recorded for the server. The server then counts as started at the time when this process is notified, unless it was seen
+// to start after the ban, because a ban usually serves to restart a server. Since and Back of an override from another
+// process are on that process's clock, so only whether they are set is used.
 func (b *Balancer) Override(now time.Duration, h Override) {
 	b.now = now
 	known, is := b.overrides[h.ID]
@@ -35,7 +36,7 @@
 		next.Since = now
 	case known.Banned:
 		next.Back = now
-	case !is && h.Since > 0: // a ban of which this process never heard
+	case !is && h.Since > 0: // a ban that this process was never notified of
 		next.Since, next.Back = now, now
 	}
 	b.overrides[h.ID] = next
@@ -47,7 +48,7 @@
 	b.rerouteHeld()
 }
 
-// boundLifted forgets the oldest of too many lifted overrides.
+// evictLifted removes the oldest lifted ban when more than maxLifted are kept.
 func (b *Balancer) evictLifted() {
 	var oldest Override
 	lifted := 0
@@ -64,12 +65,12 @@
 	}
 }
 
-// Hands gives the overrides that still count, by id.
+// Hands returns the overrides in force and the lifted bans that are kept, sorted by server id.
 func (b *Balancer) Hands() []Override {
 	return slices.SortedFunc(maps.Values(b.overrides), func(x, y Override) int { return strings.Compare(x.ID, y.ID) })
 }
 
-// startedAt is when a server counts as started: when it was seen to, or when a ban was lifted since.
+// startedAt returns when a server counts as started: at its observed start or, if later, when its last ban was lifted.
 func (h Override) startedAt(s *server) time.Duration {
 	if s.startTime > h.Since {
 		return s.startTime
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,18 +1,24 @@
 package policy
 
-// All decisions of lapisshelf. The types, events and actions stand in api.go.
+// This file holds the decisions; api.go declares the types, events and actions.
 //
-// The ordinary path: rank orders the ready caches for the request's key by weighted highest-random-weight
-// score, the top one gets the request, and a further try, where may allows it, goes to the next one down. In
+// In the normal case rank orders the ready caches for the request's key by weighted highest-random-weight
+// score. The top cache gets the request, and a retry, if mayAttempt allows it, goes to the next one. In
 // aside mode a read that misses, and every write, goes to the origin.
 //
-// The departures: a starting server's weight is cut to what it is sure to bear (warmth, coldRoom); failing
-// servers are skipped (down); a crowded one's keys go to their next (crowded, pick); a hot key spreads (load,
-// pick); what a server has no room for is held, sent to an idle origin or turned away (gate, pass, steer);
-// reads of one key share one fetch (joins, release); a safe read that hangs is cut off for a further try,
-// within a budget (send); what cannot be answered by its aim is given up (sweep, giveUp); servers that answer
-// late are spared (strained); while late answers come, caches that tell their load when probed are asked
-// first (probe); keys stay put while fetches clog the caches (clogged).
+// Exceptions to that:
+//   - The weight of a starting server is reduced to the capacity it is certain to have (warmth, withinColdBudget).
+//   - Failing servers are skipped (skipped).
+//   - Keys of a crowded server go to the next one (crowded, pick).
+//   - A hot key is spread over several servers (keyLoad, pick).
+//   - A request that exceeds a server's concurrency limit is queued, sent to an idle origin or refused (sendOrHold, overflow,
+//     adjustLimit).
+//   - Concurrent reads of one key share a fetch (joinFetch, releaseWaiters).
+//   - A safe read that hangs times out early enough for a retry, within a retry budget (send).
+//   - A request that cannot be answered within its aim is given up (sweep, giveUp).
+//   - Servers that answer late get fewer requests (overloaded).
+//   - While answers are late, caches that report their load are probed first (probe).
+//   - Keys stay with their server while fetches occupy the caches (congested).
 
 import (
 	"cmp"
@@ -25,35 +31,35 @@
 	"lapisshelf/decide/safety"
 )
 
-const ( // each for a reason that holds anywhere
-	failuresToSkip     = 3               // straight failures that skip a server (design page)
-	skipDuration       = 5 * time.Second // how long, before one trial (design page)
-	crowdedFactor      = 2               // times its share of what is out that makes a server crowded (design page)
-	crowdedMin         = 2               // never crowded with this few out (design page)
-	initialLimit       = 1               // attempts out at a server of which nothing is known
-	lateQuantile       = 0.95            // the quantile of answer times that counts as late
-	lateTolerance      = 0.2             // late ones for each answer that may be chance; beyond it, strain
-	recentKeysPerCache = 4               // requests remembered for each cache: a mean load goes unseen once in e^4
-	coldBudgetFraction = 0.5             // part of the fall budget used: own counts are guesses of the fleet's
+const (
+	failuresToSkip     = 3               // consecutive failures after which a server is skipped
+	skipDuration       = 5 * time.Second // time between trials of a skipped server
+	crowdedFactor      = 2               // a server is crowded above this multiple of its share of the attempts in flight
+	crowdedMin         = 2               // a server with at most this many attempts in flight is never crowded
+	initialLimit       = 1               // concurrency limit of a server without history
+	lateQuantile       = 0.95            // latency quantile that counts as late
+	lateTolerance      = 0.2             // late answers per timely one that may be chance; more means overload
+	recentKeysPerCache = 4               // keys remembered per cache: a key with a cache's mean load goes unseen once in e^4
+	coldBudgetFraction = 0.5             // used part of the cold budget, since the fleet's rates are estimated from this node's
 )
 
-// New starts a balancer without memory.
+// New returns a balancer without history.
 func New(now time.Duration, set Settings, seed uint64, act Actions) *Balancer {
 	b := newBalancer(now, set, seed, act)
-	b.maxSubscribeGap = cmp.Or(set.AskWithin, 4*skipDuration) // no limit told must not mean no pause
+	b.maxSubscribeGap = cmp.Or(set.AskWithin, 4*skipDuration) // without a configured limit, retries must still be delayed
 	b.subscribeDelay = b.maxSubscribeGap / 16
-	b.lateLatency, b.meanLatency = float64(b.shortestAim)/2, float64(b.shortestAim)/4 // until answers tell
+	b.lateLatency, b.meanLatency = float64(b.shortestAim)/2, float64(b.shortestAim)/4 // initial estimates, until answers are observed
 	if set.MustSubscribe {
 		act.Subscribe()
 	}
 	return b
 }
 
-// Members takes news of the server list.
+// Members handles an update of the server list.
 func (b *Balancer) Members(now time.Duration, kind ListKind, list []Server) {
 	b.now = now
 	if kind == ListFailed {
-		// Growing waits with jitter, well inside AskWithin: a failing list service is not stormed.
+		// Backoff with jitter, well below AskWithin, protects a failing list service.
 		b.subscribeDelay = min(2*b.subscribeDelay, b.maxSubscribeGap/4)
 		b.act.Timer(b.subscribeDelay/2+time.Duration(b.rng.Float64()*float64(b.subscribeDelay/2)), "list")
 		return
@@ -65,7 +71,7 @@
 	b.rerouteHeld()
 }
 
-// MarkDraining notes that a server drains, as another process of the node knows by a newer list than this one has.
+// MarkDraining marks a server as draining. It is called when another process of the node has a newer list that says so.
 func (b *Balancer) MarkDraining(now time.Duration, id string) {
 	b.now = now
 	if s := b.servers[id]; s != nil && s.State == Ready {
@@ -75,17 +81,17 @@
 	}
 }
 
-// regate sends on their way the requests held for servers that may get nothing any more.
+// rerouteHeld routes again the requests held for servers that may not get new requests any more.
 func (b *Balancer) rerouteHeld() {
 	for _, r := range slices.Clone(b.order) {
 		if s := r.heldFor; !r.ended && s != nil && !s.open() {
-			r.heldFor, s.queue = nil, nil // each of the queue is in order, and comes by here
+			r.heldFor, s.queue = nil, nil // all queued requests are in order and are handled by this loop
 			b.route(r)
 		}
 	}
 }
 
-// hrw is the shared score of a server for a key: blake2b, 8 bytes, over id, a zero byte and key.
+// hrw returns a server's score for a key, the same at all balancers: 8-byte BLAKE2b over the id, a zero byte and the key.
 func (b *Balancer) hrw(id, key string) uint64 {
 	b.scratch = append(append(append(b.scratch[:0], id...), 0), key...)
 	b.hash.Reset()
@@ -93,13 +99,14 @@
 	return binary.BigEndian.Uint64(b.hash.Sum(b.scratch[:0]))
 }
 
-// race turns a score into the weighted race, higher wins; u stays strictly between 0 and 1.
+// weightedScore scales a score by a weight for weighted rendezvous hashing; the highest wins. The value u is strictly between
+// 0 and 1, so that the result is finite.
 func weightedScore(h uint64, weight float64) float64 {
 	u := (float64(h>>12) + 0.5) / (1 << 52)
 	return -weight / math.Log(u)
 }
 
-// rank orders the ready caches for a key, best first. The slice is good until the next call.
+// rank returns the ready caches for a key, best first. The slice is valid until the next call.
 func (b *Balancer) rank(key string) []*server {
 	b.ranked, b.totalWeight, b.warmWeight = b.ranked[:0], 0, 0
 	scores := b.scores(key)
@@ -119,7 +126,8 @@
 	return b.ranked
 }
 
-// warmth is the part of its capacity that a server is sure to have by now: keys move in a few at a time.
+// warmth returns the fraction of its capacity that a server is certain to have now. It grows linearly over the warm-up, so that
+// keys move to the server gradually.
 func (b *Balancer) warmth(s *server) float64 {
 	age := b.now - s.warmingSince
 	if s.warmingSince == 0 || age >= b.set.WarmUp {
@@ -128,7 +136,8 @@
 	return b.set.ColdFrom + (1-b.set.ColdFrom)*max(0, float64(age)/float64(b.set.WarmUp))
 }
 
-// may holds rules 1 to 3: whether the request may be sent to s now. Every send passes through it.
+// mayAttempt reports whether the request may be sent to s now: the request is open, before its deadline and within its attempt
+// limits, s accepts new requests, and no effect can happen twice. Every send passes through it.
 func (b *Balancer) mayAttempt(r *request, s *server) bool {
 	if r.ended || r.bodyDiscarded || b.now >= r.deadline || !s.open() || len(r.attempts) >= b.set.MaxAttempts {
 		return false
@@ -145,7 +154,7 @@
 	return true
 }
 
-// repeats is the effect as decide/safety names it; an unknown one is the strictest.
+// safetyEffect converts the effect to that of package safety; an unknown one becomes Unsafe.
 func (e Effect) safetyEffect() safety.Effect {
 	switch e {
 	case Safe:
@@ -156,19 +165,24 @@
 	return safety.Unsafe
 }
 
-// mayRefuse reports whether a refusal, which promises that a retry is harmless, is true.
+// mayRefuse reports whether the request may be refused. A refusal promises that a retry is harmless, so no attempt of a keyed or
+// unsafe request may have run.
 func (r *request) mayRefuse() bool {
 	return r.class.Effect == Safe || !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.neverRan })
 }
 
-// coldRoom holds rule 4: a warming server gets at most this node's part of the load that would push it over,
-// told from the reads that this node gets answered: under overload what is sent, or missed and not fetched,
-// says nothing of what servers can do (burnie-super overload). A part under one attempt cannot be counted
-// out: it is kept in the mean, by chance, for the keys that the ranking gives it and no others, whose number
-// nobody knows (docs-commons-bc h15b7c5: all else jammed, all nodes turned to it), and not for what may be
-// many nodes' hot key or a further try. It goes by what is asked, this request among it (what was sent is
-// nothing at a new module), and one call is the last until its count has faded to the part. The part that
-// planners have shared out, if there are any, binds too.
+// withinColdBudget reports whether a warming server may get the request: it gets at most this node's share of the load at
+// which it collapses. The budget is derived from the reads that this node gets answered, because under overload the numbers of
+// sends, and of misses that are not fetched, say nothing about the capacity of servers; a budget derived from sends let a cold
+// server be pushed over.
+//
+// A share of less than one attempt cannot be enforced by counting. It is kept on average, by random choice, and only for first
+// attempts whose key ranks the server first: with all other servers jammed, all nodes turned to a cold one, and nobody knows the
+// number of such requests. It also excludes keys seen before, which may be hot at many nodes. The probability is based on the
+// requests received, including this one, since a new balancer has sent nothing yet. After one such attempt no other is made until
+// the decaying count of sends has fallen to the share.
+//
+// A limit granted by planners applies in addition.
 func (b *Balancer) withinColdBudget(r *request, s *server) bool {
 	if b.warmth(s) == 1 {
 		return true
@@ -182,8 +196,8 @@
 	if part >= 1 {
 		return s.sends.at(b.now, b.set.FallWindow)+1 <= part
 	}
-	// A key new here may be hot at all nodes (launceston-platform-later he67fa9): the multiple is left for
-	// it, where passing a cold server by costs a lookup and no cache's room.
+	// A key that is new to this node may have just become hot at all nodes. In aside mode the whole multiple is reserved
+	// for that, as passing over a cold server costs only a lookup there and no room at another cache.
 	if b.set.Mode == Aside {
 		budget /= max(1, b.set.FallMultiple)
 	}
@@ -191,20 +205,21 @@
 		b.recentKeys.count[digestOf(r.Key)] <= 1 && b.rng.Float64()*b.cacheRequests.at(b.now, b.set.FallWindow) <= budget
 }
 
-// tried reports whether the request was sent to s and s has not been given what it lacked since.
+// tried reports whether the request was sent to s and, if it missed, the key has not been stored there since.
 func (b *Balancer) tried(r *request, s *server) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.srv == s && !a.filled })
 }
 
-// room reports whether one more attempt may be out at s. A limit under one is that part of the time: one each
-// of many nodes would still crowd a server (hobart-prices i2f1cd8).
+// hasRoom reports whether the concurrency limit of s allows one more attempt. A limit below one means that an attempt may be in
+// flight for that fraction of the time: many nodes with one attempt each would still crowd a server.
 func (b *Balancer) hasRoom(s *server) bool {
-	rested := s.limit >= 1 || float64(b.now-s.freedAt) >= (1/s.limit-1)*b.meanLatency
-	return rested && !b.awaitsProbe(s) && float64(len(s.inFlight)) < s.limit
+	pauseOver := s.limit >= 1 || float64(b.now-s.freedAt) >= (1/s.limit-1)*b.meanLatency
+	return pauseOver && !b.awaitsProbe(s) && float64(len(s.inFlight)) < s.limit
 }
 
-// probe asks a cache for its load before it gets a request, once an answer time at most, while one answer in
-// twenty comes late: a node that sends a cache a request in seconds learns too late (docs-commons-bc big-1).
+// probe asks a cache for its load before it gets a request, at most once per mean latency and only while about one answer in
+// twenty is late. A node that sends a cache one request in several seconds learns too late from answers alone that it is
+// overloaded.
 func (b *Balancer) probe(s *server) {
 	if b.set.MayProbe && s != b.origin && (!s.probing || b.now-s.probedAt > skipDuration) &&
 		b.now-max(s.probedAt, s.reportedAt) > time.Duration(b.meanLatency) &&
@@ -214,12 +229,13 @@
 	}
 }
 
-// awaits reports whether requests wait for what a server will tell; an answer that stays out holds none long.
+// awaitsProbe reports whether requests are held until a server answers a probe. A missing answer holds them for a quarter of
+// the shortest aim at most.
 func (b *Balancer) awaitsProbe(s *server) bool {
 	return s.probing && b.now-s.probedAt < b.shortestAim/4
 }
 
-// Probed takes a server's answer to a probe. One that fails says nothing: servers answer only so many.
+// Probed handles the answer to a probe. A failed probe carries no information, since servers limit how many they answer.
 func (b *Balancer) Probed(now time.Duration, id string, ok bool, rep Report) {
 	b.now = now
 	s := b.servers[id]
@@ -232,26 +248,28 @@
 	b.sendHeld(s)
 }
 
-// down reports whether a server's straight failures keep it from all but one trial a spell.
+// skipped reports whether a server's consecutive failures exclude it. One trial is allowed per skipDuration.
 func (b *Balancer) skipped(s *server) bool {
 	return s.failures >= failuresToSkip && (b.now < s.skipUntil || len(s.inFlight) > 0)
 }
 
-// crowded reports whether a server holds far more of this node's requests than its share, or all it can.
+// crowded reports whether a server is at its limit, or has far more of this node's attempts in flight than its share.
 func (b *Balancer) crowded(s *server) bool {
 	share := float64(b.outstanding) * s.weight * b.warmth(s) / b.totalWeight
 	return !b.hasRoom(s) || float64(len(s.inFlight)) > max(crowdedMin, crowdedFactor*share)
 }
 
-// load is how many caches' mean load a key brings, told from its repeats among the last requests.
+// keyLoad returns the load of a key in multiples of a cache's mean load, estimated from its repeats among the recent requests
+// and from the view.
 func (b *Balancer) keyLoad(key string) float64 {
 	k, n := digestOf(key), float64(len(b.caches))
-	again := float64(max(0, b.recentKeys.count[k]-1))
-	return max(b.hotKeys[k], again*n/max(n, float64(len(b.recentKeys.keys))))
+	repeats := float64(max(0, b.recentKeys.count[k]-1))
+	return max(b.hotKeys[k], repeats*n/max(n, float64(len(b.recentKeys.keys))))
 }
 
-// strained reports whether to spare a server: by what it has just told, where it tells, if that and two usual
-// answer times are more than is left; else by chance, the more the more of its answers is late.
+// overloaded reports whether to pass over a server. With a fresh load report it does so if the reported wait and twice the mean
+// latency exceed the time left until the aim; otherwise by random choice, with a probability that grows with the server's
+// share of late answers.
 func (b *Balancer) overloaded(r *request, s *server) bool {
 	if meanLatency := time.Duration(b.meanLatency); s.reportedAt > 0 && b.now-s.reportedAt <= meanLatency {
 		return b.now+s.reportedWait+2*meanLatency > r.aim
@@ -260,45 +278,45 @@
 	return b.rng.Float64()*(late+timely+1) < late-lateTolerance*timely
 }
 
-// clogged reports whether so many answers come late, in through mode, that fetches must be taking the caches'
-// room. Keys stay with their servers then, full or late: others had to fetch, and jammed (poa-renova).
+// congested reports whether so many answers are late in through mode that fetches must be occupying the caches. Keys then stay
+// with their servers, even full or late ones: other servers would have to fetch the keys too and jam as well.
 func (b *Balancer) congested() bool {
 	return b.set.Mode == Through && b.lateAnswers.at(b.now, skipDuration) > 2*lateTolerance*b.timelyAnswers.at(b.now, skipDuration)
 }
 
-// pick walks down the ranking to the server that should get the request: the first that may, is not skipped
-// and not crowded, looking no further than the key's second, what it has open here, or what can carry a key
-// that outruns its server with no two requests open at any node (burnie-super, 122 nodes): others do not pay
-// with misses. Past the first it keeps to the node's zone where crossing is priced, while caches are left
-// there. With all crowded the first that is not strained stands: what many nodes send would jam all servers
-// with work that comes late (burnie-super, 501 nodes).
+// pick walks down the ranking and returns the first server that may get the request and is neither skipped nor crowded, or nil.
+// It looks no further than the key's second server, the number of its open requests here, or the number of servers that can
+// carry a hot key, which may exceed its server's capacity while no node has two requests open for it. Other keys thus do not
+// suffer extra misses. Where crossing zones costs extra, retries and further servers stay in the node's zone while it has caches
+// left. If all servers are crowded the first one that is not overloaded is used; if all are overloaded, none: with the
+// requests of many nodes all servers would be jammed by work that finishes late.
 func (b *Balancer) pick(r *request) *server {
 	rank := b.rank(r.rankingKey())
-	skipped, wide, rest := count(rank, b.skipped), 0, b.keyLoad(r.Key)
-	near := func(s *server) bool { return s.Zone == b.set.Zone && !b.skipped(s) && !b.tried(r, s) }
-	zoned := b.set.Zone != "" && slices.ContainsFunc(rank, near) // past the key's first, only this zone's
-	var able []*server
+	skipped, spread, loadLeft := count(rank, b.skipped), 0, b.keyLoad(r.Key)
+	nearby := func(s *server) bool { return s.Zone == b.set.Zone && !b.skipped(s) && !b.tried(r, s) }
+	zoned := b.set.Zone != "" && slices.ContainsFunc(rank, nearby) // beyond the key's first server, only servers of this zone
+	var candidates []*server
 	for _, s := range rank {
-		skip := b.skipped(s) && skipped < len(rank) || zoned && !near(s) && len(able)+len(r.attempts) > 0
+		skip := b.skipped(s) && skipped < len(rank) || zoned && !nearby(s) && len(candidates)+len(r.attempts) > 0
 		if !skip && !b.tried(r, s) && b.mayAttempt(r, s) && b.withinColdBudget(r, s) {
-			if able = append(able, s); wide == 0 || rest > 0 { // a hot key starts at as many as can carry it
-				wide, rest = wide+1, rest-s.weight*b.warmth(s)*float64(len(rank))/b.totalWeight
+			if candidates = append(candidates, s); spread == 0 || loadLeft > 0 { // a hot key starts at as many servers as can carry it
+				spread, loadLeft = spread+1, loadLeft-s.weight*b.warmth(s)*float64(len(rank))/b.totalWeight
 			}
-			if rest <= 0 && len(able) >= max(2, b.openByKey[r.Key]) {
+			if loadLeft <= 0 && len(candidates) >= max(2, b.openByKey[r.Key]) {
 				break
 			}
 		}
 	}
 	start, best := 0, 0.0
-	for i, s := range able[:wide] { // its requests race as keys do
+	for i, s := range candidates[:spread] { // requests of a hot key are spread by rendezvous hashing of their ids
 		x := weightedScore(b.hrw(s.ID, r.ID), s.weight*b.warmth(s))
-		if x > best && !(zoned && wide > 1 && !near(s)) {
+		if x > best && !(zoned && spread > 1 && !nearby(s)) {
 			start, best = i, x
 		}
 	}
-	var top *server
-	for i := range able {
-		s := able[(start+i)%len(able)]
+	var fallback *server
+	for i := range candidates {
+		s := candidates[(start+i)%len(candidates)]
 		if b.congested() {
 			return s
 		}
@@ -308,44 +326,44 @@
 		if !b.crowded(s) && (i == 0 || b.warmth(s) == 1 || !b.set.OriginFalls) {
 			return s
 		}
-		top = cmp.Or(top, s)
+		fallback = cmp.Or(fallback, s)
 	}
-	return top
+	return fallback
 }
 
-// Request takes a new request.
+// Request handles a new request.
 func (b *Balancer) Request(now time.Duration, q Request) {
 	b.now = now
-	c := cmp.Or(b.classes[q.Class], &Class{Name: q.Class, Aim: q.Remaining, Effect: Unsafe}) // unknown: no repeats
+	c := cmp.Or(b.classes[q.Class], &Class{Name: q.Class, Aim: q.Remaining, Effect: Unsafe}) // requests of unknown classes are not repeated
 	r := &request{Request: q, class: c, aim: now + min(c.Aim, q.Remaining), deadline: now + q.Remaining, sample: b.sampleOf(q)}
 	b.open[q.ID] = r
 	b.order = append(b.order, r)
 	b.openByKey[r.Key]++
-	if !b.sweepScheduled { // hundreds of nodes have nothing to look at most of the time
+	if !b.sweepScheduled { // idle nodes, of which there may be hundreds, set no timer
 		b.sweepScheduled = true
 		b.act.Timer(b.sweepInterval, "sweep")
 	}
 	b.recordArrival(r)
-	if t := b.tenants[q.Tenant]; t != nil { // judged as if all nodes saw as much of the tenant
+	if t := b.tenants[q.Tenant]; t != nil { // assumes that all nodes get the same share of the tenant's requests
 		t.requests.add(now, b.set.FallWindow)
-		due := t.Quota * b.set.FallWindow.Seconds() / float64(max(1, b.set.Balancers))
-		r.overQuota = t.requests.value > due+2*math.Sqrt(due) // beyond what chance explains
-		if t.fleetRate > 0 {                                  // planners see it
+		expected := t.Quota * b.set.FallWindow.Seconds() / float64(max(1, b.set.Balancers))
+		r.overQuota = t.requests.value > expected+2*math.Sqrt(expected) // two standard deviations above the quota
+		if t.fleetRate > 0 {                                            // planners know the rate over the fleet
 			r.overQuota = t.fleetRate > t.Quota
 		}
 	}
 	b.route(r)
 }
 
-// BodyReceived notes that the last byte of a request has come, so long before it is given up. Its time counts from
-// here, and so does the room that its attempt takes: how long a client takes to write is no server's work.
-func (b *Balancer) BodyReceived(now time.Duration, id string, left time.Duration) {
+// BodyReceived notes that the request's body is complete; remaining is the time until the client gives up. The aim, the deadline
+// and the slot that the attempt takes at its server count from now on: a client's slow upload is no load on the server.
+func (b *Balancer) BodyReceived(now time.Duration, id string, remaining time.Duration) {
 	b.now = now
 	r := b.open[id]
 	if r == nil || r.ended || !r.BodyPending {
 		return
 	}
-	r.BodyPending, r.aim, r.deadline = false, now+min(r.class.Aim, left), now+left
+	r.BodyPending, r.aim, r.deadline = false, now+min(r.class.Aim, remaining), now+remaining
 	for _, a := range r.attempts {
 		if !a.done {
 			a.at = now
@@ -354,7 +372,7 @@
 	}
 }
 
-// route sends a request on its way, or on its way again.
+// route chooses the next step of a request, for the first time or again after an attempt or a wait.
 func (b *Balancer) route(r *request) {
 	if b.set.Mode == Aside && r.Write {
 		b.fetch(r)
@@ -371,7 +389,7 @@
 	b.sendOrHold(r, s)
 }
 
-// joins makes a read wait for the fetch of its key that is out, or be that fetch.
+// joinFetch makes a read the leader of a new fetch of its key, or queues it behind the fetch in flight and returns true.
 func (b *Balancer) joinFetch(r *request) bool {
 	f := b.fetches[r.Key]
 	if f == nil {
@@ -384,24 +402,25 @@
 	return f.leader != r
 }
 
-// gate sends a request to s, or holds it for s while s has no room, if it can still be answered after that.
+// sendOrHold sends a request to s, or holds it until s has room if it can still be answered within its aim after that.
 func (b *Balancer) sendOrHold(r *request, s *server) {
 	b.probe(s)
 	if b.hasRoom(s) {
 		b.send(r, s)
 		return
 	}
-	// Beyond its quota a request is worth little: it is not held, so that the others find room.
+	// A request over its tenant's quota has little worth and is not held, which leaves the room to others.
 	if !b.awaitsProbe(s) &&
 		(r.overQuota || b.now+time.Duration(b.meanLatency*(1+float64(len(s.queue)+1)/s.limit)) > r.aim) {
-		b.overflow(r) // it would wait in vain
+		b.overflow(r) // it could not be answered in time
 		return
 	}
 	r.heldFor = s
 	s.queue = append(s.queue, r)
 }
 
-// pass has the origin answer what no cache can in time, if it has room and no number of misses stops it.
+// overflow sends a request that no cache can answer in time to the origin, if the origin has room and cannot be brought down by
+// too many misses.
 func (b *Balancer) overflow(r *request) {
 	if len(b.ranked) > 0 && !b.set.OriginFalls && b.origin != nil && b.hasRoom(b.origin) {
 		b.fetch(r)
@@ -410,7 +429,8 @@
 	}
 }
 
-// before reports whether r is due before o: within its tenant's quota, a write, of more worth, else by age.
+// precedes reports whether r is sent before o: requests within their tenant's quota first, then writes, then those of higher
+// worth. Equal ones go by age.
 func (r *request) precedes(o *request) bool {
 	if r.overQuota != o.overQuota {
 		return o.overQuota
@@ -418,7 +438,7 @@
 	return r.Write && !o.Write || r.Write == o.Write && r.class.Worth > o.class.Worth
 }
 
-// admit sends what is held for s while s has room.
+// sendHeld sends requests held for s while s has room.
 func (b *Balancer) sendHeld(s *server) {
 	for s != nil && len(s.queue) > 0 && b.hasRoom(s) {
 		best := 0
@@ -437,8 +457,8 @@
 	}
 }
 
-// again has a read that waited for the origin ask its caches once more, if it has the attempts: another node
-// may have filled them since (docs-commons-bc i3286d2, 44 misses in 100).
+// retryCaches reports whether a read that waited for the origin asks its caches once more, and allows that. It needs the attempts
+// for both: another node may have filled the caches meanwhile. Without this, 44 of 100 reads missed.
 func (b *Balancer) retryCaches(r *request) bool {
 	if r.Write || len(r.attempts)+2 > b.set.MaxAttempts {
 		return false
@@ -459,19 +479,20 @@
 	s.sends.add(b.now, b.set.FallWindow)
 	wait := time.Duration(0)
 	if s != b.origin {
-		// In through mode what is late is likely being fetched: another cache could only fetch it again.
-		more := b.set.Mode == Aside && r.class.Effect == Safe && len(r.attempts) < b.set.MaxAttempts
-		if span := b.set.FallWindow; more && b.now < r.aim &&
-			b.timeouts.at(b.now, span) <= lateTolerance*b.answeredReads.at(b.now, span) {
-			// Guards against a server that never answers: half of what is left of the aim is for a further
-			// try, but what is merely slow (twice as slow as the slowest twentieth) is let finish.
+		// In through mode a late read is probably being fetched, and another cache could only fetch it again.
+		retryable := b.set.Mode == Aside && r.class.Effect == Safe && len(r.attempts) < b.set.MaxAttempts
+		if window := b.set.FallWindow; retryable && b.now < r.aim &&
+			b.timeouts.at(b.now, window) <= lateTolerance*b.answeredReads.at(b.now, window) {
+			// Guards against a server that never answers: half of the time left until the aim is reserved for a
+			// retry, but an attempt that is merely slow, up to twice the late quantile, is allowed to finish.
 			wait = max((r.aim-b.now)/2, time.Duration(2*b.lateLatency))
 		}
 	}
 	b.act.Send(r.ID, s.ID, wait, r.windowEnd())
 }
 
-// giveUp ends a request unserved, at once; an attempt still out may yet answer it.
+// giveUp ends a request unserved, with a refusal where that is allowed. It does nothing while an attempt in flight may still
+// answer the request.
 func (b *Balancer) giveUp(r *request) {
 	switch {
 	case r.ended || r.outstanding > 0:
@@ -484,7 +505,7 @@
 	b.finish(r, false)
 }
 
-// end closes a request: its other attempts are called off, and reads that waited for its fetch move on.
+// finish closes a request: its attempts in flight are cancelled, and reads that waited for its fetch go on.
 func (b *Balancer) finish(r *request, served bool) {
 	r.ended = true
 	for _, a := range r.attempts {
@@ -496,7 +517,7 @@
 	b.releaseWaiters(r, served)
 }
 
-// Abandoned notes that nobody waits for a request any more.
+// Abandoned notes that the client no longer waits for the request.
 func (b *Balancer) Abandoned(now time.Duration, id string) {
 	b.now = now
 	if r := b.open[id]; r != nil && !r.ended {
@@ -504,7 +525,7 @@
 	}
 }
 
-// Result takes the end of an attempt.
+// Result handles the end of an attempt.
 func (b *Balancer) Result(now time.Duration, res Result) {
 	b.now = now
 	r := b.open[res.ID]
@@ -524,7 +545,7 @@
 	case r.ended:
 	case res.Final:
 		b.finish(r, res.Outcome == OK)
-	case r.outstanding > 0: // its other copy may yet answer
+	case r.outstanding > 0: // the other attempt may still answer
 	case res.Outcome == NotSent, res.Outcome == Full && (a.origin || b.congested()):
 		b.giveUp(r)
 	case b.set.Mode == Aside && (a.origin || res.Outcome == Miss):
@@ -534,9 +555,9 @@
 	}
 }
 
-// ResponseStarted notes that an answer has begun to flow. The request is bound to the attempt: it gets no other, and no
-// time-out. The server has done its part: how long the client takes to read is not held against its room or
-// the reads that wait for the fetch (large values).
+// ResponseStarted notes that the first bytes of an answer have arrived. The request is bound to the attempt: it gets no other one
+// and no timeout. The slot at the server and the reads that wait for the fetch are released, since the time that a client takes
+// to read a large value is not the server's.
 func (b *Balancer) ResponseStarted(now time.Duration, id string, n int) {
 	b.now = now
 	r := b.open[id]
@@ -550,31 +571,31 @@
 	b.sendHeld(a.srv)
 }
 
-// learn keeps a server's signs of life, its limit and the usual answer times.
+// observe updates the server's health, its concurrency limit and the latency statistics after an attempt.
 func (b *Balancer) observe(a *attempt, res Result) {
 	s, o := a.srv, res.Outcome
 	b.recordOutcome(a, o)
-	// Guards against skipping one that answers others, or for a connection's end.
+	// Guards against skipping a server that answers other requests, or because a reused connection ended.
 	if o == OK || o != TimedOut && o != Reset || s.lastAnswerAt <= a.at && !res.ReusedConn {
 		b.trackHealth(s, o)
 	}
 	if o != NotSent && o != Cancelled && o != ConnectFailed {
-		// Over half the aim leaves too little for a further try. Writes take as long as they take.
+		// An answer after half the aim leaves too little time for a retry. Writes are not judged by their latency.
 		late := o == Full || a.latency(b.now) > a.req.class.Aim/2 && !a.req.Write
 		if !a.countedLate {
 			b.adjustLimit(s, a.at, late && (o == Full || !a.lateAlone()))
 		}
-		if !a.origin && o != Reset { // which is no answer
+		if !a.origin && o != Reset { // a reset is no answer
 			b.recordAnswer(s, o, late)
 		}
 	}
 }
 
-// alone reports whether an attempt is late by itself, others sent after it having been answered well in time:
-// that is its own work or connection, not the server's queue. With one out at a time the latest says all.
+// lateAlone reports whether an attempt sent after this one has been answered well in time. The cause is then the attempt's own
+// work or connection, not the server's queue. With a limit of one the latest attempt alone is decisive.
 func (a *attempt) lateAlone() bool { return a.srv.limit > 1 && a.srv.promptSentAt > a.at }
 
-// health counts straight failures; from the third on the server is skipped for a spell.
+// trackHealth counts consecutive failures; from failuresToSkip on the server is skipped for skipDuration.
 func (b *Balancer) trackHealth(s *server, o Outcome) {
 	switch o {
 	case OK, Miss:
@@ -590,33 +611,33 @@
 	}
 }
 
-// steer sets a server's limit: up while it is in use and answers come in time, halved, once an answer time,
-// when it is strained. This guards against servers that take in more than they can answer in time.
+// adjustLimit updates a server's concurrency limit: it grows while it is used and answers are timely, and is halved, at most once
+// per round trip, when the server is overloaded. This keeps servers from accepting more than they can answer in time.
 func (b *Balancer) adjustLimit(s *server, sentAt time.Duration, overloaded bool) {
 	switch {
 	case float64(len(s.inFlight)+1) < s.limit/2:
 	case overloaded && sentAt < s.limitCutAt:
 	case overloaded:
-		if s.limit <= 1 { // half of what is sent, however little that is (launceston-platform, 456 nodes)
+		if s.limit <= 1 { // half of the current use, however small: with hundreds of nodes each sends little
 			used := s.sends.at(b.now, b.set.FallWindow) * b.meanLatency / float64(max(1, b.set.FallWindow))
-			s.limit = max(min(s.limit, used), 2*b.meanLatency/float64(skipDuration)) // down to a trial a spell
+			s.limit = max(min(s.limit, used), 2*b.meanLatency/float64(skipDuration)) // at least one trial per skipDuration
 		}
 		s.limit, s.limitCutAt, s.overloaded = max(s.limit/2, 1/float64(max(1, b.set.Balancers))), b.now, true
 	case !s.overloaded:
 		s.limit++
-	case s.limit < 1 && b.now-sentAt < b.shortestAim/4: // well in time: few answers must do to recover
+	case s.limit < 1 && b.now-sentAt < b.shortestAim/4: // clearly timely: few answers come at such a limit, so it doubles
 		s.limit *= 2
 	default:
 		s.limit += min(s.limit/4, 1/s.limit)
 	}
 }
 
-// fetch sends a read that missed, or a write, to the origin; reads of one key share one fetch.
+// fetch sends a read that missed, or a write, to the origin. Reads of one key share a fetch.
 func (b *Balancer) fetch(r *request) {
 	if !r.Write && r.Key != "" && b.joinFetch(r) {
 		return
 	}
-	// Planners thin out all nodes' reads alike where the origin turns away: most send it too few to count.
+	// Where the origin rejects reads, planners reduce those of all nodes alike; most nodes send too few to adapt by themselves.
 	if b.origin != nil && b.mayAttempt(r, b.origin) && (r.Write || r.sample >= b.originThinning) {
 		b.sendOrHold(r, b.origin)
 	} else {
@@ -624,7 +645,7 @@
 	}
 }
 
-// release moves on the reads that waited for r's fetch: to the caches, or, if it failed, to the origin.
+// releaseWaiters routes the reads that waited for r's fetch: to the caches or, if the fetch failed in aside mode, to the origin.
 func (b *Balancer) releaseWaiters(r *request, served bool) {
 	if !b.leadsFetch(r) {
 		return
@@ -645,7 +666,7 @@
 	}
 }
 
-// Timer handles the module's own timers.
+// Timer handles the expiry of a timer set through Actions.
 func (b *Balancer) Timer(now time.Duration, token string) {
 	b.now = now
 	switch token {
@@ -659,17 +680,18 @@
 	}
 }
 
-// sweep sends what servers have room for by now, and gives up what is held and can no longer be answered.
+// sweep sends held requests that servers have room for, reduces the limits of servers whose attempts are overdue, and gives
+// up requests that can no longer be answered in time.
 func (b *Balancer) sweep() {
 	for _, r := range slices.Clone(b.order) {
 		b.sendHeld(r.heldFor)
-		for _, a := range r.attempts { // news that waits for the end comes too late (launceston-platform big-2)
+		for _, a := range r.attempts { // waiting for the end of a hanging attempt would cut the limit too late
 			if !a.done && a.firstByteAt == 0 && !a.countedLate && !r.Write && b.now-a.at > r.class.Aim/2 {
 				if a.countedLate = true; !a.lateAlone() {
 					b.adjustLimit(a.srv, a.at, true)
 				} else if quiet := b.now-a.srv.limitCutAt > b.set.FallWindow && len(a.srv.queue) == 0; quiet &&
 					a.origin && b.now < r.aim && r.class.Effect == Safe && b.set.MayCancel {
-					// Its connection fell silent: sent again.
+					// The connection has probably gone silent: cancelled, so that the read is sent again.
 					b.act.Cancel(r.ID, a.n)
 				}
 			}
