--- a/policy/state.go
+++ b/policy/state.go
@@ -1,6 +1,6 @@
 package policy
 
-// What the decisions in policy.go remember, and its plain upkeep. Nothing is decided here.
+// The state behind the decisions in policy.go and its bookkeeping. No decisions are made in this file.
 
 import (
 	"cmp"
@@ -20,76 +20,76 @@
 
 type server struct {
 	Server
-	banned       bool          // by hand
-	startTime    time.Duration // its start as it counts here, see decide/starts
-	warmingSince time.Duration // that, or when a ban was lifted since
-	weight       float64       // listed, or the mean where none is listed, times the factor of the view
-	maxRate      float64       // sends a second that the view leaves to this node; 0: no limit
-	score        float64       // of the ranking being made
-	inFlight     []*attempt    // out now, oldest first
-	limit        float64       // attempts that may be out
-	overloaded   bool          // the limit was reached once
-	limitCutAt   time.Duration // when it was cut last
+	banned       bool          // by an operator
+	startTime    time.Duration // its start on this process's clock, see decide/starts
+	warmingSince time.Duration // start of its warm-up: startTime, or when a later ban was lifted
+	weight       float64       // listed weight, or the mean if it has none, times the factor of the view
+	maxRate      float64       // max sends per second by this node, from the view; 0: no limit
+	score        float64       // in the ranking being computed
+	inFlight     []*attempt    // attempts in flight, oldest first
+	limit        float64       // concurrency limit; below 1 it is a fraction of the time
+	overloaded   bool          // the limit has been cut for overload before
+	limitCutAt   time.Duration // when the limit was last cut
 	freedAt      time.Duration // when an attempt last ended
 	queue        []*request    // held until there is room
-	failures     int           // straight failures
+	failures     int           // consecutive failures
 	skipUntil    time.Duration
-	lastAnswerAt time.Duration // last sign of life
+	lastAnswerAt time.Duration // when it last answered
 	promptSentAt time.Duration // when the latest attempt that was answered well within its aim was sent
-	sends        decayingCount // own sends lately
-	late         decayingCount // late answers lately
-	timely       decayingCount // and those in time
+	sends        decayingCount // decaying count of this node's sends
+	late         decayingCount // decaying count of late answers
+	timely       decayingCount // decaying count of timely answers
 	probedAt     time.Duration // when it was last probed
-	probing      bool          // and has not answered
-	reportedAt   time.Duration // when it last answered that
-	reportedWait time.Duration // what it said: how long a request waits there
+	probing      bool          // a probe is unanswered
+	reportedAt   time.Duration // when it last answered a probe
+	reportedWait time.Duration // queueing delay that it reported then
 }
 
-// open reports whether the server may get anything new.
+// open reports whether the server may get new requests.
 func (s *server) open() bool { return s.State == Ready && !s.banned }
 
 type attempt struct {
 	n           int
 	req         *request
 	srv         *server
-	at          time.Duration
-	firstByteAt time.Duration // when its answer began to flow, where that is told
-	occupies    bool          // it takes room at its server
+	at          time.Duration // when it was sent or, if that came later, when its body was complete
+	firstByteAt time.Duration // when its answer started, if that is reported
+	occupies    bool          // it uses a slot of its server's limit
 	done        bool
-	countedLate bool // known to be late before its end
+	countedLate bool // its lateness was counted before its end
 	neverRan    bool // proven never to have run
 	missed      bool
-	filled      bool // what it missed has been stored there since
+	filled      bool // the key that it missed has been stored there since
 	origin      bool
 }
 
 type request struct {
 	Request
 	class         *Class
-	aim, deadline time.Duration // when the worth falls, when this try of the client is over
+	aim, deadline time.Duration // latency target, and when the client gives up this try
 	attempts      []*attempt
 	outstanding   int
 	ended         bool
 	bodyDiscarded bool    // it cannot be sent again
-	overQuota     bool    // beyond its tenant's quota
-	sample        float64 // 0 to 1, the same whenever it is looked at
-	heldFor       *server // waits for room there
+	overQuota     bool    // over its tenant's quota
+	sample        float64 // in [0, 1], derived from the id
+	heldFor       *server // server that it waits for
 }
 
-// tenant is what a tenant has asked of this node lately.
+// tenant is a tenant with its recent requests at this node.
 type tenant struct {
 	Tenant
 	requests  decayingCount
-	fleetRate float64 // requests a second of the whole fleet, as the view tells; 0: not told
+	fleetRate float64 // requests per second over the fleet, from the view; 0: unknown
 }
 
-// fetch is a read of a key at the origin and the reads that wait for it.
+// fetch is a read of a key at the origin and the reads of the same key that wait for it.
 type fetch struct {
 	leader  *request
 	waiting []*request
 }
 
-// Balancer decides for one node. It is not safe for concurrent use.
+// Balancer makes the decisions of one node. It is not safe for concurrent use.
 type Balancer struct {
 	set       Settings
 	act       Actions
@@ -100,50 +100,50 @@
 	servers   map[string]*server
 	overrides map[string]Override // by id, listed or not
 
-	starts          starts.Book // of servers, as far as they were seen
-	caches          []*server   // ready, by id
-	totalWeight     float64     // the sum of their weights as ranked last
-	warmWeight      float64     // and of those that are warm
+	starts          starts.Book // observed starts of servers
+	caches          []*server   // ready ones, sorted by id
+	totalWeight     float64     // sum of their weights in the last ranking
+	warmWeight      float64     // sum of the weights of the warm ones
 	origin          *server
 	open            map[string]*request
-	order           []*request     // open requests by arrival
-	openByKey       map[string]int // open requests by key
+	order           []*request     // open requests in order of arrival
+	openByKey       map[string]int // number of open requests by key
 	fetches         map[string]*fetch
 	hash            hash.Hash
 	scratch         []byte
 	ranked          []*server
-	recentKeys      recentKeys    // keys asked for last
-	cacheRequests   decayingCount // requests for caches taken lately
-	answeredReads   decayingCount // reads answered lately
-	coldAnswers     decayingCount // those of them by cold caches
-	originAnswers   decayingCount // and by the origin, with no miss before
-	timeouts        decayingCount // attempts at caches that timed out lately
-	outstanding     int           // attempts out at caches
-	lateLatency     float64       // quantile lateQuant of answer times, ns
-	meanLatency     float64       // mean of answer times, ns
+	recentKeys      recentKeys    // keys of the latest requests
+	cacheRequests   decayingCount // decaying count of requests for caches
+	answeredReads   decayingCount // decaying count of reads answered
+	coldAnswers     decayingCount // those answered by cold caches
+	originAnswers   decayingCount // those answered by the origin without a miss before
+	timeouts        decayingCount // decaying count of timeouts at caches
+	outstanding     int           // attempts in flight at caches
+	lateLatency     float64       // lateQuantile of the latencies, in ns
+	meanLatency     float64       // mean of the latencies, in ns
 	subscribeDelay  time.Duration
-	maxSubscribeGap time.Duration // longest spell without asking for the list
+	maxSubscribeGap time.Duration // max time between requests for the list
 
-	shortestAim    time.Duration       // of the classes' aims
-	sweepInterval  time.Duration       // between looks at what is open
-	scoreCache     map[string][]uint64 // scores of some keys, while the list stays
-	sweepScheduled bool                // a look is due
-	lateAnswers    decayingCount       // late answers of all caches lately
-	timelyAnswers  decayingCount       // and those in time
+	shortestAim    time.Duration       // shortest aim of the classes
+	sweepInterval  time.Duration       // time between sweeps of the open requests
+	scoreCache     map[string][]uint64 // scores by key, valid until the list changes
+	sweepScheduled bool                // the sweep timer is set
+	lateAnswers    decayingCount       // decaying count of late answers of all caches
+	timelyAnswers  decayingCount       // decaying count of timely answers of all caches
 
-	originThinning float64               // part of the reads that may not go to the origin, by the view
-	view           View                  // of planners; empty where there are none
-	hotKeys        map[keyDigest]float64 // of its hot keys
+	originThinning float64               // fraction of the reads that the view keeps from the origin
+	view           View                  // latest view of the planners; empty if there is none
+	hotKeys        map[keyDigest]float64 // load of the view's hot keys
 }
 
-// blank returns a balancer that has decided nothing yet.
+// newBalancer returns a balancer that has not handled any event.
 func newBalancer(now time.Duration, set Settings, seed uint64, act Actions) *Balancer {
 	b := &Balancer{set: set, act: act, now: now, rng: rand.New(rand.NewSource(int64(seed))),
 		classes: map[string]*Class{}, servers: map[string]*server{}, overrides: map[string]Override{}, open: map[string]*request{},
 		fetches: map[string]*fetch{}, openByKey: map[string]int{}, recentKeys: recentKeys{count: map[keyDigest]int{}},
 		tenants: map[string]*tenant{}, scoreCache: map[string][]uint64{}, shortestAim: math.MaxInt64,
 		sweepInterval: max(2*set.Tick, time.Millisecond)}
-	b.hash, _ = blake2b.New(8, nil) // fails only for a bad size or key
+	b.hash, _ = blake2b.New(8, nil) // fails only for an invalid size or key
 	for i := range set.Classes {
 		c := &b.set.Classes[i]
 		b.classes[c.Name] = c
@@ -155,17 +155,17 @@
 	return b
 }
 
-// note is a digest of a key. Its last two bits are zero: planners and forwarders have told keys so from the first.
+// keyDigest is a 30-bit hash of a key. Its last two bits are zero, as the protocol between planners and forwarders has them.
 type keyDigest uint32
 
-// noteOf shortens a key for counting and for views.
+// digestOf hashes a key for counting and for views.
 func digestOf(key string) keyDigest {
 	h := fnv.New32a()
 	h.Write([]byte(key))
 	return keyDigest(h.Sum32()) &^ 3
 }
 
-// arrived counts a new request and remembers its key. A write that only the origin takes asks nothing of the caches.
+// recordArrival counts a new request and remembers its key. A write that goes to the origin alone is no load on the caches.
 func (b *Balancer) recordArrival(r *request) {
 	b.recentKeys.add(digestOf(r.Key), recentKeysPerCache*len(b.caches))
 	if b.set.Mode == Through || !r.Write {
@@ -173,7 +173,8 @@
 	}
 }
 
-// answered counts how a cache that may get requests has answered. A full one was late, but not slow.
+// recordAnswer counts whether a cache that accepts requests has answered in time. A rejection counts as late for the server, but
+// not among the late answers of all caches.
 func (b *Balancer) recordAnswer(s *server, o Outcome, late bool) {
 	switch {
 	case !s.open():
@@ -188,10 +189,10 @@
 	}
 }
 
-// Digest names a key in views.
+// Digest returns the hash by which views refer to a key.
 func Digest(key string) uint32 { return uint32(digestOf(key)) }
 
-// View takes the latest view of planners in force; an empty one, that there is none.
+// View applies the latest view of the planners. An empty one removes it.
 func (b *Balancer) View(now time.Duration, v View) {
 	b.now, b.view = now, v
 	b.hotKeys = map[keyDigest]float64{}
@@ -213,7 +214,8 @@
 	b.reindex()
 }
 
-// draw gives a request its dice, from its id: with no view the module's own random choices stay as they are.
+// sampleOf derives a number in [0, 1] from a request's id. It does not use the random source, so that the other random choices are
+// the same with and without a view.
 func (b *Balancer) sampleOf(q Request) float64 {
 	if b.originThinning == 0 {
 		return 1
@@ -222,7 +224,7 @@
 	return float64(h>>11) / (1 << 53)
 }
 
-// viewed brings the servers in line with the view.
+// applyView sets the servers' weights and rate limits from the view.
 func (b *Balancer) applyView() {
 	for _, s := range b.servers {
 		s.maxRate = 0
@@ -234,7 +236,7 @@
 	}
 }
 
-// CacheCounts tells how many caches the list has, and how many of these are avoided now.
+// CacheCounts returns the number of listed caches, and how many of them get no requests now.
 func (b *Balancer) CacheCounts(now time.Duration) (listed, avoided int) {
 	b.now = now
 	for _, s := range b.servers {
@@ -248,7 +250,7 @@
 	return listed, avoided
 }
 
-// forget takes a request that has ended off all that holds it.
+// forget removes an ended request from the indexes.
 func (b *Balancer) forget(r *request) {
 	if b.openByKey[r.Key]--; b.openByKey[r.Key] == 0 {
 		delete(b.openByKey, r.Key)
@@ -261,9 +263,10 @@
 	}
 }
 
-// windowEnd is by when a repeat of a keyed request that may have run has to go out, lest its servers have forgotten that one by the
-// time that a process that is held up writes it, and it runs again; 0 for one that has not, and for other classes. Guards against a repeat chosen inside the window whose connection comes up, or
-// whose turn on one comes, behind it.
+// windowEnd returns the time by which a repeat of a keyed request that may have run must be written, or 0 if there is none. After
+// that its servers may have forgotten the earlier attempt, and it would run again. A margin covers a process that is held up
+// between the decision and the write. This guards against a repeat chosen inside the window whose connection is established,
+// or whose turn on one comes, after the window.
 func (r *request) windowEnd() (end time.Duration) {
 	for _, a := range r.attempts {
 		if at := a.at + r.class.Window - safety.Slack; r.class.Effect == Keyed && a.done && !a.neverRan && (end == 0 || at < end) {
@@ -273,14 +276,14 @@
 	return end
 }
 
-// leads reports whether the request is one whose answer others wait for.
+// leadsFetch reports whether other reads wait for the answer to this request.
 func (b *Balancer) leadsFetch(r *request) bool {
 	f := b.fetches[r.Key]
 	return f != nil && f.leader == r
 }
 
-// scores gives the caches' scores for a key, kept for some keys while the list stays: hashing is most of the work
-// (hobart-prices i7d9609, 614 nodes and 137 caches, was cut off for it).
+// scores returns the caches' scores for a key. They are cached for some keys until the list changes, because hashing dominates
+// the cost of a request: it was too slow with 614 nodes and 137 caches.
 func (b *Balancer) scores(key string) []uint64 {
 	list, known := b.scoreCache[key]
 	if !known {
@@ -296,10 +299,10 @@
 	return list
 }
 
-// took is how long the answer to an attempt took, or has taken by now, to its first byte where that is told.
+// latency returns the time from the send until the first byte of the answer, if that is reported, and otherwise until now.
 func (a *attempt) latency(now time.Duration) time.Duration { return cmp.Or(a.firstByteAt, now) - a.at }
 
-// tally counts how an attempt ended. A miss counts as answered when the origin has answered it.
+// recordOutcome counts how an attempt ended. A miss counts as answered once the origin has answered it.
 func (b *Balancer) recordOutcome(a *attempt, o Outcome) {
 	a.missed = o == Miss
 	if o == OK || o == Miss || o == Errored || o == Full {
@@ -310,7 +313,7 @@
 	}
 	if o == OK && !(a.origin && a.req.Write) {
 		b.answeredReads.add(b.now, b.set.FallWindow)
-		by := a.srv // or the cache that missed
+		by := a.srv // or the cache that missed before
 		for _, t := range a.req.attempts[:a.n] {
 			if a.origin && t.missed {
 				by = t.srv
@@ -330,7 +333,7 @@
 	}
 }
 
-// weigh adds a ranked cache's weight to the sums.
+// addWeight adds a ranked cache's weight to the sums.
 func (b *Balancer) addWeight(s *server, w float64) {
 	b.totalWeight += w
 	if b.warmth(s) == 1 {
@@ -338,10 +341,10 @@
 	}
 }
 
-// borne is how many reads the caches are seen to bear in the window. What the origin answers past them says nothing of
-// what they can do. What cold ones answer counts at most in proportion to the answers of the warm ones, and one more for
-// chance: it raised their own budgets, past the load that they are stated to bear, where they happened to answer more.
-// With none warm there is nothing else to go by.
+// cacheThroughput estimates how many reads the caches can answer in the window. Reads that the origin answered without a miss say
+// nothing about the caches. The answers of cold caches count at most in proportion to those of the warm ones, plus one for
+// chance: otherwise fast cold caches raised their own budgets beyond their stated capacity. With no warm cache there is no
+// other reference.
 func (b *Balancer) cacheThroughput() float64 {
 	span := b.set.FallWindow
 	all := max(0, b.answeredReads.at(b.now, span)-b.originAnswers.at(b.now, span))
@@ -351,7 +354,7 @@
 	return min(all, (max(0, all-b.coldAnswers.at(b.now, span))+1)*b.totalWeight/b.warmWeight)
 }
 
-// occupy has an attempt take room at its server, and free gives it back.
+// occupy takes a slot at the attempt's server, and free releases it.
 func (b *Balancer) occupy(a *attempt) {
 	a.occupies = true
 	a.srv.inFlight = append(a.srv.inFlight, a)
@@ -371,13 +374,13 @@
 	}
 }
 
-// drop takes an attempt that has ended off the server's.
+// drop removes an ended attempt from those in flight.
 func (s *server) drop(a *attempt, now time.Duration) {
 	s.freedAt = now
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(x *attempt) bool { return x == a })
 }
 
-// count counts the servers for which is holds.
+// count returns the number of servers that satisfy is.
 func count(list []*server, is func(*server) bool) (n int) {
 	for _, s := range list {
 		if is(s) {
@@ -387,7 +390,7 @@
 	return n
 }
 
-// place is what the request is ranked by; one without a key gets any steady, spread choice.
+// rankingKey returns the key by which servers are ranked for the request. Requests without a key are spread by their ids.
 func (r *request) rankingKey() string {
 	if r.Key == "" {
 		return r.ID
@@ -395,7 +398,7 @@
 	return r.Key
 }
 
-// timed keeps the mean and the quantile lateQuant of answer times.
+// observeLatency updates the mean and the lateQuantile of the latencies.
 func (b *Balancer) observeLatency(took float64) {
 	b.meanLatency += (took - b.meanLatency) / 64
 	step := b.meanLatency / 32
@@ -406,7 +409,7 @@
 	}
 }
 
-// fading is a count that forgets evenly over a span.
+// decayingCount is an exponentially decaying counter.
 type decayingCount struct {
 	value     float64
 	updatedAt time.Duration
@@ -422,13 +425,13 @@
 
 func (f *decayingCount) add(now, span time.Duration) { f.value = f.at(now, span) + 1 }
 
-// recent counts the keys of the last requests.
+// recentKeys counts the keys of the latest requests.
 type recentKeys struct {
 	keys  []keyDigest // oldest first
 	count map[keyDigest]int
 }
 
-// add takes a key in and forgets those beyond the last size.
+// add records a key and drops the oldest beyond size.
 func (c *recentKeys) add(key keyDigest, size int) {
 	c.keys = append(c.keys, key)
 	c.count[key]++
@@ -440,12 +443,12 @@
 	}
 }
 
-// holds reports whether two servers drop each other's repeats.
+// sameGroup reports whether two servers deduplicate each other's requests.
 func (x Scope) sameGroup(a, s *server) bool {
 	return x == ScopeAll || a.Zone == s.Zone && (x == ScopeZone || a.Cell == s.Cell)
 }
 
-// merge takes list news into the servers known. A server that a whole list does not name is gone.
+// merge applies a list update to the known servers. A server that a complete list does not name is gone.
 func (b *Balancer) merge(kind ListKind, list []Server) {
 	if kind != ListChanges {
 		for _, s := range b.servers {
@@ -457,7 +460,7 @@
 		if s == nil {
 			s = &server{limit: initialLimit, startTime: b.starts.Begun(b.now, e.ID, e.Started)}
 			b.servers[e.ID] = s
-		} else if e.Started != s.Started { // a restart: what was learned of the old process is void
+		} else if e.Started != s.Started { // a restart: the failures of the old process do not count
 			s.failures, s.skipUntil, s.startTime = 0, 0, b.starts.Begun(b.now, e.ID, e.Started)
 		}
 		s.Server = e
@@ -468,8 +471,8 @@
 	b.reindex()
 }
 
-// reindex sorts the listed servers into caches and origin and settles their weights: the listed one, or
-// the mean of the listed ones where it is missing.
+// reindex sorts the listed servers into caches and origin and computes their weights: the listed one, or the mean of the listed
+// ones if it is missing.
 func (b *Balancer) reindex() {
 	b.caches = b.caches[:0]
 	b.origin = nil
@@ -480,7 +483,7 @@
 		switch {
 		case s.State == Gone && len(s.inFlight) == 0 && len(s.queue) == 0:
 			b.starts.Left(s.ID, s.Started, s.startTime)
-			delete(b.servers, s.ID) // a fleet that changes for days must not fill the memory
+			delete(b.servers, s.ID) // or the memory grows with every server that ever was listed
 		case !s.open():
 		case b.set.OriginKind != "" && s.Kind == b.set.OriginKind:
 			if b.origin == nil || s.ID < b.origin.ID {
