--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// coldDay is a few seconds of a fleet before servers that start cold: real balancers, and caches that answer as many
-// requests a second as they can, all on one clock moved by hand.
+// coldSim simulates a few seconds of a fleet with servers that start cold. It runs real balancers against caches of limited
+// throughput, in virtual time.
 type coldSim struct {
 	set       Settings
 	rng       *rand.Rand
@@ -22,16 +22,16 @@
 	events    eventHeap
 	scheduled int
 	list      []Server
-	caches    []*simCache // as listed
+	caches    []*simCache // in the order of list
 	nodes     []*simNode
-	rate      float64 // requests a second that all nodes together get
+	rate      float64 // requests per second over all nodes
 	requests  int
-	origin    *Server // in aside mode; it answers all that it gets, and cold caches miss
+	origin    *Server // in aside mode: it answers every request, and cold caches miss
 	coldCalls int     // attempts that reached a server while it was cold
-	excess    float64 // the largest, over the budget, as share of what is chance
+	excess    float64 // largest excess over the budget, in multiples of the tolerance for chance
 }
 
-// moment is something that happens at a time.
+// simEvent is a function scheduled at a virtual time.
 type simEvent struct {
 	at  time.Duration
 	seq int
@@ -52,30 +52,30 @@
 	return last
 }
 
-// coldCache answers so many requests a second, and a few at once. The rest it turns away, or never answers.
+// simCache answers a limited number of requests per second and holds a short queue. It rejects the rest, or never answers it.
 type simCache struct {
-	rate        float64       // when warm
-	slowdown    float64       // times slower than that
-	answersLate bool          // it answers after the aim, and never what it would turn away
+	rate        float64       // requests per second when warm
+	slowdown    float64       // multiplies the service time
+	answersLate bool          // it answers after the aim, and never answers what it would reject
 	startedAt   time.Duration // 0: long ago
-	freeAt      time.Duration // when it will have done what it has taken
+	freeAt      time.Duration // when it finishes the accepted work
 	calls       []simCall
 }
 
-// coldCall is an attempt that reached a cold cache.
+// simCall is an attempt that reached a cold cache.
 type simCall struct {
 	at       time.Duration
-	nodeKnew bool // by a node that had been told of the start
+	nodeKnew bool // the sender had been notified of the start
 }
 
-// coldNode is a balancer and the attempts that it has out.
+// simNode is a balancer with its attempts in flight.
 type simNode struct {
 	sim         *coldSim
 	b           *Balancer
-	share       float64 // of the traffic
+	share       float64 // of the traffic, relative to other nodes
 	stopped     bool
-	knowsStart  bool          // of the cold servers' start
-	pausedUntil time.Duration // it stands still until then
+	knowsStart  bool          // it has been notified that the cold servers started
+	pausedUntil time.Duration // it handles no events before that
 	outstanding map[string][]bool
 	deadlines   map[string]time.Duration
 }
@@ -85,7 +85,7 @@
 	heap.Push(&d.events, simEvent{d.now + wait, d.scheduled, do})
 }
 
-// warmth is the share of its capacity that a cache has.
+// capacityFraction returns the fraction of its capacity that a cache has now.
 func (d *coldSim) capacityFraction(c *simCache) float64 {
 	if c.startedAt == 0 || d.now-c.startedAt >= d.set.WarmUp {
 		return 1
@@ -93,7 +93,7 @@
 	return d.set.ColdFrom + (1-d.set.ColdFrom)*float64(d.now-c.startedAt)/float64(d.set.WarmUp)
 }
 
-// call brings a request to a cache. It gives how it ends, and after what time.
+// call delivers an attempt to a cache. It returns the outcome and the time until then.
 func (d *coldSim) call(c *simCache, nodeKnew bool) (Outcome, time.Duration) {
 	if warm := d.capacityFraction(c); warm < 1 {
 		d.coldCalls++
@@ -108,23 +108,23 @@
 			}
 		}
 		budget := d.set.FallMultiple * warm * c.rate * d.set.FallWindow.Seconds()
-		if 3*knew > 2*len(c.calls) { // a fall is no breach where a third came from nodes that could not know
+		if 3*knew > 2*len(c.calls) { // no violation if a third of the calls came from nodes that could not know of the start
 			d.excess = max(d.excess, (float64(len(c.calls))-budget)/(2*math.Sqrt(budget)+2))
 		}
 	}
 	work := time.Duration(float64(time.Second) * c.slowdown / (c.rate * d.capacityFraction(c)))
 	c.freeAt = max(d.now, c.freeAt)
-	taken := c.freeAt-d.now <= 150*ms
-	if taken {
+	accepted := c.freeAt-d.now <= 150*ms
+	if accepted {
 		c.freeAt += work
 	}
 	after := time.Duration(1+d.rng.Intn(20)) * ms
 	switch {
-	case c.answersLate && taken:
+	case c.answersLate && accepted:
 		return OK, 450*ms + after
 	case c.answersLate:
 		return TimedOut, time.Hour
-	case !taken:
+	case !accepted:
 		return Full, ms
 	}
 	return OK, after
@@ -142,12 +142,12 @@
 	if n.sim.origin != nil && o == OK && (n.sim.caches[at].startedAt > 0 || n.sim.rng.Intn(10) == 0) {
 		o = Miss
 	}
-	most := n.deadlines[id] - n.sim.now
+	maxWait := n.deadlines[id] - n.sim.now
 	if wait > 0 {
-		most = min(most, wait)
+		maxWait = min(maxWait, wait)
 	}
-	if after > most {
-		o, after = TimedOut, most
+	if after > maxWait {
+		o, after = TimedOut, maxWait
 	}
 	n.sim.after(after, func() { n.result(id, server, k, o) })
 }
@@ -179,7 +179,7 @@
 	})
 }
 
-// rests puts off what comes while the node stands still.
+// deferIfPaused schedules do for the end of the node's pause and reports whether there is one.
 func (n *simNode) deferIfPaused(do func()) bool {
 	if n.sim.now >= n.pausedUntil {
 		return false
@@ -188,7 +188,7 @@
 	return true
 }
 
-// starts tells the node of servers that have started.
+// starts notifies the node of servers that have started.
 func (n *simNode) starts(list []Server) {
 	if !n.deferIfPaused(func() { n.starts(list) }) {
 		n.knowsStart = true
@@ -196,7 +196,7 @@
 	}
 }
 
-// request brings the node a request.
+// request delivers a request to the node.
 func (n *simNode) request(q Request) {
 	if !n.deferIfPaused(func() { n.request(q) }) && !n.stopped {
 		n.deadlines[q.ID] = n.sim.now + q.Remaining
@@ -204,7 +204,7 @@
 	}
 }
 
-// node starts a balancer that knows the list as it is now.
+// node starts a balancer with the current list.
 func (d *coldSim) node(share float64) *simNode {
 	n := &simNode{sim: d, share: share, outstanding: map[string][]bool{}, deadlines: map[string]time.Duration{}}
 	n.b = New(d.now, d.set, d.rng.Uint64(), n)
@@ -217,7 +217,7 @@
 	return n
 }
 
-// arrive brings requests to the nodes, by chance, as long as the day lasts.
+// arrive delivers requests to the nodes at random, as a Poisson process.
 func (d *coldSim) arrive() {
 	all := 0.0
 	for _, n := range d.nodes {
@@ -240,24 +240,24 @@
 	}
 }
 
-// coldCase is what a day is like.
+// coldScenario describes a simulated run.
 type coldScenario struct {
 	balancers      int
-	share          float64 // a balancer's mean share of half the budget at the start, in calls
-	starts         int     // servers that start cold, beside three warm ones
-	warmState      string  // what becomes of the others: "" nothing, "late", "full", or no more than they can, "crowded"
-	surge          float64 // then: times the requests that all caches could answer when warm; 0: no more than before
-	speed          float64 // times the work of its present capacity that a cold server answers; the multiple at most
-	restartNodes   bool    // of half of the balancers, which remember nothing
-	fresh          bool    // all balancers start with the cold servers
-	pauseNodes     bool    // half of the balancers stand still for a second, and go on
-	restartServers bool    // the cold servers start twice more within a second
-	lateNews       bool    // the start is told up to a window late
-	clockAhead     bool    // and said to lie half a second ahead
-	aside          bool    // the origin takes what the caches miss or have no room for
+	share          float64 // a balancer's mean share of half the initial budget, in calls
+	starts         int     // servers that start cold, in addition to three warm ones
+	warmState      string  // fault of the warm servers: "" none, "late", "full", or "crowded" at their nominal rate
+	surge          float64 // request rate from then on, as a multiple of all caches' warm capacity; 0: unchanged
+	speed          float64 // actual capacity of a cold server as a multiple of its nominal one
+	restartNodes   bool    // half of the balancers restart without state
+	fresh          bool    // all balancers start together with the cold servers
+	pauseNodes     bool    // half of the balancers pause for a second
+	restartServers bool    // the cold servers restart twice within a second
+	lateNews       bool    // balancers are notified of the start up to a window late
+	clockAhead     bool    // the reported start lies half a second in the future
+	aside          bool    // aside mode: the origin gets misses and what the caches have no room for
 }
 
-// starts has the caches beyond the first warm ones start now.
+// starts starts the caches after the first warm ones now.
 func (d *coldSim) starts(x coldScenario, warm int) {
 	for i := warm; i < len(d.list); i++ {
 		if d.list[i].Started = d.now; x.clockAhead {
@@ -278,19 +278,19 @@
 	}
 }
 
-// some is a time by chance, up to so many windows.
-func (d *coldSim) randomDelay(most float64) time.Duration {
-	return time.Duration(d.rng.Float64() * most * float64(d.set.FallWindow))
+// randomDelay returns a random time of at most that many windows.
+func (d *coldSim) randomDelay(maxWindows float64) time.Duration {
+	return time.Duration(d.rng.Float64() * maxWindows * float64(d.set.FallWindow))
 }
 
-// play plays a day.
+// simulate runs the scenario once.
 func (x coldScenario) simulate(seed int64) *coldSim {
 	set := settings()
 	set.Balancers, set.Tick, set.FallWindow, set.WarmUp = x.balancers, 20*ms, time.Second, 2500*ms
 	if set.ColdFrom, set.FallMultiple = 0.31, 4; seed%2 > 0 {
 		set.ColdFrom, set.FallMultiple = 0.4, 2.5
 	}
-	if x.balancers >= 300 && x.share > 0.5 { // less traffic for as large a budget
+	if x.balancers >= 300 && x.share > 0.5 { // less traffic for the same budget
 		set.ColdFrom, set.FallMultiple, set.WarmUp = 0.5, 4, 1200*ms
 	}
 	const warm = 3
@@ -302,7 +302,7 @@
 	}
 	for i := range warm {
 		d.list = append(d.list, Server{ID: fmt.Sprint("c", i), Weight: 1})
-		d.caches = append(d.caches, &simCache{rate: rate, slowdown: 0.1}) // they could do more than is asked
+		d.caches = append(d.caches, &simCache{rate: rate, slowdown: 0.1}) // they have spare capacity
 	}
 	for i := range x.balancers {
 		share := 1.0
@@ -363,18 +363,19 @@
 	return d
 }
 
-// coldDays has the tests play so many days of each kind in each cell; 0: the smaller draw of every run.
-var coldRuns = flag.Int("cold-days", 0, "days of each kind and cell of the cold servers' tests (0: fewer, the larger the fleet)")
+// coldRuns is the number of runs per scenario and fleet; 0 selects the smaller default.
+var coldRuns = flag.Int("cold-days", 0, "runs per scenario and fleet in the tests of cold servers (0: fewer for larger fleets)")
 
-// coldSum is what some days come to.
+// coldSummary aggregates runs.
 type coldSummary struct {
-	days, overBudget         int
-	worstExcess              float64 // the largest excess
-	quietColdCalls, requests int     // calls of a cold server and requests on days on which nothing else happens
+	runs, overBudget         int
+	worstExcess              float64 // largest excess of a run
+	quietColdCalls, requests int     // calls of cold servers, and all requests, in runs without a fault
 }
 
-// playAll plays days of each kind with so many balancers and shares of so many calls, and holds them to the bound.
-func runAll(t *testing.T, cases []coldScenario, balancers int, share float64, days int) coldSummary {
+// runAll simulates each scenario with the given number of balancers and mean share per balancer, and fails the test if one
+// exceeds the budget.
+func runAll(t *testing.T, cases []coldScenario, balancers int, share float64, runs int) coldSummary {
 	t.Helper()
 	var wg sync.WaitGroup
 	sums := make([]coldSummary, len(cases))
@@ -382,8 +383,8 @@
 		x.balancers, x.share = balancers, share
 		wg.Go(func() {
 			s := coldSummary{worstExcess: math.Inf(-1)}
-			for ; s.days < days; s.days++ {
-				d := x.simulate(int64(s.days))
+			for ; s.runs < runs; s.runs++ {
+				d := x.simulate(int64(s.runs))
 				if s.worstExcess = max(s.worstExcess, d.excess); d.excess > 1 {
 					s.overBudget++
 				}
@@ -397,23 +398,23 @@
 	wg.Wait()
 	all := coldSummary{worstExcess: math.Inf(-1)}
 	for i, s := range sums {
-		all = coldSummary{all.days + s.days, all.overBudget + s.overBudget, max(all.worstExcess, s.worstExcess), all.quietColdCalls + s.quietColdCalls, all.requests + s.requests}
+		all = coldSummary{all.runs + s.runs, all.overBudget + s.overBudget, max(all.worstExcess, s.worstExcess), all.quietColdCalls + s.quietColdCalls, all.requests + s.requests}
 		if s.overBudget > 0 {
-			t.Errorf("%+v: beyond the budget and chance in %d of %d days, largest excess %.2f", cases[i], s.overBudget, s.days, s.worstExcess)
+			t.Errorf("%+v: exceeds the budget and the tolerance in %d of %d runs, largest excess %.2f", cases[i], s.overBudget, s.runs, s.worstExcess)
 		}
 	}
-	t.Logf("largest excess %.2f of 2 sqrt N + 2, beyond in %d of %d days; on calm ones %d of %d requests at cold servers",
-		all.worstExcess, all.overBudget, all.days, all.quietColdCalls, all.requests)
+	t.Logf("largest excess %.2f of 2*sqrt(N) + 2, exceeded in %d of %d runs; %d of %d requests at cold servers in runs without a fault",
+		all.worstExcess, all.overBudget, all.runs, all.quietColdCalls, all.requests)
 	return all
 }
 
-// coldCells runs a test for fleets of several sizes, and shares far under a call, near one and above.
+// forEachFleet runs a test for fleets of several sizes, with shares far below one call, close to one and above.
 func forEachFleet(t *testing.T, test func(t *testing.T, balancers int, share float64)) {
 	t.Helper()
 	for _, balancers := range []int{1, 2, 5, 20, 30, 300} {
 		shares := []float64{0.05, 0.8, 3}
 		if balancers == 300 {
-			shares = []float64{0.02, 0.8, 1.6} // a busy fifth of them has twice and a half as much
+			shares = []float64{0.02, 0.8, 1.6} // a busy fifth of them has two and a half times as much
 		}
 		for _, share := range shares {
 			t.Run(fmt.Sprintf("%d balancers, shares of %v calls", balancers, share), func(t *testing.T) { test(t, balancers, share) })
@@ -421,11 +422,11 @@
 	}
 }
 
-// A cold server falls under the sum of what all processes send: beyond its budget of N calls in the window only 2 x
-// root of N + 2 are chance, however many balancers share it. Guards against a chance for small shares that is told from
-// what was sent before: balancers that had sent nothing for a window let each of a cold server's keys pass, and when eight
-// times as much was asked as usual, all of them did; and against a small share that is spent twice within the window.
-// 200 days of each kind everywhere: go test ./policy -run ColdServersBear -timeout 1h -v -cold-days 200.
+// A cold server collapses under the sum of what all balancers send. Beyond its budget of N calls per window, only
+// 2*sqrt(N) + 2 are accepted as chance, however many balancers share it. Guards against two faults. If the probability of using a
+// share below one call is based on earlier sends, balancers that sent nothing for a window let each of a cold server's keys
+// pass, and with eight times the usual load all of them did. Also, a share below one call must not be used twice in a window.
+// For 200 runs per scenario and fleet: go test ./policy -run ColdServersBear -timeout 1h -v -cold-days 200.
 func TestColdServersBearTheSumOfAllModules(t *testing.T) {
 	cases := []coldScenario{
 		{starts: 1, speed: 1},
@@ -438,19 +439,19 @@
 		{starts: 1, speed: 2.5, warmState: "full", surge: 8},
 	}
 	forEachFleet(t, func(t *testing.T, balancers int, share float64) {
-		days := 200
+		runs := 200
 		if float64(balancers)*share >= 4 {
-			days /= len(cases) // for all kinds together: the larger the budget, the smaller the share of chance
+			runs /= len(cases) // for all scenarios together: chance matters less with a larger budget
 		}
-		s := runAll(t, cases, balancers, share, cmp.Or(*coldRuns, days))
+		s := runAll(t, cases, balancers, share, cmp.Or(*coldRuns, runs))
 		if share > 0.5 && float64(s.quietColdCalls) < 0.05*float64(s.requests) {
-			t.Errorf("%d of %d requests of calm days at the cold server: it is kept from what it can bear", s.quietColdCalls, s.requests)
+			t.Errorf("%d of %d requests of runs without a fault at the cold server: it gets less than it can answer", s.quietColdCalls, s.requests)
 		}
 	})
 }
 
-// Cold servers may be able to do far more than is stated of them: two of five that answered eight times as much raised
-// their own budgets by their answers, past the bound, where the others could do no more than usual.
+// Cold servers may be much faster than stated. Two of five that answered eight times as much raised their own budgets by their
+// answers, beyond the bound, while the others were at their usual capacity.
 func TestColdServersDoNotRaiseTheirOwnBudgets(t *testing.T) {
 	cases := []coldScenario{
 		{starts: 2, speed: 8, warmState: "crowded", surge: 8},
@@ -464,8 +465,8 @@
 	})
 }
 
-// In aside mode an idle origin answers what no cache has room for. These answers raised the cold servers' budgets, though no
-// cache had borne them.
+// In aside mode an idle origin answers what no cache has room for. These answers raised the budgets of cold servers, although no
+// cache had given them.
 func TestColdServersBearWhatAnOriginTakesPastThem(t *testing.T) {
 	cases := []coldScenario{
 		{starts: 1, speed: 1, aside: true},
@@ -478,8 +479,8 @@
 	})
 }
 
-// Modules that have just started know nothing of what others sent, and those that stood still for a second get all that
-// waited at once; a server may start again before it is warm, and its start may be told late or with a time ahead.
+// Balancers that have just started do not know what others sent, and those that pause for a second then get all waiting events
+// at once. A server may also restart before it is warm, and its start may be reported late or with a time in the future.
 func TestColdServersBearModulesThatStartOrStop(t *testing.T) {
 	var cases []coldScenario
 	for _, x := range []coldScenario{{fresh: true}, {pauseNodes: true}, {restartServers: true}, {lateNews: true}, {clockAhead: true}} {
