--- a/policy/ban_test.go
+++ b/policy/ban_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// A ban outlasts whatever the list says of the server, a restart under its id included, and ends with one call back.
+// A ban stays in force whatever the list says of the server, including a restart under the same id. One command lifts it.
 func TestABanOutlastsTheList(t *testing.T) {
 	w := newFixture(t, settings(), 4)
 	top := ranking(w, "k")[0]
 	entry := w.b.servers[top].Server
 	w.b.Ban(w.now, top, true)
 	w.b.Ban(w.now+1, top, true)
-	say := func(kind ListKind, change func(s *Server)) {
+	update := func(kind ListKind, change func(s *Server)) {
 		s := entry
 		change(&s)
 		w.b.Members(w.now, kind, []Server{s})
@@ -29,25 +29,25 @@
 		}
 	}
 	check("at once")
-	say(ListChanges, func(*Server) {})
+	update(ListChanges, func(*Server) {})
 	check("listed again")
-	say(ListChanges, func(s *Server) { s.State = Gone })
-	say(ListChanges, func(s *Server) { s.Started = w.now })
+	update(ListChanges, func(s *Server) { s.State = Gone })
+	update(ListChanges, func(s *Server) { s.Started = w.now })
 	check("restarted")
-	say(ListChanges, func(s *Server) { s.State = Draining })
+	update(ListChanges, func(s *Server) { s.State = Draining })
 	if listed, avoided := w.b.CacheCounts(w.now); listed != 4 || avoided != 1 {
 		t.Errorf("%d listed, %d avoided", listed, avoided)
 	}
-	say(ListChanges, func(*Server) {})
+	update(ListChanges, func(*Server) {})
 	w.b.Ban(w.now+2, top, false)
 	if got := ranking(w, "k")[0]; !w.b.servers[top].open() || len(ranking(w, "k")) != 4 {
-		t.Errorf("not used after the call back; %s is first", got)
+		t.Errorf("not used after the ban was lifted; %s is first", got)
 	}
 }
 
-// What is held for a server when it is banned, or drains, goes elsewhere at once, not when there is room again.
+// Requests held for a server that is banned or drains are rerouted at once, not when there is room again.
 func TestWhatIsHeldForABannedServerMovesOn(t *testing.T) {
-	for name, shut := range map[string]func(w *fixture, id string){
+	for name, closeServer := range map[string]func(w *fixture, id string){
 		"banned": func(w *fixture, id string) { w.b.Ban(w.now, id, true) },
 		"drains": func(w *fixture, id string) {
 			s := w.b.servers[id].Server
@@ -65,7 +65,7 @@
 		other := ranking(w, "k")[1]
 		w.request("a", "write", "k")
 		w.request("b", "write", "k")
-		w.request("c", "write", "k") // both are full now: it is held
+		w.request("c", "write", "k") // both are full, so it is held
 		r := w.b.open["c"]
 		if r == nil || r.heldFor == nil {
 			t.Fatalf("%s: nothing is held", name)
@@ -73,10 +73,10 @@
 		heldFor := r.heldFor.ID
 		for _, s := range w.b.servers {
 			if s.ID != heldFor {
-				s.limit = 4 // room came meanwhile
+				s.limit = 4 // room has become available
 			}
 		}
-		shut(w, heldFor)
+		closeServer(w, heldFor)
 		if got := w.last(); got.id != "c" || got.server == heldFor || (got.server != top && got.server != other) {
 			t.Errorf("%s: last sent %v, held for %s", name, got, heldFor)
 		}
@@ -86,7 +86,7 @@
 	}
 }
 
-// With the origin banned what needs it is refused at once, and goes there again after the call back.
+// While the origin is banned, requests that need it are refused at once. They go there again after the ban is lifted.
 func TestTheOriginBanned(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
@@ -94,7 +94,7 @@
 	w.b.Ban(w.now, "o", true)
 	w.request("r", "read", "k")
 	w.answer(w.last(), Miss, CacheMiss, ms)
-	for range 3 { // the other caches may have it
+	for range 3 { // the other caches may hold the key
 		if w.ended["r"] == "" && len(w.sends) > 0 {
 			w.answer(w.last(), Miss, CacheMiss, ms)
 		}
@@ -106,7 +106,7 @@
 	w.b.Ban(w.now, "o", false)
 	w.request("p2", "write", "k2")
 	if w.last().server != "o" {
-		t.Error("the origin is not used after the call back")
+		t.Error("the origin is not used after the ban was lifted")
 	}
 	for _, s := range slices.Clone(w.b.caches) {
 		w.b.Ban(w.now, s.ID, true)
@@ -117,7 +117,7 @@
 	}
 }
 
-// A server comes back from a ban cold, with a clean record, and warm only by the time since its start.
+// When a ban is lifted the server is cold and its failures are cleared. It warms up from its start.
 func TestBackFromABanItIsCold(t *testing.T) {
 	w := newFixture(t, settings(), 4)
 	s := w.b.servers["c01"]
@@ -126,9 +126,9 @@
 	w.now += time.Second
 	w.b.Ban(w.now, "c01", false)
 	if s.failures != 0 || s.limit < initialLimit || w.b.warmth(s) != w.b.set.ColdFrom {
-		t.Errorf("back with %d failures, limit %v, warmth %v", s.failures, s.limit, w.b.warmth(s))
+		t.Errorf("after the ban: %d failures, limit %v, warmth %v", s.failures, s.limit, w.b.warmth(s))
 	}
-	e := s.Server // the list tells of the restart, which was before the call back
+	e := s.Server // the list reports the restart, which came before the ban was lifted
 	e.Started = w.now - 500*ms
 	w.b.Members(w.now, ListChanges, []Server{e})
 	if got := w.b.warmth(s); got <= w.b.set.ColdFrom || got > 0.3 {
@@ -139,45 +139,45 @@
 	if w.b.warmth(s) != 1 {
 		t.Errorf("warmth %v after the warm-up", w.b.warmth(s))
 	}
-	for i := range 2 * maxLifted { // words are forgotten by their number: a process that was stopped may tell older ones
+	for i := range 2 * maxLifted { // overrides are removed by number, not age: a process that was suspended may report older ones
 		id := fmt.Sprint("gone", i)
 		w.b.Ban(w.now, id, true)
 		w.b.Ban(w.now, id, false)
 	}
 	if len(w.b.overrides) != maxLifted {
-		t.Errorf("%d words by hand are kept", len(w.b.overrides))
+		t.Errorf("%d overrides are kept", len(w.b.overrides))
 	}
-	w.b.Ban(w.now, "c02", false) // a call back of what was not banned makes nothing cold
+	w.b.Ban(w.now, "c02", false) // lifting a ban that does not exist makes no server cold
 	if w.b.warmth(w.b.servers["c02"]) != 1 {
 		t.Error("cold without a ban")
 	}
 }
 
-// Of what two processes of a node were told, the latest word holds, whatever the order in which it is heard.
+// Of the overrides set by two processes of a node, the latest one is in force, whatever the order of their arrival.
 func TestTheLatestWordHolds(t *testing.T) {
 	ban := Override{ID: "c01", Banned: true, At: 10, Since: 10}
-	lift := Override{ID: "c01", At: 20} // by a process that had not heard of the ban
+	lift := Override{ID: "c01", At: 20} // set by a process without knowledge of the ban
 	again := Override{ID: "c01", Banned: true, At: 30, Since: 30}
 	for _, c := range []struct {
-		words  []Override
-		banned bool
+		overrides []Override
+		banned    bool
 	}{
 		{[]Override{ban, lift}, false}, {[]Override{lift, ban}, false}, {[]Override{again, ban, lift}, true}, {[]Override{lift, again, ban}, true},
 	} {
 		w := newFixture(t, settings(), 3)
 		w.now = 40
-		for _, h := range c.words {
+		for _, h := range c.overrides {
 			w.b.Override(w.now, h)
 		}
 		if s := w.b.servers["c01"]; s.banned != c.banned || len(w.b.Hands()) != 1 {
-			t.Errorf("%v: banned %v", c.words, s.banned)
+			t.Errorf("%v: banned %v", c.overrides, s.banned)
 		}
 	}
 	w := newFixture(t, settings(), 3)
 	w.now = 40
 	w.b.Override(w.now, ban)
 	w.b.Override(w.now, lift)
-	if w.b.servers["c01"].warmingSince != w.now { // as it was heard: the clock of who took it tells nothing here
-		t.Errorf("started %d: the lifted ban is not known", w.b.servers["c01"].warmingSince)
+	if w.b.servers["c01"].warmingSince != w.now { // when this process was notified, since the other process's clock means nothing here
+		t.Errorf("warming since %d: the lifted ban is not recorded", w.b.servers["c01"].warmingSince)
 	}
 }
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// skews are how far another machine's or process's wall clock may be from the one of the process under test.
+// skews are the offsets of another machine's or process's wall clock from that of the process under test.
 var skews = []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, time.Hour}
 
-// An operator's call holds whatever the clock of the process said that took the one before it.
+// An operator's command takes effect whatever the clock of the process that set the previous override.
 func TestAnOverrideOfAnotherClockCanBeReplaced(t *testing.T) {
 	for _, skew := range skews {
 		w := newFixture(t, settings(), 4)
 		w.now += 2 * time.Hour
-		said := w.now + skew
-		w.b.Override(w.now, Override{ID: "c01", Banned: true, At: said, Since: said})
+		setAt := w.now + skew
+		w.b.Override(w.now, Override{ID: "c01", Banned: true, At: setAt, Since: setAt})
 		if !w.b.servers["c01"].banned {
-			t.Fatalf("skew %v: the ban taken over does not hold", skew)
+			t.Fatalf("skew %v: the other process's ban is not in force", skew)
 		}
 		w.now += time.Second
 		w.b.Ban(w.now, "c01", false)
 		if s := w.b.servers["c01"]; s.banned || w.b.warmth(s) != w.b.set.ColdFrom {
-			t.Errorf("skew %v: after the call back banned %t, warmth %v", skew, s.banned, w.b.warmth(s))
+			t.Errorf("skew %v: after the ban was lifted banned %t, warmth %v", skew, s.banned, w.b.warmth(s))
 		}
 		w.b.Ban(w.now, "c01", true)
 		if !w.b.servers["c01"].banned {
@@ -30,16 +30,17 @@
 	}
 }
 
-// A server called back by another process of the node is cold from then on for one warm-up, whatever that one's clock says.
+// When another process of the node lifts a ban, the server is cold from then on for one warm-up, whatever that process's clock
+// says.
 func TestACallBackOfAnotherClockMakesCold(t *testing.T) {
 	for _, skew := range skews {
 		w := newFixture(t, settings(), 4)
 		w.now += 2 * time.Hour
-		said := w.now + skew
-		w.b.Override(w.now, Override{ID: "c01", At: said, Since: said - time.Second, Back: said})
+		setAt := w.now + skew
+		w.b.Override(w.now, Override{ID: "c01", At: setAt, Since: setAt - time.Second, Back: setAt})
 		s := w.b.servers["c01"]
 		if got := w.b.warmth(s); got != w.b.set.ColdFrom {
-			t.Errorf("skew %v: warmth %v at the call back", skew, got)
+			t.Errorf("skew %v: warmth %v when the ban is lifted", skew, got)
 		}
 		w.now += w.b.set.WarmUp + time.Second
 		w.b.Members(w.now, ListChanges, nil)
@@ -49,8 +50,8 @@
 	}
 }
 
-// A server that joins or starts anew while the list is watched is cold from then on, and warm after its warm-up, whatever
-// the clock says by which the list tells its start.
+// A server that joins or restarts while the list is watched is cold from then on, and warm after its warm-up, whatever the clock by
+// which the list reports its start.
 func TestAStartSeenWhileWatchedGoesByTheOwnClock(t *testing.T) {
 	for _, skew := range skews {
 		for _, id := range []string{"c01", "new"} {
@@ -64,7 +65,7 @@
 				t.Errorf("%s, skew %v: warmth %v as it starts", id, skew, got)
 			}
 			w.now += w.b.set.WarmUp / 2
-			e.Weight = 2 // other news of it is no start
+			e.Weight = 2 // an update of another field is no start
 			w.b.Members(w.now, ListChanges, []Server{e})
 			if got := w.b.warmth(s); got <= w.b.set.ColdFrom || got >= 1 {
 				t.Errorf("%s, skew %v: warmth %v half way", id, skew, got)
@@ -78,7 +79,8 @@
 	}
 }
 
-// A start that the first list tells is not later than that list, and one that left and returns unchanged is no start.
+// A start reported by the first list is taken to be no later than that list, and a server that leaves and returns with the same
+// start has not restarted.
 func TestAStartNotSeenIsBoundedByTheFirstList(t *testing.T) {
 	w := newFixture(t, settings(), 4)
 	e := Server{ID: "c01", Zone: "z1", Cell: 1, Weight: 1, Started: w.now + time.Hour}
--- a/policy/coming_test.go
+++ b/policy/coming_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A write whose value is still coming has all the time its client takes and takes no room at its server; its aim, its end
-// and its room count from its last byte.
+// A write whose body is incomplete has no time limit of its own and takes no slot at its server. Its aim, its deadline and its slot
+// count from the end of the body.
 func TestAWriteThatIsComing(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
@@ -14,12 +14,12 @@
 	w.b.origin.limit = 1
 	w.b.Request(w.now, Request{ID: "slow", Class: "once", Key: "k", Remaining: time.Second, Write: true, BodyPending: true})
 	if w.last().server != "o" || len(w.b.origin.inFlight) != 0 {
-		t.Fatalf("sent to %s, %d out there", w.last().server, len(w.b.origin.inFlight))
+		t.Fatalf("sent to %s, %d in flight there", w.last().server, len(w.b.origin.inFlight))
 	}
 	slow := w.last()
 	w.request("quick", "once", "k2")
 	if w.last().id != "quick" || len(w.b.origin.inFlight) != 1 {
-		t.Error("what is still coming keeps others out")
+		t.Error("an incomplete request takes a slot")
 	}
 	w.answer(w.last(), OK, CacheUnreported, ms)
 	for range 50 {
@@ -27,20 +27,20 @@
 		w.sweep()
 	}
 	if w.ended["slow"] != "" {
-		t.Errorf("%s while it is coming", w.ended["slow"])
+		t.Errorf("%s while its body is incomplete", w.ended["slow"])
 	}
 	w.b.BodyReceived(w.now, "slow", time.Second)
-	w.b.BodyReceived(w.now, "slow", time.Minute) // told twice it changes nothing
+	w.b.BodyReceived(w.now, "slow", time.Minute) // a repeated event changes nothing
 	if r := w.b.open["slow"]; r.aim != w.now+400*ms || r.deadline != w.now+time.Second || len(w.b.origin.inFlight) != 1 {
-		t.Errorf("aim %v, end %v from now, %d out", r.aim-w.now, r.deadline-w.now, len(w.b.origin.inFlight))
+		t.Errorf("aim %v, deadline %v from now, %d in flight", r.aim-w.now, r.deadline-w.now, len(w.b.origin.inFlight))
 	}
 	w.answer(slow, Full, CacheUnreported, ms)
 	if w.ended["slow"] != "refused" || len(w.b.open) != 0 || len(w.b.origin.inFlight) != 0 {
-		t.Errorf("%q, %d open, %d out", w.ended["slow"], len(w.b.open), len(w.b.origin.inFlight))
+		t.Errorf("%q, %d open, %d in flight", w.ended["slow"], len(w.b.open), len(w.b.origin.inFlight))
 	}
 }
 
-// A request that is not kept is not sent again, whatever its class allows; it is refused where no attempt can have run.
+// A request whose body was not kept is not sent again, whatever its class allows. It is refused if no attempt can have run.
 func TestASpentRequestIsNotSentAgain(t *testing.T) {
 	for _, c := range []struct {
 		class   string
@@ -59,7 +59,7 @@
 		w.b.Request(w.now, Request{ID: "a", Class: c.class, Key: "k", Remaining: time.Second, Write: true, BodyPending: true})
 		w.b.Result(w.now+ms, Result{ID: "a", Server: w.last().server, Outcome: c.outcome, BodyDiscarded: c.spent})
 		if len(w.sends) != c.sends || w.ended["a"] != c.end {
-			t.Errorf("%s %v spent %v: %d sends, %q", c.class, c.outcome, c.spent, len(w.sends), w.ended["a"])
+			t.Errorf("%s %v body discarded %v: %d sends, %q", c.class, c.outcome, c.spent, len(w.sends), w.ended["a"])
 		}
 	}
 }
--- a/policy/leave_test.go
+++ b/policy/leave_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Clients that leave while their request waits in the module: nothing is sent for it from then on, whatever ends or comes
-// back, its place is free, and those who waited on its fetch are served. Cancels may be allowed or not.
+// Clients may leave while their request waits in the balancer. Nothing is sent for it from then on, whatever ends or recovers, its
+// slot is released, and the reads that waited for its fetch are served. This holds with and without cancellation.
 func TestNothingIsSentForWhoHasLeft(t *testing.T) {
 	left := false
 	leave := func(w *fixture) {
@@ -23,9 +23,9 @@
 				}
 				leave(w)
 				if len(s.queue) != 0 {
-					t.Error("its place is taken")
+					t.Error("its place in the queue is taken")
 				}
-				w.answer(w.sends[0], OK, CacheHit, 5*ms) // there is room now
+				w.answer(w.sends[0], OK, CacheHit, 5*ms) // now there is room
 				w.b.Timer(w.now, "sweep")
 			},
 			"held for a server that leaves": func(w *fixture) {
@@ -49,7 +49,7 @@
 				leave(w)
 				w.answer(first, ConnectFailed, CacheUnreported, 5*ms)
 				if w.b.open["gone"] != nil {
-					t.Error("it is not forgotten")
+					t.Error("it is still indexed")
 				}
 			},
 			"its attempt misses behind it": func(w *fixture) {
@@ -74,7 +74,7 @@
 			},
 			"until a cache has told its load": func(w *fixture) {
 				w.b.set.MayProbe = true
-				w.b.lateAnswers.add(w.now, skipDuration) // answers come late
+				w.b.lateAnswers.add(w.now, skipDuration) // answers are late
 				w.request("gone", "read", "k")
 				s := w.b.open["gone"].heldFor
 				if len(w.probed) != 1 || s == nil || !s.probing {
@@ -83,7 +83,7 @@
 				leave(w)
 				w.b.Probed(w.now+ms, w.probed[0], true, Report{})
 				if len(s.queue) != 0 {
-					t.Error("its place is taken")
+					t.Error("its place in the queue is taken")
 				}
 			},
 			"its write half come": func(w *fixture) {
@@ -92,7 +92,7 @@
 				leave(w)
 				w.b.BodyReceived(w.now, "gone", time.Second)
 				if len(s.queue) != 0 {
-					t.Error("its place is taken")
+					t.Error("its place in the queue is taken")
 				}
 				w.answer(w.sends[0], OK, CacheHit, 5*ms)
 			},
@@ -135,26 +135,26 @@
 					}
 				}
 				play(w)
-				for range 400 { // whatever is due, is
+				for range 400 { // all due timers expire
 					w.now += 5 * ms
 					w.b.Timer(w.now, "sweep")
 				}
 				if r := w.b.open["gone"]; r != nil && !r.ended || w.ended["gone"] != "" {
-					t.Errorf("it is open still, or answered %q", w.ended["gone"])
+					t.Errorf("it is still open, or answered %q", w.ended["gone"])
 				}
 			})
 		}
 	}
 }
 
-// fill sends the top server of a key all that it has room for, so that the key's next request is held there.
+// fill takes up the limits of all caches, so that the next request for the key is held for the server returned, its first one.
 func (w *fixture) fill(key string) *server {
 	s := w.b.rank(key)[0]
 	for _, x := range w.b.caches {
 		x.limit = 1
 	}
 	w.b.meanLatency = float64(ms)
-	for i := range 4 { // each cache has one out, of a key of its own
+	for i := range 4 { // each cache has one attempt in flight, for a key of its own
 		x := w.b.caches[i]
 		k := ""
 		for j := 0; w.b.rank(k)[0] != x || k == ""; j++ {
@@ -165,7 +165,7 @@
 	return s
 }
 
-// heldForOrigin has the request "gone" wait for room at the origin, behind an attempt, which it returns.
+// heldForOrigin makes the request "gone" wait for room at the origin behind an attempt, which it returns.
 func heldForOrigin(t *testing.T, w *fixture) sentAttempt {
 	t.Helper()
 	w.b.origin.limit = 1
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// The slopes that docs/CAPACITY.md multiplies: what a request, a change of the list and a balancer itself cost as the list
-// grows. Counts of allocations are the same on a busy machine, times are not.
+// These benchmarks measure the cost of a request, a list change and a balancer by the number of caches, from which
+// docs/CAPACITY.md extrapolates. The counts of allocations are reproducible on a busy machine, the times are not.
 
 var listSizes = []int{80, 105, 210, 420}
 
-// prompt answers each attempt in its turn, 2 ms later.
+// answeringClient answers each attempt after 2 ms, in order.
 type answeringClient struct {
 	b       *Balancer
 	now     time.Duration
@@ -42,7 +42,7 @@
 	return p
 }
 
-// serve takes one request through to its answer, at 842 requests a second.
+// serve runs one request through to its answer, at a rate of 842 requests per second.
 func (p *answeringClient) serve(i int, key string) {
 	p.now += time.Second / 842
 	id := fmt.Sprint("r", i)
@@ -57,7 +57,7 @@
 	}
 }
 
-// keys draws keys: all new ones, or from as many as there are, by a popularity that falls as rank^-1.1.
+// keySource returns a generator of keys: all new, or Zipf-distributed with exponent 1.1.
 func keySource(kind string) func(i int) string {
 	if kind == "new" {
 		return func(i int) string { return fmt.Sprint("object/", i) }
@@ -84,7 +84,7 @@
 	}
 }
 
-// One server's weight changes: the list is sorted anew, and what was kept of keys is lost.
+// One server's weight changes: the list is sorted again and the cached scores are dropped.
 func BenchmarkListChangeBySize(b *testing.B) {
 	for _, n := range listSizes {
 		b.Run(fmt.Sprintf("caches=%d", n), func(b *testing.B) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// A view that tells a factor for each server, as a planner of protocol 1 without changes sends twice a second.
+// A view with a factor for each server, as planners of protocol 1 without changes send it twice per second.
 func BenchmarkViewBySize(b *testing.B) {
 	for _, n := range listSizes {
 		b.Run(fmt.Sprintf("caches=%d", n), func(b *testing.B) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// What a balancer holds once it has served four new keys for each cache, with nothing open.
+// The memory held by a balancer after four new keys per cache, with no request open.
 func BenchmarkMemoryBySize(b *testing.B) {
 	for _, n := range listSizes {
 		b.Run(fmt.Sprintf("caches=%d", n), func(b *testing.B) {
--- a/policy/view_test.go
+++ b/policy/view_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A view lowers weights and never brings back what the list or the node itself keeps off; an empty one undoes it.
+// A view lowers weights and never brings back a server that the list or the node itself excludes; an empty view undoes it.
 func TestAViewLowersWeights(t *testing.T) {
 	w := newFixture(t, settings(), 4)
 	tops := func() map[string]int {
@@ -25,7 +25,7 @@
 	if got, want := float64(cut[id])/2000, 0.25/3.25; math.Abs(got-want) > 0.03 {
 		t.Errorf("%.3f of the keys, want %.3f", got, want)
 	}
-	for other, n := range plain { // keys move off the server alone
+	for other, n := range plain { // keys move away from that server only
 		if other != id && cut[other] < n {
 			t.Errorf("%s lost keys: %d of %d left", other, cut[other], n)
 		}
@@ -47,7 +47,7 @@
 	}
 }
 
-// A cold server gets no more than a view leaves to this node, however little that is, and the node's own bound stands.
+// A cold server gets no more than the view's limit for this node, however low, and the node's own limit still applies.
 func TestAViewBoundsAColdServer(t *testing.T) {
 	run := func(allow float64) (cold int) {
 		w := newFixture(t, settings(), 4)
@@ -69,7 +69,7 @@
 	}
 	own := run(0)
 	if own < 50 {
-		t.Fatalf("%d by itself: nothing is bounded here", own)
+		t.Fatalf("%d without a view: the limit has no effect here", own)
 	}
 	for _, c := range []struct {
 		allow float64
@@ -81,7 +81,7 @@
 	}
 }
 
-// Planners thin out the reads that go to the origin, evenly; writes go on, and what is thinned out is refused at once.
+// A view thins out the reads that go to the origin, evenly. Writes are unaffected, and the other reads are refused at once.
 func TestAViewThinsTheOriginsReads(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
@@ -116,7 +116,7 @@
 	}
 }
 
-// A key that planners name as hot starts at as many caches as can carry it, though this node has seen it once.
+// A key that a view names as hot is spread over as many caches as can carry it, though this node has seen it only once.
 func TestAViewsHotKeySpreads(t *testing.T) {
 	w := newFixture(t, settings(), 6)
 	for _, s := range w.b.servers {
