--- a/policy/leave_test.go
+++ b/policy/leave_test.go
@@ -72,7 +72,7 @@
 					t.Errorf("%v, want w1 sent", s)
 				}
 			},
-			"until a cache has told its load": func(w *fixture) {
+			"held until a cache reports its load": func(w *fixture) {
 				w.b.set.MayProbe = true
 				w.b.lateAnswers.add(w.now, skipDuration) // answers are late
 				w.request("gone", "read", "k")
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -12,20 +12,20 @@
 
 const ms = time.Millisecond
 
-// world is a balancer under test and what it has done.
+// fixture is a balancer under test that records its actions.
 type fixture struct {
 	t             *testing.T
 	b             *Balancer
 	now           time.Duration
 	sends         []sentAttempt
-	ended         map[string]string // request to "refused" or "failed"
+	ended         map[string]string // "refused" or "failed", by request
 	logs          []string
 	subscriptions int
 	probed        []string
-	noHotKeys     bool // no key counts as hot
+	noHotKeys     bool // the recent keys are cleared after each request
 	timers        map[string]int
 	attempts      map[string]int
-	cancels       map[string]int // attempts called off
+	cancels       map[string]int // cancelled attempts, by request
 	onSend        func(id, server string)
 	onEnd         func(id, how string)
 }
@@ -69,7 +69,7 @@
 	}
 }
 
-// start returns a balancer with n ready caches, and an origin in aside mode.
+// newFixture returns a balancer with n ready caches and, in aside mode, an origin.
 func newFixture(t *testing.T, set Settings, n int) *fixture {
 	w := &fixture{t: t, now: time.Hour, ended: map[string]string{}, timers: map[string]int{}, attempts: map[string]int{},
 		cancels: map[string]int{}}
@@ -78,7 +78,7 @@
 	}
 	w.b = New(w.now, set, 1, w)
 	w.b.Members(w.now, ListSaved, serverList(set, n))
-	for _, s := range w.b.servers { // they have proved good for four attempts at once
+	for _, s := range w.b.servers { // as after a history of timely answers
 		s.limit = 4
 	}
 	if w.b.origin != nil {
@@ -113,13 +113,13 @@
 	return w.sends[len(w.sends)-1]
 }
 
-// answer ends the attempt s after a time.
+// answer ends the attempt s after the given time.
 func (w *fixture) answer(s sentAttempt, o Outcome, note CacheStatus, after time.Duration) {
 	w.now += after
 	w.b.Result(w.now, Result{ID: s.id, N: s.n, Server: s.server, Outcome: o, CacheStatus: note, Final: o == OK})
 }
 
-// restart tells the balancer, a minute on, that a server has just started anew.
+// restart reports a restart of a server, one minute later.
 func (w *fixture) restart(id string) {
 	w.now += time.Minute
 	s := w.b.servers[id].Server
@@ -127,7 +127,7 @@
 	w.b.Members(w.now, ListChanges, []Server{s})
 }
 
-// cool makes the balancer forget which keys are hot, for tests that use one key again and again.
+// forgetHotKeys clears the recent keys, for tests that use one key repeatedly.
 func (w *fixture) forgetHotKeys() { w.b.recentKeys = recentKeys{count: map[keyDigest]int{}} }
 
 func (w *fixture) sweep() { w.b.Timer(w.now, "sweep") }
@@ -177,7 +177,7 @@
 			}
 		}
 		if got := ranking(less, key); fmt.Sprint(got) != fmt.Sprint(without) {
-			t.Fatalf("%s: a departure changed more than its own place: %v, want %v", key, got, without)
+			t.Fatalf("%s: a departure changed the order of other servers: %v, want %v", key, got, without)
 		}
 		if got := ranking(turned, key); fmt.Sprint(got) != fmt.Sprint(all) {
 			t.Fatalf("%s: the order of the list matters: %v, want %v", key, got, all)
@@ -229,18 +229,18 @@
 	set.Classes = append(set.Classes, zone, cell)
 	for _, c := range []struct {
 		name, class string
-		outcome     Outcome // of the first attempt, at c00 (zone z0, cell 0); NotSent+1: still out
+		outcome     Outcome // of the first attempt, at c00 (zone z0, cell 0); NotSent+1: still in flight
 		after       time.Duration
 		parallel    bool
-		want        map[string]bool // server to allowed
+		want        map[string]bool // whether an attempt is allowed, by server
 		refuse      bool
 	}{
-		{"safe after a time-out", "read", TimedOut, ms, true, map[string]bool{"c00": true, "c01": true}, true},
+		{"safe after a timeout", "read", TimedOut, ms, true, map[string]bool{"c00": true, "c01": true}, true},
 		{"safe, second copy", "read", NotSent + 1, ms, true, map[string]bool{"c01": true}, true},
 		{"safe, no second copy allowed", "read", NotSent + 1, ms, false, map[string]bool{"c01": false}, true},
-		{"unsafe after a time-out", "once", TimedOut, ms, true, map[string]bool{"c00": false, "c01": false}, false},
+		{"unsafe after a timeout", "once", TimedOut, ms, true, map[string]bool{"c00": false, "c01": false}, false},
 		{"unsafe, never ran", "once", ConnectFailed, ms, true, map[string]bool{"c01": true}, true},
-		{"unsafe, turned away", "once", Full, ms, true, map[string]bool{"c01": true}, true},
+		{"unsafe, rejected", "once", Full, ms, true, map[string]bool{"c01": true}, true},
 		{"unsafe, error", "once", Errored, ms, true, map[string]bool{"c01": false}, false},
 		{"keyed by all, in the window", "write", Reset, ms, true, map[string]bool{"c01": true}, false},
 		{"keyed by zone", "zone", Reset, ms, true, map[string]bool{"c02": true, "c01": false}, false},
@@ -288,9 +288,9 @@
 
 func TestARepeatIsToldItsWindow(t *testing.T) {
 	for _, c := range []struct {
-		class string
-		first Outcome
-		told  bool
+		class   string
+		first   Outcome
+		limited bool
 	}{{"write", Reset, true}, {"write", Errored, true}, {"write", ConnectFailed, false}, {"write", Full, false}, {"read", Reset, false}} {
 		w := newFixture(t, settings(), 4)
 		w.request("q", c.class, "k")
@@ -300,7 +300,7 @@
 		}
 		w.answer(first, c.first, CacheUnreported, 50*ms)
 		again := w.last()
-		if want := at + w.b.classes[c.class].Window - safety.Slack; len(w.sends) != 2 || c.told && again.by != want || !c.told && again.by != 0 {
+		if want := at + w.b.classes[c.class].Window - safety.Slack; len(w.sends) != 2 || c.limited && again.by != want || !c.limited && again.by != 0 {
 			t.Errorf("%s after %v: %d sends, the second by %v", c.class, c.first, len(w.sends), again.by)
 		}
 	}
@@ -317,8 +317,8 @@
 	}
 }
 
-// A repeat that is chosen in the window may be written up to 0.15 s later, by a process that is held up: its servers must not
-// have forgotten the request by then.
+// A process that is held up may write a repeat up to 0.15 s after deciding on it within the window. The servers must still
+// remember the request then.
 func TestAKeyedRepeatLeavesRoomForAHoldUp(t *testing.T) {
 	const heldUp = 150 * ms
 	for _, took := range []time.Duration{100 * ms, 500*ms - heldUp, 499 * ms} {
@@ -386,21 +386,21 @@
 	w.request("trial", "read", "k")
 	trial := w.last()
 	if trial.server != top {
-		t.Errorf("no trial after the spell: sent to %s", trial.server)
+		t.Errorf("no trial after skipDuration: sent to %s", trial.server)
 	}
 	w.request("second", "read", "k")
 	if s := w.last(); s.server == top {
-		t.Error("a second request went along with the trial")
+		t.Error("a second request was sent during the trial")
 	}
 	w.answer(trial, OK, CacheHit, ms)
 	w.request("back", "read", "k")
 	if s := w.last(); s.server != top {
-		t.Errorf("not back after a good trial: sent to %s", s.server)
+		t.Errorf("not used after a successful trial: sent to %s", s.server)
 	}
 }
 
-// The end of a connection that had answered before, or of one of a server that answers others, says nothing of the
-// server: where networks cut connections now and then, three in a row come often.
+// The end of a connection that has answered before, or of one to a server that answers others, is no failure of the server:
+// where networks cut connections now and then, three in a row are common.
 func TestAConnectionsEndIsNoFailureOfItsServer(t *testing.T) {
 	for _, kept := range []bool{true, false} {
 		w := newFixture(t, settings(), 4)
@@ -424,14 +424,14 @@
 	}
 }
 
-// A busy server answers others: a time-out there says that it is late, not dead.
+// A timeout at a server that answers other requests means that it is slow, not dead.
 func TestTimeoutOfAnAnsweringServerIsNoFailure(t *testing.T) {
 	w := newFixture(t, settings(), 4)
 	w.noHotKeys = true
 	for _, s := range w.b.servers {
 		s.limit = 4
 	}
-	for _, s := range w.b.caches { // all are known to be quick: none is spared
+	for _, s := range w.b.caches { // all have a history of timely answers, so none is passed over
 		for range 50 {
 			w.b.recordAnswer(s, OK, false)
 		}
@@ -449,7 +449,7 @@
 	}
 }
 
-// Misses for one key do not share a fetch by themselves.
+// Neither the caches nor the origin combine misses of one key, so the balancer makes them share a fetch.
 func TestOneFetchAKey(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
@@ -482,7 +482,7 @@
 	w.request("wait", "read", "k")
 	w.b.Abandoned(w.now, "lead")
 	if s := w.last(); s.id != "wait" || s.server != "o" {
-		t.Errorf("after its leader left the fetch went %v", s)
+		t.Errorf("after its leader had left, the fetch went to %v", s)
 	}
 }
 
@@ -496,7 +496,7 @@
 	}
 }
 
-// Servers with deep queues answered nothing in time (burnie-super overload): what they may hold is halved.
+// Under overload, servers with long queues answered nothing in time. A late answer halves the concurrency limit, once per round.
 func TestLateAnswersHalveTheLimit(t *testing.T) {
 	w := newFixture(t, settings(), 1)
 	s := w.b.servers["c00"]
@@ -515,8 +515,8 @@
 	}
 }
 
-// An attempt that hangs while others sent after it are answered well in time, as on a connection that fell silent, does
-// not halve its server's limit; with nothing answered after it, it does.
+// An attempt that hangs while later ones are answered well in time, as on a connection that has gone silent, does not halve its
+// server's limit. It does if nothing sent after it is answered.
 func TestAnAttemptLateByItselfIsNoStrain(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		w := newFixture(t, settings(), 1)
@@ -543,8 +543,8 @@
 	}
 }
 
-// A read that hangs alone at the origin, as on a connection that fell silent, is called off in time for a further try;
-// not while the origin is strained, when what takes long only takes long, and never a write.
+// A read that hangs alone at the origin, as on a connection that has gone silent, is cancelled in time for a retry. This does not
+// apply while the origin is overloaded, where slow answers are normal, nor to writes.
 func TestAReadThatHangsAtTheOriginIsSentAgain(t *testing.T) {
 	for _, x := range []struct {
 		name          string
@@ -585,7 +585,7 @@
 			w.sweep()
 			w.sweep()
 			if w.cancels["hangs"] != x.cancels {
-				t.Errorf("called off %d times, want %d", w.cancels["hangs"], x.cancels)
+				t.Errorf("cancelled %d times, want %d", w.cancels["hangs"], x.cancels)
 			}
 			if x.cancels > 0 {
 				w.answer(hangs, Cancelled, CacheUnreported, 0)
@@ -609,11 +609,11 @@
 	w.now += 390 * ms
 	w.sweep()
 	if w.ended["r1"] != "refused" {
-		t.Error("a held request was kept past its aim (launceston-platform big-1)")
+		t.Error("a held request was kept past its aim")
 	}
 }
 
-// A hot key's requests stuck to two servers that turned them away (launceston-platform ia681be).
+// The requests for a hot key stayed at two servers, which rejected them.
 func TestHotKeySpreadsButOthersStay(t *testing.T) {
 	set := settings()
 	w := newFixture(t, set, 8)
@@ -630,12 +630,12 @@
 	}
 	r := &request{Request: Request{ID: "c", Key: "cold"}, class: w.b.classes["read"], deadline: w.now + time.Second}
 	if s := w.b.pick(r); s.ID != ranking(w, "cold")[0] {
-		t.Error("with all crowded the top of the ranking does not stand")
+		t.Error("with all servers crowded, the first of the ranking is not used")
 	}
 }
 
-// Under overload warm servers are sent far more than they do; a budget told from sends let a cold server be
-// pushed over (burnie-super overload).
+// Under overload, warm servers are sent far more than they answer. A budget derived from the number of sends let a cold server be
+// pushed over.
 func TestColdBudgetFollowsAnswersNotSends(t *testing.T) {
 	set := settings()
 	w := newFixture(t, set, 4)
@@ -658,8 +658,8 @@
 	}
 }
 
-// With many nodes each one's part of a cold server's budget is under one attempt; one each pushed it over
-// (burnie-super with 122 nodes, deploy+hot_caller), above all for a hot key.
+// With 122 nodes, each one's share of a cold server's budget is below one attempt. One attempt from each pushed the server over,
+// above all for a hot key during a deployment.
 func TestColdBudgetHoldsInTheMeanOverManyNodes(t *testing.T) {
 	set := settings()
 	set.Balancers = 200
@@ -667,7 +667,7 @@
 	for node := range set.Balancers {
 		w := newFixture(t, set, 10)
 		w.b.rng = rand.New(rand.NewSource(int64(node)))
-		key := "hot" // seen by each node, as by all
+		key := "hot" // a key that every node has seen
 		for i := range recentKeysPerCache * 10 {
 			if i%5 > 0 {
 				key = fmt.Sprint("k", node, "-", i)
@@ -680,7 +680,7 @@
 		}
 		for _, top := range ranking(w, "hot")[:1] {
 			s := w.b.servers[top].Server
-			s.Started = w.now - 9*time.Second // nearly warm: still the hot key's top, mostly
+			s.Started = w.now - 9*time.Second // nearly warm, so mostly still the first server of the hot key
 			w.b.Members(w.now, ListChanges, []Server{s})
 			w.request("x", "read", "hot")
 			if w.last().id == "x" && w.last().server == top {
@@ -761,7 +761,7 @@
 	}
 }
 
-// Where the settings tell no limit, the waits grow all the same: a node without it asked again ten times a second for good.
+// Without a configured limit, the delays grow all the same: a node repeated the request ten times a second indefinitely.
 func TestListFailureWithoutALimit(t *testing.T) {
 	w := newFixture(t, settings(), 2)
 	last := time.Duration(0)
@@ -777,9 +777,9 @@
 	}
 }
 
-// TestRulesHoldUnderAnyEvents throws random legal events at balancers of many settings and checks the rules
-// that a node keeps alone: one answer in time, nothing sent after it, no effect twice, nothing to a server
-// that drains, attempt and copy limits. It replays events; it models no servers.
+// TestRulesHoldUnderAnyEvents sends random valid events to balancers with many settings and checks the rules that a node can keep
+// alone: one answer in time, no send after it, no effect twice, no send to a draining server, and the limits on attempts. It
+// models no servers.
 func TestRulesHoldUnderAnyEvents(t *testing.T) {
 	for seed := range int64(150) {
 		runRandomEvents(t, seed)
@@ -872,7 +872,7 @@
 		}
 		w.b.Result(w.now, Result{ID: s.id, N: s.n, Server: s.server, Outcome: o, CacheStatus: CacheStatus(rng.Intn(4)),
 			Final: l.finished})
-		if rng.Intn(10) == 0 { // the same outcome again must change nothing
+		if rng.Intn(10) == 0 { // a repeated result must change nothing
 			w.b.Result(w.now, Result{ID: s.id, N: s.n, Server: s.server, Outcome: o, Final: l.finished})
 		}
 	}
@@ -904,7 +904,7 @@
 			banned[id] = rng.Intn(2) == 0
 			w.b.Ban(w.now, id, banned[id])
 		}
-		for i := 0; i < len(out); i++ { // deadlines end what is out
+		for i := 0; i < len(out); i++ { // the deadline ends attempts in flight
 			if l := lives[out[i].id]; !l.finished && w.now >= l.deadline {
 				close(i, TimedOut)
 				i = -1
@@ -924,7 +924,7 @@
 	}
 }
 
-// A server that takes requests and never answers must not keep them for as long as the client waits.
+// A server that accepts requests and never answers must not keep them until the client gives up.
 func TestAHangingServerLeavesTimeForAFurtherTry(t *testing.T) {
 	for _, parallel := range []bool{true, false} {
 		set := settings()
@@ -934,37 +934,36 @@
 		w.request("r", "read", "k")
 		first := w.last()
 		if first.wait != 200*ms {
-			t.Fatalf("time-out %v, want half the aim", first.wait)
+			t.Fatalf("timeout %v, want half the aim", first.wait)
 		}
 		w.answer(first, TimedOut, CacheUnreported, first.wait)
 		if s := w.last(); s.n != 1 || s.server == first.server {
-			t.Errorf("after the time-out: %v, want a further try elsewhere", s)
+			t.Errorf("after the timeout: %v, want a retry elsewhere", s)
 		}
 		w.request("w", "write", "k2")
 		if s := w.last(); s.wait != 0 {
-			t.Errorf("a write got the time-out %v: it may have run", s.wait)
+			t.Errorf("a write got the timeout %v: it may have run", s.wait)
 		}
 	}
 }
 
-// Caches that tell no notes left nodes with time-outs alone, which put the origin down for good and had three in
-// four reads refused on a quiet day (poa-renova quiet). A read is let finish where the cache fetches, and the
-// next one is sent as ever.
+// Where caches report no status, nodes see only timeouts. These marked the origin as failed permanently, and three of four reads
+// were refused under normal load. A read may finish while the cache fetches, and the next one is sent as usual.
 func TestSlowFetchesBarNothing(t *testing.T) {
 	w := newFixture(t, settings(), 4)
 	for i := range 2 * failuresToSkip {
 		w.request(fmt.Sprint("r", i), "read", fmt.Sprint("k", i))
 		s := w.last()
 		if s.id != fmt.Sprint("r", i) || s.wait != 0 {
-			t.Fatalf("r%d: last sent %v, want it without a time-out", i, s)
+			t.Fatalf("r%d: last sent %v, want it without a timeout", i, s)
 		}
 		w.answer(s, TimedOut, CacheUnreported, 900*ms)
 		w.b.Abandoned(w.now, s.id)
 	}
 }
 
-// While fetches hold the caches' room, spilled keys are fetched a second time and jam all caches (poa-renova
-// rough-1): they stay with their top server. With answers in time, a full one's request goes on.
+// While fetches occupy the caches, keys that move to other servers are fetched a second time and jam all caches. They stay with
+// their first server. While answers are timely, a request rejected by a full server goes to the next one.
 func TestKeysStayPutWhileAnswersAreLateAllOver(t *testing.T) {
 	for _, clogged := range []bool{false, true} {
 		w := newFixture(t, settings(), 4)
@@ -978,7 +977,7 @@
 					w.b.recordAnswer(s, OK, true)
 				}
 			}
-			w.b.recordAnswer(s, Full, true) // which alone is no reason
+			w.b.recordAnswer(s, Full, true) // which is no sign of congestion by itself
 		}
 		w.forgetHotKeys()
 		for i := range 20 {
@@ -989,11 +988,11 @@
 				t.Fatalf("%s went to %s, want the top server %s", id, s.server, top)
 			}
 			if s.id != id {
-				continue // spared
+				continue // passed over
 			}
 			w.answer(s, Full, CacheUnreported, ms)
 			if clogged && (w.attempts[id] != 1 || w.ended[id] != "refused") {
-				t.Fatalf("%s: %d tries and end %q after a full server", id, w.attempts[id], w.ended[id])
+				t.Fatalf("%s: %d attempts and end %q after a full server", id, w.attempts[id], w.ended[id])
 			}
 			w.forgetHotKeys()
 		}
@@ -1003,12 +1002,12 @@
 	}
 }
 
-// Where crossing zones is priced, a key's first send goes to its top server wherever that stands, and further tries keep
-// to the node's zone (poa-renova big-2: 0.13 of the figure went for crossing); with nothing left there, to any.
+// Where crossing zones costs extra, the first send goes to the key's first server in any zone, and retries stay in the node's
+// zone: otherwise crossing cost 0.13 of a run's result. Without servers left in the zone, retries go to any.
 func TestFurtherTriesKeepToTheZone(t *testing.T) {
 	for _, c := range []struct {
 		name, zone string
-		gone       bool // the zone's caches are
+		gone       bool // the caches of the zone have left
 	}{{"crossing not priced", "", false}, {"priced", "z1", false}, {"priced, and the zone is lost", "z1", true}} {
 		set, crossed := settings(), 0
 		set.Zone = c.zone
@@ -1037,15 +1036,15 @@
 				crossed++
 			}
 			w.answer(w.last(), OK, CacheUnreported, ms)
-			w.b.servers[top].failures = 0 // or it is skipped, and others come first
+			w.b.servers[top].failures = 0 // otherwise it would be skipped
 		}
 		if want := c.zone == "" || c.gone; (crossed > 0) != want {
-			t.Errorf("%s: %d of 20 further tries left z1", c.name, crossed)
+			t.Errorf("%s: %d of 20 retries left z1", c.name, crossed)
 		}
 	}
 }
 
-// A hot key that several servers carry starts at those of the node's zone where crossing is priced.
+// The first sends of a hot key go to servers of the node's zone where crossing zones costs extra.
 func TestHotKeysStartInTheZone(t *testing.T) {
 	set := settings()
 	set.Zone = "z1"
@@ -1062,8 +1061,8 @@
 	}
 }
 
-// Each of many nodes fetched the same hot keys from an origin that had no room (docs-commons-bc i3286d2): a read that
-// waited for it asks its cache again first, while it has the attempts for both.
+// Many nodes each fetched the same hot keys from an origin without room. A read that waited for the origin first asks its cache
+// again, if it has the attempts for both.
 func TestAReadThatWaitedForTheOriginAsksItsCacheAgain(t *testing.T) {
 	set := settings()
 	set.Mode, set.MaxAttempts = Aside, 3
@@ -1076,7 +1075,7 @@
 	cache := w.last()
 	w.answer(cache, Miss, CacheMiss, ms)
 	if w.attempts["held"] != 1 || w.ended["held"] != "" {
-		t.Fatalf("%d tries, end %q with no room at the origin", w.attempts["held"], w.ended["held"])
+		t.Fatalf("%d attempts, end %q with no room at the origin", w.attempts["held"], w.ended["held"])
 	}
 	w.answer(out, OK, CacheUnreported, ms)
 	if s := w.last(); s.id != "held" || s.server != cache.server {
@@ -1088,8 +1087,8 @@
 	}
 }
 
-// An origin that nothing stops did one in eight reads twice (docs-commons-bc overload): what is late alone there is
-// not sent again while others wait for room.
+// An origin that cannot be brought down executed one read in eight twice under overload. A late read there is not sent again
+// while others wait for room.
 func TestNothingIsSentAgainToAnOriginThatOthersWaitFor(t *testing.T) {
 	for _, waiting := range []bool{false, true} {
 		set := settings()
@@ -1109,7 +1108,7 @@
 		}
 		w.answer(quick, OK, CacheUnreported, ms)
 		w.b.origin.limit = 2
-		for _, s := range w.sends[len(w.sends)-2:] { // those that waited ask their caches again
+		for _, s := range w.sends[len(w.sends)-2:] { // the reads that waited ask their caches again
 			if waiting {
 				w.answer(s, Miss, CacheMiss, ms)
 			}
@@ -1122,8 +1121,8 @@
 	}
 }
 
-// Many nodes that each send a cache a request in seconds jammed some while others had room (docs-commons-bc big-1):
-// while answers come late, a cache is asked for its load first, and passed over if what it tells leaves no time.
+// Many nodes that each send a cache one request in several seconds jammed some caches while others had room. While answers are
+// late, a cache is probed first, and passed over if its report leaves no time.
 func TestJammedCachesAreProbedFirst(t *testing.T) {
 	set := settings()
 	set.Mode, set.MayProbe = Aside, true
@@ -1134,7 +1133,7 @@
 	}
 	w.request("calm", "read", "k")
 	if len(w.probed) != 0 || w.attempts["calm"] != 1 {
-		t.Fatal("probed with no answer late")
+		t.Fatal("probed without late answers")
 	}
 	for _, s := range w.b.caches {
 		w.b.recordAnswer(s, OK, false)
@@ -1145,7 +1144,7 @@
 	if len(w.probed) != 1 || w.probed[0] != rank[0] || w.attempts["jam"] != 0 {
 		t.Fatalf("probed %v and sent %d times, want the top of %v asked first", w.probed, w.attempts["jam"], rank)
 	}
-	tell(true, 50) // five seconds' worth of work
+	tell(true, 50) // five seconds of work
 	if len(w.probed) != 2 || w.probed[1] != rank[1] {
 		t.Fatalf("probed %v, want the second of %v next", w.probed, rank)
 	}
@@ -1157,7 +1156,7 @@
 	if len(w.probed) != 2 || w.last().id != "again" {
 		t.Errorf("probed %v for a fresh report", w.probed)
 	}
-	w.now += 41 * ms // the reports have aged: a probe that fails says nothing, and is not repeated at once
+	w.now += 41 * ms // the reports are stale; a failed probe carries no information and is not repeated at once
 	w.request("mute", "read", "j")
 	tell(false, 0)
 	if len(w.probed) != 3 || w.attempts["mute"] != 1 {
@@ -1165,14 +1164,14 @@
 	}
 	w.now += 41 * ms
 	w.request("lost", "read", "j")
-	w.now += set.Classes[0].Aim / 4 // nothing comes: the request does not wait for good
+	w.now += set.Classes[0].Aim / 4 // the probe stays unanswered, and the request must not wait for it
 	w.sweep()
 	if w.attempts["lost"] != 1 {
 		t.Error("held for a probe that was never answered")
 	}
 }
 
-// Under scarcity what a tenant asks beyond its quota took the place of what counts in full (burnie-super if4e68c).
+// Under scarcity, requests over a tenant's quota took the room of requests that count in full.
 func TestBeyondTheQuotaIsNotHeld(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Name: "small", Quota: 1}, {Name: "large", Quota: 1000}}
@@ -1195,7 +1194,7 @@
 	}
 }
 
-// Many nodes with one attempt each kept servers crowded (hobart-prices i2f1cd8): limits go below one.
+// Many nodes with one attempt each kept servers crowded, so limits can fall below one.
 func TestLimitsFallToOneAttemptForAllNodes(t *testing.T) {
 	w := newFixture(t, settings(), 1)
 	s := w.b.servers["c00"]
@@ -1210,7 +1209,7 @@
 	}
 	s.freedAt = w.now
 	if w.b.hasRoom(s) {
-		t.Error("a limit of a half left no pause after an attempt")
+		t.Error("a limit of 0.5 left no pause after an attempt")
 	}
 	w.b.now += time.Duration(w.b.meanLatency)
 	if !w.b.hasRoom(s) {
@@ -1218,7 +1217,7 @@
 	}
 }
 
-// Caches slowed by crowding turned reads away while the origin stood idle (launceston-platform if1a60b).
+// Reads were refused because caches were slow from crowding, although the origin was idle.
 func TestTheOriginTakesWhatNoCacheHasRoomFor(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
@@ -1237,11 +1236,11 @@
 	}
 }
 
-// A key that outruns its server spreads over its first servers though no node has two requests open for it; the
-// others stay (burnie-super with 122 nodes).
+// A key that exceeds its server's capacity is spread over its first servers even if no node has two requests open for it, as with
+// 122 nodes. Other keys stay.
 func TestHotKeySpreadsByWhatWasAskedLately(t *testing.T) {
 	w := newFixture(t, settings(), 10)
-	met := map[string]int{}
+	used := map[string]int{}
 	for i := range 40 {
 		key := "hot"
 		if i%2 > 0 {
@@ -1249,19 +1248,19 @@
 		}
 		w.request(fmt.Sprint(i), "read", key)
 		if s := w.last(); key == "hot" {
-			met[s.server]++
+			used[s.server]++
 		} else if top := ranking(w, key)[0]; s.server != top {
 			t.Errorf("%s went to %s, want its top %s", key, s.server, top)
 		}
 		w.answer(w.last(), OK, CacheHit, 10*ms)
 		w.now += time.Second
 	}
-	if len(met) < 3 {
-		t.Errorf("half of the traffic met %d servers of 10: %v", len(met), met)
+	if len(used) < 3 {
+		t.Errorf("half of the traffic used %d servers of 10: %v", len(used), used)
 	}
 }
 
-// Time-outs sent again at once drowned single-core caches (burnie-super big-1: 4.6 attempts a request).
+// Unlimited retries after timeouts overloaded single-core caches, with 4.6 attempts per request.
 func TestTimeoutsSpendARetryBudget(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
@@ -1275,7 +1274,7 @@
 		}
 	}
 	if short == 0 || short > 3 {
-		t.Errorf("%d of 20 attempts were cut short with nothing answered; want the first alone", short)
+		t.Errorf("%d of 20 attempts had a timeout with nothing answered; want the first alone", short)
 	}
 	for i := range 20 {
 		w.request(fmt.Sprint("ok", i), "read", fmt.Sprint("o", i))
@@ -1283,15 +1282,16 @@
 	}
 	w.request("again", "read", "again")
 	if w.last().wait == 0 {
-		t.Error("answers do not earn time-outs again")
+		t.Error("answers do not restore the retry budget")
 	}
 }
 
-// A jammed server's work is all late; sparing it by chance, more the more is late, lets it drain.
+// All work of a jammed server is late. Passing it over at random, more often with a larger share of late answers, lets its queue
+// shrink.
 func TestLateServersAreSpared(t *testing.T) {
 	w := newFixture(t, settings(), 4)
 	s := w.b.caches[0]
-	spared := func() (n int) {
+	passedOver := func() (n int) {
 		w.b.now = w.now
 		for range 1000 {
 			if w.b.overloaded(&request{}, s) {
@@ -1304,23 +1304,23 @@
 		w.b.recordAnswer(s, OK, false)
 	}
 	w.b.recordAnswer(s, OK, true)
-	if n := spared(); n > 0 {
-		t.Errorf("spared %d of 1000 times with one late answer in eleven", n)
+	if n := passedOver(); n > 0 {
+		t.Errorf("passed over %d of 1000 times with one late answer in eleven", n)
 	}
 	for range 30 {
 		w.b.recordAnswer(s, OK, true)
 	}
-	if n := spared(); n < 500 || n == 1000 {
-		t.Errorf("spared %d of 1000 times with 31 of 41 answers late", n)
+	if n := passedOver(); n < 500 || n == 1000 {
+		t.Errorf("passed over %d of 1000 times with 31 of 41 answers late", n)
 	}
 	w.now += 10 * skipDuration
-	if n := spared(); n > 50 {
-		t.Errorf("still spared %d of 1000 times long after", n)
+	if n := passedOver(); n > 50 {
+		t.Errorf("still passed over %d of 1000 times long after", n)
 	}
 }
 
-// A limit at its floor rose by a quarter a trial, and trials came once in 20 s: 456 nodes refused for 25 s after
-// the origin was well again (launceston-platform big-2).
+// A limit at its minimum grew by a quarter per trial, with one trial in 20 s: 456 nodes refused requests for 25 s after the origin
+// had recovered.
 func TestLimitsUnderOneRecover(t *testing.T) {
 	set := settings()
 	set.Mode, set.Balancers = Aside, 456
@@ -1334,7 +1334,7 @@
 		w.b.adjustLimit(o, w.now, true)
 	}
 	if gap := time.Duration(w.b.meanLatency / o.limit); gap > skipDuration {
-		t.Errorf("after a slow spell one trial in %v, want one in %v", gap, skipDuration)
+		t.Errorf("after a slow period one trial in %v, want one in %v", gap, skipDuration)
 	}
 	n := 0
 	for ; o.limit < 0.5 && n < 20; n++ {
@@ -1343,11 +1343,11 @@
 		w.b.adjustLimit(o, w.now-10*ms, false)
 	}
 	if n > 8 {
-		t.Errorf("%d answers well in time until the limit was half of one again", n)
+		t.Errorf("%d timely answers until the limit was back at 0.5", n)
 	}
 }
 
-// A node that sends the origin one read a second is not slowed by a limit of a half, a quarter or an eighth.
+// A limit of a half, a quarter or an eighth does not slow a node that sends the origin one read per second.
 func TestALateAnswerHalvesWhatIsSent(t *testing.T) {
 	set := settings()
 	set.Mode, set.Balancers = Aside, 456
@@ -1367,12 +1367,11 @@
 	}
 	w.b.now = w.now + skipDuration
 	if !w.b.hasRoom(o) {
-		t.Error("no trial after a spell")
+		t.Error("no trial after skipDuration")
 	}
 }
 
-// News of a slow origin that waits for the attempt's end comes when the origin is jammed (launceston-platform
-// big-2).
+// If the limit is cut only when the attempt ends, the origin is jammed by then.
 func TestAHangingAttemptCutsTheLimitAtOnce(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
@@ -1394,8 +1393,7 @@
 	}
 }
 
-// Misses of one hot key, never fetched, passed for answers and let a cold server be pushed over (burnie-super
-// overload).
+// Misses of one hot key that were never fetched counted as answers, and let a cold server be pushed over under overload.
 func TestAMissCountsOnceItIsFetched(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
@@ -1411,7 +1409,7 @@
 	}
 }
 
-// Hundreds of nodes woke each 10 ms with nothing to look at.
+// Hundreds of idle nodes each woke every 10 ms.
 func TestNoTimerWithNothingOpen(t *testing.T) {
 	w := newFixture(t, settings(), 4)
 	if n := w.timers["sweep"]; n != 0 {
@@ -1438,13 +1436,13 @@
 	}
 }
 
-// Fleets jammed with overdue work drained only once requests were refused (burnie-super i7420a6, 501 nodes).
+// With 501 nodes, a fleet jammed with overdue work recovered only once requests were refused.
 func TestWithAllStrainedARequestIsRefused(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
 	w := newFixture(t, set, 4)
 	for _, s := range w.b.caches {
-		s.limit = 1000 // there is room: only lateness speaks against them
+		s.limit = 1000 // there is room, so only the late answers count against them
 		for range 200 {
 			w.b.recordAnswer(s, OK, true)
 		}
@@ -1466,7 +1464,7 @@
 	}
 }
 
-// Scores are kept while the list stays: kept beyond it they would rank servers by another's score. Memory stays
+// Cached scores are dropped when the list changes: otherwise servers would be ranked by the scores of others. Their number is
 // bounded.
 func TestKeptScoresFollowTheList(t *testing.T) {
 	set := settings()
@@ -1487,8 +1485,8 @@
 	}
 }
 
-// By count a light server had as much of a hot key as a heavy one and jammed (burnie-super with half-core caches);
-// a key whose top can carry it stays there.
+// When a hot key was spread by the number of servers, a light one got as much of it as a heavy one and jammed. A key that its first
+// server can carry stays there.
 func TestHotKeysGoByWeight(t *testing.T) {
 	w := newFixture(t, settings(), 10)
 	top := ranking(w, "hot")[0]
@@ -1502,25 +1500,25 @@
 		list = append(list, e)
 	}
 	w.b.Members(w.now, ListChanges, list)
-	met := map[string]int{}
+	used := map[string]int{}
 	for i := range 40 {
 		key := fmt.Sprint("k", i)
 		if i%4 == 0 {
-			key = "hot" // a quarter: over two caches' mean load, less than the heavy one's part
+			key = "hot" // a quarter of the requests: over two caches' mean load, but below the share of the heavy one
 		}
 		if w.request(fmt.Sprint(i), "read", key); key == "hot" {
-			met[w.last().server]++
+			used[w.last().server]++
 		}
 		w.answer(w.last(), OK, CacheHit, 10*ms)
 		w.now += time.Second
 	}
-	if len(met) != 1 || met[top] == 0 {
-		t.Errorf("a key that its heavy top can carry met %v, want %s alone", met, top)
+	if len(used) != 1 || used[top] == 0 {
+		t.Errorf("a key that its first server can carry used %v, want %s alone", used, top)
 	}
 }
 
-// Under overload each node's part shrinks with what is answered, and further tries stay off cold servers
-// (burnie-super rules-3, overload).
+// Under overload each node's share of a cold server's budget shrinks with the number of answers, and retries do not go to cold
+// servers.
 func TestColdPartShrinksWithAnswers(t *testing.T) {
 	set := settings()
 	set.Balancers = 200
@@ -1548,21 +1546,21 @@
 		t.Errorf("%d of 1000 fresh keys pass with one answer for 15 sends, want about 100", n)
 	}
 	if n := passed(&request{Request: first.Request, attempts: []*attempt{{}}}, 6, 6, true); n > 0 {
-		t.Errorf("%d of 1000 further tries pass", n)
+		t.Errorf("%d of 1000 retries pass", n)
 	}
-	// A key that had just become hot came to every node as a new one, and all sent it (launceston-platform-later he67fa9).
+	// A key that had just become hot was new to every node, and all of them sent it to the cold server.
 	w.b.set.Mode = Aside
 	if n := passed(first, 6, 6, true); n < 400 || n > 600 { // 0.5 of what is answered
 		t.Errorf("%d of 1000 fresh keys pass in aside mode, want about 500", n)
 	}
 	w.b.set.Mode = Through
-	// With all others jammed every node turned to the one that had just started, and it fell (docs-commons-bc h15b7c5).
+	// With all other servers jammed, every node turned to the one that had just started, and it collapsed.
 	if n := passed(first, 6, 6, false); n > 0 {
 		t.Errorf("%d of 1000 keys of other servers pass", n)
 	}
 }
 
-// A fleet that changes for days must not fill the memory with servers long gone, nor may one be sent to again.
+// Servers that have left the list do not accumulate in memory and get no requests.
 func TestServersLongGoneAreForgotten(t *testing.T) {
 	w := newFixture(t, settings(), 3)
 	for i := range 200 {
