--- a/policy/ban_test.go
+++ b/policy/ban_test.go
@@ -154,7 +154,7 @@
 }
 
 // Of the overrides set by two processes of a node, the latest one is in force, whatever the order of their arrival.
-func TestTheLatestWordHolds(t *testing.T) {
+func TestTheLatestOverrideIsInForce(t *testing.T) {
 	ban := Override{ID: "c01", Banned: true, At: 10, Since: 10}
 	lift := Override{ID: "c01", At: 20} // set by a process without knowledge of the ban
 	again := Override{ID: "c01", Banned: true, At: 30, Since: 30}
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -32,7 +32,7 @@
 
 // When another process of the node lifts a ban, the server is cold from then on for one warm-up, whatever that process's clock
 // says.
-func TestACallBackOfAnotherClockMakesCold(t *testing.T) {
+func TestABanLiftedByAnotherClockMakesCold(t *testing.T) {
 	for _, skew := range skews {
 		w := newFixture(t, settings(), 4)
 		w.now += 2 * time.Hour
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -427,7 +427,7 @@
 // share below one call is based on earlier sends, balancers that sent nothing for a window let each of a cold server's keys
 // pass, and with eight times the usual load all of them did. Also, a share below one call must not be used twice in a window.
 // For 200 runs per scenario and fleet: go test ./policy -run ColdServersBear -timeout 1h -v -cold-days 200.
-func TestColdServersBearTheSumOfAllModules(t *testing.T) {
+func TestColdServersBearTheSumOfAllBalancers(t *testing.T) {
 	cases := []coldScenario{
 		{starts: 1, speed: 1},
 		{starts: 1, speed: 4, warmState: "late", restartNodes: true},
@@ -481,7 +481,7 @@
 
 // Balancers that have just started do not know what others sent, and those that pause for a second then get all waiting events
 // at once. A server may also restart before it is warm, and its start may be reported late or with a time in the future.
-func TestColdServersBearModulesThatStartOrStop(t *testing.T) {
+func TestColdServersBearBalancersThatStartOrStop(t *testing.T) {
 	var cases []coldScenario
 	for _, x := range []coldScenario{{fresh: true}, {pauseNodes: true}, {restartServers: true}, {lateNews: true}, {clockAhead: true}} {
 		x.starts, x.speed = 1, 1
--- a/policy/coming_test.go
+++ b/policy/coming_test.go
@@ -7,7 +7,7 @@
 
 // A write whose body is incomplete has no time limit of its own and takes no slot at its server. Its aim, its deadline and its slot
 // count from the end of the body.
-func TestAWriteThatIsComing(t *testing.T) {
+func TestAWriteWithAnIncompleteBody(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
 	w := newFixture(t, set, 2)
@@ -41,7 +41,7 @@
 }
 
 // A request whose body was not kept is not sent again, whatever its class allows. It is refused if no attempt can have run.
-func TestASpentRequestIsNotSentAgain(t *testing.T) {
+func TestARequestWithoutItsBodyIsNotSentAgain(t *testing.T) {
 	for _, c := range []struct {
 		class   string
 		outcome Outcome
--- a/policy/override.go
+++ b/policy/override.go
@@ -11,7 +11,7 @@
 // Operators ban servers and lift bans through this process of the node or another one. The latest override of a server is in
 // force. Overrides are ordered by Override.At, a version that each new one raises, so clocks of other processes do not matter.
 
-// mostLifted bounds the number of lifted bans that are kept. They do not expire with time: a process that was suspended, or a file
+// maxLifted bounds the number of lifted bans that are kept. They do not expire with time: a process that was suspended, or a file
 // that could not be removed, may still report the ban that was lifted.
 const maxLifted = 256
 
@@ -26,8 +26,8 @@
 // process are on that process's clock, so only whether they are set is used.
 func (b *Balancer) Override(now time.Duration, h Override) {
 	b.now = now
-	known, is := b.overrides[h.ID]
-	if is && h.At <= known.At {
+	known, exists := b.overrides[h.ID]
+	if exists && h.At <= known.At {
 		return
 	}
 	next := Override{ID: h.ID, Banned: h.Banned, At: h.At, Since: known.Since, Back: known.Back}
@@ -36,7 +36,7 @@
 		next.Since = now
 	case known.Banned:
 		next.Back = now
-	case !is && h.Since > 0: // a ban that this process was never notified of
+	case !exists && h.Since > 0: // a ban that this process was never notified of
 		next.Since, next.Back = now, now
 	}
 	b.overrides[h.ID] = next
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -176,11 +176,11 @@
 // sends, and of misses that are not fetched, say nothing about the capacity of servers; a budget derived from sends let a cold
 // server be pushed over.
 //
-// A share of less than one attempt cannot be enforced by counting. It is kept on average, by random choice, and only for first
+// An allowance below one attempt cannot be enforced by counting. It is kept on average, by random choice, and only for first
 // attempts whose key ranks the server first: with all other servers jammed, all nodes turned to a cold one, and nobody knows the
 // number of such requests. It also excludes keys seen before, which may be hot at many nodes. The probability is based on the
 // requests received, including this one, since a new balancer has sent nothing yet. After one such attempt no other is made until
-// the decaying count of sends has fallen to the share.
+// the decaying count of sends has fallen to the allowance.
 //
 // A limit granted by planners applies in addition.
 func (b *Balancer) withinColdBudget(r *request, s *server) bool {
@@ -192,16 +192,16 @@
 	if s.maxRate > 0 {
 		budget = min(budget, s.maxRate*b.set.FallWindow.Seconds()/share)
 	}
-	part := budget * share
-	if part >= 1 {
-		return s.sends.at(b.now, b.set.FallWindow)+1 <= part
+	allowance := budget * share
+	if allowance >= 1 {
+		return s.sends.at(b.now, b.set.FallWindow)+1 <= allowance
 	}
 	// A key that is new to this node may have just become hot at all nodes. In aside mode the whole multiple is reserved
 	// for that, as passing over a cold server costs only a lookup there and no room at another cache.
 	if b.set.Mode == Aside {
 		budget /= max(1, b.set.FallMultiple)
 	}
-	return len(r.attempts) == 0 && s == b.ranked[0] && s.sends.at(b.now, b.set.FallWindow) <= part &&
+	return len(r.attempts) == 0 && s == b.ranked[0] && s.sends.at(b.now, b.set.FallWindow) <= allowance &&
 		b.recentKeys.count[digestOf(r.Key)] <= 1 && b.rng.Float64()*b.cacheRequests.at(b.now, b.set.FallWindow) <= budget
 }
 
@@ -469,6 +469,7 @@
 	return len(r.attempts) > 0
 }
 
+// send starts an attempt at s. The attempt takes a slot there once the body of its request is complete.
 func (b *Balancer) send(r *request, s *server) {
 	a := &attempt{n: len(r.attempts), req: r, srv: s, at: b.now, origin: s == b.origin}
 	r.attempts = append(r.attempts, a)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestMay(t *testing.T) {
+func TestMayAttempt(t *testing.T) {
 	set := settings()
 	zone, cell := set.Classes[1], set.Classes[1]
 	zone.Name, zone.Scope = "zone", ScopeZone
@@ -517,7 +517,7 @@
 
 // An attempt that hangs while later ones are answered well in time, as on a connection that has gone silent, does not halve its
 // server's limit. It does if nothing sent after it is answered.
-func TestAnAttemptLateByItselfIsNoStrain(t *testing.T) {
+func TestAnAttemptLateByItselfIsNoOverload(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		w := newFixture(t, settings(), 1)
 		s := w.b.caches[0]
@@ -1437,7 +1437,7 @@
 }
 
 // With 501 nodes, a fleet jammed with overdue work recovered only once requests were refused.
-func TestWithAllStrainedARequestIsRefused(t *testing.T) {
+func TestWithAllOverloadedARequestIsRefused(t *testing.T) {
 	set := settings()
 	set.Mode = Aside
 	w := newFixture(t, set, 4)
