--- a/cmd/lapisshelf/serve.go
+++ b/cmd/lapisshelf/serve.go
@@ -44,7 +44,7 @@
 		cfg.MemoryMB, cfg.Sockets)
 	go func() {
 		<-ends
-		l.Post(n.Leave)
+		l.Post(n.Shutdown)
 	}()
 	go func() {
 		for range reloads {
@@ -54,11 +54,11 @@
 	}()
 	go func() {
 		for range prints {
-			l.Post(n.Counters)
+			l.Post(n.LogCounters)
 		}
 	}()
 	err = l.Run()
-	n.Counters()
+	n.LogCounters()
 	return err
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -455,9 +455,9 @@
 // Log implements policy.Actions.
 func (a actions) Log(text string) { log.Printf("event=policy text=%q", text) }
 
-// Leave begins a planned end: for a while all goes on, then each connection closes with its next answer or once it
+// Shutdown begins a planned end: for a while all goes on, then each connection closes with its next answer or once it
 // has rested, and after the last the loop stops.
-func (n *Node) Leave() {
+func (n *Node) Shutdown() {
 	if n.leaving {
 		return
 	}
@@ -506,5 +506,5 @@
 	return true
 }
 
-// Counters writes the counters to the log.
-func (n *Node) Counters() { log.Print(n.count.line(n)) }
+// LogCounters writes the counters to the log.
+func (n *Node) LogCounters() { log.Print(n.count.line(n)) }
