--- a/cmd/lapislab/lapislab_test.go
+++ b/cmd/lapislab/lapislab_test.go
@@ -179,15 +179,15 @@
 	}{
 		{"an answer twice", "internal/node/connection.go", "		c.conn.Write(k.answer)\n",
 			"		c.conn.Write(k.answer)\n		if k.id != \"\" && k.id[0] == '7' {\n			c.conn.Write(k.answer)\n		}\n", calm, "one_answer", "twice"},
-		{"no answer", "internal/node/node.go", "	n.unclock(c)\n	c.answer = text\n",
-			"	n.unclock(c)\n	if c.id != \"\" && c.id[0] == '7' {\n		return\n	}\n	c.answer = text\n", calm, "one_answer", "lost"},
+		{"no answer", "internal/node/node.go", "	n.stopClock(c)\n	c.answer = text\n",
+			"	n.stopClock(c)\n	if c.id != \"\" && c.id[0] == '7' {\n		return\n	}\n	c.answer = text\n", calm, "one_answer", "lost"},
 		{"a value cut short", "internal/node/node.go", "text = meta.AppendValue(make([]byte, 0, len(a.value)+len(id)+24), id, a.value)",
 			"text = meta.AppendValue(nil, id, a.value[:len(a.value)-min(len(a.value), int(c.id[0]&1)*290)])", calm, "one_answer", "wrong_value"},
 		{"another id goes on", "internal/meta/meta.go", "	buf = append(buf, c.Line[:c.InfoOffset]...)",
 			"	buf = append(buf, bytes.Replace(c.Line[:c.InfoOffset], []byte(\" O7\"), []byte(\" O8\"), 1)...)", calm, "one_answer", "altered"},
-		{"sent after the answer", "internal/node/node.go", "	c := t.call\n	c.open--\n", "	c := t.call\n	c.open--\n" +
-			"	if x := *c; x.id[0] == '7' && t.n < 9 && a.outcome == policy.OK && x.command.Kind == meta.Get {\n		x.open, x.answered, x.deadline, x.end = 9, false, n.loop.Now()+9*time.Second, n.loop.Now()+9*time.Second\n" +
-			"		n.loop.After(150*time.Millisecond, func() { t.pool.send(&try{call: &x, n: 9, pool: t.pool, at: n.loop.Now()}, time.Second) })\n	}\n",
+		{"sent after the answer", "internal/node/node.go", "	c := t.request\n	c.openAttempts--\n", "	c := t.request\n	c.openAttempts--\n" +
+			"	if x := *c; x.id[0] == '7' && t.number < 9 && a.outcome == policy.OK && x.command.Kind == meta.Get {\n		x.openAttempts, x.answered, x.deadline, x.attemptsUntil = 9, false, n.loop.Now()+9*time.Second, n.loop.Now()+9*time.Second\n" +
+			"		n.loop.After(150*time.Millisecond, func() { t.pool.send(&attempt{request: &x, number: 9, pool: t.pool, startedAt: n.loop.Now()}, time.Second) })\n	}\n",
 			calm, "one_answer", "sent_after_end"},
 		{"a keyed repeat past its window", "decide/safety/safety.go", "	case e.Age >= window-StallAllowance:\n		return WindowExpired\n", "", spoilt, "no_double", "past_window"},
 		{"an unsafe repeat", "decide/safety/safety.go", "		return MayHaveRun\n", "		return Allowed\n", spoilt,
@@ -195,12 +195,12 @@
 		{"and the effects of it", "decide/safety/safety.go", "		return MayHaveRun\n", "		return Allowed\n", spoilt,
 			"no_double", "doubled_effect"},
 		{"a refusal that is not true", "policy/policy.go", "return r.class.Effect == Safe || !slices", "return true || !slices", spoilt, "no_double", "false_refusal"},
-		{"two attempts at once", "internal/node/pool.go", "		l.over()\n	}\n	p.node.finished(t, end)\n",
-			"	}\n	p.node.finished(t, end)\n", calm + "[[fault]]\nkind = \"hang\"\nat = \"10%\"\nservers = [\"c1\"]\n", "no_double", "two_at_once"},
+		{"two attempts at once", "internal/node/pool.go", "		l.over()\n	}\n	p.node.attemptFinished(t, end)\n",
+			"	}\n	p.node.attemptFinished(t, end)\n", calm + "[[fault]]\nkind = \"hang\"\nat = \"10%\"\nservers = [\"c1\"]\n", "no_double", "two_at_once"},
 		{"a send after the drain's grace", "internal/registry/entry.go", `"DRAINING": policy.Draining`, `"DRAINING": policy.Ready`, drain, "drains", "sent_to_drained"},
 		{"a ban that is only said", "internal/node/operate.go", "	n.guard(\"ban\", func() { n.policy.Ban(n.loop.Now(), id, on) })\n", "", banned, "drains", "sent_to_banned"},
 		{"a drain that keeps its clients", "internal/node/operate.go", "		n.clients.drain(false)\n", "", lame, "one_answer", "not_drained"},
-		{"a drain that is not told", "internal/node/commands.go", "		case n.lame:\n", "		case false:\n", lame, "one_answer", "not_drained"},
+		{"a drain that is not told", "internal/node/commands.go", "		case n.draining:\n", "		case false:\n", lame, "one_answer", "not_drained"},
 		{"a burst at a cold cache", "policy/policy.go", "	age := b.now - s.warmingSince\n	if s.warmingSince == 0 || age >= b.set.WarmUp {",
 			"	age := b.now - s.warmingSince\n	if s.warmingSince == 0 || age >= 0 {", cold, "cold", "cold_pushed"},
 	} {
--- a/cmd/lapislab/planted_test.go
+++ b/cmd/lapislab/planted_test.go
@@ -39,14 +39,14 @@
 	{name: "bans are not taken over", seeds: 12, edits: []replacement{
 		{"internal/node/succession.go", "n.guard(\"hand\", func() { n.policy.Override(now, h) })", "_ = now"}}},
 	{name: "requests are not failed as their time ends", seeds: 20, edits: []replacement{
-		{"internal/node/node.go", "c.timer = n.loop.After(c.deadline-last-now, func() { n.overdue(c) })", "c.timer = n.loop.After(c.deadline+5*time.Second+0*last-now, func() { n.overdue(c) })"}}},
+		{"internal/node/node.go", "c.timer = n.loop.After(c.deadline-margin-now, func() { n.failOverdue(c) })", "c.timer = n.loop.After(c.deadline+5*time.Second+0*margin-now, func() { n.failOverdue(c) })"}}},
 	{name: "a planned end closes over open requests", seeds: 6, edits: []replacement{
-		{"internal/node/drain.go", "if len(c.calls) > 0 || c.conn.Pending() > 0 {", "if n.leaving && len(c.calls) > 0 {\n\t\t\tc.cut(closedAtEnd)\n\t\t\tcontinue\n\t\t}\n\t\tif len(c.calls) > 0 || c.conn.Pending() > 0 {"}}},
+		{"internal/node/drain.go", "if len(c.requests) > 0 || c.conn.Pending() > 0 {", "if n.shuttingDown && len(c.requests) > 0 {\n\t\t\tc.closeNow(closedByDrain)\n\t\t\tcontinue\n\t\t}\n\t\tif len(c.requests) > 0 || c.conn.Pending() > 0 {"}}},
 	{name: "clients that leave are not seen", seeds: 6, edits: []replacement{
 		{"internal/loop/conn.go", "func (c *Conn) WatchPeerClose() {\n\tc.source.watchPeerClose = true", "func (c *Conn) WatchPeerClose() {\n\tc.source.watchPeerClose = false"},
 		{"internal/loop/conn.go", "case n == 0:\n\t\tc.end(io.EOF)", "case n == 0 && c.source.watchPeerClose:\n\t\tc.end(io.EOF)"}}},
 	{name: "an answer may be another request's", seeds: 8, edits: []replacement{
-		{"internal/node/caches.go", "case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID): // another request's answer\n\t\t\treturn answer{}, 0, meta.ErrResponse", "case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID) && false:\n\t\t\treturn answer{}, 0, meta.ErrResponse"}}},
+		{"internal/node/caches.go", "case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID): // another request's answer\n\t\t\treturn response{}, 0, meta.ErrResponse", "case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID) && false:\n\t\t\treturn response{}, 0, meta.ErrResponse"}}},
 	{name: "a listener does not go on after a shortage", seeds: 12, edits: []replacement{
 		{"internal/loop/conn.go", "ln.resourceShortage = false", "ln.resourceShortage = true"}}},
 	{name: "a lost process is never replaced by one that is ready", seeds: 4, edits: []replacement{
--- a/internal/node/caches.go
+++ b/internal/node/caches.go
@@ -14,8 +14,8 @@
 func (p cacheProtocol) pipelines() bool { return p.perConn > 1 }
 
 // request is the client's command as it came, with the node's own wait.
-func (cacheProtocol) request(buf []byte, t *try, wait time.Duration) []byte {
-	return meta.AppendForwarded(buf, &t.call.command, told(wait))
+func (cacheProtocol) request(buf []byte, t *attempt, wait time.Duration) []byte {
+	return meta.AppendForwarded(buf, &t.request.command, told(wait))
 }
 
 // told is how long the node waits, as an attempt tells it: in whole milliseconds, at least one.
@@ -23,21 +23,21 @@
 
 func (cacheProtocol) behind() string { return "\r\n" }
 
-func (cacheProtocol) answer(data []byte, t *try, _ int, _ bool) (answer, int, error) {
+func (cacheProtocol) answer(data []byte, t *attempt, _ int, _ bool) (response, int, error) {
 	m, used, err := meta.ParseResponse(data, meta.MaxValue, meta.MaxLongValue)
 	if err != nil || used == 0 {
-		return answer{}, 0, err
+		return response{}, 0, err
 	}
 	if t != nil {
-		c := &t.call.command
+		c := &t.request.command
 		switch {
 		case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID): // another request's answer
-			return answer{}, 0, meta.ErrResponse
+			return response{}, 0, meta.ErrResponse
 		case m.Status == meta.Value && c.Kind != meta.Get, m.Status == meta.Stored && c.Kind != meta.Set:
-			return answer{}, 0, meta.ErrResponse // an answer to another kind of request
+			return response{}, 0, meta.ErrResponse // an answer to another kind of request
 		}
 	}
-	a := answer{value: m.Value, receipt: m.Receipt, long: m.LongSize, tail: "\r\n"}
+	a := response{value: m.Value, receipt: m.Receipt, longSize: m.LongSize, trailer: "\r\n"}
 	switch m.Status {
 	case meta.Value:
 		a.outcome = policy.OK
@@ -52,11 +52,11 @@
 	}
 	switch {
 	case m.FetchInFlight:
-		a.note = policy.CacheFetching
+		a.cacheStatus = policy.CacheFetching
 	case m.Hit == '1':
-		a.note = policy.CacheHit
+		a.cacheStatus = policy.CacheHit
 	case m.Hit == '0':
-		a.note = policy.CacheMiss
+		a.cacheStatus = policy.CacheMiss
 	}
 	return a, used, nil
 }
--- a/internal/node/capacity.go
+++ b/internal/node/capacity.go
@@ -14,57 +14,57 @@
 // was full of them for as long as others came, and nobody was served.
 func (s *clients) full() bool {
 	n := s.node
-	return n.open()-s.reserved-n.links >= n.room()-max(n.links, n.linkLeast())
+	return n.open()-s.reserved-n.serverConns >= n.room()-max(n.serverConns, n.linkLeast())
 }
 
-// brimful reports whether not even the reserve has a descriptor left for a client: what servers must have and a call for
+// reserveFull reports whether not even the reserve has a descriptor left for a client: what servers must have and a call for
 // the list are none of theirs.
-func (s *clients) brimful() bool {
+func (s *clients) reserveFull() bool {
 	n := s.node
-	return n.open()-n.links >= n.brim()-max(n.links, n.linkLeast())-listSockets
+	return n.open()-n.serverConns >= n.brim()-max(n.serverConns, n.linkLeast())-discoverySockets
 }
 
-// crowded reports whether one more client would find no room, or no descriptor at all.
-func (s *clients) crowded() bool { return s.full() || s.brimful() }
+// overCapacity reports whether one more client would find no room, or no descriptor at all.
+func (s *clients) overCapacity() bool { return s.full() || s.reserveFull() }
 
-// seat has a connection stand in the reserve, or no more.
-func (c *client) seat(reserve bool) {
+// setInReserve has a connection stand in the reserve, or no more.
+func (c *client) setInReserve(inReserve bool) {
 	switch s := &c.node.clients; {
-	case reserve && !c.excess:
+	case inReserve && !c.inReserve:
 		s.reserved++
-	case !reserve && c.excess:
+	case !inReserve && c.inReserve:
 		s.reserved--
 	}
-	c.excess = reserve
+	c.inReserve = inReserve
 }
 
-// thin keeps the number of connections, those included that are closing, within the room.
-func (s *clients) thin() {
+// enforceLimits keeps the number of connections, those included that are closing, within the room.
+func (s *clients) enforceLimits() {
 	if s.closing {
 		// Guards against idle clients that take all descriptors of a node that sends its clients away: servers and the list had
 		// none left (129 held where 64 were allowed).
-		s.listener.SetPaused(s.brimful())
+		s.listener.SetPaused(s.reserveFull())
 		return
 	}
 	// Guards against requests that wait unread for a descriptor, and are lost by it, while others are idle. First go
 	// those who connect and say nothing, or half of something: clients send as soon as they are connected.
-	for s.crowded() && (s.evict(owesShort) || s.part()) {
+	for s.overCapacity() && (s.evictIncomplete(shortCommandTimeout) || s.evictLingering()) {
 	}
 	if s.full() {
 		// One used a moment ago is not idle: clients open another when all they have are busy, so its next request is
 		// likely on its way, and closing would lose it (787 of 19119 on an overload day with 80 descriptors).
-		if oldest := front(s.idle); oldest != nil && oldest.rested() {
+		if oldest := front(s.idle); oldest != nil && oldest.quiet() {
 			s.node.count.clientsShed++
-			oldest.finish(closedForRoom)
-		} else if s.node.links > s.node.linkLeast() {
+			oldest.closeGracefully(closedForCapacity)
+		} else if s.node.serverConns > s.node.linkLeast() {
 			s.node.shed()
 		}
 	}
-	s.listener.SetPaused(s.brimful())
-	if s.crowded() && s.retry == nil {
-		s.retry = s.node.loop.After(lookEvery, func() {
-			s.retry = nil
-			s.thin()
+	s.listener.SetPaused(s.reserveFull())
+	if s.overCapacity() && s.retryTimer == nil {
+		s.retryTimer = s.node.loop.After(capacityCheckInterval, func() {
+			s.retryTimer = nil
+			s.enforceLimits()
 		})
 	}
 }
@@ -77,98 +77,100 @@
 	return nil
 }
 
-// evict closes the connection that has owed the rest of a command longest, if that is as long as told and nothing of
+// evictIncomplete closes the connection that has owed the rest of a command longest, if that is as long as told and nothing of
 // it has come unread.
-func (s *clients) evict(owed time.Duration) bool {
-	c := front(s.owing)
-	if c == nil || s.node.loop.Now()-c.since < owed || c.conn.Stale() {
+func (s *clients) evictIncomplete(minAge time.Duration) bool {
+	c := front(s.incomplete)
+	if c == nil || s.node.loop.Now()-c.incompleteSince < minAge || c.conn.Stale() {
 		return false
 	}
 	s.node.count.clientsShed++
-	c.cut(closedForRoom)
+	c.closeNow(closedForCapacity)
 	return true
 }
 
-// part gives up the connection that has waited longest for its client to finish, if that is over partShort and the client
+// evictLingering gives up the connection that has waited longest for its client to finish, if that is over partShort and the client
 // has acknowledged all that it was sent.
-func (s *clients) part() bool {
-	c := front(s.parted)
-	if c == nil || s.node.loop.Now()-c.used < partShort || c.conn.Acknowledged() < c.conn.WriteOffset() {
+func (s *clients) evictLingering() bool {
+	c := front(s.lingering)
+	if c == nil || s.node.loop.Now()-c.lastActive < shortLingerTimeout || c.conn.Acknowledged() < c.conn.WriteOffset() {
 		return false
 	}
 	c.conn.Close()
 	return true
 }
 
-// tidy closes connections that have owed the rest of a command or been idle for too long, so that neither those who say
+// closeTimedOut closes connections that have owed the rest of a command or been idle for too long, so that neither those who say
 // nothing nor those who ask once and stay take the descriptors of others.
-func (s *clients) tidy() {
+func (s *clients) closeTimedOut() {
 	now := s.node.loop.Now()
-	for c := front(s.owing); c != nil && now-c.since >= owesFor; c = front(s.owing) {
-		if c.conn.Stale() && now-c.since < owesFor+2*tidyEvery {
+	for c := front(s.incomplete); c != nil && now-c.incompleteSince >= commandTimeout; c = front(s.incomplete) {
+		if c.conn.Stale() && now-c.incompleteSince < commandTimeout+2*timeoutCheckInterval {
 			break // the rest may have come: it is read next
 		}
 		s.node.count.clientsBad++
-		c.cut(closedOwing)
+		c.closeNow(closedIncomplete)
 	}
-	most := s.idleMost()
-	for c := front(s.idle); c != nil && now-c.used >= most; c = front(s.idle) {
+	timeout := s.idleTimeout()
+	for c := front(s.idle); c != nil && now-c.lastActive >= timeout; c = front(s.idle) {
 		if !c.mayClose() {
 			break // its next request has come, or its end: either is read next
 		}
 		s.node.count.clientsIdle++
-		c.finish(closedIdle)
+		c.closeGracefully(closedIdle)
 	}
-	s.node.loop.After(tidyEvery, s.tidy)
+	s.node.loop.After(timeoutCheckInterval, s.closeTimedOut)
 }
 
-// idleMost is how long a connection with nothing open is kept. It shrinks evenly as clients near what they may hold.
+// idleTimeout is how long a connection with nothing open is kept. It shrinks evenly as clients near what they may hold.
 // Guards against clients who ask once and stay: with all that they may hold idle, no request comes any more, though the
 // node has room (launceston-platform rfa7819: three in four, at 128 idle connections closed after 2 s each).
-func (s *clients) idleMost() time.Duration {
+func (s *clients) idleTimeout() time.Duration {
 	n := s.node
 	// With few descriptors servers, the reserve and the operators' address leave clients less than their part: a second
 	// process with places for two to five kept each idle for 2 s, and requests waited unread for over 10 s.
-	places := min(n.room(), n.brim()-listSockets) - max(n.links, n.linkLeast()) - listenSockets
-	most := max(1, min(n.sockets()/heldByClients, places))
-	used := float64(len(s.all)-s.owing.Len()) / float64(most)
+	places := min(n.room(), n.brim()-discoverySockets) - max(n.serverConns, n.linkLeast()) - overheadSockets
+	limit := max(1, min(n.sockets()/clientSocketsDivisor, places))
+	used := float64(len(s.all)-s.incomplete.Len()) / float64(limit)
 	switch {
 	case used > 0.5:
-		return max(idleLeast, time.Duration(float64(idleShort)*(0.875-used)/0.375))
+		return max(minIdleTimeout, time.Duration(float64(shortIdleTimeout)*(0.875-used)/0.375))
 	case 2*n.open() > n.room():
-		return idleShort
+		return shortIdleTimeout
 	}
-	return idleFor
+	return maxIdleTimeout
 }
 
-// full reports whether the node holds as much as it may.
-func (n *Node) full(value int) bool {
-	most := n.cfg.Transport.MostHeld
-	return most > 0 && len(n.calls) >= most || n.held+n.owed+value > n.most()
+// atCapacity reports whether the node holds as much as it may.
+func (n *Node) atCapacity(value int) bool {
+	limit := n.cfg.Transport.MostHeld
+	return limit > 0 && len(n.requests) >= limit || n.writeBytes+n.clientBytes+value > n.maxHeldBytes()
 }
 
-// most is how many bytes of values the node may hold, and of answers as many again.
-func (n *Node) most() int { return n.memoryMB() << 20 / heldPart }
+// maxHeldBytes is how many bytes of values the node may hold, and of answers as many again.
+func (n *Node) maxHeldBytes() int { return n.memoryMB() << 20 / heldMemoryDivisor }
 
-// valueMost is how many bytes an answer may hold that is kept whole, one of a length that is not told ahead: many must have
+// maxResponseSize is how many bytes an answer may hold that is kept whole, one of a length that is not told ahead: many must have
 // room at once. Values over the usual size do come (launceston-platform, rate+silent+leave: up to 360 KB, each taken for a
 // spoilt answer, and the servers skipped for it).
-func (n *Node) valueMost() int { return max(meta.MaxValue, n.cfg.MemoryMB<<20/valuePart) }
+func (n *Node) maxResponseSize() int {
+	return max(meta.MaxValue, n.cfg.MemoryMB<<20/responseMemoryDivisor)
+}
 
-// account keeps the node's count of what is held for clients, answers that they have yet to take and commands that
+// updateHeldBytes keeps the node's count of what is held for clients, answers that they have yet to take and commands that
 // they have yet to end, and, past its bound, gives up the one for which most is held.
-func (c *client) account() {
+func (c *client) updateHeldBytes() {
 	n := c.node
-	owed := c.waiting + c.conn.Pending() + cap(c.input)
-	if c.up != nil {
-		owed += c.up.holds()
+	owed := c.queuedBytes + c.conn.Pending() + cap(c.input)
+	if c.upload != nil {
+		owed += c.upload.bufferedBytes()
 	}
-	if c.gone {
+	if c.closed {
 		owed = 0
 	}
-	n.owed += owed - c.owed
-	c.owed = owed
-	if n.owed <= n.most() || n.shedding {
+	n.clientBytes += owed - c.heldBytes
+	c.heldBytes = owed
+	if n.clientBytes <= n.maxHeldBytes() || n.shedding {
 		return
 	}
 	n.shedding = true
@@ -176,12 +178,12 @@
 		n.shedding = false
 		worst := c
 		for x := range n.clients.all {
-			if x.owed > worst.owed {
+			if x.heldBytes > worst.heldBytes {
 				worst = x
 			}
 		}
-		if n.owed > n.most() && !worst.gone {
-			worst.giveUp()
+		if n.clientBytes > n.maxHeldBytes() && !worst.closed {
+			worst.closeSlow()
 		}
 	})
 }
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -14,11 +14,11 @@
 
 // Data implements loop.Handler.
 func (c *client) Data(data []byte) {
-	if c.last {
+	if c.noMoreInput {
 		return
 	}
-	c.used = c.node.loop.Now()
-	c.settleArrival()
+	c.lastActive = c.node.loop.Now()
+	c.updateArrival()
 	if c.skip > 0 {
 		n := min(c.skip, len(data))
 		c.skip -= n
@@ -28,29 +28,29 @@
 		c.input = append(c.input, data...)
 		data = c.input
 	}
-	c.keepRest(c.parse(data))
+	c.bufferRest(c.parse(data))
 	c.flush()
 }
 
-// settleArrival settles since when what is being read may have been there: as long as its connection waited for being accepted, if
+// updateArrival settles since when what is being read may have been there: as long as its connection waited for being accepted, if
 // it is read soon after; else since the loop can't say that nothing was there. Where that is long, because the process stood
 // still, the system may know better.
-func (c *client) settleArrival() {
-	if came := c.node.loop.EarliestArrival(); c.asked || came > c.opened+withOpening {
-		c.arrived = came
+func (c *client) updateArrival() {
+	if arrived := c.node.loop.EarliestArrival(); c.sentCommand || arrived > c.openedAt+acceptReadWindow {
+		c.arrivedAt = arrived
 	}
-	if c.used-c.arrived <= withOpening {
+	if c.lastActive-c.arrivedAt <= acceptReadWindow {
 		return
 	}
 	if ago, known := c.conn.SinceLastData(); known {
-		c.arrived = max(c.arrived, c.used-ago)
+		c.arrivedAt = max(c.arrivedAt, c.lastActive-ago)
 	}
 }
 
-// keepRest keeps what has not been taken yet.
-func (c *client) keepRest(rest []byte) {
+// bufferRest keeps what has not been taken yet.
+func (c *client) bufferRest(rest []byte) {
 	switch {
-	case c.gone || c.last || len(rest) == 0:
+	case c.closed || c.noMoreInput || len(rest) == 0:
 		c.input = nil
 	case len(rest) != len(c.input): // else it is all of the input
 		c.input = append([]byte(nil), rest...)
@@ -61,17 +61,17 @@
 func (c *client) parse(data []byte) []byte {
 	c.parsing = true
 	defer func() { c.parsing = false }()
-	for len(data) > 0 && !c.gone && !c.last && (c.up != nil || len(c.calls) < mostPipelined && c.conn.Pending() < mostUnsent) {
-		if u := c.up; u != nil {
-			used, ok := u.take(data)
+	for len(data) > 0 && !c.closed && !c.noMoreInput && (c.upload != nil || len(c.requests) < maxPipelined && c.conn.Pending() < maxUnsentBytes) {
+		if u := c.upload; u != nil {
+			used, ok := u.consume(data)
 			data = data[used:]
 			if !ok {
-				u.spoilt()
+				u.rejectMalformed()
 				return nil
 			}
-			if u.left == 0 && u.end == "" {
-				c.up = nil
-				u.came()
+			if u.remaining == 0 && u.trailer == "" {
+				c.upload = nil
+				u.received()
 			}
 			continue
 		}
@@ -79,65 +79,65 @@
 		switch {
 		case err != nil:
 			c.reject(err)
-			if used == 0 || c.last {
-				c.last = true
+			if used == 0 || c.noMoreInput {
+				c.noMoreInput = true
 				return nil
 			}
-			data = c.pass(data[used:], m.SkipBytes)
+			data = c.skipBytes(data[used:], m.SkipBytes)
 		case used == 0:
 			return data
 		default:
 			data = data[used:]
-			if c.command(m); m.LongSize > 0 && c.up == nil { // turned away, as is its value
-				data = c.pass(data, m.LongSize+len("\r\n"))
+			if c.handleCommand(m); m.LongSize > 0 && c.upload == nil { // turned away, as is its value
+				data = c.skipBytes(data, m.LongSize+len("\r\n"))
 			}
 		}
 	}
 	return data
 }
 
-// pass passes over so many bytes, those too that have yet to come.
-func (c *client) pass(data []byte, bytes int) []byte {
+// skipBytes passes over so many bytes, those too that have yet to come.
+func (c *client) skipBytes(data []byte, bytes int) []byte {
 	n := min(bytes, len(data))
 	c.skip = bytes - n
 	return data[n:]
 }
 
-// command handles one whole command.
-func (c *client) command(m meta.Command) {
+// handleCommand handles one whole command.
+func (c *client) handleCommand(m meta.Command) {
 	n := c.node
-	c.asked = true
-	c.unrest() // it owes nothing, whatever room is made below
+	c.sentCommand = true
+	c.removeFromList() // it owes nothing, whatever room is made below
 	if m.Kind == meta.Noop {
 		switch {
-		case n.lame:
-			c.say("SERVER_ERROR draining\r\n")
+		case n.draining:
+			c.queueAnswer("SERVER_ERROR draining\r\n")
 		case n.ready:
-			c.say("MN\r\n")
+			c.queueAnswer("MN\r\n")
 		default:
-			c.say("SERVER_ERROR starting\r\n")
+			c.queueAnswer("SERVER_ERROR starting\r\n")
 		}
 		return
 	}
-	kind, wait, err := n.patience(m.Info)
+	kind, wait, err := n.classAndTimeout(m.Info)
 	if err == nil {
-		err = n.used(m.ID)
+		err = n.checkUniqueID(m.ID)
 	}
 	if err != nil {
 		c.reject(err)
 		return
 	}
 	if m.LongSize == 0 {
-		n.register(m.ID)
+		n.registerID(m.ID)
 	}
 	// Whoever asks goes before those who may be about to.
-	if c.seat(c.excess && n.clients.full() && !n.clients.evict(0)); c.excess {
+	if c.setInReserve(c.inReserve && n.clients.full() && !n.clients.evictIncomplete(0)); c.inReserve {
 		n.count.full++
 		c.refuse(kind)
-		c.parting = true // its descriptor is wanted
+		c.closeWhenIdle = true // its descriptor is wanted
 		return
 	}
-	if n.full(len(m.Value) + min(m.LongSize, bodyKept)) {
+	if n.atCapacity(len(m.Value) + min(m.LongSize, maxBufferedBody)) {
 		n.count.full++
 		c.refuse(kind)
 		return
@@ -146,59 +146,59 @@
 	// Guards against telling servers of time that has passed while the request stood unread, in a process that was stopped or
 	// busy: they would work for a client that has stopped waiting.
 	if m.LongSize == 0 {
-		wait -= now - c.arrived
+		wait -= now - c.arrivedAt
 		if safety.CheckStart(safety.Request{Remaining: wait}) != safety.Allowed {
 			n.count.tooLate++
 			c.refuse(kind)
 			return
 		}
 	}
-	k := &call{id: string(m.ID), class: kind, client: c, command: keep(m)}
+	k := &request{id: string(m.ID), class: kind, client: c, command: copyCommand(m)}
 	if m.LongSize > 0 {
-		c.upload(k, m.LongSize, wait)
+		c.beginUpload(k, m.LongSize, wait)
 		return
 	}
-	c.calls = append(c.calls, k)
-	k.deadline = now + n.within(wait, now)
-	n.held += len(m.Value)
-	n.take(k, now)
+	c.requests = append(c.requests, k)
+	k.deadline = now + n.capTimeout(wait, now)
+	n.writeBytes += len(m.Value)
+	n.submit(k, now)
 }
 
-// used says what is wrong with an id that another request has.
-func (n *Node) used(id []byte) error {
+// checkUniqueID says what is wrong with an id that another request has.
+func (n *Node) checkUniqueID(id []byte) error {
 	// Guards against one who sends the id of another's request: an open one would be taken for that request, and a
 	// refusal would be taken for that request's. Each request has an id of its own, also a retry.
-	if n.calls[string(id)] != nil || n.clients.seen.has(id) {
+	if n.requests[string(id)] != nil || n.clients.recentIDs.has(id) {
 		n.count.sameID++
 		return errors.New("request id in use")
 	}
 	return nil
 }
 
-// register notes that a request has come.
-func (n *Node) register(id []byte) {
-	n.clients.seen.add(id, n.loop.Now())
+// registerID notes that a request has come.
+func (n *Node) registerID(id []byte) {
+	n.clients.recentIDs.add(id, n.loop.Now())
 	n.count.taken++
 }
 
 // reject answers what is no request, and ends a connection on which there is nothing else.
 func (c *client) reject(err error) {
 	c.node.count.badLines++
-	c.say("CLIENT_ERROR " + err.Error() + "\r\n")
-	if c.bad++; c.bad >= mostBad {
+	c.queueAnswer("CLIENT_ERROR " + err.Error() + "\r\n")
+	if c.badCommands++; c.badCommands >= maxBadCommands {
 		c.node.count.clientsBad++
-		c.last = true
+		c.noMoreInput = true
 	}
 }
 
 // refuse turns a request away that the module has not seen.
 func (c *client) refuse(kind *class) {
 	c.node.end(kind, refused)
-	c.say(string(meta.AppendBusy(nil, 0)))
+	c.queueAnswer(string(meta.AppendBusy(nil, 0)))
 }
 
-// patience is the request's class and how long the client waits, as the request tells; no longer than its class allows.
-func (n *Node) patience(info []byte) (*class, time.Duration, error) {
+// classAndTimeout is the request's class and how long the client waits, as the request tells; no longer than its class allows.
+func (n *Node) classAndTimeout(info []byte) (*class, time.Duration, error) {
 	kind := n.classes[meta.FieldValue(info, "c")]
 	if kind == nil {
 		// Guards against what servers turn away: each such answer told against a healthy server, and three skipped it
@@ -216,8 +216,8 @@
 	return kind, min(time.Duration(ms)*time.Millisecond, kind.longest), nil
 }
 
-// keep copies a command out of the buffer it was parsed from.
-func keep(m meta.Command) meta.Command {
+// copyCommand copies a command out of the buffer it was parsed from.
+func copyCommand(m meta.Command) meta.Command {
 	text := make([]byte, 0, len(m.Line)+len(m.Value))
 	text = append(append(text, m.Line...), m.Value...)
 	at := func(part []byte) []byte {
@@ -235,24 +235,24 @@
 	return k
 }
 
-// say answers, in its turn, what is no request.
-func (c *client) say(text string) {
-	c.calls = append(c.calls, &call{client: c, answered: true, answer: []byte(text)})
-	c.waiting += len(text)
+// queueAnswer answers, in its turn, what is no request.
+func (c *client) queueAnswer(text string) {
+	c.requests = append(c.requests, &request{client: c, answered: true, answer: []byte(text)})
+	c.queuedBytes += len(text)
 }
 
-// waits reports whether the input begins with a whole command, which had to wait.
-func (c *client) waits() bool {
+// hasWholeCommand reports whether the input begins with a whole command, which had to wait.
+func (c *client) hasWholeCommand() bool {
 	_, used, err := meta.ParseCommand(c.input, meta.MaxValue, meta.MaxLongValue)
 	return used > 0 || err != nil
 }
 
-// more takes what had to wait.
-func (c *client) more() {
-	c.again = false
-	if c.gone {
+// parseBuffered takes what had to wait.
+func (c *client) parseBuffered() {
+	c.parseScheduled = false
+	if c.closed {
 		return
 	}
-	c.keepRest(c.parse(c.input))
+	c.bufferRest(c.parse(c.input))
 	c.flush()
 }
--- a/internal/node/connection.go
+++ b/internal/node/connection.go
@@ -12,118 +12,118 @@
 
 // flush writes the answers whose turn it is, then goes on with what had to wait for them.
 func (c *client) flush() {
-	if c.gone {
+	if c.closed {
 		return
 	}
-	for len(c.calls) > 0 && c.calls[0].answered {
-		k := c.calls[0]
-		c.calls[0] = nil
-		c.calls = c.calls[1:]
-		c.waiting -= len(k.answer)
-		c.used = c.node.loop.Now()
+	for len(c.requests) > 0 && c.requests[0].answered {
+		k := c.requests[0]
+		c.requests[0] = nil
+		c.requests = c.requests[1:]
+		c.queuedBytes -= len(k.answer)
+		c.lastActive = c.node.loop.Now()
 		c.conn.Write(k.answer)
 		k.answer, k.client = nil, nil
 	}
-	if len(c.calls) > 0 && c.calls[0].body != nil {
-		if b := c.calls[0].body; b.begun {
-			b.flow()
+	if len(c.requests) > 0 && c.requests[0].body != nil {
+		if b := c.requests[0].body; b.started {
+			b.updatePaused()
 		} else {
-			b.begin(c)
+			b.startAnswer(c)
 		}
-		c.used = c.node.loop.Now()
+		c.lastActive = c.node.loop.Now()
 	}
-	c.account()
-	c.watch()
+	c.updateHeldBytes()
+	c.watchSlowReader()
 	if c.parsing {
 		return // the rest is done when that is over
 	}
-	closing := c.last || c.parting || c.node.clients.closing
-	owes := len(c.input) > 0 || c.skip > 0 || c.up != nil || !c.asked // the rest of a command
+	closing := c.noMoreInput || c.closeWhenIdle || c.node.clients.closing
+	incomplete := len(c.input) > 0 || c.skip > 0 || c.upload != nil || !c.sentCommand // the rest of a command
 	switch {
-	case len(c.calls) > 0 || c.conn.Pending() > 0:
-		c.unrest()
-	case c.last || closing && !owes && c.mayClose():
+	case len(c.requests) > 0 || c.conn.Pending() > 0:
+		c.removeFromList()
+	case c.noMoreInput || closing && !incomplete && c.mayClose():
 		// Guards against closing on a request that has come but was not read yet, which would lose it.
-		c.finish(closedAfterAnswers)
+		c.closeGracefully(closedAfterAnswers)
 		return
-	case owes:
-		c.rest(c.node.clients.owing)
+	case incomplete:
+		c.moveTo(c.node.clients.incomplete)
 	default:
-		c.rest(c.node.clients.idle)
+		c.moveTo(c.node.clients.idle)
 	}
-	if len(c.calls) == 0 {
-		c.calls = nil
+	if len(c.requests) == 0 {
+		c.requests = nil
 	}
-	blocked := len(c.calls) >= mostPipelined || c.conn.Pending() >= mostUnsent
-	if c.up != nil {
-		c.up.flow()
+	blocked := len(c.requests) >= maxPipelined || c.conn.Pending() >= maxUnsentBytes
+	if c.upload != nil {
+		c.upload.updatePaused()
 		return
 	}
-	c.conn.SetPaused(blocked || closing && len(c.calls) > 0)
-	if !blocked && len(c.input) > 0 && !c.again && c.waits() {
-		c.again = true
-		c.node.loop.Defer(c.more)
+	c.conn.SetPaused(blocked || closing && len(c.requests) > 0)
+	if !blocked && len(c.input) > 0 && !c.parseScheduled && c.hasWholeCommand() {
+		c.parseScheduled = true
+		c.node.loop.Defer(c.parseBuffered)
 	}
 }
 
-// rest puts the connection among the idle or the owing ones. Who comes to owe is given time from then on, who just
+// moveTo puts the connection among the idle or the owing ones. Who comes to owe is given time from then on, who just
 // connected from then.
-func (c *client) rest(l *list.List) {
-	if c.list == l && l == c.node.clients.owing {
+func (c *client) moveTo(l *list.List) {
+	if c.list == l && l == c.node.clients.incomplete {
 		return
 	}
-	if c.unrest(); l == c.node.clients.owing && c.asked {
-		c.since = c.node.loop.Now()
+	if c.removeFromList(); l == c.node.clients.incomplete && c.sentCommand {
+		c.incompleteSince = c.node.loop.Now()
 	}
-	c.list, c.place = l, l.PushBack(c)
+	c.list, c.listElem = l, l.PushBack(c)
 }
 
-// unrest takes the connection off the list it is in.
-func (c *client) unrest() {
-	if c.place != nil {
-		c.list.Remove(c.place)
-		c.list, c.place = nil, nil
+// removeFromList takes the connection off the list it is in.
+func (c *client) removeFromList() {
+	if c.listElem != nil {
+		c.list.Remove(c.listElem)
+		c.list, c.listElem = nil, nil
 	}
 }
 
-// watch closes a connection that takes nothing of what it is owed for long: its answers fill the memory.
-func (c *client) watch() {
+// watchSlowReader closes a connection that takes nothing of what it is owed for long: its answers fill the memory.
+func (c *client) watchSlowReader() {
 	if c.conn.Pending() == 0 {
-		c.slow.Stop()
-		c.slow = nil
+		c.slowTimer.Stop()
+		c.slowTimer = nil
 		return
 	}
-	if c.slow != nil {
+	if c.slowTimer != nil {
 		return
 	}
-	c.taken, c.moved = c.conn.Acknowledged(), c.node.loop.Now()
-	c.look()
+	c.acknowledged, c.progressAt = c.conn.Acknowledged(), c.node.loop.Now()
+	c.checkProgress()
 }
 
-// look gives up a client that has taken nothing for long.
-func (c *client) look() {
-	c.slow = c.node.loop.After(slowFor/5, func() {
+// checkProgress gives up a client that has taken nothing for long.
+func (c *client) checkProgress() {
+	c.slowTimer = c.node.loop.After(slowReaderTimeout/5, func() {
 		// Guards against taking a slow reader for a dead one: the system hands over what it holds long before it asks
 		// for more, so only what the client has acknowledged tells.
 		now, taken := c.node.loop.Now(), c.conn.Acknowledged()
-		if taken != c.taken {
-			c.taken, c.moved = taken, now
+		if taken != c.acknowledged {
+			c.acknowledged, c.progressAt = taken, now
 		}
-		if now-c.moved >= slowFor {
-			c.giveUp()
+		if now-c.progressAt >= slowReaderTimeout {
+			c.closeSlow()
 			return
 		}
-		c.look()
+		c.checkProgress()
 	})
 }
 
-// giveUp closes a connection that does not take what it is owed.
-func (c *client) giveUp() {
+// closeSlow closes a connection that does not take what it is owed.
+func (c *client) closeSlow() {
 	c.node.count.clientsSlow++
-	log.Printf("event=client_slow pending=%d held=%d", c.conn.Pending(), c.owed)
-	c.node.noteClosed(c, closedSlow)
+	log.Printf("event=client_slow pending=%d held=%d", c.conn.Pending(), c.heldBytes)
+	c.node.recordClose(c, closedSlow)
 	c.conn.Close()
-	c.ended()
+	c.abandonRequests()
 }
 
 // Flushed implements loop.Handler.
@@ -131,16 +131,16 @@
 
 // End implements loop.Handler: the client has gone away, and nobody waits for what it had asked.
 func (c *client) End(error) {
-	if !c.gone {
-		c.node.noteClosed(c, closedByClient)
+	if !c.closed {
+		c.node.recordClose(c, closedByClient)
 	}
-	c.ended()
+	c.abandonRequests()
 }
 
-// ended lets go of a connection that has ended, and of what nobody waits for any more.
-func (c *client) ended() {
-	calls := c.calls
-	c.drop()
+// abandonRequests lets go of a connection that has ended, and of what nobody waits for any more.
+func (c *client) abandonRequests() {
+	calls := c.requests
+	c.release()
 	// Guards against an attempt for one of its requests as another of them ends, whose fetch it had waited for.
 	for _, k := range calls {
 		k.client = nil
@@ -151,51 +151,51 @@
 	}
 }
 
-// away ends the connection of a client that has left, though its end has not come by yet.
-func (c *client) away() {
-	if !c.gone {
+// closeDeparted ends the connection of a client that has left, though its end has not come by yet.
+func (c *client) closeDeparted() {
+	if !c.closed {
 		c.conn.Close()
 		c.End(nil)
 	}
 }
 
-// cut closes a connection that is owed nothing at once, whatever may still come on it.
-func (c *client) cut(why closing) {
+// closeNow closes a connection that is owed nothing at once, whatever may still come on it.
+func (c *client) closeNow(why closeReason) {
 	c.node.checkClose(c)
-	c.node.noteClosed(c, why)
+	c.node.recordClose(c, why)
 	c.conn.Close()
-	c.drop()
+	c.release()
 }
 
-// finish closes the connection between requests.
-func (c *client) finish(why closing) {
-	if !c.gone {
+// closeGracefully closes the connection between requests.
+func (c *client) closeGracefully(why closeReason) {
+	if !c.closed {
 		c.node.checkClose(c)
-		c.node.noteClosed(c, why)
-		linger := lingerFor
-		if c.bad > 0 || !c.asked { // whose next bytes nobody wants
+		c.node.recordClose(c, why)
+		linger := lingerTimeout
+		if c.badCommands > 0 || !c.sentCommand { // whose next bytes nobody wants
 			linger /= 4
 		}
 		c.conn.CloseGracefully(linger)
-		c.used, c.parts = c.node.loop.Now(), c.node.clients.parted.PushBack(c)
-		c.drop()
+		c.lastActive, c.lingerElem = c.node.loop.Now(), c.node.clients.lingering.PushBack(c)
+		c.release()
 	}
 }
 
-// drop lets go of the connection, which the loop has given back or will after Finish.
-func (c *client) drop() {
-	if c.gone {
+// release lets go of the connection, which the loop has given back or will after Finish.
+func (c *client) release() {
+	if c.closed {
 		return
 	}
-	c.gone = true
-	c.slow.Stop()
-	c.unrest()
-	c.node.deep -= c.deep
-	if c.up != nil {
-		c.up.timer.Stop()
+	c.closed = true
+	c.slowTimer.Stop()
+	c.removeFromList()
+	c.node.sendBufferBytes -= c.sendBufferBytes
+	if c.upload != nil {
+		c.upload.timer.Stop()
 	}
-	c.input, c.calls, c.up, c.waiting = nil, nil, nil, 0
-	c.account()
+	c.input, c.requests, c.upload, c.queuedBytes = nil, nil, nil, 0
+	c.updateHeldBytes()
 	delete(c.node.clients.all, c)
-	c.node.clients.thin()
+	c.node.clients.enforceLimits()
 }
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -21,7 +21,7 @@
 	violations, tooLate                                         int64
 	outcomes                                                    [policy.NotSent + 1]int64
 	sendsRefused, violated                                      [safety.NumReasons]int64
-	closings                                                    [closings]int64
+	closings                                                    [closeReasons]int64
 	ended                                                       [endings]int64 // of the classes together
 }
 
@@ -121,12 +121,12 @@
 	}
 	for why, count := range c.closings {
 		if count > 0 {
-			put("closed_"+closingNames[why], count)
+			put("closed_"+closeReasonNames[why], count)
 		}
 	}
-	put("now_open", int64(len(n.calls)))
+	put("now_open", int64(len(n.requests)))
 	put("now_clients", int64(len(n.clients.all)))
-	put("now_server_conns", int64(n.links))
+	put("now_server_conns", int64(n.serverConns))
 	put("now_revision", revision)
 	put("now_servers", int64(servers))
 	put("now_held", int64(kept))
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -9,8 +9,8 @@
 	"lapisshelf/internal/control"
 )
 
-// fill has clients connect, one by one, until a condition holds. They say nothing and stay, and nothing is closed for it.
-func (b *bench) fill(until func() bool) {
+// fillWithClients has clients connect, one by one, until a condition holds. They say nothing and stay, and nothing is closed for it.
+func (b *bench) fillWithClients(until func() bool) {
 	b.t.Helper()
 	n := b.node
 	n.clients.closing = true // thin does nothing
@@ -27,31 +27,31 @@
 		before := n.count.clientsIn
 		b.run("it is taken in", func() bool { return n.count.clientsIn > before })
 		for c := range n.clients.all { // and tidy does nothing, however slow the machine
-			c.since, c.used = n.loop.Now()+time.Hour, n.loop.Now()+time.Hour
+			c.incompleteSince, c.lastActive = n.loop.Now()+time.Hour, n.loop.Now()+time.Hour
 		}
 	}
 }
 
-// idle has all of them have asked, and been answered.
-func (b *bench) idle() {
+// markAllIdle has all of them have asked, and been answered.
+func (b *bench) markAllIdle() {
 	for c := range b.node.clients.all {
-		c.asked = true
-		c.rest(b.node.clients.idle)
+		c.sentCommand = true
+		c.moveTo(b.node.clients.idle)
 	}
 }
 
 // Guards against clients who fill the room and the reserve: servers to whom no connection stands, and the call for the list,
 // still get their descriptors.
-func TestClientsLeaveServersAndTheListTheirs(t *testing.T) {
+func TestClientsLeaveDescriptorsForServersAndDiscovery(t *testing.T) {
 	b := newBench(t)
 	n := b.node
 	n.cfg.Sockets = 64
-	b.fill(n.clients.brimful)
-	if left := n.brim() - n.open(); left < n.linkLeast()+listSockets {
-		t.Errorf("%d descriptors are left, of which servers must have %d and the list %d", left, n.linkLeast(), listSockets)
+	b.fillWithClients(n.clients.reserveFull)
+	if left := n.brim() - n.open(); left < n.linkLeast()+discoverySockets {
+		t.Errorf("%d descriptors are left, of which servers must have %d and the list %d", left, n.linkLeast(), discoverySockets)
 	}
 	for c := range n.clients.all { // each has asked, and sent one away that had not
-		c.seat(false)
+		c.setInReserve(false)
 	}
 	for i := range n.linkLeast() {
 		if !n.mayDial() || b.pool.dial() == nil {
@@ -61,26 +61,26 @@
 	if n.mayDial() {
 		t.Error("servers take more than they must have from a full house")
 	}
-	if !n.clients.brimful() || n.open() > n.brim() {
+	if !n.clients.reserveFull() || n.open() > n.brim() {
 		t.Errorf("%d of %d descriptors are taken, and there is room for a client", n.open(), n.brim())
 	}
 }
 
 // Guards against clients in the reserve, or refused and not yet gone, who are counted in the room: it would be full of them.
-func TestTheReserveTakesNoRoom(t *testing.T) {
+func TestReservedClientsDoNotCountAgainstTheRoom(t *testing.T) {
 	b := newBench(t)
 	n := b.node
 	n.cfg.Sockets = 64
-	b.fill(n.clients.brimful)
+	b.fillWithClients(n.clients.reserveFull)
 	if n.clients.reserved == 0 {
 		t.Fatal("nobody stands in the reserve")
 	}
 	reserved, left := n.clients.reserved, 10
 	n.clients.closing = true
 	for c := range n.clients.all {
-		if !c.excess && left > 0 {
+		if !c.inReserve && left > 0 {
 			left--
-			c.cut(closedForRoom)
+			c.closeNow(closedForCapacity)
 		}
 	}
 	if n.clients.full() || n.clients.reserved != reserved {
@@ -92,11 +92,11 @@
 		}
 	}
 	for c := range n.clients.all { // however they end, they give their places back
-		if c.excess {
-			c.finish(closedIdle)
+		if c.inReserve {
+			c.closeGracefully(closedIdle)
 		}
 	}
-	b.run("those of the reserve are gone", func() bool { return n.clients.parted.Len() == 0 })
+	b.run("those of the reserve are gone", func() bool { return n.clients.lingering.Len() == 0 })
 	if n.clients.reserved != 0 {
 		t.Errorf("%d descriptors of the reserve are held by nobody", n.clients.reserved)
 	}
@@ -104,32 +104,32 @@
 
 // Guards against clients that don't close what the node has ended: in a full house they are waited for only until they have
 // acknowledged their answers.
-func TestAFullHouseWaitsForNobodyToFinish(t *testing.T) {
+func TestFullNodeClosesLingeringConnections(t *testing.T) {
 	b := newBench(t)
 	n := b.node
 	n.cfg.Sockets = 64
-	b.fill(n.clients.brimful)
-	b.idle()
+	b.fillWithClients(n.clients.reserveFull)
+	b.markAllIdle()
 	n.clients.closing = true
 	for range 5 {
-		front(n.clients.idle).finish(closedIdle)
+		front(n.clients.idle).closeGracefully(closedIdle)
 	}
-	b.fill(n.clients.brimful)
+	b.fillWithClients(n.clients.reserveFull)
 	n.clients.closing = true
-	first := front(n.clients.parted)
-	if first == nil || n.clients.part() {
+	first := front(n.clients.lingering)
+	if first == nil || n.clients.evictLingering() {
 		t.Fatal("nobody is waited for, or no time at all")
 	}
-	b.run("a moment has passed", func() bool { return n.loop.Now()-first.used >= partShort })
+	b.run("a moment has passed", func() bool { return n.loop.Now()-first.lastActive >= shortLingerTimeout })
 	n.clients.closing = false
-	n.clients.thin()
-	if got := n.clients.parted.Len(); got == 5 || n.clients.brimful() {
+	n.clients.enforceLimits()
+	if got := n.clients.lingering.Len(); got == 5 || n.clients.reserveFull() {
 		t.Errorf("%d are waited for in a full house", got)
 	}
 }
 
 // Guards against a process with few descriptors, as one of two is, that keeps the few clients it has places for idle for long.
-func TestFewPlacesAreNotKeptIdle(t *testing.T) {
+func TestIdleTimeoutShrinksWithFewDescriptors(t *testing.T) {
 	b := newBench(t)
 	n := b.node
 	n.cfg.Sockets = 30
@@ -138,18 +138,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(n.control.Close)
-	b.fill(n.clients.brimful) // the reserve has no place beyond that
+	b.fillWithClients(n.clients.reserveFull) // the reserve has no place beyond that
 	if got := len(n.clients.all); got < 4 {
 		t.Fatalf("places for %d clients only", got)
 	}
-	b.idle()
-	if got := n.clients.idleMost(); got != idleLeast {
+	b.markAllIdle()
+	if got := n.clients.idleTimeout(); got != minIdleTimeout {
 		t.Errorf("with all places taken an idle client is kept for %s", got)
 	}
 }
 
-// connect has so many clients connect without a word; the system takes them in its queue.
-func (b *bench) connect(clients int) (all []net.Conn) {
+// connectClients has so many clients connect without a word; the system takes them in its queue.
+func (b *bench) connectClients(clients int) (all []net.Conn) {
 	b.t.Helper()
 	for range clients {
 		conn, err := net.DialTimeout("tcp", b.listens().String(), 5*time.Second)
@@ -168,27 +168,27 @@
 // behind it.
 func TestIdleClientsAtANodeThatSendsClientsAway(t *testing.T) {
 	for name, begin := range map[string]func(n *Node){
-		"drained": func(n *Node) { n.lame, n.lameUntil = true, n.loop.Now()+time.Hour },
-		"ending":  func(n *Node) { n.leaving, n.lastAnswer = true, n.loop.Now()+time.Hour },
+		"drained": func(n *Node) { n.draining, n.drainDeadline = true, n.loop.Now()+time.Hour },
+		"ending":  func(n *Node) { n.shuttingDown, n.answerDeadline = true, n.loop.Now()+time.Hour },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
 			n := b.node
 			n.cfg.Sockets = 64
 			before := n.count.clientsIn
-			all := b.connect(2 * n.cfg.Sockets)
+			all := b.connectClients(2 * n.cfg.Sockets)
 			begin(n)
-			n.clients.empty()
+			n.clients.startClosing()
 			for range 10 {
 				b.run("a look", func() bool { return true })
-				if left := n.brim() - n.open(); left < n.linkLeast()+listSockets {
-					t.Fatalf("%d descriptors are left, of which servers must have %d and the list %d", left, n.linkLeast(), listSockets)
+				if left := n.brim() - n.open(); left < n.linkLeast()+discoverySockets {
+					t.Fatalf("%d descriptors are left, of which servers must have %d and the list %d", left, n.linkLeast(), discoverySockets)
 				}
 			}
-			if n.count.clientsIn == before || !n.leaving && !n.clients.brimful() {
+			if n.count.clientsIn == before || !n.shuttingDown && !n.clients.reserveFull() {
 				t.Errorf("%d are taken in, where there is room", n.count.clientsIn-before)
 			}
-			if !n.leaving && n.count.clientsShed > 0 {
+			if !n.shuttingDown && n.count.clientsShed > 0 {
 				t.Errorf("%d are shut, who could wait", n.count.clientsShed)
 			}
 			if !n.mayDial() || b.pool.dial() == nil {
@@ -197,18 +197,18 @@
 			for _, c := range all {
 				c.Close()
 			}
-			if n.leaving {
+			if n.shuttingDown {
 				return
 			}
 			for _, what := range []string{"in the drain", "behind it"} {
-				b.run("the crowd is gone", func() bool { return len(n.clients.all) == 0 && n.clients.parted.Len() == 0 })
+				b.run("the crowd is gone", func() bool { return len(n.clients.all) == 0 && n.clients.lingering.Len() == 0 })
 				before := n.count.clientsIn
-				b.connect(1)[0].Close()
+				b.connectClients(1)[0].Close()
 				b.run("one is taken in "+what, func() bool { return n.count.clientsIn > before })
-				b.run("it is gone", func() bool { return len(n.clients.all) == 0 && n.clients.parted.Len() == 0 })
+				b.run("it is gone", func() bool { return len(n.clients.all) == 0 && n.clients.lingering.Len() == 0 })
 				n.clients.listener.SetPaused(true) // as in a full house, of which the last has gone
-				n.lame = false
-				n.clients.resume()
+				n.draining = false
+				n.clients.stopDrain()
 			}
 		})
 	}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -12,58 +12,58 @@
 	switch {
 	case succeeded:
 		s.listener.Close()
-		s.drained.Stop()
-		s.node.loop.Defer(s.empty)
-	case s.drained == nil:
-		s.drained = s.node.loop.After(lameFor, s.empty)
+		s.drainTimer.Stop()
+		s.node.loop.Defer(s.startClosing)
+	case s.drainTimer == nil:
+		s.drainTimer = s.node.loop.After(lameDuckPeriod, s.startClosing)
 	}
 }
 
-// empty begins to close connections.
-func (s *clients) empty() {
+// startClosing begins to close connections.
+func (s *clients) startClosing() {
 	s.closing = true
-	s.retire()
+	s.closeQuiet()
 }
 
-// retire closes connections that have rested, and comes back while there may be others. At an end, each unanswered
+// closeQuiet closes connections that have rested, and comes back while there may be others. At an end, each unanswered
 // request belongs to one of them, so after the last the loop stops; closing between requests takes a moment.
-func (s *clients) retire() {
+func (s *clients) closeQuiet() {
 	n := s.node
-	if n.leaving {
+	if n.shuttingDown {
 		s.listener.Close()
 	}
-	due := n.lame && n.loop.Now() >= n.lameUntil
+	due := n.draining && n.loop.Now() >= n.drainDeadline
 	for c := range s.all {
-		if n.leaving {
-			c.deepen()
+		if n.shuttingDown {
+			c.growSendBuffer()
 		}
-		if len(c.calls) > 0 || c.conn.Pending() > 0 {
+		if len(c.requests) > 0 || c.conn.Pending() > 0 {
 			// Guards against ending the connection of a slow reader before the system has taken the end of its answer
 			// (launceston-platform, bulk+drain 3: one long value in 250 cut off in its last bytes).
 			continue
 		}
 		// Guards against a connection that a drained node still holds after the time it has for that.
-		if c.rested() || due && c.mayClose() {
-			c.finish(closedAtEnd)
+		if c.quiet() || due && c.mayClose() {
+			c.closeGracefully(closedByDrain)
 		}
 	}
-	if n.leaving && len(s.all) == 0 && (s.listener.Closed() || n.loop.Now() >= n.lastAnswer) {
-		n.loop.After(lingerFor/4, n.loop.Stop)
+	if n.shuttingDown && len(s.all) == 0 && (s.listener.Closed() || n.loop.Now() >= n.answerDeadline) {
+		n.loop.After(lingerTimeout/4, n.loop.Stop)
 		return
 	}
-	s.thin()
-	s.drained = n.loop.After(lookEvery, s.retire)
+	s.enforceLimits()
+	s.drainTimer = n.loop.After(capacityCheckInterval, s.closeQuiet)
 }
 
-// resume takes a drain back: connections that have begun to close between requests do close.
-func (s *clients) resume() {
-	s.drained.Stop()
-	s.drained, s.closing = nil, false
+// stopDrain takes a drain back: connections that have begun to close between requests do close.
+func (s *clients) stopDrain() {
+	s.drainTimer.Stop()
+	s.drainTimer, s.closing = nil, false
 	for c := range s.all {
 		c.node.loop.Defer(c.flush)
 	}
-	s.thin() // the listener may rest
+	s.enforceLimits() // the listener may rest
 }
 
-// rested reports whether nothing has gone either way for so long that nothing should be on its way, nor has come.
-func (c *client) rested() bool { return c.node.loop.Now()-c.used >= restFor && c.mayClose() }
+// quiet reports whether nothing has gone either way for so long that nothing should be on its way, nor has come.
+func (c *client) quiet() bool { return c.node.loop.Now()-c.lastActive >= quietPeriod && c.mayClose() }
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -52,7 +52,7 @@
 		fmt.Fprintf(&f, "app_sends_refused_total{reason=\"%s\"} %d\n", why, n.count.sendsRefused[why])
 	}
 	f.head("client_connections_closed_total", "counter", "Clients' connections that have ended, by why.")
-	for why, name := range closingNames {
+	for why, name := range closeReasonNames {
 		fmt.Fprintf(&f, "app_client_connections_closed_total{reason=\"%s\"} %d\n", name, n.count.closings[why])
 	}
 	return control.Reply{Status: 200, Type: "text/plain; version=0.0.4; charset=utf-8", Body: []byte(f.String())}
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -14,8 +14,8 @@
 
 // Planners: internal/forwarder talks to them, this brings their views to the module.
 
-// forward begins to talk to planners, if there are any.
-func (n *Node) forward() {
+// startForwarder begins to talk to planners, if there are any.
+func (n *Node) startForwarder() {
 	if n.cfg.Planners == nil {
 		return
 	}
@@ -24,11 +24,11 @@
 		func(event, why string) { log.Printf("event=%s %s", event, why) })
 }
 
-// observe counts the end of an attempt for planners.
-func (n *Node) observe(t *try, a answer) {
+// reportAttempt counts the end of an attempt for planners.
+func (n *Node) reportAttempt(t *attempt, a response) {
 	if n.forwarder != nil {
-		took := n.loop.Now() - t.at
-		n.forwarder.Attempt(t.pool.id, t.pool.origin(), a.outcome, took, t.call.command.Kind == meta.Set || took <= t.call.class.aim/2, a.kept)
+		took := n.loop.Now() - t.startedAt
+		n.forwarder.Attempt(t.pool.id, t.pool.origin(), a.outcome, took, t.request.command.Kind == meta.Set || took <= t.request.class.aim/2, a.reusedConn)
 	}
 }
 
@@ -42,7 +42,7 @@
 	return list
 }
 
-// view says what view the node acts on.
-func (n *Node) view() control.Reply {
+// viewStatus says what view the node acts on.
+func (n *Node) viewStatus() control.Reply {
 	return control.Reply{Status: 200, Body: []byte(n.forwarder.Status())}
 }
--- a/internal/node/holdup_test.go
+++ b/internal/node/holdup_test.go
@@ -10,18 +10,18 @@
 	"lapisshelf/policy"
 )
 
-// heldUp is how long the node stands still in these tests, allowed is by how much what it tells may be too long.
+// stallTime is how long the node stands still in these tests, allowed is by how much what it tells may be too long.
 const (
-	heldUp  = 600 * time.Millisecond
-	allowed = 150 * time.Millisecond
+	stallTime = 600 * time.Millisecond
+	tolerance = 150 * time.Millisecond
 )
 
-// toldOf is what the cache was told of the time that is left to a request.
-func (s *stage) toldOf(id string) time.Duration {
+// timeoutSent is what the cache was told of the time that is left to a request.
+func (s *fixture) timeoutSent(id string) time.Duration {
 	s.t.Helper()
 	for _, line := range s.cache.Lines() {
 		if strings.Contains(line, " O"+id+" ") {
-			return time.Duration(wait(s.t, line)) * time.Millisecond
+			return time.Duration(timeoutOf(s.t, line)) * time.Millisecond
 		}
 	}
 	s.t.Fatalf("%s was not sent", id)
@@ -30,36 +30,36 @@
 
 // A request's time counts from its last byte: what it waited unread, because the process was stopped or busy, is not told to
 // servers as left. The request may come on a connection that stands, or wait with its connection in the listen queue.
-func TestWhatARequestWaitedUnreadIsNotToldAsLeft(t *testing.T) {
-	const asked = 25000 * time.Millisecond
+func TestTimeUnreadIsDeductedFromTheForwardedTimeout(t *testing.T) {
+	const timeout = 25000 * time.Millisecond
 	line := func(id string) []byte { return []byte("mg key-" + id + " v O" + id + " Pc=read,d=25000\r\n") }
-	stopped := func(s *stage, send func()) { // between two runs of the loop, as a process that is stopped
+	stopped := func(s *fixture, send func()) { // between two runs of the loop, as a process that is stopped
 		send()
-		time.Sleep(heldUp)
+		time.Sleep(stallTime)
 	}
-	busy := func(s *stage, send func()) {
+	busy := func(s *fixture, send func()) {
 		s.node.loop.Defer(func() {
 			send()
-			time.Sleep(heldUp)
+			time.Sleep(stallTime)
 		})
 	}
-	for name, hold := range map[string]func(*stage, func()){"stopped": stopped, "busy": busy} {
+	for name, hold := range map[string]func(*fixture, func()){"stopped": stopped, "busy": busy} {
 		for _, fresh := range []bool{false, true} {
-			s := newStage(t, false, answering)
-			conn := s.ask("first")
+			s := newFixture(t, false, answerHit)
+			conn := s.sendReads("first")
 			s.run("the first is served", func() bool { return s.outcomes(policy.OK) == 1 })
 			hold(s, func() {
 				if fresh {
-					conn = s.ask("waits")
+					conn = s.sendReads("waits")
 				} else if _, err := conn.Write(line("waits")); err != nil {
 					t.Error(err)
 				}
 			})
 			s.run("it is served", func() bool { return s.outcomes(policy.OK) == 2 })
-			if got := s.toldOf("waits"); got > asked-heldUp+allowed {
-				t.Errorf("%s, on a new connection %t: told %v with %v left", name, fresh, got, asked-heldUp)
+			if got := s.timeoutSent("waits"); got > timeout-stallTime+tolerance {
+				t.Errorf("%s, on a new connection %t: told %v with %v left", name, fresh, got, timeout-stallTime)
 			}
-			if got := s.toldOf("first"); got < asked-allowed {
+			if got := s.timeoutSent("first"); got < timeout-tolerance {
 				t.Errorf("%s: the first told %v", name, got)
 			}
 		}
@@ -68,15 +68,15 @@
 
 // A request whose time is over as it is read is refused at once: nothing is sent for it.
 func TestARequestThatIsReadTooLateIsRefused(t *testing.T) {
-	s := newStage(t, false, answering)
-	conn := s.ask("first")
+	s := newFixture(t, false, answerHit)
+	conn := s.sendReads("first")
 	s.run("the first is served", func() bool { return s.outcomes(policy.OK) == 1 })
 	if _, err := conn.Write([]byte("mg key v Olate Pc=read,d=300\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(heldUp)
+	time.Sleep(stallTime)
 	s.run("it is answered", func() bool { return s.node.count.ended[refused] == 1 })
-	for _, id := range s.came() {
+	for _, id := range s.idsAtCache() {
 		if id == "late" {
 			t.Error("it was sent")
 		}
@@ -88,20 +88,20 @@
 }
 
 // Connections that wait beyond those that are accepted in a turn have waited as long as those.
-func TestConnectionsBeyondATurnsHaveWaitedTheSame(t *testing.T) {
+func TestConnectionsAcceptedInLaterTurnsHaveWaitedAsLong(t *testing.T) {
 	const many = 150
-	s := newStage(t, false, answering)
+	s := newFixture(t, false, answerHit)
 	for i := range many {
-		conn := s.ask()
+		conn := s.sendReads()
 		if _, err := fmt.Fprintf(conn, "mg key v Olate%d Pc=read,d=300\r\n", i); err != nil {
 			t.Fatal(err)
 		}
 	}
-	time.Sleep(heldUp)
+	time.Sleep(stallTime)
 	s.node.cfg.Sockets = 4 * many
 	s.run("all are answered", func() bool { return s.node.count.ended[refused] == many })
-	if got := s.node.count.tooLate; got != many || len(s.came()) != 0 {
-		t.Errorf("%d of %d were too late, %d were sent", got, many, len(s.came()))
+	if got := s.node.count.tooLate; got != many || len(s.idsAtCache()) != 0 {
+		t.Errorf("%d of %d were too late, %d were sent", got, many, len(s.idsAtCache()))
 	}
 }
 
--- a/internal/node/ids.go
+++ b/internal/node/ids.go
@@ -6,57 +6,57 @@
 )
 
 const (
-	idsFor    = 3 * time.Second // about how long an id is remembered
-	idsEachMB = 128             // how many of a generation for each megabyte of memory
+	idRetention = 3 * time.Second // about how long an id is remembered
+	idsPerMB    = 128             // how many of a generation for each megabyte of memory
 
-	listedEachMB = 32 // servers ever listed that are remembered, for each megabyte of memory
+	listedPerMB = 32 // servers ever listed that are remembered, for each megabyte of memory
 )
 
-// ids remembers what requests were called lately, in two generations: neither grows beyond its bound nor is made anew.
-type ids struct {
-	seed   maphash.Seed
-	most   int
-	recent map[uint64]struct{}
-	older  map[uint64]struct{}
-	begun  time.Duration // the recent generation
+// idSet remembers what requests were called lately, in two generations: neither grows beyond its bound nor is made anew.
+type idSet struct {
+	seed        maphash.Seed
+	limit       int
+	recent      map[uint64]struct{}
+	older       map[uint64]struct{}
+	recentSince time.Duration // the recent generation
 }
 
-func newIDs(memoryMB int) ids {
-	return ids{seed: maphash.MakeSeed(), most: max(1, memoryMB*idsEachMB),
+func newIDSet(memoryMB int) idSet {
+	return idSet{seed: maphash.MakeSeed(), limit: max(1, memoryMB*idsPerMB),
 		recent: map[uint64]struct{}{}, older: map[uint64]struct{}{}}
 }
 
-func (s *ids) has(id []byte) bool {
+func (s *idSet) has(id []byte) bool {
 	h := maphash.Bytes(s.seed, id)
 	_, recent := s.recent[h]
 	_, older := s.older[h]
 	return recent || older
 }
 
-func (s *ids) add(id []byte, now time.Duration) {
-	if len(s.recent) >= s.most || now-s.begun >= idsFor {
+func (s *idSet) add(id []byte, now time.Duration) {
+	if len(s.recent) >= s.limit || now-s.recentSince >= idRetention {
 		clear(s.older)
-		s.recent, s.older, s.begun = s.older, s.recent, now
+		s.recent, s.older, s.recentSince = s.older, s.recent, now
 	}
 	s.recent[maphash.Bytes(s.seed, id)] = struct{}{}
 }
 
-// listed remembers which servers have ever been in the list, the latest so many.
-type listed struct {
-	most  int
+// serverHistory remembers which servers have ever been in the list, the latest so many.
+type serverHistory struct {
+	limit int
 	known map[string]bool
 	order []string // oldest first
 }
 
-func newListed(memoryMB int) listed {
-	return listed{most: max(1, memoryMB*listedEachMB), known: map[string]bool{}}
+func newServerHistory(memoryMB int) serverHistory {
+	return serverHistory{limit: max(1, memoryMB*listedPerMB), known: map[string]bool{}}
 }
 
-func (s *listed) add(id string) {
+func (s *serverHistory) add(id string) {
 	if s.known[id] {
 		return
 	}
-	for len(s.order) >= s.most {
+	for len(s.order) >= s.limit {
 		delete(s.known, s.order[0])
 		s.order = s.order[1:]
 	}
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -20,8 +20,8 @@
 // Clients that leave at each place where their request may wait. Nothing is sent for it from then on, its place is free, and
 // who waited behind it is served. Cancels may be allowed or not: what has not gone out needs none.
 
-// ways are how a client may leave.
-var ways = map[string]func(*net.TCPConn){
+// leaveWays are how a client may leave.
+var leaveWays = map[string]func(*net.TCPConn){
 	"close":      func(c *net.TCPConn) { c.Close() },
 	"half-close": func(c *net.TCPConn) { c.CloseWrite() },
 	"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
@@ -30,7 +30,7 @@
 // eachWay runs a test for each way to leave, with cancels allowed and not.
 func eachWay(t *testing.T, f func(t *testing.T, leave func(*net.TCPConn), cancel bool)) {
 	for _, cancel := range []bool{false, true} {
-		for name, leave := range ways {
+		for name, leave := range leaveWays {
 			t.Run(fmt.Sprintf("%s, cancels %t", name, cancel), func(t *testing.T) {
 				t.Parallel()
 				f(t, leave, cancel)
@@ -39,13 +39,13 @@
 	}
 }
 
-// stage is a bench whose requests come from clients on sockets, through the module, to a stand-in cache.
-type stage struct {
+// fixture is a bench whose requests come from clients on sockets, through the module, to a stand-in cache.
+type fixture struct {
 	*bench
 	cache *standin.Cache
 }
 
-func newStage(t *testing.T, cancel bool, script standin.Script) *stage {
+func newFixture(t *testing.T, cancel bool, script standin.Script) *fixture {
 	t.Helper()
 	c, err := standin.NewCache(standin.NewCommon(seen.NewLog(), 1, nil), standin.CacheOptions{Addr: "127.0.0.1:0", Script: script})
 	if err != nil {
@@ -62,11 +62,11 @@
 	n.policy = policy.New(n.loop.Now(), set, 1, actions{n})
 	n.members(policy.ListComplete, []roster.Entry{{Server: policy.Server{ID: "c-1", Weight: -1}, Addr: c.Addr()}})
 	b.pool = n.pools["c-1"]
-	return &stage{b, c}
+	return &fixture{b, c}
 }
 
-// ask sends requests from one new client.
-func (s *stage) ask(ids ...string) *net.TCPConn {
+// sendReads sends requests from one new client.
+func (s *fixture) sendReads(ids ...string) *net.TCPConn {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.listens().String())
 	if err != nil {
@@ -83,13 +83,13 @@
 	return conn.(*net.TCPConn)
 }
 
-func (s *stage) taken(n int64) {
+func (s *fixture) waitTaken(n int64) {
 	s.t.Helper()
 	s.run("the requests are taken", func() bool { return s.node.count.taken >= n })
 }
 
-// came are the ids of the requests that the cache was sent, in order.
-func (s *stage) came() (ids []string) {
+// idsAtCache are the ids of the requests that the cache was sent, in order.
+func (s *fixture) idsAtCache() (ids []string) {
 	for _, line := range s.cache.Lines() {
 		for _, w := range strings.Fields(line) {
 			if w[0] == 'O' {
@@ -100,7 +100,7 @@
 	return ids
 }
 
-func answering(line string, _ []byte) string {
+func answerHit(line string, _ []byte) string {
 	for _, w := range strings.Fields(line) {
 		if w[0] == 'O' {
 			return "VA 1 " + w + "\r\nx\r\n"
@@ -112,25 +112,25 @@
 // Guards against a request that is written when its connection comes up at last, its client long gone.
 func TestAClientLeavesWhileTheConnectionComesUp(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
-		s := newStage(t, cancel, answering)
+		s := newFixture(t, cancel, answerHit)
 		s.cache.Silence(true) // connections come up once it is back
-		gone := s.ask("gone")
-		s.taken(1)
+		gone := s.sendReads("gone")
+		s.waitTaken(1)
 		if len(s.pool.links) != 1 || s.pool.links[0].up {
 			t.Fatal("the connection is up")
 		}
 		leave(gone)
 		s.run("it has left", func() bool { return s.node.count.abandoned == 1 })
-		s.run("its place is free", func() bool { return len(s.node.calls) == 0 })
-		if s.node.inFlight != 0 || len(s.node.calls) != 0 || len(s.pool.links[0].tries) != 0 {
-			t.Errorf("%d in flight, %d known, %d on the connection", s.node.inFlight, len(s.node.calls), len(s.pool.links[0].tries))
+		s.run("its place is free", func() bool { return len(s.node.requests) == 0 })
+		if s.node.inFlight != 0 || len(s.node.requests) != 0 || len(s.pool.links[0].tries) != 0 {
+			t.Errorf("%d in flight, %d known, %d on the connection", s.node.inFlight, len(s.node.requests), len(s.pool.links[0].tries))
 		}
 		l := s.pool.links[0]
 		s.cache.Silence(false)
 		s.run("the connection is up", func() bool { return l.up })
-		s.ask("stays")
+		s.sendReads("stays")
 		s.run("the other is served", func() bool { return s.outcomes(policy.OK) == 1 })
-		if got := s.came(); !slices.Equal(got, []string{"stays"}) {
+		if got := s.idsAtCache(); !slices.Equal(got, []string{"stays"}) {
 			t.Errorf("the cache was sent %q", got)
 		}
 		if s.outcomes(policy.ConnectFailed) != 0 {
@@ -144,13 +144,13 @@
 	for _, cancel := range []bool{false, true} {
 		t.Run(fmt.Sprintf("cancels %t", cancel), func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, cancel, answering)
+			s := newFixture(t, cancel, answerHit)
 			s.cache.Silence(true)
 			var leaving []*net.TCPConn
 			for i := range 10 {
-				leaving = append(leaving, s.ask(fmt.Sprint("gone-", i)))
-				s.ask(fmt.Sprint("stays-", i))
-				s.taken(int64(2 * (i + 1)))
+				leaving = append(leaving, s.sendReads(fmt.Sprint("gone-", i)))
+				s.sendReads(fmt.Sprint("stays-", i))
+				s.waitTaken(int64(2 * (i + 1)))
 			}
 			for _, c := range leaving {
 				c.Close()
@@ -158,13 +158,13 @@
 			s.run("they have left", func() bool { return s.node.count.abandoned == 10 })
 			s.cache.Silence(false)
 			s.run("the others are served", func() bool { return s.outcomes(policy.OK) == 10 })
-			for _, id := range s.came() {
+			for _, id := range s.idsAtCache() {
 				if strings.HasPrefix(id, "gone-") {
 					t.Errorf("%s was sent", id)
 				}
 			}
-			if len(s.node.calls) != 0 {
-				t.Errorf("%d requests are left", len(s.node.calls))
+			if len(s.node.requests) != 0 {
+				t.Errorf("%d requests are left", len(s.node.requests))
 			}
 		})
 	}
@@ -175,25 +175,25 @@
 func TestAClientLeavesWhileItIsNotRead(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
 		gate := make(chan struct{}) // until then the cache hangs
-		s := newStage(t, cancel, func(line string, v []byte) string { <-gate; return answering(line, v) })
+		s := newFixture(t, cancel, func(line string, v []byte) string { <-gate; return answerHit(line, v) })
 		var ids []string
-		for i := range 2 * mostPipelined {
+		for i := range 2 * maxPipelined {
 			ids = append(ids, fmt.Sprint(i))
 		}
-		c := s.ask(ids...)
-		s.taken(mostPipelined)
+		c := s.sendReads(ids...)
+		s.waitTaken(maxPipelined)
 		for range 3 { // what could be read has been
 			s.run("a look", func() bool { return true })
 		}
 		leave(c)
-		s.run("it has left", func() bool { return s.node.count.abandoned == mostPipelined })
+		s.run("it has left", func() bool { return s.node.count.abandoned == maxPipelined })
 		attempts := s.node.count.attempts
 		s.run("all places are free", func() bool { return s.node.inFlight == 0 })
-		s.ask("stays")
-		s.taken(mostPipelined + 1)
+		s.sendReads("stays")
+		s.waitTaken(maxPipelined + 1)
 		close(gate) // what was sent and may not be called off keeps its place until then
-		s.run("it is sent", func() bool { return slices.Contains(s.came(), "stays") })
-		if s.node.count.attempts != attempts+1 || s.node.count.taken != mostPipelined+1 {
+		s.run("it is sent", func() bool { return slices.Contains(s.idsAtCache(), "stays") })
+		if s.node.count.attempts != attempts+1 || s.node.count.taken != maxPipelined+1 {
 			t.Errorf("%d attempts, then %d; %d taken", attempts, s.node.count.attempts, s.node.count.taken)
 		}
 	})
@@ -207,13 +207,13 @@
 		b.node.policy = policy.New(b.node.loop.Now(), policy.Settings{MayCancel: cancel, Classes: []policy.Class{{Name: "read", Aim: time.Second}}}, 1, actions{b.node})
 		b.send("1")
 		b.run("it stands", func() bool { return b.pool.links[0].up })
-		b.node.links = b.node.linkMost() // what follows shares the connection
+		b.node.serverConns = b.node.linkMost() // what follows shares the connection
 		l := b.pool.links[0]
 		filler := 32 << 20 // more than the system takes
 		l.conn.Write(append(make([]byte, filler-1), '\n'))
-		second, third := b.waiting("2"), b.waiting("3")
-		third.stuck.Stop() // which TestWhatWaitsBehindOthersBytesIsTakenBack is about
-		b.node.abandon(second.call)
+		second, third := b.sendWaitedFor("2"), b.sendWaitedFor("3")
+		third.writeTimer.Stop() // which TestWhatWaitsBehindOthersBytesIsTakenBack is about
+		b.node.abandon(second.request)
 		b.run("it is taken back", func() bool { return second.done })
 		if !second.done || b.outcomes(policy.NotSent) != 1 || third.done || len(l.tries) != 2 {
 			t.Fatalf("%v, %d on the connection", b.node.count.outcomes, len(l.tries))
@@ -241,22 +241,22 @@
 		if got := <-lines; strings.Contains(got, "O2") || !strings.Contains(got, "O1") {
 			t.Errorf("sent %q", got)
 		}
-		if string(third.call.answer) != "VA 1 O3\r\ny\r\n" || third.last-third.first <= 0 || !third.whole {
-			t.Errorf("answered %q", third.call.answer)
+		if string(third.request.answer) != "VA 1 O3\r\ny\r\n" || third.endOffset-third.startOffset <= 0 || !third.written {
+			t.Errorf("answered %q", third.request.answer)
 		}
 	}
 }
 
 // Guards against an attempt that is written long after it was queued, with the time that it told then: behind bytes that a
 // server does not read it is taken back, as one that never ran, and what has begun to go out stays.
-func TestWhatWaitsBehindOthersBytesIsTakenBack(t *testing.T) {
+func TestAnAttemptQueuedBehindOtherBytesIsWithdrawn(t *testing.T) {
 	b := newBench(t)
 	b.send("1")
 	b.run("it stands", func() bool { return b.pool.links[0].up })
-	b.node.links = b.node.linkMost() // what follows shares the connection
+	b.node.serverConns = b.node.linkMost() // what follows shares the connection
 	l := b.pool.links[0]
 	l.conn.Write(make([]byte, 32<<20)) // more than the system takes
-	behind := b.waiting("2")
+	behind := b.sendWaitedFor("2")
 	b.run("it is taken back", func() bool { return behind.done })
 	if b.outcomes(policy.ConnectFailed) != 1 || len(l.tries) != 1 || l.gone {
 		t.Errorf("%v, %d on the connection, gone %t", b.node.count.outcomes, len(l.tries), l.gone)
@@ -265,30 +265,30 @@
 
 // Guards against a request that is sent on when it has been answered as failed at its last moment, on a connection that
 // comes up later, where attempts may not be called off.
-func TestNothingIsSentBehindTheLastCall(t *testing.T) {
-	s := newStage(t, false, answering)
+func TestNothingIsSentAfterAnOverdueRequestFails(t *testing.T) {
+	s := newFixture(t, false, answerHit)
 	s.cache.Silence(true)
-	s.ask("late")
-	s.taken(1)
-	s.node.overdue(s.node.calls["late"])
+	s.sendReads("late")
+	s.waitTaken(1)
+	s.node.failOverdue(s.node.requests["late"])
 	l := s.pool.links[0]
-	s.run("its place is free", func() bool { return len(s.node.calls) == 0 })
+	s.run("its place is free", func() bool { return len(s.node.requests) == 0 })
 	s.cache.Silence(false)
 	s.run("the connection is up", func() bool { return l.up })
-	s.ask("next")
+	s.sendReads("next")
 	s.run("the next is served", func() bool { return s.outcomes(policy.OK) == 1 })
-	if got := s.came(); !slices.Equal(got, []string{"next"}) {
+	if got := s.idsAtCache(); !slices.Equal(got, []string{"next"}) {
 		t.Errorf("the cache was sent %q", got)
 	}
 }
 
-// waiting starts an attempt of a request that somebody waits for.
-func (b *bench) waiting(id string) *try {
-	return b.attempt(&call{id: id, class: &class{name: "read"}, client: &client{node: b.node, gone: true}})
+// sendWaitedFor starts an attempt of a request that somebody waits for.
+func (b *bench) sendWaitedFor(id string) *attempt {
+	return b.attempt(&request{id: id, class: &class{name: "read"}, client: &client{node: b.node, closed: true}})
 }
 
-// wait is what a line that a cache was sent tells of the time that the node waits.
-func wait(t *testing.T, line string) (ms int) {
+// timeoutOf is what a line that a cache was sent tells of the time that the node waits.
+func timeoutOf(t *testing.T, line string) (ms int) {
 	t.Helper()
 	_, text, ok := strings.Cut(line, ",d=")
 	if _, err := fmt.Sscan(text, &ms); !ok || err != nil {
@@ -300,48 +300,48 @@
 // Guards against an attempt that tells its server of time that has passed while its connection came up: it would be worked on
 // for a client that has stopped waiting. One that was called off meanwhile is not written.
 func TestAnAttemptTellsWhatIsLeftAsItsConnectionComesUp(t *testing.T) {
-	s := newStage(t, true, answering)
+	s := newFixture(t, true, answerHit)
 	s.cache.Silence(true)
-	s.ask("one")
-	s.taken(1)
-	s.node.links = s.node.linkMost() // what follows shares the connection
+	s.sendReads("one")
+	s.waitTaken(1)
+	s.node.serverConns = s.node.linkMost() // what follows shares the connection
 	for _, id := range []string{"off", "two"} {
-		c := &call{id: id, class: s.node.classes["read"], client: &client{node: s.node, gone: true}, deadline: s.node.loop.Now() + 25*time.Second, end: s.node.loop.Now() + 25*time.Second, counted: true}
+		c := &request{id: id, class: s.node.classes["read"], client: &client{node: s.node, closed: true}, deadline: s.node.loop.Now() + 25*time.Second, attemptsUntil: s.node.loop.Now() + 25*time.Second, received: true}
 		s.node.inFlight++
 		m, _, err := meta.ParseCommand([]byte("mg key v O"+id+" Pc=read,d=25000\r\n"), meta.MaxValue, meta.MaxLongValue)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.command, c.open = keep(m), 1
-		s.node.calls[id] = c
-		x := &try{call: c, pool: s.pool, at: s.node.loop.Now()}
-		c.tries = []*try{x}
+		c.command, c.openAttempts = copyCommand(m), 1
+		s.node.requests[id] = c
+		x := &attempt{request: c, pool: s.pool, startedAt: s.node.loop.Now()}
+		c.attempts = []*attempt{x}
 		s.pool.send(x, 25*time.Second)
 	}
-	l, first := s.pool.links[0], s.node.calls["one"].tries[0]
+	l, first := s.pool.links[0], s.node.requests["one"].attempts[0]
 	if len(l.tries) != 3 || l.up {
 		t.Fatalf("%d wait on the connection, up %t", len(l.tries), l.up)
 	}
-	s.pool.cancel(s.node.calls["off"].tries[0])
-	tries := []*try{first, s.node.calls["two"].tries[0]}
-	s.run("some time passes", func() bool { return s.node.loop.Now()-first.at > 300*time.Millisecond })
+	s.pool.cancel(s.node.requests["off"].attempts[0])
+	tries := []*attempt{first, s.node.requests["two"].attempts[0]}
+	s.run("some time passes", func() bool { return s.node.loop.Now()-first.startedAt > 300*time.Millisecond })
 	since := s.node.loop.Now()
 	s.cache.Silence(false)
 	s.run("both are answered", func() bool { return s.outcomes(policy.OK) == 2 })
-	if got := s.came(); !slices.Equal(got, []string{"one", "two"}) {
+	if got := s.idsAtCache(); !slices.Equal(got, []string{"one", "two"}) {
 		t.Fatalf("the cache was sent %q", got)
 	}
 	for i, line := range s.cache.Lines() {
-		if got, most := wait(t, line), int((tries[i].wait - (since - tries[i].at)).Milliseconds()); got > most || got <= 0 {
+		if got, most := timeoutOf(t, line), int((tries[i].timeout - (since - tries[i].startedAt)).Milliseconds()); got > most || got <= 0 {
 			t.Errorf("%q, where %d ms were left before its connection came up", line, most)
 		}
 	}
 	s.run("the connection rests", func() bool { return len(s.pool.idle) == 1 })
-	if x := &s.node.count; x.written != 2 || l.conn.Pending() > 0 || first.first != 0 || first.last == 0 || !first.whole {
-		t.Errorf("%d written whole, %d wait, the first from %d to %d", x.written, l.conn.Pending(), first.first, first.last)
+	if x := &s.node.count; x.written != 2 || l.conn.Pending() > 0 || first.startOffset != 0 || first.endOffset == 0 || !first.written {
+		t.Errorf("%d written whole, %d wait, the first from %d to %d", x.written, l.conn.Pending(), first.startOffset, first.endOffset)
 	}
-	s.node.links -= s.node.linkMost() - 1
-	s.ask("next")
+	s.node.serverConns -= s.node.linkMost() - 1
+	s.sendReads("next")
 	s.run("the next is served", func() bool { return s.outcomes(policy.OK) == 3 })
 }
 
@@ -349,16 +349,16 @@
 // client had at first, and has the origin work for those who have left.
 func TestAFetchTellsWhatIsLeft(t *testing.T) {
 	gate, infos := make(chan struct{}), make(chan string, 1)
-	s := newStage(t, true, func(line string, v []byte) string { <-gate; return lacking(line, v) })
+	s := newFixture(t, true, func(line string, v []byte) string { <-gate; return answerMiss(line, v) })
 	s.withOrigin(true, func(w http.ResponseWriter, r *http.Request) {
 		infos <- r.Header.Get("Request-Info")
 		fmt.Fprint(w, "x")
 	})
-	s.ask("1")
-	s.taken(1)
-	first := s.node.calls["1"].tries[0]
-	s.run("some time passes", func() bool { return s.node.loop.Now()-first.at > 300*time.Millisecond })
-	most := (25*time.Second - (s.node.loop.Now() - first.at)).Milliseconds()
+	s.sendReads("1")
+	s.waitTaken(1)
+	first := s.node.requests["1"].attempts[0]
+	s.run("some time passes", func() bool { return s.node.loop.Now()-first.startedAt > 300*time.Millisecond })
+	most := (25*time.Second - (s.node.loop.Now() - first.startedAt)).Milliseconds()
 	close(gate)
 	s.run("it is served", func() bool { return s.node.count.ended[served] == 1 })
 	info := <-infos
--- a/internal/node/leave_turn_test.go
+++ b/internal/node/leave_turn_test.go
@@ -45,31 +45,31 @@
 	}
 }
 
-// gone has a client leave, until the system knows of it on the node's side.
-func gone(t *testing.T, c *net.TCPConn, leave func(*net.TCPConn)) {
+// leaveAndWait has a client leave, until the system knows of it on the node's side.
+func leaveAndWait(t *testing.T, c *net.TCPConn, leave func(*net.TCPConn)) {
 	t.Helper()
 	here, there := c.RemoteAddr().(*net.TCPAddr).Port, c.LocalAddr().(*net.TCPAddr).Port
 	leave(c)
 	eventually(t, "the end has come", func() bool { return !established(t, here, there) })
 }
 
-// rests lets the loop look until it knows that nothing has come, so that what comes from here on is told in that order.
-func (s *stage) rests() {
+// pollIdle lets the loop look until it knows that nothing has come, so that what comes from here on is told in that order.
+func (s *fixture) pollIdle() {
 	s.t.Helper()
 	for range 3 {
 		s.run("a look", func() bool { return true })
 	}
 }
 
-// answered waits until the answer to a request's attempt waits to be read.
-func (s *stage) answered(id string) {
+// waitAnswer waits until the answer to a request's attempt waits to be read.
+func (s *fixture) waitAnswer(id string) {
 	s.t.Helper()
-	l := s.node.calls[id].tries[0].link
+	l := s.node.requests[id].attempts[0].link
 	eventually(s.t, "the answer of "+id+" waits", l.conn.Stale)
 }
 
-// reached waits until a connection to the cache is up, which the node has not seen yet.
-func (s *stage) reached() {
+// waitConnected waits until a connection to the cache is up, which the node has not seen yet.
+func (s *fixture) waitConnected() {
 	s.t.Helper()
 	_, port, _ := net.SplitHostPort(s.cache.Addr())
 	var at int
@@ -77,34 +77,34 @@
 	eventually(s.t, "the connection is up", func() bool { return established(s.t, 0, at) })
 }
 
-// held is a stage whose one place at the cache the request "first" has until the gate opens, while "gone", whose connection it
+// newHeldFixture is a stage whose one place at the cache the request "first" has until the gate opens, while "gone", whose connection it
 // gives, waits for it.
-func held(t *testing.T, cancel bool) (s *stage, gone *net.TCPConn, gate chan struct{}) {
+func newHeldFixture(t *testing.T, cancel bool) (s *fixture, gone *net.TCPConn, gate chan struct{}) {
 	t.Helper()
 	gate = make(chan struct{})
-	s = newStage(t, cancel, func(line string, v []byte) string { <-gate; return answering(line, v) })
-	s.ask("first")
-	s.taken(1)
-	gone = s.ask("gone")
-	s.taken(2)
-	if len(s.node.calls["gone"].tries) > 0 {
+	s = newFixture(t, cancel, func(line string, v []byte) string { <-gate; return answerHit(line, v) })
+	s.sendReads("first")
+	s.waitTaken(1)
+	gone = s.sendReads("gone")
+	s.waitTaken(2)
+	if len(s.node.requests["gone"].attempts) > 0 {
 		t.Fatal("it is not held")
 	}
 	return s, gone, gate
 }
 
-// served lets the loop run until a further request is served, by which time all that came before has been handled.
-func (s *stage) served() {
+// serveAnother lets the loop run until a further request is served, by which time all that came before has been handled.
+func (s *fixture) serveAnother() {
 	s.t.Helper()
 	ok := s.outcomes(policy.OK)
-	s.ask("stays")
+	s.sendReads("stays")
 	s.run("the other is served", func() bool {
-		return s.outcomes(policy.OK) > ok && s.node.calls["stays"] == nil && slices.Contains(s.came(), "stays")
+		return s.outcomes(policy.OK) > ok && s.node.requests["stays"] == nil && slices.Contains(s.idsAtCache(), "stays")
 	})
 }
 
 // withOrigin makes the stage an aside one, whose cache lacks everything; it gives what was asked of the origin.
-func (s *stage) withOrigin(cancel bool, script http.HandlerFunc) (asked func() []string) {
+func (s *fixture) withOrigin(cancel bool, script http.HandlerFunc) (asked func() []string) {
 	s.t.Helper()
 	o, err := standin.NewOrigin(s.cache.Common, standin.OriginOptions{Addr: "127.0.0.1:0", Script: script})
 	if err != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-func lacking(line string, _ []byte) string {
+func answerMiss(line string, _ []byte) string {
 	for _, w := range strings.Fields(line) {
 		if w[0] == 'O' {
 			return "EN " + w + "\r\n"
@@ -140,17 +140,17 @@
 func TestAClientLeavesInTheTurnOfItsRequest(t *testing.T) {
 	for _, queued := range []bool{false, true} {
 		eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
-			s := newStage(t, cancel, answering)
+			s := newFixture(t, cancel, answerHit)
 			if queued {
-				gone(t, s.ask("gone", "gone-too"), leave)
+				leaveAndWait(t, s.sendReads("gone", "gone-too"), leave)
 			} else {
-				c := s.ask()
+				c := s.sendReads()
 				s.run("it is accepted", func() bool { return len(s.node.clients.all) == 1 })
 				fmt.Fprintf(c, "mg key v Ogone Pc=read,d=25000\r\nmg key v Ogone-too Pc=read,d=25000\r\n")
-				gone(t, c, leave)
+				leaveAndWait(t, c, leave)
 			}
-			s.served()
-			if got := s.came(); !slices.Equal(got, []string{"stays"}) || s.node.count.taken != 1 {
+			s.serveAnother()
+			if got := s.idsAtCache(); !slices.Equal(got, []string{"stays"}) || s.node.count.taken != 1 {
 				t.Errorf("the cache was sent %q, %d taken", got, s.node.count.taken)
 			}
 		})
@@ -160,13 +160,13 @@
 // Guards against a held request that is sent on as an answer makes room, its client's end behind that in the same turn.
 func TestAClientLeavesInTheTurnOfTheAnswerItWaitsFor(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
-		s, c, gate := held(t, cancel)
-		s.rests()
+		s, c, gate := newHeldFixture(t, cancel)
+		s.pollIdle()
 		close(gate)
-		s.answered("first")
-		gone(t, c, leave)
-		s.served()
-		if got := s.came(); !slices.Equal(got, []string{"first", "stays"}) || s.node.count.abandoned != 1 {
+		s.waitAnswer("first")
+		leaveAndWait(t, c, leave)
+		s.serveAnother()
+		if got := s.idsAtCache(); !slices.Equal(got, []string{"first", "stays"}) || s.node.count.abandoned != 1 {
 			t.Errorf("the cache was sent %q, %d abandoned", got, s.node.count.abandoned)
 		}
 	})
@@ -175,30 +175,30 @@
 // Guards against a request that is written as its connection comes up, its client's end behind that in the same turn.
 func TestAClientLeavesInTheTurnInWhichItsConnectionComesUp(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
-		s := newStage(t, cancel, answering)
+		s := newFixture(t, cancel, answerHit)
 		s.cache.Silence(true)
-		c := s.ask("gone")
-		s.taken(1)
+		c := s.sendReads("gone")
+		s.waitTaken(1)
 		s.cache.Silence(false)
-		s.reached()
+		s.waitConnected()
 		if s.pool.links[0].up {
 			t.Fatal("the node knows")
 		}
-		gone(t, c, leave)
-		s.served()
-		if got := s.came(); !slices.Equal(got, []string{"stays"}) || s.node.count.abandoned != 1 {
+		leaveAndWait(t, c, leave)
+		s.serveAnother()
+		if got := s.idsAtCache(); !slices.Equal(got, []string{"stays"}) || s.node.count.abandoned != 1 {
 			t.Errorf("the cache was sent %q, %d abandoned", got, s.node.count.abandoned)
 		}
 	})
 }
 
-// shared is an aside stage whose origin has served two reads at once, so that it has connections and room to spare, and keeps
+// newSharedFetch is an aside stage whose origin has served two reads at once, so that it has connections and room to spare, and keeps
 // those of the key hot until the gate opens.
-func shared(t *testing.T, cancel bool) (s *stage, asked func() []string, gate chan struct{}) {
+func newSharedFetch(t *testing.T, cancel bool) (s *fixture, asked func() []string, gate chan struct{}) {
 	t.Helper()
 	gate = make(chan struct{})
 	both := make(chan struct{})
-	s = newStage(t, cancel, lacking)
+	s = newFixture(t, cancel, answerMiss)
 	all := s.withOrigin(cancel, func(w http.ResponseWriter, r *http.Request) {
 		switch key := r.URL.Path; {
 		case key == "/hot":
@@ -208,39 +208,39 @@
 		}
 		fmt.Fprint(w, "x")
 	})
-	s.ask("warm") // after which the origin may have two out
+	s.sendReads("warm") // after which the origin may have two out
 	s.run("it is served", func() bool { return s.outcomes(policy.OK) == 1 })
-	s.ask("warm-1")
-	s.ask("warm-2")
+	s.sendReads("warm-1")
+	s.sendReads("warm-2")
 	s.run("both are out", func() bool { return len(all()) == 3 })
 	close(both)
 	s.run("both are served", func() bool { return s.outcomes(policy.OK) == 3 && len(s.node.pools["o-1"].idle) == 2 })
 	return s, func() []string { return all()[3:] }, gate
 }
 
-// hot asks for the key hot on a connection.
-func (s *stage) hot(c *net.TCPConn, id string) {
+// readHot asks for the key hot on a connection.
+func (s *fixture) readHot(c *net.TCPConn, id string) {
 	s.t.Helper()
 	taken := s.node.count.taken
 	fmt.Fprintf(c, "mg hot v O%s Pc=read,d=25000\r\n", id)
-	s.taken(taken + 1)
+	s.waitTaken(taken + 1)
 }
 
 // Guards against a fetch that passes from one who leaves to another who leaves in the same turn; who stays gets one of its own.
 func TestAllWhoShareAFetchLeave(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
-		s, asked, gate := shared(t, cancel)
+		s, asked, gate := newSharedFetch(t, cancel)
 		var leaving []*net.TCPConn
 		for _, id := range []string{"lead", "w1", "w2"} {
-			c := s.ask()
-			s.hot(c, id)
+			c := s.sendReads()
+			s.readHot(c, id)
 			s.run("the first asks the origin", func() bool { return len(asked()) == 1 })
 			leaving = append(leaving, c)
 		}
-		s.hot(s.ask(), "stays")
-		s.rests()
+		s.readHot(s.sendReads(), "stays")
+		s.pollIdle()
 		for _, c := range leaving {
-			gone(t, c, leave)
+			leaveAndWait(t, c, leave)
 		}
 		s.run("they have left", func() bool { return s.node.count.abandoned == 3 })
 		close(gate)
@@ -256,10 +256,10 @@
 func TestAClientLeavesWithItsOwnFetchShared(t *testing.T) {
 	for _, drains := range []bool{false, true} {
 		eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
-			s, asked, gate := shared(t, cancel)
-			c := s.ask()
+			s, asked, gate := newSharedFetch(t, cancel)
+			c := s.sendReads()
 			for _, id := range []string{"lead", "w1", "w2"} {
-				s.hot(c, id)
+				s.readHot(c, id)
 				s.run("the first asks the origin", func() bool { return len(asked()) == 1 })
 			}
 			if drains {
@@ -268,8 +268,8 @@
 			leave(c)
 			s.run("it has left", func() bool { return s.node.count.abandoned == 3 })
 			close(gate)
-			s.run("all places are free", func() bool { return len(s.node.calls) == 0 })
-			s.rests()
+			s.run("all places are free", func() bool { return len(s.node.requests) == 0 })
+			s.pollIdle()
 			if got := asked(); !slices.Equal(got, []string{"lead"}) || s.node.count.ended[refused] != 0 {
 				t.Errorf("the origin was asked by %q, %d refused", got, s.node.count.ended[refused])
 			}
@@ -284,30 +284,30 @@
 	for _, held := range []bool{false, true} {
 		eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
 			gate := make(chan struct{})
-			s := newStage(t, cancel, func(line string, v []byte) string { <-gate; return answering(line, v) })
+			s := newFixture(t, cancel, func(line string, v []byte) string { <-gate; return answerHit(line, v) })
 			if held {
-				s.ask("first")
-				s.taken(1)
+				s.sendReads("first")
+				s.waitTaken(1)
 			} else {
 				s.cache.Silence(true)
 			}
 			before := s.node.count.taken
-			c := s.ask()
-			fmt.Fprintf(c, "ms key %d Ogone Pc=read,d=25000\r\n%s", size, strings.Repeat("x", bodyKept+100))
-			s.taken(before + 1)
-			if got := len(s.node.calls["gone"].tries); got != map[bool]int{false: 1, true: 0}[held] {
+			c := s.sendReads()
+			fmt.Fprintf(c, "ms key %d Ogone Pc=read,d=25000\r\n%s", size, strings.Repeat("x", maxBufferedBody+100))
+			s.waitTaken(before + 1)
+			if got := len(s.node.requests["gone"].attempts); got != map[bool]int{false: 1, true: 0}[held] {
 				t.Fatalf("held %t: %d attempts", held, got)
 			}
-			s.rests()
+			s.pollIdle()
 			close(gate)
 			if held {
-				s.answered("first")
+				s.waitAnswer("first")
 			} else {
 				s.cache.Silence(false)
-				s.reached()
+				s.waitConnected()
 			}
-			gone(t, c, leave)
-			s.served()
+			leaveAndWait(t, c, leave)
+			s.serveAnother()
 			// One of which a byte had gone would have taken its connection with it.
 			if x := &s.node.count; x.abandoned != 1 || x.attempts != 2 || x.links != 1 {
 				t.Errorf("%d abandoned, %d attempts, %d connections", x.abandoned, x.attempts, x.links)
@@ -319,20 +319,20 @@
 // Guards against a client that leaves unseen while it takes nothing of what it is owed, with more asked than is read.
 func TestASlowReaderLeaves(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
-		s, far, gate := held(t, cancel)
-		c := s.node.calls["gone"].client
+		s, far, gate := newHeldFixture(t, cancel)
+		c := s.node.requests["gone"].client
 		c.conn.Write(make([]byte, 12<<20)) // more than the system takes
 		c.flush()
-		if c.conn.Pending() < mostUnsent {
+		if c.conn.Pending() < maxUnsentBytes {
 			t.Fatal("it has taken all")
 		}
 		fmt.Fprintf(far, "mg key v Ounread Pc=read,d=25000\r\n")
-		s.rests()
+		s.pollIdle()
 		close(gate)
-		s.answered("first")
-		gone(t, far, leave)
-		s.served()
-		if got := s.came(); !slices.Equal(got, []string{"first", "stays"}) || s.node.count.abandoned != 1 {
+		s.waitAnswer("first")
+		leaveAndWait(t, far, leave)
+		s.serveAnother()
+		if got := s.idsAtCache(); !slices.Equal(got, []string{"first", "stays"}) || s.node.count.abandoned != 1 {
 			t.Errorf("the cache was sent %q, %d abandoned", got, s.node.count.abandoned)
 		}
 	})
@@ -341,16 +341,16 @@
 // Guards against a client that leaves unseen while connections close with their next answer, when nothing more is read.
 func TestAClientLeavesDuringADrain(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
-		s, c, gate := held(t, cancel)
-		s.node.clients.empty()
-		s.node.calls["gone"].client.flush() // from here on it is not read
+		s, c, gate := newHeldFixture(t, cancel)
+		s.node.clients.startClosing()
+		s.node.requests["gone"].client.flush() // from here on it is not read
 		fmt.Fprintf(c, "mg key v Ounread Pc=read,d=25000\r\n")
-		s.rests()
+		s.pollIdle()
 		close(gate)
-		s.answered("first")
-		gone(t, c, leave)
-		s.served()
-		if got := s.came(); !slices.Equal(got, []string{"first", "stays"}) || s.node.count.abandoned != 1 {
+		s.waitAnswer("first")
+		leaveAndWait(t, c, leave)
+		s.serveAnother()
+		if got := s.idsAtCache(); !slices.Equal(got, []string{"first", "stays"}) || s.node.count.abandoned != 1 {
 			t.Errorf("the cache was sent %q, %d abandoned", got, s.node.count.abandoned)
 		}
 	})
@@ -358,13 +358,13 @@
 
 // Guards against a fault where both are so: the client has left, and the server is none that was ever listed.
 func TestAClientLeavesBeforeASendToNobody(t *testing.T) {
-	s := newStage(t, false, answering)
+	s := newFixture(t, false, answerHit)
 	s.cache.Silence(true)
-	c := s.ask("gone")
-	s.taken(1)
-	gone(t, c, ways["close"])
+	c := s.sendReads("gone")
+	s.waitTaken(1)
+	leaveAndWait(t, c, leaveWays["close"])
 	s.node.loop.Defer(func() { actions{s.node}.Send("gone", "c-9", 0, 0) })
-	s.run("its place is free", func() bool { return len(s.node.calls) == 0 })
+	s.run("its place is free", func() bool { return len(s.node.requests) == 0 })
 	if s.node.count.abandoned != 1 || s.outcomes(policy.ConnectFailed) != 1 {
 		t.Errorf("%d abandoned, %v", s.node.count.abandoned, s.node.count.outcomes)
 	}
@@ -375,22 +375,22 @@
 func TestTheRestOfACommandComesAsItsTimeEnds(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		t.Run(fmt.Sprintf("whole %t", whole), func(t *testing.T) {
-			s := newStage(t, false, answering)
-			far := s.ask()
+			s := newFixture(t, false, answerHit)
+			far := s.sendReads()
 			fmt.Fprint(far, "mg key v Olate Pc=read")
 			s.run("half of it has come", func() bool {
-				c := front(s.node.clients.owing)
+				c := front(s.node.clients.incomplete)
 				return c != nil && len(c.input) > 0
 			})
-			c := front(s.node.clients.owing)
+			c := front(s.node.clients.incomplete)
 			fmt.Fprint(far, map[bool]string{true: ",d=25000\r\n", false: ",d=25"}[whole])
 			eventually(t, "the rest waits", c.conn.Stale)
-			c.since = s.node.loop.Now() - owesFor
-			if s.node.clients.tidy(); c.gone {
+			c.incompleteSince = s.node.loop.Now() - commandTimeout
+			if s.node.clients.closeTimedOut(); c.closed {
 				t.Fatal("closed over what has come")
 			}
 			if !whole {
-				s.run("it is closed", func() bool { return c.gone })
+				s.run("it is closed", func() bool { return c.closed })
 				return
 			}
 			s.run("it is served", func() bool { return s.node.count.ended[served] == 1 })
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -41,7 +41,7 @@
 	if r.MaxEntries == 0 {
 		r.MaxEntries = cfg.MemoryMB * entriesPer
 	}
-	c.MostBody = min(mostList, cfg.MemoryMB<<20/heldPart)
+	c.MostBody = min(mostList, cfg.MemoryMB<<20/heldMemoryDivisor)
 	return c
 }
 
@@ -63,8 +63,8 @@
 // listHeard notes an answer about the list. The first one, though it may tell of no change, begins the time in which the
 // module takes each new start for one that it has seen.
 func (n *Node) listHeard() {
-	if !n.watched {
-		n.watched = true
+	if !n.listReceived {
+		n.listReceived = true
 		n.guard("members", func() { n.policy.Members(n.loop.Now(), policy.ListChanges, nil) })
 	}
 	n.nowReady()
@@ -74,10 +74,10 @@
 func (n *Node) nowReady() {
 	if !n.ready && len(n.pools) > 0 {
 		n.ready = true
-		n.note(nodeReady, nil)
+		n.recordTransition(nodeReady, nil)
 		n.takeClients()
 		log.Printf("event=ready servers=%d", len(n.pools))
-		if a := n.cfg.Announce; a != nil && !n.leaving {
+		if a := n.cfg.Announce; a != nil && !n.shuttingDown {
 			n.announcer = registry.NewAnnouncer(n.loop, n.cfg.Registry, a.Key, a.Value, a.TTL, n.cfg.Seed, n.listNote)
 			n.announcer.Start()
 		}
@@ -108,7 +108,7 @@
 			e.State = policy.Gone
 		}
 		n.pool(e.Server, addr)
-		n.listed.add(e.ID)
+		n.everListed.add(e.ID)
 		n.succession.noteState(e.ID, e.State)
 		servers[i], named[e.ID] = e.Server, e.State == policy.Ready
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,126 +21,126 @@
 )
 
 const (
-	// margin is kept off a client's deadline for the way back and the loop's lateness.
-	margin = 10 * time.Millisecond
-	// lastCall is when, before the deadline, a request that is still unanswered is failed come what may; it comes sooner
+	// deadlineMargin is kept off a client's deadline for the way back and the loop's lateness.
+	deadlineMargin = 10 * time.Millisecond
+	// overdueMargin is when, before the deadline, a request that is still unanswered is failed come what may; it comes sooner
 	// where the margin is shorter.
-	lastCall = 3 * time.Millisecond
-	// lameFor is how long after SIGTERM new connections may come and all goes on as before.
-	lameFor = 500 * time.Millisecond
-	// killAfter is how long after SIGTERM and the longest deadline the process may be killed, less a margin.
-	killAfter = 500 * time.Millisecond
-	// mostGrace is the longest that the platform waits for deadlines to pass, however long they are.
-	mostGrace = 3 * time.Second
-	// reserve is the number of descriptors kept for what is no pool's and no client's, and for clients of a full house,
+	overdueMargin = 3 * time.Millisecond
+	// lameDuckPeriod is how long after SIGTERM new connections may come and all goes on as before.
+	lameDuckPeriod = 500 * time.Millisecond
+	// killDelay is how long after SIGTERM and the longest deadline the process may be killed, less a margin.
+	killDelay = 500 * time.Millisecond
+	// maxDeadlineGrace is the longest that the platform waits for deadlines to pass, however long they are.
+	maxDeadlineGrace = 3 * time.Second
+	// reservedSockets is the number of descriptors kept for what is no pool's and no client's, and for clients of a full house,
 	// whose requests are refused.
-	reserve = 32
-	// ownSockets of these are the loop's, the runtime's and the standard ones.
-	ownSockets = 14
-	// listSockets are left by clients for a call for the list: by TLS one may still be closing as the next is made.
-	listSockets = 2
-	// listenSockets of the room are the listener's, the call's for the list and the watch's over other processes.
-	listenSockets = 3
-	// heldPart bounds the values of writes and of answers that are kept, as a part of the memory limit.
-	heldPart = 4
-	// valuePart bounds one value, as a part of the memory limit.
-	valuePart = 64
+	reservedSockets = 32
+	// internalSockets of these are the loop's, the runtime's and the standard ones.
+	internalSockets = 14
+	// discoverySockets are left by clients for a call for the list: by TLS one may still be closing as the next is made.
+	discoverySockets = 2
+	// overheadSockets of the room are the listener's, the call's for the list and the watch's over other processes.
+	overheadSockets = 3
+	// heldMemoryDivisor bounds the values of writes and of answers that are kept, as a part of the memory limit.
+	heldMemoryDivisor = 4
+	// responseMemoryDivisor bounds one value, as a part of the memory limit.
+	responseMemoryDivisor = 64
 	// failed is the answer that promises nothing.
-	failure = "SERVER_ERROR failed\r\n"
+	failedAnswer = "SERVER_ERROR failed\r\n"
 )
 
 // Node is one balancer on sockets.
 type Node struct {
-	cfg        Config
-	loop       *loop.Loop
-	policy     *policy.Balancer
-	control    *control.Server // nil: none
-	classes    map[string]*class
-	calls      map[string]*call
-	inFlight   int // of them, not answered
-	listed     listed
-	bans       map[string]bool  // servers banned by hand
-	pools      map[string]*pool // by server id
-	clients    clients
-	registry   *registry.Client
-	announcer  *registry.Announcer  // nil: the node keeps no entry of itself
-	forwarder  *forwarder.Forwarder // nil: there are no planners
-	links      int                  // connections to servers
-	held       int                  // bytes of writes kept
-	owed       int                  // bytes of answers that clients have yet to take, and of commands not whole
-	coming     int                  // bytes of answers that are not whole
-	deep       int                  // bytes that the system was asked to make room for, so that they outlive the process
-	shedding   bool
-	count      counters
-	recorder   recorder
-	violatedAt time.Duration // when a violation was logged last
-	ready      bool
-	watched    bool // an answer about the list has come
-	leaving    bool
-	lame       bool          // drained by an operator
-	lameAt     time.Duration // the version of that word, or of its end
-	lameUntil  time.Duration // when nothing idle may be held any more
-	succession succession
-	limit      func(mb int) // told of the megabytes that the process may use
+	cfg               Config
+	loop              *loop.Loop
+	policy            *policy.Balancer
+	control           *control.Server // nil: none
+	classes           map[string]*class
+	requests          map[string]*request
+	inFlight          int // of them, not answered
+	everListed        serverHistory
+	bans              map[string]bool  // servers banned by hand
+	pools             map[string]*pool // by server id
+	clients           clients
+	registry          *registry.Client
+	announcer         *registry.Announcer  // nil: the node keeps no entry of itself
+	forwarder         *forwarder.Forwarder // nil: there are no planners
+	serverConns       int                  // connections to servers
+	writeBytes        int                  // bytes of writes kept
+	clientBytes       int                  // bytes of answers that clients have yet to take, and of commands not whole
+	responseBytes     int                  // bytes of answers that are not whole
+	sendBufferBytes   int                  // bytes that the system was asked to make room for, so that they outlive the process
+	shedding          bool
+	count             counters
+	recorder          recorder
+	violationLoggedAt time.Duration // when a violation was logged last
+	ready             bool
+	listReceived      bool // an answer about the list has come
+	shuttingDown      bool
+	draining          bool          // drained by an operator
+	drainVersion      time.Duration // the version of that word, or of its end
+	drainDeadline     time.Duration // when nothing idle may be held any more
+	succession        succession
+	setMemoryLimit    func(mb int) // told of the megabytes that the process may use
 	// lastAnswer is when, after SIGTERM, all answers must have been given.
-	lastAnswer time.Duration
+	answerDeadline time.Duration
 }
 
-// call is a request that the node has taken. It is the module's while it is open, and known here until it has been
+// request is a request that the node has taken. It is the module's while it is open, and known here until it has been
 // answered and all its attempts have ended.
-type call struct {
-	id       string
-	class    *class
-	client   *client // nil once nobody waits
-	command  meta.Command
-	deadline time.Duration // the client's
-	end      time.Duration // until then attempts may run
-	answer   []byte        // complete, waiting for its turn on the connection
-	body     *body         // a long value that it is bound to, while that comes
-	upload   *upload       // the long value of a write
-	counted  bool          // it counts as taken: all of it has come
-	answered bool
-	tries    []*try
-	open     int
-	timer    *loop.Timer
+type request struct {
+	id            string
+	class         *class
+	client        *client // nil once nobody waits
+	command       meta.Command
+	deadline      time.Duration // the client's
+	attemptsUntil time.Duration // until then attempts may run
+	answer        []byte        // complete, waiting for its turn on the connection
+	body          *body         // a long value that it is bound to, while that comes
+	upload        *upload       // the long value of a write
+	received      bool          // it counts as taken: all of it has come
+	answered      bool
+	attempts      []*attempt
+	openAttempts  int
+	timer         *loop.Timer
 }
 
-// try is one attempt.
-type try struct {
-	call  *call
-	n     int
-	pool  *pool
-	at    time.Duration
-	began time.Duration // as its request could first run: of a long value, when all of that had come
-	ran   bool          // it has ended, and may have run
-	wait  time.Duration // from then on the node waits for it
-	link  *link         // while it is out
-	first int64         // where its first byte stands on the link
-	last  int64         // and the byte behind its last
-	whole bool          // it has been written whole
-	waits bool          // no byte of it went to the system as it was written
-	timer *loop.Timer
-	late  *loop.Timer // when it may not go out any more
-	stuck *loop.Timer // when it is taken back if no byte of it has gone out
-	done  bool
+// attempt is one attempt.
+type attempt struct {
+	request     *request
+	number      int
+	pool        *pool
+	startedAt   time.Duration
+	runnableAt  time.Duration // as its request could first run: of a long value, when all of that had come
+	mayHaveRun  bool          // it has ended, and may have run
+	timeout     time.Duration // from then on the node waits for it
+	link        *link         // while it is out
+	startOffset int64         // where its first byte stands on the link
+	endOffset   int64         // and the byte behind its last
+	written     bool          // it has been written whole
+	queued      bool          // no byte of it went to the system as it was written
+	timer       *loop.Timer
+	expiryTimer *loop.Timer // when it may not go out any more
+	writeTimer  *loop.Timer // when it is taken back if no byte of it has gone out
+	done        bool
 }
 
-// answer is what a server said of an attempt. Its slices are good only while they are being handled.
-type answer struct {
-	outcome policy.Outcome
-	note    policy.CacheStatus
-	value   []byte
-	receipt []byte
-	stored  bool   // served without a value: a receipt
-	long    int    // bytes of a long value, which follows
-	tail    string // what must stand behind that
-	close   bool   // the connection carries nothing after it
-	kept    bool   // of a reset: the connection had answered before
+// response is what a server said of an attempt. Its slices are good only while they are being handled.
+type response struct {
+	outcome     policy.Outcome
+	cacheStatus policy.CacheStatus
+	value       []byte
+	receipt     []byte
+	stored      bool   // served without a value: a receipt
+	longSize    int    // bytes of a long value, which follows
+	trailer     string // what must stand behind that
+	close       bool   // the connection carries nothing after it
+	reusedConn  bool   // of a reset: the connection had answered before
 }
 
 // New builds a node that listens and follows the list. Nothing happens until the loop runs.
 func New(cfg Config, l *loop.Loop) (*Node, error) {
-	n := &Node{cfg: cfg, loop: l, calls: map[string]*call{}, pools: map[string]*pool{}, classes: map[string]*class{}, bans: map[string]bool{}}
+	n := &Node{cfg: cfg, loop: l, requests: map[string]*request{}, pools: map[string]*pool{}, classes: map[string]*class{}, bans: map[string]bool{}}
 	for name, longest := range cfg.Transport.Deadlines {
 		n.classes[name] = &class{name: name, longest: longest}
 	}
@@ -150,7 +150,7 @@
 		}
 	}
 	n.clients.node = n
-	n.listed = newListed(cfg.MemoryMB)
+	n.everListed = newServerHistory(cfg.MemoryMB)
 	n.clients.init()
 	n.succession.join(n)
 	if len(n.succession.others()) == 0 {
@@ -175,7 +175,7 @@
 	})
 	n.succession.begin()
 	n.follow()
-	n.forward()
+	n.startForwarder()
 	return n, nil
 }
 
@@ -191,167 +191,167 @@
 	f()
 }
 
-// take hands a client's request to the module.
-func (n *Node) take(c *call, now time.Duration) {
+// submit hands a client's request to the module.
+func (n *Node) submit(c *request, now time.Duration) {
 	info := c.command.Info
-	n.calls[c.id] = c
-	n.note(requestTaken, c)
+	n.requests[c.id] = c
+	n.recordTransition(requestTaken, c)
 	if n.forwarder != nil {
 		n.forwarder.Request(string(c.command.Key), meta.FieldValue(info, "t"))
 	}
 	if c.upload == nil {
-		n.clock(c, now, c.deadline-now)
+		n.startClock(c, now, c.deadline-now)
 	} else { // until all has come its time does not count: this is how long it may wait for an attempt
-		c.end = now + c.upload.wait
+		c.attemptsUntil = now + c.upload.timeout
 	}
 	n.guard("request", func() {
 		n.policy.Request(now, policy.Request{ID: c.id, Class: c.class.name, Tenant: meta.FieldValue(info, "t"),
-			Key: string(c.command.Key), Remaining: c.end - now, Write: c.command.Kind == meta.Set,
+			Key: string(c.command.Key), Remaining: c.attemptsUntil - now, Write: c.command.Kind == meta.Set,
 			BodyPending: c.upload != nil})
 	})
 }
 
-// clock has a request's time run, all of which has come: so long from now its client goes away.
-func (n *Node) clock(c *call, now, wait time.Duration) {
-	c.deadline, c.end = now+wait, now+wait-min(margin, wait/2)
-	c.counted = true
+// startClock has a request's time run, all of which has come: so long from now its client goes away.
+func (n *Node) startClock(c *request, now, wait time.Duration) {
+	c.deadline, c.attemptsUntil = now+wait, now+wait-min(deadlineMargin, wait/2)
+	c.received = true
 	n.inFlight++
 	// Guards against taking a request with hardly any time for one left unanswered: with 6 ms or less the last call came
 	// before the end that the module is told (lab, slow-origin: a retry with 5 ms left).
-	last := min(lastCall, (c.deadline-c.end)/3)
-	c.timer = n.loop.After(c.deadline-last-now, func() { n.overdue(c) })
+	margin := min(overdueMargin, (c.deadline-c.attemptsUntil)/3)
+	c.timer = n.loop.After(c.deadline-margin-now, func() { n.failOverdue(c) })
 }
 
-// unclock notes that a request is over.
-func (n *Node) unclock(c *call) {
+// stopClock notes that a request is over.
+func (n *Node) stopClock(c *request) {
 	c.answered = true
 	c.timer.Stop()
-	if c.counted {
+	if c.received {
 		n.inFlight--
 	}
 }
 
-// within cuts how long a client waits to what this process can wait.
-func (n *Node) within(wait, now time.Duration) time.Duration {
-	if n.leaving { // what is unanswered at the kill is lost, however long its client would wait
-		return min(wait, n.lastAnswer-now)
-	} else if n.lame && n.lameUntil-now < lameYoung { // a request as young as that may not be held any more then
-		return max(min(wait, n.lameUntil-now), lameLeast)
+// capTimeout cuts how long a client waits to what this process can wait.
+func (n *Node) capTimeout(wait, now time.Duration) time.Duration {
+	if n.shuttingDown { // what is unanswered at the kill is lost, however long its client would wait
+		return min(wait, n.answerDeadline-now)
+	} else if n.draining && n.drainDeadline-now < lameYoung { // a request as young as that may not be held any more then
+		return max(min(wait, n.drainDeadline-now), lameLeast)
 	}
 	return wait
 }
 
-// hurry cuts what was taken before a planned end to what this process can wait.
-func (n *Node) hurry() {
+// shortenDeadlines cuts what was taken before a planned end to what this process can wait.
+func (n *Node) shortenDeadlines() {
 	now := n.loop.Now()
-	for _, c := range n.calls {
-		if c.answered || !c.counted || c.body != nil || c.deadline <= n.lastAnswer {
+	for _, c := range n.requests {
+		if c.answered || !c.received || c.body != nil || c.deadline <= n.answerDeadline {
 			continue
 		}
 		c.timer.Stop()
-		c.deadline, c.end = n.lastAnswer, min(c.end, n.lastAnswer-margin)
-		c.timer = n.loop.After(c.deadline-lastCall-now, func() { n.overdue(c) })
+		c.deadline, c.attemptsUntil = n.answerDeadline, min(c.attemptsUntil, n.answerDeadline-deadlineMargin)
+		c.timer = n.loop.After(c.deadline-overdueMargin-now, func() { n.failOverdue(c) })
 	}
 }
 
 // endingTransitions are how a request's end is recorded.
 var endingTransitions = [endings]transition{served: requestServed, refused: requestRefused, failed: requestFailed}
 
-// overdue fails a request that the module has left unanswered. It should never be needed; it guards rule 1 against
+// failOverdue fails a request that the module has left unanswered. It should never be needed; it guards rule 1 against
 // what nobody has thought of.
-func (n *Node) overdue(c *call) {
+func (n *Node) failOverdue(c *request) {
 	if c.answered {
 		return
 	}
-	if !n.leaving || c.deadline < n.lastAnswer { // else it would have gone on waiting
+	if !n.shuttingDown || c.deadline < n.answerDeadline { // else it would have gone on waiting
 		n.count.overdue++
-		n.note(requestOverdue, c)
-		log.Printf("event=overdue id=%s attempts=%d", c.id, len(c.tries))
-		n.logStory(c.id)
+		n.recordTransition(requestOverdue, c)
+		log.Printf("event=overdue id=%s attempts=%d", c.id, len(c.attempts))
+		n.logHistory(c.id)
 	}
-	n.reply(c, []byte(failure), failed)
+	n.reply(c, []byte(failedAnswer), failed)
 	n.guard("abandoned", func() { n.policy.Abandoned(n.loop.Now(), c.id) })
 }
 
 // reply gives a request its one answer.
-func (n *Node) reply(c *call, text []byte, how ending) {
+func (n *Node) reply(c *request, text []byte, how ending) {
 	if c.answered {
 		return
 	}
 	n.end(c.class, how)
-	n.note(endingTransitions[how], c)
-	n.unclock(c)
+	n.recordTransition(endingTransitions[how], c)
+	n.stopClock(c)
 	c.answer = text
 	if c.client != nil {
-		c.client.waiting += len(text)
+		c.client.queuedBytes += len(text)
 		c.client.flush()
 	}
-	n.withdraw(c)
-	n.settle(c)
+	n.withdrawAttempts(c)
+	n.removeIfDone(c)
 }
 
 // abandon notes that nobody waits for a request any more.
-func (n *Node) abandon(c *call) {
+func (n *Node) abandon(c *request) {
 	c.client = nil
 	if c.answered {
 		return
 	}
-	n.note(requestAbandoned, c)
+	n.recordTransition(requestAbandoned, c)
 	b := c.body
 	c.body = nil
 	n.count.abandoned++
-	n.unclock(c)
+	n.stopClock(c)
 	n.guard("abandoned", func() { n.policy.Abandoned(n.loop.Now(), c.id) })
 	if b != nil { // what comes of it has nowhere to go
-		b.try.pool.cancel(b.try)
+		b.attempt.pool.cancel(b.attempt)
 	}
-	if u := c.upload; u != nil && u.try != nil {
-		u.try.pool.cancel(u.try)
+	if u := c.upload; u != nil && u.attempt != nil {
+		u.attempt.pool.cancel(u.attempt)
 	}
-	n.withdraw(c)
-	n.settle(c)
+	n.withdrawAttempts(c)
+	n.removeIfDone(c)
 }
 
-// withdraw takes back what has not gone out for a request that is over.
-func (n *Node) withdraw(c *call) {
-	for _, t := range c.tries {
+// withdrawAttempts takes back what has not gone out for a request that is over.
+func (n *Node) withdrawAttempts(c *request) {
+	for _, t := range c.attempts {
 		if !t.done {
 			n.loop.Defer(func() { t.pool.withdraw(t) })
 		}
 	}
 }
 
-// settle forgets a request that has been answered and has no attempt out.
-func (n *Node) settle(c *call) {
-	if !c.answered || c.open > 0 || n.calls[c.id] != c {
+// removeIfDone forgets a request that has been answered and has no attempt out.
+func (n *Node) removeIfDone(c *request) {
+	if !c.answered || c.openAttempts > 0 || n.requests[c.id] != c {
 		return
 	}
-	delete(n.calls, c.id)
-	n.held -= len(c.command.Value)
+	delete(n.requests, c.id)
+	n.writeBytes -= len(c.command.Value)
 	c.command = meta.Command{}
 }
 
-// finished takes the end of an attempt, at the moment it is known and outside any call of the module.
-func (n *Node) finished(t *try, a answer) {
+// attemptFinished takes the end of an attempt, at the moment it is known and outside any call of the module.
+func (n *Node) attemptFinished(t *attempt, a response) {
 	if t.done {
 		return
 	}
 	// Guards against counting against the server what this process takes to answer the client, stopped in the midst of it.
 	now := n.loop.Now()
-	t.done, t.ran = true, !a.outcome.NeverRan()
-	n.noteAttempt(attemptEnded, t, 0, a.outcome)
+	t.done, t.mayHaveRun = true, !a.outcome.NeverRan()
+	n.recordAttempt(attemptEnded, t, 0, a.outcome)
 	t.timer.Stop()
-	t.late.Stop()
-	t.stuck.Stop()
-	c := t.call
-	c.open--
+	t.expiryTimer.Stop()
+	t.writeTimer.Stop()
+	c := t.request
+	c.openAttempts--
 	n.count.outcome(a.outcome)
-	n.observe(t, a)
+	n.reportAttempt(t, a)
 	if c.upload != nil {
-		c.upload.ended(t)
+		c.upload.attemptDone(t)
 	}
-	if b := c.body; b != nil && b.try == t {
-		b.end(c, a.outcome == policy.OK)
+	if b := c.body; b != nil && b.attempt == t {
+		b.finish(c, a.outcome == policy.OK)
 	} else if a.outcome == policy.OK && !c.answered && b == nil {
 		var text []byte
 		if id := c.command.ID; a.stored {
@@ -361,10 +361,10 @@
 		}
 		n.reply(c, text, served)
 	}
-	res := policy.Result{ID: c.id, N: t.n, Server: t.pool.id, Outcome: a.outcome, CacheStatus: a.note, Final: c.answered,
-		ReusedConn: a.kept, BodyDiscarded: c.upload != nil && c.upload.spent}
+	res := policy.Result{ID: c.id, N: t.number, Server: t.pool.id, Outcome: a.outcome, CacheStatus: a.cacheStatus, Final: c.answered,
+		ReusedConn: a.reusedConn, BodyDiscarded: c.upload != nil && c.upload.bufferDropped}
 	n.guard("result", func() { n.policy.Result(now, res) })
-	n.settle(c)
+	n.removeIfDone(c)
 }
 
 // actions carries out what the module asks for.
@@ -373,18 +373,18 @@
 // Send implements policy.Actions.
 func (a actions) Send(id, server string, wait, by time.Duration) {
 	n := a.n
-	c := n.calls[id]
+	c := n.requests[id]
 	if c == nil {
 		return
 	}
 	now := n.loop.Now()
-	t := &try{call: c, n: len(c.tries), pool: n.pools[server], at: now, began: now}
-	c.tries = append(c.tries, t)
-	c.open++
+	t := &attempt{request: c, number: len(c.attempts), pool: n.pools[server], startedAt: now, runnableAt: now}
+	c.attempts = append(c.attempts, t)
+	c.openAttempts++
 	if t.pool == nil { // never listed here: nothing can have been sent
 		t.pool = &pool{node: n, id: server, banned: true}
 	}
-	left := c.end - now
+	left := c.attemptsUntil - now
 	if wait > 0 {
 		left = min(left, wait)
 	}
@@ -398,45 +398,45 @@
 	}
 	if why != safety.Allowed {
 		if gone && x != nil {
-			n.loop.Defer(x.away)
+			n.loop.Defer(x.closeDeparted)
 		}
 		n.refuseSend(t, why)
 		return
 	}
-	n.noteAttempt(attemptSent, t, 0, 0)
-	if c.upload == nil || c.upload.whole {
+	n.recordAttempt(attemptSent, t, 0, 0)
+	if c.upload == nil || c.upload.complete {
 		t.timer = n.loop.After(left, func() { t.pool.timeout(t) })
 	}
 	t.pool.send(t, left)
 	if by > 0 && !t.done {
-		t.late = n.loop.After(by-n.loop.Now(), func() { t.pool.expire(t) })
+		t.expiryTimer = n.loop.After(by-n.loop.Now(), func() { t.pool.expire(t) })
 	}
 }
 
 // Refuse implements policy.Actions.
 func (a actions) Refuse(id string, comeBack time.Duration) {
-	if c := a.n.calls[id]; c != nil && c.client != nil {
+	if c := a.n.requests[id]; c != nil && c.client != nil {
 		a.n.reply(c, meta.AppendBusy(nil, comeBack.Milliseconds()), refused)
 	}
 }
 
 // Fail implements policy.Actions.
 func (a actions) Fail(id string) {
-	if c := a.n.calls[id]; c != nil && c.client != nil {
-		a.n.reply(c, []byte(failure), failed)
+	if c := a.n.requests[id]; c != nil && c.client != nil {
+		a.n.reply(c, []byte(failedAnswer), failed)
 	}
 }
 
 // Cancel implements policy.Actions.
 func (a actions) Cancel(id string, k int) {
-	c := a.n.calls[id]
-	if c == nil || k < 0 || k >= len(c.tries) || c.tries[k].done {
+	c := a.n.requests[id]
+	if c == nil || k < 0 || k >= len(c.attempts) || c.attempts[k].done {
 		return
 	}
-	if b := c.body; b != nil && b.try == c.tries[k] {
+	if b := c.body; b != nil && b.attempt == c.attempts[k] {
 		return // its value has begun to flow
 	}
-	t := c.tries[k]
+	t := c.attempts[k]
 	a.n.loop.Defer(func() { t.pool.cancel(t) })
 }
 
@@ -458,21 +458,21 @@
 // Shutdown begins a planned end: for a while all goes on, then each connection closes with its next answer or once it
 // has rested, and after the last the loop stops.
 func (n *Node) Shutdown() {
-	if n.leaving {
+	if n.shuttingDown {
 		return
 	}
-	n.leaving = true
+	n.shuttingDown = true
 	var longest time.Duration
 	for _, d := range n.cfg.Transport.Deadlines {
 		longest = max(longest, d)
 	}
 	// Guards against requests whose clients would wait for longer than the process lives (launceston-platform,
 	// roll+term+brink, reads of 5 s: unanswered at the kill 3.7 s after SIGTERM).
-	n.lastAnswer = n.loop.Now() + min(longest, mostGrace) + killAfter
-	n.hurry()
-	n.note(nodeLeaving, nil)
+	n.answerDeadline = n.loop.Now() + min(longest, maxDeadlineGrace) + killDelay
+	n.shortenDeadlines()
+	n.recordTransition(nodeLeaving, nil)
 	succeeded := n.succession.succeeded()
-	log.Printf("event=leaving open=%d clients=%d succeeded=%t", len(n.calls), len(n.clients.all), succeeded)
+	log.Printf("event=leaving open=%d clients=%d succeeded=%t", len(n.requests), len(n.clients.all), succeeded)
 	if n.announcer != nil { // whoever follows the nodes knows before the listener closes
 		n.announcer.Stop(func() {})
 	}
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -28,14 +28,14 @@
 	routes := []control.Route{
 		{Method: "GET", Path: "/_ready", Do: func(string) control.Reply { return n.readiness() }},
 		{Method: "GET", Path: "/_vars", Do: func(string) control.Reply { return n.vars() }},
-		{Method: "GET", Path: "/_flight", Do: func(string) control.Reply { return n.flight() }},
-		{Method: "GET", Path: "/_view", Do: func(string) control.Reply { return n.view() }},
+		{Method: "GET", Path: "/_flight", Do: func(string) control.Reply { return n.flightRecords() }},
+		{Method: "GET", Path: "/_view", Do: func(string) control.Reply { return n.viewStatus() }},
 		{Method: "POST", Path: "/_cache-servers/detach/", Do: func(id string) control.Reply { return n.ban(id, true) }},
 		{Method: "POST", Path: "/_cache-servers/attach/", Do: func(id string) control.Reply { return n.ban(id, false) }},
 		{Method: "POST", Path: "/_lameduck/on", Do: func(string) control.Reply { return n.lameduck(true) }},
 		{Method: "POST", Path: "/_lameduck/off", Do: func(string) control.Reply { return n.lameduck(false) }},
 	}
-	err := persist(func() (err error) {
+	err := retryListen(func() (err error) {
 		n.control, err = control.Listen(n.loop, n.cfg.Control, routes)
 		return err
 	})
@@ -48,11 +48,11 @@
 // readiness says whether this process takes clients.
 func (n *Node) readiness() control.Reply {
 	switch {
-	case n.leaving:
+	case n.shuttingDown:
 		return control.Say(503, "leaving")
 	case !n.ready || n.clients.listener == nil:
 		return control.Say(503, "starting")
-	case n.lame:
+	case n.draining:
 		return control.Say(200, "ready, draining")
 	}
 	return control.Say(200, "ready")
@@ -63,7 +63,7 @@
 
 // ban has a server get nothing more, or lifts that. It is in force when the call is answered.
 func (n *Node) ban(id string, on bool) control.Reply {
-	if !n.listed.known[id] && !n.bans[id] {
+	if !n.everListed.known[id] && !n.bans[id] {
 		return control.Say(404, "no cache server of this id was ever listed")
 	}
 	n.succession.look() // the word that this one replaces may be another process's
@@ -102,33 +102,33 @@
 // drained has the node drain, or take clients again, as said to this process or, so long ago at most, to another of the node.
 // The version orders what was said; it is no time of this process.
 func (n *Node) drained(on bool, version, ago time.Duration) {
-	was := n.lame
-	n.lameAt = version
-	if n.leaving || on == was {
+	was := n.draining
+	n.drainVersion = version
+	if n.shuttingDown || on == was {
 		return
 	}
-	n.lame = on
-	n.note(nodeDrains, nil)
-	log.Printf("event=lameduck on=%t open=%d clients=%d", on, len(n.calls), len(n.clients.all))
+	n.draining = on
+	n.recordTransition(nodeDrainChanged, nil)
+	log.Printf("event=lameduck on=%t open=%d clients=%d", on, len(n.requests), len(n.clients.all))
 	if on {
-		n.lameUntil = n.loop.Now() - ago + lameAll
+		n.drainDeadline = n.loop.Now() - ago + lameAll
 		n.clients.drain(false)
 	} else {
-		n.clients.resume()
+		n.clients.stopDrain()
 	}
 }
 
 // lameduck begins and ends a drain; a second call of a kind changes nothing.
 func (n *Node) lameduck(on bool) control.Reply {
 	switch {
-	case n.leaving && !on:
+	case n.shuttingDown && !on:
 		return control.Say(409, "the process is ending")
 	default:
 		n.succession.look()
-		n.drained(on, max(n.loop.Now(), n.lameAt+1), 0)
+		n.drained(on, max(n.loop.Now(), n.drainVersion+1), 0)
 		n.succession.settle()
 	}
-	if n.lame {
+	if n.draining {
 		return control.Say(200, "draining")
 	}
 	return control.Say(200, "taking clients")
--- a/internal/node/origin.go
+++ b/internal/node/origin.go
@@ -19,8 +19,8 @@
 // request asks for the key or writes it. The list of names and values goes on as it came, but for the time that the node waits:
 // a fetch begins when a cache has answered, or later, and what the client had told would have the origin work for one who has
 // left.
-func (p originProtocol) request(buf []byte, t *try, wait time.Duration) []byte {
-	c := &t.call.command
+func (p originProtocol) request(buf []byte, t *attempt, wait time.Duration) []byte {
+	c := &t.request.command
 	target := "/" + url.PathEscape(string(c.Key))
 	headers := []httpc.Header{{Name: "Request-Id", Value: string(c.ID)}, {Name: "Request-Info", Value: string(meta.AppendInfo(nil, c.Info, told(wait)))}}
 	if c.LongSize > 0 {
@@ -39,22 +39,22 @@
 
 func (originProtocol) behind() string { return "" }
 
-func (originProtocol) answer(data []byte, t *try, most int, ended bool) (answer, int, error) {
+func (originProtocol) answer(data []byte, t *attempt, most int, ended bool) (response, int, error) {
 	h, length, used, err := httpc.ResponseHead(data)
-	if err == nil && used > 0 && h.Status == 200 && length > meta.MaxValue && length <= meta.MaxLongValue && (t == nil || t.call.command.Kind == meta.Get) {
-		return answer{outcome: policy.OK, long: length, close: h.Close}, used, nil
+	if err == nil && used > 0 && h.Status == 200 && length > meta.MaxValue && length <= meta.MaxLongValue && (t == nil || t.request.command.Kind == meta.Get) {
+		return response{outcome: policy.OK, longSize: length, close: h.Close}, used, nil
 	}
 	if h, used, err = httpc.ParseResponse(data, most, ended); err != nil || used == 0 {
-		return answer{}, 0, err
+		return response{}, 0, err
 	}
-	a := answer{close: h.Close}
+	a := response{close: h.Close}
 	switch {
 	case h.Status == 200 && !h.SelfDelimited:
-		return answer{}, 0, meta.ErrResponse // guards against a value cut short by the connection's end
-	case h.Status == 200 && t != nil && t.call.command.Kind == meta.Set:
+		return response{}, 0, meta.ErrResponse // guards against a value cut short by the connection's end
+	case h.Status == 200 && t != nil && t.request.command.Kind == meta.Set:
 		a.outcome, a.stored, a.receipt = policy.OK, true, bytes.TrimSpace(h.Body)
 		if bytes.ContainsFunc(a.receipt, func(r rune) bool { return r <= ' ' || r == 0x7f }) {
-			return answer{}, 0, meta.ErrResponse // it could not stand in the answer's line
+			return response{}, 0, meta.ErrResponse // it could not stand in the answer's line
 		}
 	case h.Status == 200:
 		a.outcome, a.value = policy.OK, h.Body
--- a/internal/node/override_test.go
+++ b/internal/node/override_test.go
@@ -20,8 +20,8 @@
 	n.cfg.StateDir, n.cfg.Name = dir, "n"
 	n.succession.join(n)
 	n.succession.begin()
-	n.listed.add("s-1")
-	n.listed.add("s-2")
+	n.everListed.add("s-1")
+	n.everListed.add("s-2")
 	if reply := n.ban("s-2", true); reply.Status != 200 {
 		t.Fatalf("with the directory there: %d %s", reply.Status, reply.Body)
 	}
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -16,12 +16,12 @@
 type protocol interface {
 	// request writes an attempt that the node will wait for so long; of one with a long value all that stands before that,
 	// and behind is what must follow it.
-	request(buf []byte, t *try, wait time.Duration) []byte
+	request(buf []byte, t *attempt, wait time.Duration) []byte
 	behind() string
 	// answer takes the first answer, whose value may hold so many bytes, off what has come; used is 0 when more must
 	// come first.
 	// A value of over meta.MaxValue bytes is not waited for where its length is told: it follows what was used.
-	answer(data []byte, t *try, most int, ended bool) (a answer, used int, err error)
+	answer(data []byte, t *attempt, most int, ended bool) (a response, used int, err error)
 	// pipelines reports whether a request may be written behind another.
 	pipelines() bool
 }
@@ -56,7 +56,7 @@
 type link struct {
 	pool   *pool
 	conn   *loop.Conn
-	tries  []*try // written, in order; nil where an attempt was given up and only its answer is owed
+	tries  []*attempt // written, in order; nil where an attempt was given up and only its answer is owed
 	input  []byte
 	held   int         // bytes of input, as counted by the node
 	timer  *loop.Timer // connecting: the time-out; idle: when to retire; in an answer's midst: when to give it up
@@ -114,7 +114,7 @@
 	for _, l := range slices.Clone(p.links) {
 		l.leave()
 		if l.body != nil {
-			l.body.hasten()
+			l.body.growSendBuffer()
 		}
 	}
 	for _, l := range slices.Clone(p.idle) {
@@ -140,9 +140,9 @@
 }
 
 // send writes an attempt to a connection: an idle one, else a new one, else, with no descriptor left, behind another.
-func (p *pool) send(t *try, wait time.Duration) {
+func (p *pool) send(t *attempt, wait time.Duration) {
 	n := p.node
-	if why := n.maySend(t, wait, t.call.client == nil); why != safety.Allowed {
+	if why := n.maySend(t, wait, t.request.client == nil); why != safety.Allowed {
 		n.refuseLate(t, why)
 		return
 	}
@@ -152,21 +152,21 @@
 	case n.mayDial() || n.shed():
 		l = p.dial()
 	}
-	if l == nil && t.call.upload == nil { // a long value has a connection to itself: to give it up is to close that
+	if l == nil && t.request.upload == nil { // a long value has a connection to itself: to give it up is to close that
 		l = p.shared()
 	}
 	if l == nil {
-		n.loop.Defer(func() { n.finished(t, answer{outcome: policy.ConnectFailed}) })
+		n.loop.Defer(func() { n.attemptFinished(t, response{outcome: policy.ConnectFailed}) })
 		return
 	}
 	n.count.attempts++
 	l.unrest()
-	t.link, t.wait = l, wait
+	t.link, t.timeout = l, wait
 	l.tries = append(l.tries, t)
 	l.write(t, wait)
-	if u := t.call.upload; u != nil {
-		t.last += int64(t.call.command.LongSize + len(p.proto.behind()))
-		u.sent(t)
+	if u := t.request.upload; u != nil {
+		t.endOffset += int64(t.request.command.LongSize + len(p.proto.behind()))
+		u.sendTo(t)
 	}
 	l.wrote()
 	l.boundWait(t)
@@ -174,9 +174,9 @@
 
 // boundWait takes an attempt back that waits behind others' bytes for too long. Guards against a server that has stopped reading and
 // goes on later: it would work for a client that has stopped waiting.
-func (l *link) boundWait(t *try) {
-	if l.up && !t.whole && t.call.upload == nil {
-		t.stuck = l.pool.node.loop.After(writeWithin, func() {
+func (l *link) boundWait(t *attempt) {
+	if l.up && !t.written && t.request.upload == nil {
+		t.writeTimer = l.pool.node.loop.After(writeWithin, func() {
 			if !t.done && t.link == l {
 				l.takeOut(t, policy.ConnectFailed)
 			}
@@ -185,31 +185,31 @@
 }
 
 // write writes an attempt's request, which tells how long the node waits.
-func (l *link) write(t *try, wait time.Duration) {
+func (l *link) write(t *attempt, wait time.Duration) {
 	text := l.pool.proto.request(nil, t, wait)
-	t.first = l.conn.WriteOffset()
-	t.last = t.first + int64(len(text)) // before writing: what a broken connection does not take was never written
+	t.startOffset = l.conn.WriteOffset()
+	t.endOffset = t.startOffset + int64(len(text)) // before writing: what a broken connection does not take was never written
 	l.conn.Write(text)
-	t.waits = l.conn.Written() <= t.first
+	t.queued = l.conn.Written() <= t.startOffset
 }
 
 // waitsStill is how long the node waits for an attempt that was queued and goes out now. A planned end may have cut that.
-func (t *try) waitsStill(now time.Duration) time.Duration {
-	return min(t.wait-(now-t.at), t.call.end-now)
+func (t *attempt) waitsStill(now time.Duration) time.Duration {
+	return min(t.timeout-(now-t.startedAt), t.request.attemptsUntil-now)
 }
 
 // retell writes anew what has waited for the connection to come up, lest it tells its server of time that has passed since: that
 // would work for those who have stopped waiting. What was called off meanwhile is not written at all.
 func (l *link) retell() {
 	now, old := l.pool.node.loop.Now(), l.conn.WriteOffset()
-	if len(l.tries) == 0 || slices.ContainsFunc(l.tries, func(t *try) bool { return t != nil && t.call.upload != nil }) {
+	if len(l.tries) == 0 || slices.ContainsFunc(l.tries, func(t *attempt) bool { return t != nil && t.request.upload != nil }) {
 		return // of a long value not all may be kept; it has the connection to itself
 	}
-	l.tries = slices.DeleteFunc(l.tries, func(t *try) bool {
+	l.tries = slices.DeleteFunc(l.tries, func(t *attempt) bool {
 		if t == nil {
 			return true
 		}
-		why := l.pool.node.maySend(t, t.waitsStill(now), t.call.client == nil)
+		why := l.pool.node.maySend(t, t.waitsStill(now), t.request.client == nil)
 		if why != safety.Allowed {
 			t.link = nil
 			l.pool.node.refuseSend(t, why)
@@ -218,7 +218,7 @@
 	})
 	for _, t := range l.tries {
 		l.write(t, t.waitsStill(now))
-		t.first, t.last = t.first-old, t.last-old
+		t.startOffset, t.endOffset = t.startOffset-old, t.endOffset-old
 	}
 	l.conn.CancelWrite(0, old) // nothing has been handed to the system yet
 }
@@ -234,46 +234,46 @@
 
 // takeOut takes one attempt back, with all that was written of its request, if no byte of that has been handed to the
 // system: it has never run, and its place is free for others. It reports whether it did.
-func (l *link) takeOut(t *try, o policy.Outcome) bool {
-	end := t.last
-	if t.call.upload != nil { // has a connection to itself, and not all of it has come
+func (l *link) takeOut(t *attempt, o policy.Outcome) bool {
+	end := t.endOffset
+	if t.request.upload != nil { // has a connection to itself, and not all of it has come
 		end = l.conn.WriteOffset()
 	}
 	i := slices.Index(l.tries, t)
-	if i < 0 || l.gone || !l.conn.CancelWrite(t.first, end) {
+	if i < 0 || l.gone || !l.conn.CancelWrite(t.startOffset, end) {
 		return false
 	}
 	for _, x := range l.tries[i+1:] {
 		if x != nil {
-			x.first, x.last = x.first-(end-t.first), x.last-(end-t.first)
+			x.startOffset, x.endOffset = x.startOffset-(end-t.startOffset), x.endOffset-(end-t.startOffset)
 		}
 	}
 	t.link, l.going, l.tries = nil, nil, slices.Delete(l.tries, i, i+1)
-	l.pool.node.finished(t, answer{outcome: o})
+	l.pool.node.attemptFinished(t, response{outcome: o})
 	return true
 }
 
 // withdraw takes back an attempt for which nobody waits any more, if it has not gone out: from a connection that is yet to
 // come up or from behind others it would be sent on long after its client left. That needs no leave to call attempts
 // off, since nothing has run. One half written, with nothing else on its connection, ends with that: nor has it run.
-func (p *pool) withdraw(t *try) {
+func (p *pool) withdraw(t *attempt) {
 	l := t.link
 	if t.done || l == nil || l.gone || l.takeOut(t, policy.NotSent) {
 		return
 	}
-	if t.last > l.conn.Written() && len(l.tries) == 1 {
-		p.giveUp(t, answer{outcome: policy.NotSent})
+	if t.endOffset > l.conn.Written() && len(l.tries) == 1 {
+		p.giveUp(t, response{outcome: policy.NotSent})
 	}
 }
 
 // wrote counts the attempts that have been written whole.
 func (l *link) wrote() {
 	for i := len(l.tries) - 1; i >= 0; i-- {
-		if t := l.tries[i]; t != nil && !t.whole && t.last <= l.conn.Written() {
-			t.whole = true
+		if t := l.tries[i]; t != nil && !t.written && t.endOffset <= l.conn.Written() {
+			t.written = true
 			l.pool.node.count.written++
-			l.pool.node.noteAttempt(attemptWritten, t, 0, 0)
-			if t.waits && t.call.upload == nil {
+			l.pool.node.recordAttempt(attemptWritten, t, 0, 0)
+			if t.queued && t.request.upload == nil {
 				l.pool.node.checkWritten(t)
 			}
 		}
@@ -303,7 +303,7 @@
 	}
 	l.conn = conn
 	p.links = append(p.links, l)
-	n.links++
+	n.serverConns++
 	n.count.links++
 	if limit := n.cfg.Transport.ConnectTimeout; limit > 0 {
 		l.timer = n.loop.After(limit, l.over)
@@ -317,7 +317,7 @@
 func (n *Node) open() int { return n.loop.OpenSockets() - n.control.Open() }
 
 // brim is how many the node may have in all, with the reserve.
-func (n *Node) brim() int { return n.room() + n.reserve() - min(ownSockets, n.sockets()/4) }
+func (n *Node) brim() int { return n.room() + n.reserve() - min(internalSockets, n.sockets()/4) }
 
 // linkMost is how many of them may be to servers, linkLeast how many clients must leave to servers.
 func (n *Node) linkMost() int  { return max(n.linkLeast(), n.room()*2/5) }
@@ -327,8 +327,8 @@
 func (n *Node) mayDial() bool {
 	// Guards against clients who fill the room and the reserve: with no connection to any server left, as after a quiet
 	// time or a change of servers, each request was failed and each server skipped, for as long as they came.
-	most := n.links < n.linkMost() && n.open()-n.clients.reserved < n.room()
-	return n.open() < n.brim() && (most || n.links < n.linkLeast())
+	most := n.serverConns < n.linkMost() && n.open()-n.clients.reserved < n.room()
+	return n.open() < n.brim() && (most || n.serverConns < n.linkLeast())
 }
 
 // shed closes the idle connection that has stood longest.
@@ -366,7 +366,7 @@
 
 // carries reports whether an attempt waits for its answer on the connection.
 func (l *link) carries() bool {
-	return slices.ContainsFunc(l.tries, func(x *try) bool { return x != nil })
+	return slices.ContainsFunc(l.tries, func(x *attempt) bool { return x != nil })
 }
 
 // rest makes a connection that carries nothing idle, or closes it when nothing more should go there.
@@ -409,13 +409,13 @@
 	l.conn.Close()
 	l.input = nil
 	if l.body != nil {
-		l.body.kept = nil
+		l.body.buffered = nil
 		l.body.timer.Stop()
 	}
 	l.account()
 	p := l.pool
 	p.links = slices.DeleteFunc(p.links, func(x *link) bool { return x == l })
-	p.node.links--
+	p.node.serverConns--
 	p.forget()
 }
 
@@ -423,9 +423,9 @@
 func (l *link) account() {
 	held := cap(l.input)
 	if l.body != nil {
-		held += cap(l.body.kept)
+		held += cap(l.body.buffered)
 	}
-	l.pool.node.coming += held - l.held
+	l.pool.node.responseBytes += held - l.held
 	l.held = held
 }
 
@@ -440,26 +440,26 @@
 		if t == nil {
 			continue
 		}
-		end := answer{outcome: policy.Reset, kept: l.served}
-		if t.last > written {
+		end := response{outcome: policy.Reset, reusedConn: l.served}
+		if t.endOffset > written {
 			end.outcome = policy.ConnectFailed
 		}
-		l.pool.node.finished(t, end)
+		l.pool.node.attemptFinished(t, end)
 	}
 	l.tries = nil
 }
 
 // timeout ends an attempt that the node stops waiting for. Its connection goes with it, so that the server can tell.
-func (p *pool) timeout(t *try) {
+func (p *pool) timeout(t *attempt) {
 	l := t.link
 	if t.done || l == nil || l.gone {
 		return
 	}
-	end := answer{outcome: policy.TimedOut}
-	if t.last > l.conn.Written() { // it never went out
+	end := response{outcome: policy.TimedOut}
+	if t.endOffset > l.conn.Written() { // it never went out
 		end.outcome = policy.ConnectFailed
 	}
-	if p.heard < t.at {
+	if p.heard < t.startedAt {
 		// Guards against a machine that vanished: its open connections stay silent and each would cost a time-out,
 		// while a new one that does not come up says soon, and surely, that nothing ran.
 		for _, l := range slices.Clone(p.idle) {
@@ -470,39 +470,39 @@
 }
 
 // expire takes back a repeat that has not gone out whole when its servers begin to forget the request: it would run again.
-func (p *pool) expire(t *try) {
+func (p *pool) expire(t *attempt) {
 	l := t.link
-	if t.done || l == nil || l.gone || t.last <= l.conn.Written() || l.takeOut(t, policy.ConnectFailed) {
+	if t.done || l == nil || l.gone || t.endOffset <= l.conn.Written() || l.takeOut(t, policy.ConnectFailed) {
 		return
 	}
 	l.over() // half of it is on its way
 }
 
 // cancel calls an attempt off.
-func (p *pool) cancel(t *try) {
-	if t.call.answered {
+func (p *pool) cancel(t *attempt) {
+	if t.request.answered {
 		p.withdraw(t)
 	}
 	if !t.done && t.link != nil {
-		p.giveUp(t, answer{outcome: policy.Cancelled})
+		p.giveUp(t, response{outcome: policy.Cancelled})
 	}
 }
 
 // giveUp ends an attempt before its answer. Where other attempts wait on the connection and the request is over, the
 // connection stays for them and the answer is passed over when it comes.
-func (p *pool) giveUp(t *try, end answer) {
+func (p *pool) giveUp(t *attempt, end response) {
 	l := t.link
 	t.link = nil
 	if i := slices.Index(l.tries, t); i >= 0 {
 		l.tries[i] = nil
 	}
-	if l.body != nil && l.body.try == t {
-		l.body.nobody()
+	if l.body != nil && l.body.attempt == t {
+		l.body.discard()
 	}
-	if other := l.body != nil && l.body.try != nil; !l.carries() || end.outcome != policy.Cancelled && !other {
+	if other := l.body != nil && l.body.attempt != nil; !l.carries() || end.outcome != policy.Cancelled && !other {
 		l.over()
 	}
-	p.node.finished(t, end)
+	p.node.attemptFinished(t, end)
 }
 
 // Connected implements loop.Handler.
@@ -524,7 +524,7 @@
 func (l *link) Flushed() {
 	l.wrote()
 	if l.going != nil {
-		l.going.flow()
+		l.going.updatePaused()
 	}
 }
 
@@ -532,7 +532,7 @@
 func (l *link) End(error) {
 	l.old = true
 	if l.body == nil && len(l.tries) > 0 && l.tries[0] != nil && len(l.input) > 0 { // an answer may end with its connection
-		if a, used, err := l.pool.proto.answer(l.input, l.tries[0], l.pool.node.valueMost(), true); err == nil && used > 0 && a.long == 0 {
+		if a, used, err := l.pool.proto.answer(l.input, l.tries[0], l.pool.node.maxResponseSize(), true); err == nil && used > 0 && a.longSize == 0 {
 			t := l.tries[0]
 			l.tries = l.tries[1:]
 			l.finish(t, a)
@@ -547,14 +547,14 @@
 	if len(l.tries) > 0 {
 		l.timer.Stop()
 	}
-	most, kept := l.pool.node.valueMost(), len(l.input) > 0
+	most, kept := l.pool.node.maxResponseSize(), len(l.input) > 0
 	if kept {
 		l.input = append(l.input, data...)
 		data = l.input
 	}
 	for len(data) > 0 && !l.gone {
 		if l.body != nil {
-			used, ok := l.body.take(data)
+			used, ok := l.body.consume(data)
 			if l.gone { // its client's connection has broken under it
 				return
 			}
@@ -562,7 +562,7 @@
 				l.bad("a long value that does not end where it should")
 				return
 			}
-			if data = data[used:]; l.body.whole() {
+			if data = data[used:]; l.body.complete() {
 				l.received(len(data) == 0)
 			}
 			continue
@@ -579,7 +579,7 @@
 			l.bad("malformed answer")
 			return
 		}
-		if a.long > 0 && t != nil && len(data)-used < bodyFirst {
+		if a.longSize > 0 && t != nil && len(data)-used < minBodyPrefix {
 			used = 0 // not enough of it to be believed; but its server gives it, and what stops is given up soon
 			t.timer.Stop()
 		}
@@ -589,10 +589,10 @@
 			}
 			l.tries = l.tries[1:]
 			l.drop()
-			l.finish(t, answer{outcome: a.outcome})
+			l.finish(t, response{outcome: a.outcome})
 			return
 		}
-		if used > 0 && t != nil && t.last > l.conn.Written() {
+		if used > 0 && t != nil && t.endOffset > l.conn.Written() {
 			l.bad("an answer before its request") // surplus of the one before
 			return
 		}
@@ -601,9 +601,9 @@
 		}
 		data = data[used:]
 		l.served = true
-		if a.long > 0 {
+		if a.longSize > 0 {
 			l.input, kept = nil, false
-			l.receive(t, a)
+			l.receiveBody(t, a)
 			continue
 		}
 		l.tries = l.tries[1:]
@@ -633,7 +633,7 @@
 		l.input = append([]byte(nil), data...)
 	}
 	l.account()
-	if l.pool.node.coming > l.pool.node.most() {
+	if l.pool.node.responseBytes > l.pool.node.maxHeldBytes() {
 		l.bad("no room for more answers at once")
 		return
 	}
@@ -662,7 +662,7 @@
 		l.rest()
 	}
 	if t != nil {
-		l.finish(t, answer{outcome: policy.OK})
+		l.finish(t, response{outcome: policy.OK})
 	}
 	if b.close {
 		l.over()
@@ -673,9 +673,9 @@
 func (n *Node) stall() time.Duration { return cmp.Or(n.cfg.Transport.ConnectTimeout, usualStall) }
 
 // finish ends an attempt with its answer.
-func (l *link) finish(t *try, a answer) {
+func (l *link) finish(t *attempt, a response) {
 	t.link = nil
-	l.pool.node.finished(t, a)
+	l.pool.node.attemptFinished(t, a)
 }
 
 // bad ends a connection on which nothing can be trusted any more.
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -75,28 +75,28 @@
 }
 
 // send starts an attempt of a request of its own, whose client takes no answer: its connection is over, which nobody has told.
-func (b *bench) send(id string) *try {
-	return b.attempt(&call{id: id, class: &class{name: "read"}, client: &client{node: b.node, gone: true}})
+func (b *bench) send(id string) *attempt {
+	return b.attempt(&request{id: id, class: &class{name: "read"}, client: &client{node: b.node, closed: true}})
 }
 
 // attempt starts one of a request.
-func (b *bench) attempt(c *call) *try {
+func (b *bench) attempt(c *request) *attempt {
 	b.t.Helper()
 	line := "mg key v O" + c.id + " Pc=read,d=1000"
 	m, _, err := meta.ParseCommand([]byte(line+"\r\n"), meta.MaxValue, meta.MaxLongValue)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	c.command, c.open = keep(m), 1
+	c.command, c.openAttempts = copyCommand(m), 1
 	if c.deadline == 0 {
 		c.deadline = b.node.loop.Now() + time.Minute
-		c.end = c.deadline
-		c.counted = true
+		c.attemptsUntil = c.deadline
+		c.received = true
 		b.node.inFlight++
 	}
-	b.node.calls[c.id] = c
-	t := &try{call: c, pool: b.pool, at: b.node.loop.Now()}
-	c.tries = []*try{t}
+	b.node.requests[c.id] = c
+	t := &attempt{request: c, pool: b.pool, startedAt: b.node.loop.Now()}
+	c.attempts = []*attempt{t}
 	b.pool.send(t, time.Second)
 	return t
 }
@@ -127,7 +127,7 @@
 	b := newBench(t)
 	b.send("1")
 	far := b.accept(1)
-	b.node.links = b.node.linkMost() // no descriptor is left
+	b.node.serverConns = b.node.linkMost() // no descriptor is left
 	second := b.send("2")
 	if b.node.count.pipelined != 1 || len(b.pool.links) != 1 {
 		t.Fatal("the second attempt did not share the connection")
@@ -148,7 +148,7 @@
 	b := newBench(t)
 	first := b.send("1")
 	b.accept(1)
-	b.node.links = b.node.linkMost()
+	b.node.serverConns = b.node.linkMost()
 	b.send("2")
 	b.pool.timeout(first)
 	if b.outcomes(policy.TimedOut) != 1 || b.outcomes(policy.Reset) != 1 {
@@ -161,10 +161,10 @@
 	b := newBench(t)
 	first := b.send("1")
 	b.accept(1)
-	b.node.links = b.node.linkMost()
+	b.node.serverConns = b.node.linkMost()
 	second := b.send("2")
 	l := b.pool.links[0]
-	l.body = &body{link: l, try: first, left: 1}
+	l.body = &body{link: l, attempt: first, remaining: 1}
 	b.pool.timeout(second)
 	if b.outcomes(policy.TimedOut) != 1 || l.gone || first.done {
 		t.Errorf("%v, gone %v", b.node.count.outcomes, l.gone)
@@ -176,7 +176,7 @@
 	b := newBench(t)
 	b.send("1")
 	b.accept(1)
-	b.node.links = b.node.linkMost()
+	b.node.serverConns = b.node.linkMost()
 	l := b.pool.links[0]
 	l.conn.Close() // as far as writing goes, it is broken
 	b.send("2")
@@ -192,8 +192,8 @@
 	b.send("1")
 	b.pool.ready = false
 	b.pool.leave()
-	if b.outcomes(policy.ConnectFailed) != 1 || b.node.links != 0 || b.node.pools["s-1"] != nil {
-		t.Errorf("%v, %d connections", b.node.count.outcomes, b.node.links)
+	if b.outcomes(policy.ConnectFailed) != 1 || b.node.serverConns != 0 || b.node.pools["s-1"] != nil {
+		t.Errorf("%v, %d connections", b.node.count.outcomes, b.node.serverConns)
 	}
 }
 
@@ -204,10 +204,10 @@
 	b.send("1")
 	b.accept(1)
 	b.run("it stands", func() bool { return b.pool.links[0].up })
-	b.node.links = b.node.linkMost() // what follows shares the connection
+	b.node.serverConns = b.node.linkMost() // what follows shares the connection
 	b.pool.links[0].conn.Write(make([]byte, 32<<20))
 	second, third := b.send("2"), b.send("3")
-	b.node.listed.add("s-1")
+	b.node.everListed.add("s-1")
 	if r := b.node.ban("s-1", true); r.Status != 200 {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
@@ -234,7 +234,7 @@
 		}
 		third := b.send("3")
 		if heard {
-			b.pool.heard = third.at + 1
+			b.pool.heard = third.startedAt + 1
 		}
 		b.pool.timeout(third)
 		if want := map[bool]int{false: 0, true: 1}[heard]; len(b.pool.idle) != want {
@@ -272,7 +272,7 @@
 		if shared {
 			b.send("1")
 			b.run("it stands", func() bool { return b.pool.links[0].up })
-			b.node.links = b.node.linkMost()
+			b.node.serverConns = b.node.linkMost()
 			b.pool.links[0].conn.Write(make([]byte, 32<<20))
 		}
 		second := b.send("2")
@@ -307,10 +307,10 @@
 	if line, err := bufio.NewReader(far).ReadString('\n'); err != nil || !strings.Contains(line, "O2") {
 		t.Errorf("the server was sent %q, %v", line, err)
 	}
-	b.node.links = b.node.linkMost()
+	b.node.serverConns = b.node.linkMost()
 	b.pool.links[0].conn.Write(make([]byte, 32<<20))
 	half := b.send("3")
-	half.first = b.pool.links[0].conn.Written() - 1 // as if its first byte had gone
+	half.startOffset = b.pool.links[0].conn.Written() - 1 // as if its first byte had gone
 	b.pool.expire(half)
 	if !half.done || len(b.pool.links) != 0 || b.outcomes(policy.ConnectFailed) != 2 || b.outcomes(policy.Reset) != 1 {
 		t.Errorf("half of it gone: %v, %d connections", b.node.count.outcomes, len(b.pool.links))
@@ -319,13 +319,13 @@
 
 // The module's time by which a repeat must have gone out is kept, on a connection that never comes up.
 func TestSendsKeepTheirLatestTime(t *testing.T) {
-	s := newStage(t, false, answering)
+	s := newFixture(t, false, answerHit)
 	s.cache.Silence(true)
-	s.ask("1")
-	s.taken(1)
-	c := s.node.calls["1"]
+	s.sendReads("1")
+	s.waitTaken(1)
+	c := s.node.requests["1"]
 	actions{s.node}.Send("1", "c-1", 0, s.node.loop.Now()+20*time.Millisecond)
-	last := c.tries[len(c.tries)-1]
+	last := c.attempts[len(c.attempts)-1]
 	s.run("it is taken back", func() bool { return last.done })
 	if s.outcomes(policy.ConnectFailed) != 1 {
 		t.Errorf("%v", s.node.count.outcomes)
@@ -343,7 +343,7 @@
 	b.run("it is taken", func() bool { return len(b.node.clients.all) == 1 })
 	for c = range b.node.clients.all {
 	}
-	c.asked = true
+	c.sentCommand = true
 	return far, c
 }
 
@@ -353,22 +353,22 @@
 	first := b.send("1")
 	b.accept(1)
 	_, c := b.client()
-	first.call.client = c
+	first.request.client = c
 	l := b.pool.links[0]
-	l.body = &body{link: l, try: first, left: 1 << 20, begun: true}
-	first.call.body, c.calls = l.body, []*call{first.call}
+	l.body = &body{link: l, attempt: first, remaining: 1 << 20, started: true}
+	first.request.body, c.requests = l.body, []*request{first.request}
 	b.pool.leave()
-	if c.deep != 0 {
+	if c.sendBufferBytes != 0 {
 		t.Error("hastened at a server that is open")
 	}
-	b.node.listed.add("s-1")
+	b.node.everListed.add("s-1")
 	b.node.ban("s-1", true)
-	if c.deep != 1<<20 || b.node.deep != c.deep || l.gone {
-		t.Errorf("room for %d bytes, %d in all", c.deep, b.node.deep)
+	if c.sendBufferBytes != 1<<20 || b.node.sendBufferBytes != c.sendBufferBytes || l.gone {
+		t.Errorf("room for %d bytes, %d in all", c.sendBufferBytes, b.node.sendBufferBytes)
 	}
-	c.drop()
-	if b.node.deep != 0 {
-		t.Errorf("%d bytes are not given back", b.node.deep)
+	c.release()
+	if b.node.sendBufferBytes != 0 {
+		t.Errorf("%d bytes are not given back", b.node.sendBufferBytes)
 	}
 }
 
@@ -381,11 +381,11 @@
 	far, c := b.client()
 	c.conn.Write(make([]byte, size))
 	c.flush()
-	n.clients.empty()
-	c.used -= time.Hour
-	n.clients.retire()
-	if c.gone || c.conn.Pending() == 0 {
-		t.Fatalf("gone %v with %d bytes to be handed over", c.gone, c.conn.Pending())
+	n.clients.startClosing()
+	c.lastActive -= time.Hour
+	n.clients.closeQuiet()
+	if c.closed || c.conn.Pending() == 0 {
+		t.Fatalf("gone %v with %d bytes to be handed over", c.closed, c.conn.Pending())
 	}
 	got := make(chan int64, 1)
 	go func() {
--- a/internal/node/protocol_test.go
+++ b/internal/node/protocol_test.go
@@ -10,13 +10,13 @@
 	"lapisshelf/policy"
 )
 
-func tryOf(t *testing.T, line string) *try {
+func tryOf(t *testing.T, line string) *attempt {
 	t.Helper()
 	m, _, err := meta.ParseCommand([]byte(line), meta.MaxValue, meta.MaxLongValue)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &try{call: &call{command: keep(m)}}
+	return &attempt{request: &request{command: copyCommand(m)}}
 }
 
 // What the origin says, as outcomes: only Not-Started proves that nothing ran.
@@ -24,7 +24,7 @@
 	read, write := tryOf(t, "mg k v O1 Pc=read\r\n"), tryOf(t, "ms k 1 O1 Pc=put\r\nx\r\n")
 	for _, c := range []struct {
 		name    string
-		try     *try
+		try     *attempt
 		status  string
 		header  string
 		body    string
@@ -85,7 +85,7 @@
 		{"EN O2\r\n", 0, 0, true},
 	} {
 		a, _, err := cacheProtocol{}.answer([]byte(c.in), read, meta.MaxValue, false)
-		if c.bad != (err != nil) || a.outcome != c.outcome || a.note != c.note {
+		if c.bad != (err != nil) || a.outcome != c.outcome || a.cacheStatus != c.note {
 			t.Errorf("%q: %+v, %v", c.in, a, err)
 		}
 	}
--- a/internal/node/recorder.go
+++ b/internal/node/recorder.go
@@ -15,10 +15,10 @@
 // the log with each violation and each request that was overdue.
 
 const (
-	recorded  = 4096 // transitions that are kept
-	logFlight = 24   // of one request or connection that are logged at once, at most
-	// logEvery bounds how often a violation is logged with what led to it; all are counted.
-	logEvery = time.Second
+	recorderSize     = 4096 // transitions that are kept
+	maxLoggedRecords = 24   // of one request or connection that are logged at once, at most
+	// violationLogInterval bounds how often a violation is logged with what led to it; all are counted.
+	violationLogInterval = time.Second
 )
 
 // transition is what has happened.
@@ -39,7 +39,7 @@
 	clientClosed
 	nodeReady
 	nodeLeaving
-	nodeDrains
+	nodeDrainChanged
 	ruleViolated
 	transitions
 )
@@ -47,58 +47,58 @@
 var transitionNames = [transitions]string{"taken", "served", "refused", "failed", "abandoned", "overdue", "sent", "written", "ended",
 	"not_sent", "opened", "closed", "ready", "leaving", "drains", "violation"}
 
-// closing is why a client's connection was closed.
-type closing uint8
+// closeReason is why a client's connection was closed.
+type closeReason uint8
 
 const (
-	closedByClient closing = iota
+	closedByClient closeReason = iota
 	closedIdle
-	closedOwing
-	closedForRoom
+	closedIncomplete
+	closedForCapacity
 	closedAfterAnswers
-	closedAtEnd
+	closedByDrain
 	closedSlow
-	closedBroken
+	closedMidAnswer
 	closedUnaccepted
-	closings
+	closeReasons
 )
 
-var closingNames = [closings]string{"by_client", "idle", "owes_a_command", "for_room", "after_its_answers", "node_ends_or_drains", "slow",
+var closeReasonNames = [closeReasons]string{"by_client", "idle", "owes_a_command", "for_room", "after_its_answers", "node_ends_or_drains", "slow",
 	"answer_broken_off", "not_accepted"}
 
 // record is one transition. What does not belong to its kind is zero.
 type record struct {
-	at         time.Duration
-	transition transition
-	why        safety.Reason
-	outcome    policy.Outcome // of an attempt that has ended
-	closing    closing        // of a connection
-	attempt    int            // of the request, from 0
-	client     uint64         // the connection, by the order of opening
-	request    string
-	server     string
+	at          time.Duration
+	transition  transition
+	why         safety.Reason
+	outcome     policy.Outcome // of an attempt that has ended
+	closeReason closeReason    // of a connection
+	attempt     int            // of the request, from 0
+	client      uint64         // the connection, by the order of opening
+	request     string
+	server      string
 }
 
 // recorder is the ring.
 type recorder struct {
-	list [recorded]record
+	ring [recorderSize]record
 	next uint64 // how many were recorded
 }
 
 // add records a transition.
 func (r *recorder) add(x record) {
-	r.list[r.next%recorded] = x
+	r.ring[r.next%recorderSize] = x
 	r.next++
 }
 
-// each gives what is recorded, oldest first.
-func (r *recorder) each(f func(x *record)) {
+// forEach gives what is recorded, oldest first.
+func (r *recorder) forEach(f func(x *record)) {
 	first := uint64(0)
-	if r.next > recorded {
-		first = r.next - recorded
+	if r.next > recorderSize {
+		first = r.next - recorderSize
 	}
 	for i := first; i < r.next; i++ {
-		f(&r.list[i%recorded])
+		f(&r.ring[i%recorderSize])
 	}
 }
 
@@ -116,7 +116,7 @@
 	case attemptSent, attemptWritten, attemptEnded, attemptRefused:
 		fmt.Fprintf(&b, " attempt=%d server=%q", x.attempt, x.server)
 	case clientClosed:
-		fmt.Fprintf(&b, " why=%s", closingNames[x.closing])
+		fmt.Fprintf(&b, " why=%s", closeReasonNames[x.closeReason])
 	}
 	if x.transition == attemptEnded {
 		fmt.Fprintf(&b, " outcome=%s", outcomeNames[x.outcome])
@@ -127,28 +127,28 @@
 	return b.String()
 }
 
-// flight gives all that is recorded, to an operator.
-func (n *Node) flight() control.Reply {
+// flightRecords gives all that is recorded, to an operator.
+func (n *Node) flightRecords() control.Reply {
 	var b strings.Builder
-	n.recorder.each(func(x *record) {
+	n.recorder.forEach(func(x *record) {
 		b.WriteString(x.text())
 		b.WriteByte('\n')
 	})
 	return control.Reply{Status: 200, Body: []byte(b.String())}
 }
 
-// story is what is recorded of a request, the latest transitions of it.
-func (r *recorder) story(request string) (lines []string) {
-	r.each(func(x *record) {
+// history is what is recorded of a request, the latest transitions of it.
+func (r *recorder) history(request string) (lines []string) {
+	r.forEach(func(x *record) {
 		if x.request == request {
 			lines = append(lines, x.text())
 		}
 	})
-	return lines[max(0, len(lines)-logFlight):]
+	return lines[max(0, len(lines)-maxLoggedRecords):]
 }
 
-// note records a transition of the node or of a request.
-func (n *Node) note(what transition, c *call) {
+// recordTransition records a transition of the node or of a request.
+func (n *Node) recordTransition(what transition, c *request) {
 	x := record{at: n.loop.Now(), transition: what}
 	if c != nil {
 		x.request = c.id
@@ -159,17 +159,17 @@
 	n.recorder.add(x)
 }
 
-// noteAttempt records a transition of an attempt.
-func (n *Node) noteAttempt(what transition, t *try, why safety.Reason, o policy.Outcome) {
-	x := record{at: n.loop.Now(), transition: what, why: why, outcome: o, attempt: t.n, request: t.call.id, server: t.pool.id}
-	if c := t.call.client; c != nil {
+// recordAttempt records a transition of an attempt.
+func (n *Node) recordAttempt(what transition, t *attempt, why safety.Reason, o policy.Outcome) {
+	x := record{at: n.loop.Now(), transition: what, why: why, outcome: o, attempt: t.number, request: t.request.id, server: t.pool.id}
+	if c := t.request.client; c != nil {
 		x.client = c.number
 	}
 	n.recorder.add(x)
 }
 
-// noteClosed records and counts the end of a client's connection.
-func (n *Node) noteClosed(c *client, why closing) {
+// recordClose records and counts the end of a client's connection.
+func (n *Node) recordClose(c *client, why closeReason) {
 	n.count.closings[why]++
-	n.recorder.add(record{at: n.loop.Now(), transition: clientClosed, closing: why, client: c.number})
+	n.recorder.add(record{at: n.loop.Now(), transition: clientClosed, closeReason: why, client: c.number})
 }
--- a/internal/node/recorder_test.go
+++ b/internal/node/recorder_test.go
@@ -16,21 +16,21 @@
 	for i := range ids {
 		ids[i] = fmt.Sprint("r-", i)
 	}
-	for i := range 2*recorded + 7 {
+	for i := range 2*recorderSize + 7 {
 		r.add(record{transition: requestTaken, request: ids[i%len(ids)], attempt: i})
 	}
-	count, last := 0, recorded+6
-	r.each(func(x *record) {
+	count, last := 0, recorderSize+6
+	r.forEach(func(x *record) {
 		if x.attempt != last+1 {
 			t.Fatalf("%d comes after %d", x.attempt, last)
 		}
 		last = x.attempt
 		count++
 	})
-	if count != recorded {
+	if count != recorderSize {
 		t.Errorf("%d are kept", count)
 	}
-	if lines := r.story("r-1"); len(lines) != logFlight || !strings.Contains(lines[0], `what=taken request="r-1"`) {
+	if lines := r.history("r-1"); len(lines) != maxLoggedRecords || !strings.Contains(lines[0], `what=taken request="r-1"`) {
 		t.Errorf("%d lines of one request, the first %q", len(lines), lines[0])
 	}
 	x := record{transition: attemptEnded, request: ids[0], server: ids[1]}
@@ -41,10 +41,10 @@
 
 // A request's life can be read from the recorder: taken, sent, written, ended and served, by connection, attempt and server.
 func TestARequestIsRecorded(t *testing.T) {
-	s := newStage(t, false, answering)
-	s.ask("one")
+	s := newFixture(t, false, answerHit)
+	s.sendReads("one")
 	s.run("it is served", func() bool { return s.outcomes(policy.OK) == 1 })
-	text := strings.Join(s.node.recorder.story("one"), "\n")
+	text := strings.Join(s.node.recorder.history("one"), "\n")
 	for _, want := range []string{`what=taken request="one" client=1`, `what=sent request="one" client=1 attempt=0 server="c-1"`,
 		`what=written request="one" client=1 attempt=0 server="c-1"`, `what=ended request="one" client=1 attempt=0 server="c-1" outcome=ok`,
 		`what=served request="one" client=1`} {
@@ -52,7 +52,7 @@
 			t.Errorf("no %q in\n%s", want, text)
 		}
 	}
-	if body := string(s.node.flight().Body); !strings.Contains(body, "what=opened client=1") || !strings.Contains(body, text) {
+	if body := string(s.node.flightRecords().Body); !strings.Contains(body, "what=opened client=1") || !strings.Contains(body, text) {
 		t.Errorf("an operator is told\n%s", body)
 	}
 	if s.node.count.violations != 0 {
@@ -63,18 +63,18 @@
 // What a failed guard lets through is counted by its reason: a send for a request that has its answer, one to a server that leaves,
 // and a close over an open request.
 func TestViolationsAreCounted(t *testing.T) {
-	for why, break_ := range map[safety.Reason]func(b *bench, x *try){
-		safety.Answered:          func(b *bench, x *try) { x.call.answered = true; b.pool.send(x, 1) },
-		safety.ClientGone:        func(b *bench, x *try) { x.call.client = nil; b.pool.send(x, 1) },
-		safety.ServerUnavailable: func(b *bench, x *try) { b.pool.ready = false; b.pool.send(x, 1) },
-		safety.Unanswered:        func(b *bench, x *try) { b.node.checkClose(&client{node: b.node, calls: []*call{x.call}}) },
+	for why, break_ := range map[safety.Reason]func(b *bench, x *attempt){
+		safety.Answered:          func(b *bench, x *attempt) { x.request.answered = true; b.pool.send(x, 1) },
+		safety.ClientGone:        func(b *bench, x *attempt) { x.request.client = nil; b.pool.send(x, 1) },
+		safety.ServerUnavailable: func(b *bench, x *attempt) { b.pool.ready = false; b.pool.send(x, 1) },
+		safety.Unanswered:        func(b *bench, x *attempt) { b.node.checkClose(&client{node: b.node, requests: []*request{x.request}}) },
 	} {
 		b := newBench(t)
 		x := b.send("1")
 		if b.node.count.violations != 0 {
 			t.Fatalf("%v before anything is broken", why)
 		}
-		break_(b, &try{call: x.call, pool: b.pool, n: 1})
+		break_(b, &attempt{request: x.request, pool: b.pool, number: 1})
 		if c := &b.node.count; c.violations != 1 || c.violated[why] != 1 {
 			t.Errorf("%v: %d violations, by reason %v", why, c.violations, c.violated)
 		}
@@ -89,16 +89,16 @@
 
 // Time that has passed since an attempt was chosen has it refused, and is no violation.
 func TestAnAttemptThatComesTooLateIsRefused(t *testing.T) {
-	for why, late := range map[safety.Reason]func(b *bench, x *try){
-		safety.DeadlineExceeded: func(b *bench, x *try) { x.call.deadline = b.node.loop.Now(); b.pool.send(x, 1) },
-		safety.TimeoutTooLong: func(b *bench, x *try) {
-			x.call.deadline = b.node.loop.Now() + safety.StallAllowance
+	for why, late := range map[safety.Reason]func(b *bench, x *attempt){
+		safety.DeadlineExceeded: func(b *bench, x *attempt) { x.request.deadline = b.node.loop.Now(); b.pool.send(x, 1) },
+		safety.TimeoutTooLong: func(b *bench, x *attempt) {
+			x.request.deadline = b.node.loop.Now() + safety.StallAllowance
 			b.pool.send(x, 3*safety.StallAllowance)
 		},
 	} {
 		b := newBench(t)
 		x := b.send("1")
-		late(b, &try{call: x.call, pool: b.pool, n: 1})
+		late(b, &attempt{request: x.request, pool: b.pool, number: 1})
 		if c := &b.node.count; c.violations != 0 || c.sendsRefused[why] != 1 || c.attempts != 1 {
 			t.Errorf("%v: %d violations, %v refused, %d attempts", why, c.violations, c.sendsRefused, c.attempts)
 		}
@@ -107,11 +107,11 @@
 
 // A repeat of a request that may have run and must not run twice is not sent, though the module asks for it.
 func TestARepeatAgainstTheRulesIsNotSent(t *testing.T) {
-	s := newStage(t, false, answering)
+	s := newFixture(t, false, answerHit)
 	s.cache.Silence(true)
-	s.ask("one")
-	s.taken(1)
-	c := s.node.calls["one"]
+	s.sendReads("one")
+	s.waitTaken(1)
+	c := s.node.requests["one"]
 	c.class = &class{name: "once", effect: safety.Unsafe}
 	attempts := s.node.count.attempts
 	s.node.loop.Defer(func() { actions{s.node}.Send("one", "c-1", 0, 0) })
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -18,7 +18,7 @@
 
 // The slopes of a node by itself that docs/CAPACITY.md multiplies.
 
-func sized(b *testing.B, caches int) *Node {
+func newSizedNode(b *testing.B, caches int) *Node {
 	l, err := loop.New()
 	if err != nil {
 		b.Fatal(err)
@@ -54,7 +54,7 @@
 func BenchmarkVarsBySize(b *testing.B) {
 	for _, caches := range []int{80, 420} {
 		b.Run(fmt.Sprintf("caches=%d", caches), func(b *testing.B) {
-			n := sized(b, caches)
+			n := newSizedNode(b, caches)
 			b.ReportAllocs()
 			size := 0
 			for range b.N {
@@ -71,10 +71,10 @@
 	const many = 800
 	b.Run("client", func(b *testing.B) {
 		for range b.N {
-			n := sized(b, 8)
+			n := newSizedNode(b, 8)
 			at := n.clients.listener.Addr()
 			var fds []int
-			before := heap()
+			before := heapBytes()
 			for range many {
 				fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 				if err != nil {
@@ -83,12 +83,12 @@
 				fds = append(fds, fd)
 				unix.Connect(fd, &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()})
 			}
-			until(b, n, func() bool { return len(n.clients.all) == many })
-			b.ReportMetric((heap()-before)/many, "heap-bytes/conn")
+			runUntil(b, n, func() bool { return len(n.clients.all) == many })
+			b.ReportMetric((heapBytes()-before)/many, "heap-bytes/conn")
 			for _, fd := range fds {
 				unix.Close(fd)
 			}
-			until(b, n, func() bool { return len(n.clients.all) == 0 })
+			runUntil(b, n, func() bool { return len(n.clients.all) == 0 })
 		}
 	})
 	b.Run("server", func(b *testing.B) {
@@ -97,9 +97,9 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			n := sized(b, 0)
+			n := newSizedNode(b, 0)
 			addr := netip.MustParseAddrPort(ln.Addr().String())
-			before := heap()
+			before := heapBytes()
 			for i := range many {
 				n.pool(policy.Server{ID: fmt.Sprint("s", i), State: policy.Ready}, addr)
 				if n.pools[fmt.Sprint("s", i)].dial() == nil {
@@ -112,14 +112,14 @@
 				}
 				return all
 			}
-			until(b, n, func() bool { return up() == many })
-			b.ReportMetric((heap()-before)/many, "heap-bytes/conn")
+			runUntil(b, n, func() bool { return up() == many })
+			b.ReportMetric((heapBytes()-before)/many, "heap-bytes/conn")
 			ln.Close()
 		}
 	})
 }
 
-func until(b *testing.B, n *Node, holds func() bool) {
+func runUntil(b *testing.B, n *Node, holds func() bool) {
 	end := time.Now().Add(20 * time.Second)
 	var look func()
 	look = func() {
@@ -139,7 +139,7 @@
 	}
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -97,19 +97,19 @@
 	n, now, news := s.node, s.node.loop.Now(), false
 	for _, p := range slices.Concat(s.member.Left(), s.member.Peers()) {
 		for _, h := range p.Hands {
-			n.listed.add(h.ID)
+			n.everListed.add(h.ID)
 			n.guard("hand", func() { n.policy.Override(now, h) })
 			news = true
 		}
 		for _, id := range p.List.Listed {
-			n.listed.add(id)
+			n.everListed.add(id)
 		}
 	}
 	if news {
 		n.hands()
 	}
 	for _, p := range s.member.Peers() { // a drain is the node's, and a process that has ended took it along
-		if p.Lame.At > n.lameAt {
+		if p.Lame.At > n.drainVersion {
 			n.drained(p.Lame.On, p.Lame.At, adoptLame)
 		}
 	}
@@ -177,7 +177,7 @@
 		n.clients.listener.SetShared(slices.ContainsFunc(others, func(o decide.Process) bool { return o.Order > self.Order }))
 	}
 	if was != self.FDLimit && len(others) > 0 && was > 0 && self.Stage == decide.Serving {
-		n.clients.thin()
+		n.clients.enforceLimits()
 	}
 	s.tell(self)
 	n.tellMemory()
@@ -202,7 +202,7 @@
 		self.OpenFDs = held
 	}
 	x.Process, x.Hands, x.List = self, n.policy.Overrides(), s.list()
-	x.Lame = handover.Lame{On: n.lame, At: n.lameAt}
+	x.Lame = handover.Lame{On: n.draining, At: n.drainVersion}
 	if now := n.loop.Now(); s.member.Owed() == nil && now-s.told < tellEvery && self.Stage == was.Process.Stage && self.SettledFor == was.Process.SettledFor &&
 		slices.Equal(x.Hands, was.Hands) && x.Lame == was.Lame && slices.Equal(x.List.Leaving, was.List.Leaving) {
 		return
@@ -246,21 +246,21 @@
 
 // tellMemory has the collector know how much this process may use.
 func (n *Node) tellMemory() {
-	if mb := n.memoryMB(); n.limit != nil && mb != n.succession.memory {
+	if mb := n.memoryMB(); n.setMemoryLimit != nil && mb != n.succession.memory {
 		n.succession.memory = mb
-		n.limit(mb)
+		n.setMemoryLimit(mb)
 	}
 }
 
 // Limit has f called with the megabytes that the process may use, now and when that changes.
 func (n *Node) Limit(f func(mb int)) {
-	n.limit = f
+	n.setMemoryLimit = f
 	n.tellMemory()
 }
 
 func (s *succession) stage() decide.Stage {
 	switch {
-	case s.node.leaving:
+	case s.node.shuttingDown:
 		return decide.Leaving
 	case s.node.clients.listener != nil:
 		return decide.Serving
@@ -285,7 +285,7 @@
 		}
 	}
 	slices.Sort(l.Leaving)
-	for _, id := range slices.Backward(n.listed.order) {
+	for _, id := range slices.Backward(n.everListed.order) {
 		if n.pools[id] == nil && len(l.Listed) < mostGone {
 			l.Listed = append(l.Listed, id)
 		}
@@ -305,7 +305,7 @@
 // takeClients opens the clients' address, for a process that comes beside another once it could serve and there is room.
 func (n *Node) takeClients() {
 	s := &n.succession
-	if n.clients.listener != nil || n.leaving || !n.ready {
+	if n.clients.listener != nil || n.shuttingDown || !n.ready {
 		return
 	}
 	if s.readyAt == 0 {
@@ -324,7 +324,7 @@
 			serving++
 		}
 	}
-	if err := n.clients.join(serving); err != nil {
+	if err := n.clients.listenBeside(serving); err != nil {
 		if !s.waits {
 			s.waits = true
 			log.Printf("event=handover_waits why=%q", err)
@@ -357,10 +357,10 @@
 
 // reserve is how many of them are kept for what is no pool's and no client's, and for clients of a full house.
 func (n *Node) reserve() int {
-	if n.leaving && len(n.succession.others()) > 0 {
+	if n.shuttingDown && len(n.succession.others()) > 0 {
 		return 0 // no new client comes
 	}
 	// Guards against a half of few descriptors of which the operators' address and the reserve took all: with 64 in all no
 	// request was served while two processes ran.
-	return max(0, min(reserve, (n.sockets()-n.control.Share())/2))
+	return max(0, min(reservedSockets, (n.sockets()-n.control.Share())/2))
 }
--- a/internal/node/succession_test.go
+++ b/internal/node/succession_test.go
@@ -83,7 +83,7 @@
 	if writes != 0 || n.loop.OpenSockets() < 20 {
 		t.Errorf("written anew %d times for 20 connections; it holds %d", writes, n.loop.OpenSockets())
 	}
-	n.leaving = true // its stage is news, and what it takes is less: what it holds is told with them
+	n.shuttingDown = true // its stage is news, and what it takes is less: what it holds is told with them
 	if !settle() {
 		t.Error("its stage is not told")
 	}
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -8,216 +8,216 @@
 )
 
 const (
-	uploadMost = 30 * time.Second // how long a long value may take to come
-	leastWait  = time.Millisecond // what is left to a request whose time was over as its last byte was read
-	uploadLook = 500 * time.Millisecond
+	maxUploadTime       = 30 * time.Second // how long a long value may take to come
+	minRemaining        = time.Millisecond // what is left to a request whose time was over as its last byte was read
+	uploadCheckInterval = 500 * time.Millisecond
 )
 
 // upload is a long value on its way from a client to a server. Its first bytes are kept, as many as a whole value may hold;
 // then the request goes to the module, and the value to the server as it comes. The last byte goes on only when the line
 // end behind it is seen to be right: until then the write has provably never run, whatever becomes of it.
 type upload struct {
-	client *client
-	call   *call
-	wait   time.Duration // how long the client waits once all has come
-	left   int           // bytes of the value to come
-	end    string        // of the line end behind it, what has yet to come
-	kept   []byte        // all that has come, while that is little enough to be sent again
-	last   []byte        // the value's last byte, and what the server wants behind it
-	try    *try          // the attempt that it is written to
-	taken  bool          // the module knows of it
-	spent  bool          // more has come than was kept
-	whole  bool          // all has come
-	begun  time.Duration
-	heard  time.Duration // when bytes last came
-	gone   int64         // of the try, what the system had taken when last looked at
-	moved  time.Duration // when that was seen to grow
-	timer  *loop.Timer
+	client          *client
+	request         *request
+	timeout         time.Duration // how long the client waits once all has come
+	remaining       int           // bytes of the value to come
+	trailer         string        // of the line end behind it, what has yet to come
+	buffered        []byte        // all that has come, while that is little enough to be sent again
+	finalBytes      []byte        // the value's last byte, and what the server wants behind it
+	attempt         *attempt      // the attempt that it is written to
+	submitted       bool          // the module knows of it
+	bufferDropped   bool          // more has come than was kept
+	complete        bool          // all has come
+	startedAt       time.Duration
+	lastProgress    time.Duration // when bytes last came
+	writtenBytes    int64         // of the try, what the system had taken when last looked at
+	writeProgressAt time.Duration // when that was seen to grow
+	timer           *loop.Timer
 }
 
-// upload begins to take a long value of a request.
-func (c *client) upload(k *call, size int, wait time.Duration) {
+// beginUpload begins to take a long value of a request.
+func (c *client) beginUpload(k *request, size int, wait time.Duration) {
 	now := c.node.loop.Now()
-	c.up = &upload{client: c, call: k, wait: wait, left: size, end: "\r\n", begun: now, heard: now}
-	k.upload = c.up
+	c.upload = &upload{client: c, request: k, timeout: wait, remaining: size, trailer: "\r\n", startedAt: now, lastProgress: now}
+	k.upload = c.upload
 	c.node.count.uploads++
-	c.up.look()
+	c.upload.checkStalled()
 }
 
-// take takes what belongs to the value off what has come.
-func (u *upload) take(data []byte) (used int, ok bool) {
-	u.heard = u.client.node.loop.Now()
-	u.client.unrest() // it owes less than before: what it may owe, and for how long, begins anew
-	if used = min(u.left, len(data)); used > 0 {
+// consume takes what belongs to the value off what has come.
+func (u *upload) consume(data []byte) (used int, ok bool) {
+	u.lastProgress = u.client.node.loop.Now()
+	u.client.removeFromList() // it owes less than before: what it may owe, and for how long, begins anew
+	if used = min(u.remaining, len(data)); used > 0 {
 		piece := data[:used]
-		if u.left -= used; u.left == 0 {
-			piece, u.last = piece[:used-1], []byte{piece[used-1]}
+		if u.remaining -= used; u.remaining == 0 {
+			piece, u.finalBytes = piece[:used-1], []byte{piece[used-1]}
 		}
-		u.give(piece)
+		u.forward(piece)
 	}
 	// Guards against a write that runs though its value was longer or shorter than it said.
-	if u.left == 0 {
+	if u.remaining == 0 {
 		var end int
-		u.end, end, ok = matched(u.end, data[used:])
+		u.trailer, end, ok = consumePrefix(u.trailer, data[used:])
 		return used + end, ok
 	}
 	return used, true
 }
 
-// give passes a piece on, or keeps it until there is an attempt.
-func (u *upload) give(piece []byte) {
-	if u.call.answered { // nobody wants it any more
-		u.kept = nil
+// forward passes a piece on, or keeps it until there is an attempt.
+func (u *upload) forward(piece []byte) {
+	if u.request.answered { // nobody wants it any more
+		u.buffered = nil
 		return
 	}
-	if u.try != nil {
-		u.try.link.conn.Write(piece)
+	if u.attempt != nil {
+		u.attempt.link.conn.Write(piece)
 	}
-	if !u.spent {
-		u.kept = append(u.kept, piece...)
-		u.spare()
+	if !u.bufferDropped {
+		u.buffered = append(u.buffered, piece...)
+		u.dropLargeBuffer()
 	}
-	if !u.taken && len(u.kept) >= bodyKept {
-		u.taken = true
-		u.begin()
+	if !u.submitted && len(u.buffered) >= maxBufferedBody {
+		u.submitted = true
+		u.submit()
 	}
 }
 
-// begin takes the request: enough of it has come to be believed. Until then its connection owes the rest of a command like
+// submit takes the request: enough of it has come to be believed. Until then its connection owes the rest of a command like
 // any other, and its id is nobody's: half a command with another's id must not cost that one its request.
-func (u *upload) begin() {
+func (u *upload) submit() {
 	c, n := u.client, u.client.node
-	if err := n.used(u.call.command.ID); err != nil {
-		u.call.answered = true
+	if err := n.checkUniqueID(u.request.command.ID); err != nil {
+		u.request.answered = true
 		c.reject(err)
 		return
 	}
-	n.register(u.call.command.ID)
-	c.calls = append(c.calls, u.call)
-	n.take(u.call, n.loop.Now())
+	n.registerID(u.request.command.ID)
+	c.requests = append(c.requests, u.request)
+	n.submit(u.request, n.loop.Now())
 }
 
-// spare gives up keeping what has been written to an attempt once it is too much: from then on there is no other.
-func (u *upload) spare() {
-	if u.try != nil && len(u.kept) > bodyKept {
-		u.spent, u.kept = true, nil
+// dropLargeBuffer gives up keeping what has been written to an attempt once it is too much: from then on there is no other.
+func (u *upload) dropLargeBuffer() {
+	if u.attempt != nil && len(u.buffered) > maxBufferedBody {
+		u.bufferDropped, u.buffered = true, nil
 	}
 }
 
-// sent writes to a new attempt what has come.
-func (u *upload) sent(t *try) {
+// sendTo writes to a new attempt what has come.
+func (u *upload) sendTo(t *attempt) {
 	now := u.client.node.loop.Now()
-	u.try, u.gone, u.moved = t, 0, now
+	u.attempt, u.writtenBytes, u.writeProgressAt = t, 0, now
 	t.link.going = u
-	t.link.conn.Write(u.kept)
-	u.spare()
-	if u.whole {
+	t.link.conn.Write(u.buffered)
+	u.dropLargeBuffer()
+	if u.complete {
 		u.finish()
 	}
-	u.client.node.loop.Defer(u.flow)
+	u.client.node.loop.Defer(u.updatePaused)
 }
 
 // finish writes the end of the value: from here on the write may run.
 func (u *upload) finish() {
-	l := u.try.link
+	l := u.attempt.link
 	l.going = nil
-	l.conn.Write(append(u.last, l.pool.proto.behind()...))
+	l.conn.Write(append(u.finalBytes, l.pool.proto.behind()...))
 	l.wrote()
 }
 
-// came notes that all has come: the request is taken, and its time counts.
-func (u *upload) came() {
-	c, n := u.call, u.client.node
-	u.whole = true
+// received notes that all has come: the request is taken, and its time counts.
+func (u *upload) received() {
+	c, n := u.request, u.client.node
+	u.complete = true
 	u.timer.Stop()
 	if c.answered {
 		return
 	}
 	now := n.loop.Now()
-	n.clock(c, now, n.within(max(leastWait, u.wait-(now-u.client.arrived)), now))
-	n.guard("came", func() { n.policy.BodyReceived(now, c.id, c.end-now) })
-	if t := u.try; t != nil {
-		t.began = now
-		t.timer = n.loop.After(c.end-now, func() { t.pool.timeout(t) })
+	n.startClock(c, now, n.capTimeout(max(minRemaining, u.timeout-(now-u.client.arrivedAt)), now))
+	n.guard("came", func() { n.policy.BodyReceived(now, c.id, c.attemptsUntil-now) })
+	if t := u.attempt; t != nil {
+		t.runnableAt = now
+		t.timer = n.loop.After(c.attemptsUntil-now, func() { t.pool.timeout(t) })
 		u.finish()
 	}
 }
 
-// ended notes that its attempt has ended.
-func (u *upload) ended(t *try) {
-	if u.try == t {
-		u.try = nil
-		u.client.node.loop.Defer(u.flow)
+// attemptDone notes that its attempt has ended.
+func (u *upload) attemptDone(t *attempt) {
+	if u.attempt == t {
+		u.attempt = nil
+		u.client.node.loop.Defer(u.updatePaused)
 	}
 }
 
-// stop reports whether nothing more is wanted of the client for now: the server has not taken what it was given, or there
+// shouldPause reports whether nothing more is wanted of the client for now: the server has not taken what it was given, or there
 // is no attempt yet.
-func (u *upload) stop() bool {
-	if u.call.answered {
+func (u *upload) shouldPause() bool {
+	if u.request.answered {
 		return false
 	}
-	if u.try != nil {
-		return u.try.link.conn.Pending() > 0
+	if u.attempt != nil {
+		return u.attempt.link.conn.Pending() > 0
 	}
-	return len(u.kept) >= bodyKept
+	return len(u.buffered) >= maxBufferedBody
 }
 
-// flow reads on, or not.
-func (u *upload) flow() {
-	if c := u.client; c.up == u && !c.gone {
-		c.conn.SetPaused(u.stop())
-		c.account()
+// updatePaused reads on, or not.
+func (u *upload) updatePaused() {
+	if c := u.client; c.upload == u && !c.closed {
+		c.conn.SetPaused(u.shouldPause())
+		c.updateHeldBytes()
 	}
 }
 
-// holds is how many bytes it keeps.
-func (u *upload) holds() int {
-	if u.try != nil && !u.try.link.gone {
-		return cap(u.kept) + u.try.link.conn.Pending()
+// bufferedBytes is how many bytes it keeps.
+func (u *upload) bufferedBytes() int {
+	if u.attempt != nil && !u.attempt.link.gone {
+		return cap(u.buffered) + u.attempt.link.conn.Pending()
 	}
-	return cap(u.kept)
+	return cap(u.buffered)
 }
 
-// look ends a value of which nothing comes though it could, and an attempt whose server takes nothing of it.
-func (u *upload) look() {
+// checkStalled ends a value of which nothing comes though it could, and an attempt whose server takes nothing of it.
+func (u *upload) checkStalled() {
 	c := u.client
 	now := c.node.loop.Now()
-	if u.try != nil {
-		if gone := u.try.link.conn.Written(); gone != u.gone {
-			u.gone, u.moved = gone, now
+	if u.attempt != nil {
+		if written := u.attempt.link.conn.Written(); written != u.writtenBytes {
+			u.writtenBytes, u.writeProgressAt = written, now
 		}
 	}
 	switch {
-	case u.stop() && now-u.begun < uploadMost:
-		u.heard = now
-		if u.try != nil && now-u.moved >= bodyStall {
-			u.try.pool.timeout(u.try)
+	case u.shouldPause() && now-u.startedAt < maxUploadTime:
+		u.lastProgress = now
+		if u.attempt != nil && now-u.writeProgressAt >= bodyStallTimeout {
+			u.attempt.pool.timeout(u.attempt)
 		}
-	case now-u.heard >= owesFor || now-u.begun >= uploadMost:
+	case now-u.lastProgress >= commandTimeout || now-u.startedAt >= maxUploadTime:
 		c.node.count.clientsBad++
-		c.node.noteClosed(c, closedOwing)
+		c.node.recordClose(c, closedIncomplete)
 		c.conn.Close()
-		c.ended()
+		c.abandonRequests()
 		return
 	}
-	u.timer = c.node.loop.After(uploadLook, u.look)
+	u.timer = c.node.loop.After(uploadCheckInterval, u.checkStalled)
 }
 
-// spoilt ends a request whose value does not end where it should, and the connection: nobody knows what comes next.
-func (u *upload) spoilt() {
-	c, k := u.client, u.call
-	c.up = nil
+// rejectMalformed ends a request whose value does not end where it should, and the connection: nobody knows what comes next.
+func (u *upload) rejectMalformed() {
+	c, k := u.client, u.request
+	c.upload = nil
 	u.timer.Stop()
 	c.node.count.badLines++
 	if !k.answered {
 		c.node.reply(k, []byte("CLIENT_ERROR "+meta.ErrChunk.Error()+"\r\n"), failed)
-		if u.taken {
+		if u.submitted {
 			c.node.guard("abandoned", func() { c.node.policy.Abandoned(c.node.loop.Now(), k.id) })
 		}
-		if u.try != nil {
-			u.try.pool.cancel(u.try)
+		if u.attempt != nil {
+			u.attempt.pool.cancel(u.attempt)
 		}
 	}
-	c.last = true
+	c.noMoreInput = true
 }
