--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	bodyStallTimeout = 3 * time.Second // how long a server may give nothing of a long value
-	maxBufferedBody  = 64 << 10        // bytes of one that may wait for their turn
-	// minBodyPrefix is how many bytes of a long value must have come before the request is bound to it. Guards against a short
-	// answer that says it is long and stops: bound to it, a request was lost when its time was up (lab, garbled-cache).
+	bodyStallTimeout = 3 * time.Second // how long a server may send nothing of a long value
+	maxBufferedBody  = 64 << 10        // bytes of a long value that may be buffered
+	// minBodyPrefix is how many bytes of a long value must have arrived before the request is bound to it. Guards against a
+	// malformed short response that announces a long value and stops: a request bound to it was lost when its deadline passed.
 	minBodyPrefix = 4 << 10
 )
 
-// body is a long value on its way from a server to a client: nothing of it is kept but what waits for its turn, and what
-// the client's connection has not handed to the system. While that is something, nothing is read from the server.
+// body is a long value that is streamed from a server to a client. Only the part that waits for the answer's turn, or that the
+// system has not yet taken for the client, is buffered; while there is such a part, nothing is read from the server.
 type body struct {
 	link         *link
-	attempt      *attempt // nil once nobody waits: what comes is passed over
+	attempt      *attempt // nil if nobody waits for the value: it is discarded
 	size         int
-	remaining    int    // bytes of the value to come
-	trailer      string // what must come behind it still
-	close        bool   // the connection carries nothing after it
-	buffered     []byte // come before its turn
-	started      bool   // the client has been given the beginning
+	remaining    int    // bytes of the value still to arrive
+	trailer      string // what must still follow the value
+	close        bool   // the server closes the connection after it
+	buffered     []byte // arrived before the answer's turn
+	started      bool   // its beginning was written to the client
 	lastProgress time.Duration
 	timer        *loop.Timer
 }
 
-// receiveBody begins a long value: the request is bound to the attempt from here on. The module is told, so that it neither tries
-// again nor counts the attempt against the server, however long the client takes.
+// receiveBody starts to receive a long value and binds the request to this attempt. The policy is notified, so that it neither
+// retries nor counts the attempt against the server, however slowly the client reads.
 func (l *link) receiveBody(t *attempt, a response) {
 	n := l.pool.node
 	b := &body{link: l, attempt: t, size: a.longSize, remaining: a.longSize, trailer: a.trailer, close: a.close, lastProgress: n.loop.Now()}
@@ -48,10 +48,10 @@
 	c.body = b
 	n.count.bodies++
 	n.guard("begun", func() { n.policy.ResponseStarted(n.loop.Now(), c.id, t.number) })
-	c.client.flush() // its turn may have come
+	c.client.flush() // the answer may be next in order
 }
 
-// consume takes what belongs to the value off what has come.
+// consume takes the part of data that belongs to the value.
 func (b *body) consume(data []byte) (used int, ok bool) {
 	b.lastProgress = b.link.pool.node.loop.Now()
 	if n := min(b.remaining, len(data)); n > 0 {
@@ -59,7 +59,8 @@
 		b.remaining -= n
 		used = n
 	}
-	// Guards against passing on as whole a value that was longer or shorter than it said: its own line end comes last.
+	// Guards against delivering as complete a value that is longer or shorter than announced: the line end for the client is
+	// written last.
 	if b.remaining == 0 {
 		var end int
 		b.trailer, end, ok = consumePrefix(b.trailer, data[used:])
@@ -68,8 +69,8 @@
 	return used, true
 }
 
-// consumePrefix takes off data what has come of a text that must come next. It returns what of it has yet to come, how many bytes
-// it took, and whether these were right.
+// consumePrefix matches the beginning of data with the expected text. It returns the part of the text still to arrive, the number
+// of bytes matched, and whether all of them were right.
 func consumePrefix(text string, data []byte) (rest string, used int, ok bool) {
 	for used < len(text) && used < len(data) {
 		if data[used] != text[used] {
@@ -80,10 +81,10 @@
 	return text[used:], used, true
 }
 
-// complete reports whether all has come.
+// complete reports whether the value and what follows it have arrived.
 func (b *body) complete() bool { return b.remaining == 0 && b.trailer == "" }
 
-// deliver gives a piece to the client, or keeps it until its turn.
+// deliver writes a piece of the value to the client, or buffers it until the answer's turn.
 func (b *body) deliver(data []byte) {
 	switch {
 	case b.attempt == nil:
@@ -97,7 +98,7 @@
 	b.updatePaused()
 }
 
-// updatePaused reads on, or not while the client has not taken what it was given.
+// updatePaused stops reading from the server while the client has not taken what it was sent, or the buffer is full.
 func (b *body) updatePaused() {
 	pause := false
 	if b.attempt != nil {
@@ -114,7 +115,7 @@
 	b.link.paused = pause
 }
 
-// startAnswer gives the client the beginning, at the answer's turn on its connection.
+// startAnswer writes the beginning of the value to the client, when the answer is next in order.
 func (b *body) startAnswer(c *client) {
 	b.started = true
 	head := meta.AppendValueLine(make([]byte, 0, len(b.buffered)+64), b.attempt.request.command.ID, b.size)
@@ -125,16 +126,16 @@
 	b.updatePaused()
 }
 
-// growSendBuffer fetches what is left of a value whose server leaves or is banned, however slow the reader. Guards against a
-// restart of that server under it: what it had given and nobody had read was lost (launceston-platform,
-// hand+leave+silent+bulk 8: 1 of 169, in one run of four).
+// growSendBuffer has the rest of a value from a draining, gone or banned server read at once, however slowly the client reads.
+// Guards against a restart of that server, which loses what it has sent and nobody has read (1 of 169 values, in one run of
+// four).
 func (b *body) growSendBuffer() {
 	if b.attempt != nil && b.started && !b.link.pool.open() {
 		b.attempt.request.client.growSendBuffer()
 	}
 }
 
-// checkStalled ends a value of which nothing comes though it could.
+// checkStalled ends a value whose server has sent nothing for bodyStallTimeout although the connection is read.
 func (b *body) checkStalled() {
 	l := b.link
 	n := l.pool.node
@@ -143,20 +144,20 @@
 		stalled = 0
 	}
 	if stalled >= bodyStallTimeout {
-		l.bad("a long value that stops in its midst")
+		l.bad("long value stopped before its end")
 		return
 	}
 	b.timer = n.loop.After(bodyStallTimeout-stalled, b.checkStalled)
 }
 
-// discard has what comes passed over.
+// discard drops the rest of the value as it arrives.
 func (b *body) discard() {
 	b.attempt, b.buffered = nil, nil
 	b.link.account()
 	b.updatePaused()
 }
 
-// finish ends the request to which the value belongs: whole, or broken off, which its client must be able to tell.
+// finish ends the request that the value answers: complete, or broken off in a way that its client can detect.
 func (b *body) finish(c *request, whole bool) {
 	n := b.link.pool.node
 	c.body = nil
@@ -169,7 +170,7 @@
 	case !b.started:
 		n.reply(c, []byte(failedAnswer), failed)
 	default:
-		// Guards against an answer behind that one, which would be taken for the rest of the value.
+		// Guards against a further answer on the connection: the client would take it for the rest of the value.
 		n.count.brokenOff++
 		log.Printf("event=broken_off id=%s server=%s left=%d", c.id, b.link.pool.id, b.remaining)
 		n.end(c.class, failed)
@@ -178,16 +179,16 @@
 	}
 }
 
-// breakOffAnswer ends a connection in the midst of an answer: with its end the client knows that it is not whole.
+// breakOffAnswer closes a connection in the middle of an answer, by which the client knows that it is incomplete.
 func (c *client) breakOffAnswer() {
 	c.node.recordClose(c, closedMidAnswer)
 	c.conn.CloseGracefully(lingerTimeout)
 	c.abandonRequests()
 }
 
-// growSendBuffer has the system take all that is left of a client's answer, once, as far as the node's memory would have room for
-// it. Guards against a process that is killed at the end of its time under a slow reader: what the system has taken
-// goes on without it (launceston-platform, bulk+upgrade 4: 2 to 4 long values of 235 cut off, 0.5 MB of 3 MB not taken).
+// growSendBuffer has the kernel take all that is left of a client's answer, once, as far as the node's memory limit allows.
+// Guards against a process that is killed while a slow client still reads: what the kernel has taken is delivered without the
+// process (2 to 4 long values of 235 were cut off, with 0.5 MB of 3 MB not taken).
 func (c *client) growSendBuffer() {
 	n, unsent := c.node, c.conn.Pending()
 	if len(c.requests) > 0 && c.requests[0].body != nil {
--- a/internal/node/capacity.go
+++ b/internal/node/capacity.go
@@ -7,27 +7,30 @@
 	"lapisshelf/internal/meta"
 )
 
-// Capacity: how many clients there may be and how much may be held for them, and who goes where there is no room.
-
-// full reports whether there is no room for one more client: they may have all that servers don't hold or must have.
-// Guards against clients who are refused and stay, each for as long as its connection lingers: with those counted the house
-// was full of them for as long as others came, and nobody was served.
+// Capacity: how many clients may connect, how many bytes may be held for them, and which connections are closed when there is no
+// room.
+
+// full reports whether there is no room for one more client. Clients may use all descriptors of the room but those that server
+// connections use or must be left.
+//
+// Lingering connections and those in the reserve don't count. Guards against refused clients that stay connected: when they
+// counted, the node was full of them for as long as others came, and nobody was served.
 func (s *clients) full() bool {
 	n := s.node
 	return n.open()-s.reserved-n.serverConns >= n.room()-max(n.serverConns, n.linkLeast())
 }
 
-// reserveFull reports whether not even the reserve has a descriptor left for a client: what servers must have and a call for
-// the list are none of theirs.
+// reserveFull reports whether not even the reserve has a descriptor for a client. Those that servers must be left and those of a
+// discovery call are not available to clients.
 func (s *clients) reserveFull() bool {
 	n := s.node
 	return n.open()-n.serverConns >= n.brim()-max(n.serverConns, n.linkLeast())-discoverySockets
 }
 
-// overCapacity reports whether one more client would find no room, or no descriptor at all.
+// overCapacity reports whether one more client would find no room or no descriptor at all.
 func (s *clients) overCapacity() bool { return s.full() || s.reserveFull() }
 
-// setInReserve has a connection stand in the reserve, or no more.
+// setInReserve sets whether a connection counts against the reserve.
 func (c *client) setInReserve(inReserve bool) {
 	switch s := &c.node.clients; {
 	case inReserve && !c.inReserve:
@@ -38,21 +41,21 @@
 	c.inReserve = inReserve
 }
 
-// enforceLimits keeps the number of connections, those included that are closing, within the room.
+// enforceLimits keeps the number of connections, including those being closed, within the room.
 func (s *clients) enforceLimits() {
 	if s.closing {
-		// Guards against idle clients that take all descriptors of a node that sends its clients away: servers and the list had
-		// none left (129 held where 64 were allowed).
+		// Guards against idle clients that take all descriptors of a draining node: nothing was left for servers and discovery
+		// (129 connections where 64 descriptors were allowed).
 		s.listener.SetPaused(s.reserveFull())
 		return
 	}
-	// Guards against requests that wait unread for a descriptor, and are lost by it, while others are idle. First go
-	// those who connect and say nothing, or half of something: clients send as soon as they are connected.
+	// Guards against losing requests that wait in the listen queue for a descriptor while other connections are idle. First to go
+	// are connections with an incomplete command or none: clients send as soon as they are connected.
 	for s.overCapacity() && (s.evictIncomplete(shortCommandTimeout) || s.evictLingering()) {
 	}
 	if s.full() {
-		// One used a moment ago is not idle: clients open another when all they have are busy, so its next request is
-		// likely on its way, and closing would lose it (787 of 19119 on an overload day with 80 descriptors).
+		// A connection used a moment ago is not idle: clients open another one only when all of theirs are busy, so its next
+		// request is likely on its way and would be lost by closing (787 of 19119 requests in an overload with 80 descriptors).
 		if oldest := front(s.idle); oldest != nil && oldest.quiet() {
 			s.node.count.clientsShed++
 			oldest.closeGracefully(closedForCapacity)
@@ -69,7 +72,7 @@
 	}
 }
 
-// front is the first of a list, nil where it is empty.
+// front returns the first client of a list, nil if the list is empty.
 func front(l *list.List) *client {
 	if e := l.Front(); e != nil {
 		return e.Value.(*client)
@@ -77,8 +80,8 @@
 	return nil
 }
 
-// evictIncomplete closes the connection that has owed the rest of a command longest, if that is as long as told and nothing of
-// it has come unread.
+// evictIncomplete closes the connection whose command has been incomplete longest, if that is at least minAge and nothing of it
+// is unread.
 func (s *clients) evictIncomplete(minAge time.Duration) bool {
 	c := front(s.incomplete)
 	if c == nil || s.node.loop.Now()-c.incompleteSince < minAge || c.conn.Stale() {
@@ -89,8 +92,8 @@
 	return true
 }
 
-// evictLingering gives up the connection that has waited longest for its client to finish, if that is over partShort and the client
-// has acknowledged all that it was sent.
+// evictLingering closes the connection that has lingered longest, if that is over shortLingerTimeout and the client has
+// acknowledged all that it was sent.
 func (s *clients) evictLingering() bool {
 	c := front(s.lingering)
 	if c == nil || s.node.loop.Now()-c.lastActive < shortLingerTimeout || c.conn.Acknowledged() < c.conn.WriteOffset() {
@@ -100,13 +103,13 @@
 	return true
 }
 
-// closeTimedOut closes connections that have owed the rest of a command or been idle for too long, so that neither those who say
-// nothing nor those who ask once and stay take the descriptors of others.
+// closeTimedOut closes connections whose command has been incomplete, or that have been idle, for too long, so that neither
+// silent clients nor those that send one request and stay take the descriptors of others.
 func (s *clients) closeTimedOut() {
 	now := s.node.loop.Now()
 	for c := front(s.incomplete); c != nil && now-c.incompleteSince >= commandTimeout; c = front(s.incomplete) {
 		if c.conn.Stale() && now-c.incompleteSince < commandTimeout+2*timeoutCheckInterval {
-			break // the rest may have come: it is read next
+			break // the rest of the command may have arrived: it is read next
 		}
 		s.node.count.clientsBad++
 		c.closeNow(closedIncomplete)
@@ -114,7 +117,7 @@
 	timeout := s.idleTimeout()
 	for c := front(s.idle); c != nil && now-c.lastActive >= timeout; c = front(s.idle) {
 		if !c.mayClose() {
-			break // its next request has come, or its end: either is read next
+			break // its next request or its end has arrived: it is read next
 		}
 		s.node.count.clientsIdle++
 		c.closeGracefully(closedIdle)
@@ -122,13 +125,13 @@
 	s.node.loop.After(timeoutCheckInterval, s.closeTimedOut)
 }
 
-// idleTimeout is how long a connection with nothing open is kept. It shrinks evenly as clients near what they may hold.
-// Guards against clients who ask once and stay: with all that they may hold idle, no request comes any more, though the
-// node has room (launceston-platform rfa7819: three in four, at 128 idle connections closed after 2 s each).
+// idleTimeout returns how long an idle connection is kept. It shrinks linearly as clients approach their limit. Guards against
+// clients that send one request and stay: if idle connections take the clients' whole part, no request gets in although the node
+// has room (with 128 idle connections, each closed after 2 s, three requests in four did not get in).
 func (s *clients) idleTimeout() time.Duration {
 	n := s.node
-	// With few descriptors servers, the reserve and the operators' address leave clients less than their part: a second
-	// process with places for two to five kept each idle for 2 s, and requests waited unread for over 10 s.
+	// With few descriptors, what servers, the reserve and the control address take leaves clients less than their fraction: a
+	// second process with places for two to five clients kept each idle one for 2 s, and requests waited unread for over 10 s.
 	places := min(n.room(), n.brim()-discoverySockets) - max(n.serverConns, n.linkLeast()) - overheadSockets
 	limit := max(1, min(n.sockets()/clientSocketsDivisor, places))
 	used := float64(len(s.all)-s.incomplete.Len()) / float64(limit)
@@ -141,24 +144,24 @@
 	return maxIdleTimeout
 }
 
-// atCapacity reports whether the node holds as much as it may.
+// atCapacity reports whether the node has no room for a request with a value of this size.
 func (n *Node) atCapacity(value int) bool {
 	limit := n.cfg.Transport.MostHeld
 	return limit > 0 && len(n.requests) >= limit || n.writeBytes+n.clientBytes+value > n.maxHeldBytes()
 }
 
-// maxHeldBytes is how many bytes of values the node may hold, and of answers as many again.
+// maxHeldBytes is the limit on the bytes held for clients; the limit on buffered responses is the same again.
 func (n *Node) maxHeldBytes() int { return n.memoryMB() << 20 / heldMemoryDivisor }
 
-// maxResponseSize is how many bytes an answer may hold that is kept whole, one of a length that is not told ahead: many must have
-// room at once. Values over the usual size do come (launceston-platform, rate+silent+leave: up to 360 KB, each taken for a
-// spoilt answer, and the servers skipped for it).
+// maxResponseSize is the limit on a response that is buffered whole because its length is not announced; it leaves room for many
+// at once. Values above the usual size do occur: some of up to 360 KB were taken for malformed responses, and their servers were
+// skipped.
 func (n *Node) maxResponseSize() int {
 	return max(meta.MaxValue, n.cfg.MemoryMB<<20/responseMemoryDivisor)
 }
 
-// updateHeldBytes keeps the node's count of what is held for clients, answers that they have yet to take and commands that
-// they have yet to end, and, past its bound, gives up the one for which most is held.
+// updateHeldBytes updates the count of bytes held for clients: unsent answers and incomplete commands. If the total is over its
+// limit, the client that holds most is closed.
 func (c *client) updateHeldBytes() {
 	n := c.node
 	owed := c.queuedBytes + c.conn.Pending() + cap(c.input)
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -8,13 +8,13 @@
 	"lapisshelf/policy"
 )
 
-// What decide/safety says is asked here: as work on a request begins, before an attempt is written, as one that had to wait goes
-// out, and as a connection is closed. What goes against it is a violation: one of the guards before has failed.
+// Checks against the rules of decide/safety: when work on a request begins, before an attempt is written, when a queued attempt
+// goes out, and when a connection is closed. A failed check is a violation: an earlier guard has failed.
 
-// effects are the module's, as decide/safety names them.
+// effects maps the policy's effects to those of decide/safety.
 var effects = map[policy.Effect]safety.Effect{policy.Safe: safety.Safe, policy.Keyed: safety.Keyed, policy.Unsafe: safety.Unsafe}
 
-// remaining is what is left of the client's time, or, of a request that is still coming, of the time that it may wait to be sent.
+// remaining is the remaining time of the client or, for a request that is still arriving, of its wait for an attempt.
 func (c *request) remaining(now time.Duration) time.Duration {
 	if !c.received {
 		return c.attemptsUntil - now
@@ -22,7 +22,7 @@
 	return c.deadline - now
 }
 
-// maySend asks whether an attempt that tells its server so much may be written now.
+// maySend checks whether an attempt that tells its server this timeout may be written now.
 func (n *Node) maySend(t *attempt, timeout time.Duration, gone bool) safety.Reason {
 	c, now := t.request, n.loop.Now()
 	reason := safety.CheckSend(safety.Attempt{Answered: c.answered, ClientGone: gone, Remaining: c.remaining(now), Timeout: timeout, ServerAccepts: t.pool.open()})
@@ -33,7 +33,7 @@
 		if e == t {
 			continue
 		}
-		earlier := safety.PriorAttempt{Done: e.done, NeverRan: !e.mayHaveRun, Age: now - e.runnableAt, SameScope: true} // groups are the module's to know
+		earlier := safety.PriorAttempt{Done: e.done, NeverRan: !e.mayHaveRun, Age: now - e.runnableAt, SameScope: true} // only the policy knows the scopes
 		if reason = safety.CheckRepeat(c.class.effect, c.class.window, earlier); reason != safety.Allowed {
 			return reason
 		}
@@ -41,7 +41,7 @@
 	return safety.Allowed
 }
 
-// refuseSend ends an attempt that may not be written. It has never run.
+// refuseSend ends an attempt that may not be written, as one that has never run.
 func (n *Node) refuseSend(t *attempt, why safety.Reason) {
 	n.count.sendsRefused[why]++
 	n.recordAttempt(attemptRefused, t, why, 0)
@@ -50,22 +50,22 @@
 	case safety.ServerUnavailable:
 		outcome = policy.ConnectFailed
 	case safety.InFlight, safety.MayHaveRun, safety.OtherScope:
-		n.reportViolation("repeat", why, t.request.id, t.pool.id) // the module asks before it sends
+		n.reportViolation("repeat", why, t.request.id, t.pool.id) // the policy checks this before it sends
 	}
 	n.loop.Defer(func() { n.attemptFinished(t, response{outcome: outcome}) })
 }
 
-// refuseLate ends an attempt that was allowed a moment ago and may not be written now. Time may have passed, where the process was held
-// up; anything else is a violation.
+// refuseLate ends an attempt that was allowed when it was chosen and may not be written now. That is normal if its time has run
+// out in the meantime, as in a process that was held up; any other reason is a violation.
 func (n *Node) refuseLate(t *attempt, why safety.Reason) {
 	switch why {
-	case safety.Answered, safety.ClientGone, safety.ServerUnavailable: // refuseSend tells of repeats
+	case safety.Answered, safety.ClientGone, safety.ServerUnavailable: // refuseSend reports repeats
 		n.reportViolation("send", why, t.request.id, t.pool.id)
 	}
 	n.refuseSend(t, why)
 }
 
-// checkWritten checks an attempt that goes out after it had to wait.
+// checkWritten checks an attempt that was queued and has now been written.
 func (n *Node) checkWritten(t *attempt) {
 	switch why := n.maySend(t, 0, t.request.client == nil); why {
 	case safety.Answered, safety.ClientGone, safety.ServerUnavailable:
@@ -73,7 +73,7 @@
 	}
 }
 
-// checkClose checks that a connection which the node closes by itself carries no request that is unanswered.
+// checkClose checks that a connection closed by the node has no unanswered request.
 func (n *Node) checkClose(c *client) {
 	unanswered, id := 0, ""
 	for _, k := range c.requests {
@@ -87,12 +87,12 @@
 	}
 }
 
-// mayClose asks whether a connection with nothing open may be closed.
+// mayClose reports whether a connection without open requests may be closed: nothing on it is unread.
 func (c *client) mayClose() bool {
 	return safety.CheckClose(safety.Connection{Unread: c.conn.Stale()}) == safety.Allowed
 }
 
-// reportViolation counts what went against a rule though guards stand before it, and logs it with what led to it, once a second at most.
+// reportViolation counts a violation and logs it with the request's history, at most once per violationLogInterval.
 func (n *Node) reportViolation(rule string, why safety.Reason, request, server string) {
 	n.count.violations++
 	n.count.violated[why]++
@@ -104,7 +104,7 @@
 	}
 }
 
-// logHistory logs what is recorded of a request.
+// logHistory logs the recorded transitions of a request.
 func (n *Node) logHistory(request string) {
 	for _, line := range n.recorder.history(request) {
 		log.Printf("event=flight %s", line)
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -11,71 +11,71 @@
 )
 
 const (
-	maxPipelined          = 32        // requests of one connection that are open at once; more wait unread
-	maxUnsentBytes        = 256 << 10 // bytes of answers that a connection may leave unread before it is not read either
+	maxPipelined          = 32        // open requests of one connection; further ones stay unread
+	maxUnsentBytes        = 256 << 10 // unsent bytes of answers above which a connection is not read
 	slowReaderTimeout     = 5 * time.Second
 	lingerTimeout         = time.Second
-	shortLingerTimeout    = 100 * time.Millisecond // and with no room left, of which the answers have all been acknowledged
-	quietPeriod           = 700 * time.Millisecond // idle for so long, a connection has no request on its way
-	capacityCheckInterval = 50 * time.Millisecond  // how often a full house and a leaving node look for what can be closed
-	commandTimeout        = 2 * time.Second        // how long a connection may owe the rest of a command, its first included
-	shortCommandTimeout   = 50 * time.Millisecond  // and in a full house, with nothing unread
-	maxIdleTimeout        = 5 * time.Second        // how long a connection with nothing open is kept
-	shortIdleTimeout      = 2 * time.Second        // and with half of the room taken, or of what clients may hold
-	minIdleTimeout        = 100 * time.Millisecond // and with nearly all that clients may hold taken
-	clientSocketsDivisor  = 3                      // clients hold that part of the descriptors at most for requests
-	timeoutCheckInterval  = 50 * time.Millisecond  // how often those are looked for
-	maxBadCommands        = 16                     // bad commands after which a connection is closed
-	acceptReadWindow      = 20 * time.Millisecond  // what is read so soon after its connection was accepted may have come with it
+	shortLingerTimeout    = 100 * time.Millisecond // in a full node, once the client has acknowledged all
+	quietPeriod           = 700 * time.Millisecond // after this long without traffic, no request should be on its way
+	capacityCheckInterval = 50 * time.Millisecond  // how often a full or closing node looks for connections to close
+	commandTimeout        = 2 * time.Second        // how long a command may stay incomplete, also a connection's first
+	shortCommandTimeout   = 50 * time.Millisecond  // in a full node, with nothing unread
+	maxIdleTimeout        = 5 * time.Second        // how long an idle connection is kept
+	shortIdleTimeout      = 2 * time.Second        // with half of the node's room, or of the clients' part, in use
+	minIdleTimeout        = 100 * time.Millisecond // with nearly all of the clients' part in use
+	clientSocketsDivisor  = 3                      // clients may use this fraction of the descriptors for requests
+	timeoutCheckInterval  = 50 * time.Millisecond  // how often idle and incomplete connections are checked
+	maxBadCommands        = 16                     // malformed commands after which a connection is closed
+	acceptReadWindow      = 20 * time.Millisecond  // data read this soon after the accept may have arrived together with the connection
 	maxListenTries        = 20
 	listenRetryInterval   = 100 * time.Millisecond
 )
 
-// clients owns the listener and the connections of clients.
+// clients holds the listener and the connections of clients.
 type clients struct {
 	node       *Node
 	listener   *loop.Listener
 	all        map[*client]bool
-	idle       *list.List  // those with nothing open, longest unused first
-	incomplete *list.List  // those that owe the rest of a command, longest first
-	lingering  *list.List  // those that only wait for the other end to finish, longest first
-	recentIDs  idSet       // of requests lately
-	closing    bool        // connections close between requests
-	reserved   int         // descriptors held in the reserve, by those too that only wait for the other end
-	drainTimer *loop.Timer // the next step of sending clients away
+	idle       *list.List  // connections without an open request, longest unused first
+	incomplete *list.List  // connections with an incomplete command or none yet, oldest first
+	lingering  *list.List  // closed on this side and waiting for the client, oldest first
+	recentIDs  idSet       // ids of recent requests
+	closing    bool        // connections are being closed between requests
+	reserved   int         // descriptors of the reserve in use, including those of lingering connections
+	drainTimer *loop.Timer // the next step of a drain
 	retryTimer *loop.Timer
 }
 
-// client is one connection of a client. It is given back in drop alone.
+// client is one connection of a client. Only release removes it.
 type client struct {
 	node            *Node
 	conn            *loop.Conn
 	input           []byte
-	skip            int           // bytes still to come of a bad command
-	upload          *upload       // the long value that comes next
-	requests        []*request    // in the order in which they came; the first unanswered one holds up the others
-	listElem        *list.Element // among the idle or the owing
-	list            *list.List    // the one of them that place is in
-	lingerElem      *list.Element // among those that wait for the other end
-	lastActive      time.Duration // when bytes last went either way
-	incompleteSince time.Duration // when it came to owe the rest of a command
-	arrivedAt       time.Duration // since when what is being taken may have been there
-	openedAt        time.Duration // as epoll told of the connection
-	number          uint64        // in the order of opening
-	badCommands     int           // commands that were none
-	sentCommand     bool          // a whole command has come
-	slowTimer       *loop.Timer   // set while answers stand unread
-	acknowledged    int64         // what the client had taken when last looked at
-	progressAt      time.Duration // when that was seen to grow
-	heldBytes       int           // bytes held for it, answers not taken and commands not whole, as counted by the node
-	queuedBytes     int           // of these, what waits for answers before them
-	noMoreInput     bool          // nothing more is taken: it closes after the answers owed
-	inReserve       bool          // accepted into the reserve
-	closeWhenIdle   bool          // it closes after an answer
-	sendBufferBytes int           // bytes for which the system was asked to make room, see deepen
+	skip            int           // bytes of a rejected command still to be skipped
+	upload          *upload       // the long value being received
+	requests        []*request    // in the order of arrival; the first unanswered one holds up the others
+	listElem        *list.Element // its element in clients.idle or clients.incomplete
+	list            *list.List    // the list that listElem belongs to
+	lingerElem      *list.Element // its element in clients.lingering
+	lastActive      time.Duration // when bytes last went in either direction
+	incompleteSince time.Duration // since when its command is incomplete
+	arrivedAt       time.Duration // the earliest time at which the data being read may have arrived
+	openedAt        time.Duration // when the loop polled the event of the connection
+	number          uint64        // counts connections in the order of opening
+	badCommands     int           // malformed commands
+	sentCommand     bool          // it has sent a whole command
+	slowTimer       *loop.Timer   // runs while answers are unsent
+	acknowledged    int64         // bytes that the client had acknowledged at the last check
+	progressAt      time.Duration // when acknowledged last grew
+	heldBytes       int           // bytes held for it: unsent answers and incomplete commands; included in Node.clientBytes
+	queuedBytes     int           // of these, answers that wait for earlier ones
+	noMoreInput     bool          // no more input is read; it closes after the outstanding answers
+	inReserve       bool          // it counts against the reserve
+	closeWhenIdle   bool          // it closes once nothing is open on it
+	sendBufferBytes int           // bytes by which its kernel send buffer was grown, see growSendBuffer
 	closed          bool
-	parsing         bool // commands are being taken
-	parseScheduled  bool // what had to wait will be looked at
+	parsing         bool // parse is running
+	parseScheduled  bool // parseBuffered is scheduled
 }
 
 func (s *clients) init() {
@@ -84,7 +84,7 @@
 	s.node.loop.After(timeoutCheckInterval, s.closeTimedOut)
 }
 
-// listenBeside opens the node's address beside so many others of its processes.
+// listenBeside listens on the node's address, shared with this many other processes of the node.
 func (s *clients) listenBeside(others int) (err error) {
 	if others == 0 {
 		s.listener, err = s.node.loop.Listen(s.node.cfg.Listen, s.accept)
@@ -94,7 +94,7 @@
 	return err
 }
 
-// listen opens the node's address.
+// listen listens on the node's address.
 func (s *clients) listen() error {
 	return retryListen(func() (err error) {
 		s.listener, err = s.node.loop.Listen(s.node.cfg.Listen, s.accept)
@@ -102,7 +102,7 @@
 	})
 }
 
-// retryListen tries to listen, again while the process that had the address before may still be going, or the system is short of
+// retryListen calls listen, and retries while a previous process may still hold the address or while the system is short of
 // descriptors or memory.
 func retryListen(listen func() error) (err error) {
 	for range maxListenTries {
@@ -114,12 +114,12 @@
 	return err
 }
 
-// accept takes a connection. In a full house it stands in the reserve, to have its request refused: one that waits
-// unread in the system's queue is lost.
+// accept takes a new connection. In a full node it counts against the reserve, and its request is refused: a request left unread
+// in the listen queue would be lost.
 func (s *clients) accept(fd int) {
 	now := s.node.loop.Now()
 	c := &client{node: s.node, lastActive: now, incompleteSince: now, arrivedAt: s.listener.EarliestArrival(), openedAt: s.node.loop.PolledAt()}
-	shed := s.closing && s.reserveFull() // of a listen queue that is taken whole as the listener closes
+	shed := s.closing && s.reserveFull() // the whole listen queue is accepted when the listener closes
 	conn, err := s.node.loop.Accept(fd, c)
 	if err != nil {
 		log.Printf("event=accept_failed error=%q", err)
@@ -132,8 +132,8 @@
 		conn.Close()
 		return
 	}
-	// Guards against a client that leaves while nothing is read from it: its end would stand behind what it had sent, and
-	// what it asked for would be sent on as if it waited.
+	// Guards against a client that leaves while its connection is not read: the end of the stream would stay behind its unread
+	// requests, and these would be sent on as if it still waited.
 	conn.WatchPeerClose()
 	s.all[c] = true
 	c.moveTo(s.incomplete)
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -10,7 +10,7 @@
 	"lapisshelf/internal/meta"
 )
 
-// Commands: from the bytes of a client to requests.
+// Commands: parses a client's bytes into requests.
 
 // Data implements loop.Handler.
 func (c *client) Data(data []byte) {
@@ -32,9 +32,9 @@
 	c.flush()
 }
 
-// updateArrival settles since when what is being read may have been there: as long as its connection waited for being accepted, if
-// it is read soon after; else since the loop can't say that nothing was there. Where that is long, because the process stood
-// still, the system may know better.
+// updateArrival sets the earliest time at which the data being read may have arrived. A connection that is read right after its
+// accept may have had data for as long as it waited in the listen queue; otherwise the event loop knows since when nothing had
+// been there. If that is long ago because the process stood still, the system may know a later time.
 func (c *client) updateArrival() {
 	if arrived := c.node.loop.EarliestArrival(); c.sentCommand || arrived > c.openedAt+acceptReadWindow {
 		c.arrivedAt = arrived
@@ -47,17 +47,17 @@
 	}
 }
 
-// bufferRest keeps what has not been taken yet.
+// bufferRest keeps the input that has not been parsed.
 func (c *client) bufferRest(rest []byte) {
 	switch {
 	case c.closed || c.noMoreInput || len(rest) == 0:
 		c.input = nil
-	case len(rest) != len(c.input): // else it is all of the input
+	case len(rest) != len(c.input): // otherwise the rest is c.input, unchanged
 		c.input = append([]byte(nil), rest...)
 	}
 }
 
-// parse takes commands off data as long as there is room for them and returns what is left.
+// parse handles the commands in data while limits allow, and returns the rest.
 func (c *client) parse(data []byte) []byte {
 	c.parsing = true
 	defer func() { c.parsing = false }()
@@ -88,7 +88,7 @@
 			return data
 		default:
 			data = data[used:]
-			if c.handleCommand(m); m.LongSize > 0 && c.upload == nil { // turned away, as is its value
+			if c.handleCommand(m); m.LongSize > 0 && c.upload == nil { // rejected, so its value is skipped
 				data = c.skipBytes(data, m.LongSize+len("\r\n"))
 			}
 		}
@@ -96,18 +96,18 @@
 	return data
 }
 
-// skipBytes passes over so many bytes, those too that have yet to come.
+// skipBytes skips this many bytes of the input, including those that have yet to arrive, and returns the rest.
 func (c *client) skipBytes(data []byte, bytes int) []byte {
 	n := min(bytes, len(data))
 	c.skip = bytes - n
 	return data[n:]
 }
 
-// handleCommand handles one whole command.
+// handleCommand handles one whole command, or the line of one with a long value.
 func (c *client) handleCommand(m meta.Command) {
 	n := c.node
 	c.sentCommand = true
-	c.removeFromList() // it owes nothing, whatever room is made below
+	c.removeFromList() // it is complete, so evictIncomplete must not take it below
 	if m.Kind == meta.Noop {
 		switch {
 		case n.draining:
@@ -119,7 +119,7 @@
 		}
 		return
 	}
-	kind, wait, err := n.classAndTimeout(m.Info)
+	class, timeout, err := n.classAndTimeout(m.Info)
 	if err == nil {
 		err = n.checkUniqueID(m.ID)
 	}
@@ -130,44 +130,44 @@
 	if m.LongSize == 0 {
 		n.registerID(m.ID)
 	}
-	// Whoever asks goes before those who may be about to.
+	// A connection with a request takes precedence over one that may send a request.
 	if c.setInReserve(c.inReserve && n.clients.full() && !n.clients.evictIncomplete(0)); c.inReserve {
 		n.count.full++
-		c.refuse(kind)
-		c.closeWhenIdle = true // its descriptor is wanted
+		c.refuse(class)
+		c.closeWhenIdle = true // to free its descriptor
 		return
 	}
 	if n.atCapacity(len(m.Value) + min(m.LongSize, maxBufferedBody)) {
 		n.count.full++
-		c.refuse(kind)
+		c.refuse(class)
 		return
 	}
 	now := n.loop.Now()
-	// Guards against telling servers of time that has passed while the request stood unread, in a process that was stopped or
-	// busy: they would work for a client that has stopped waiting.
+	// Guards against forwarding time that has passed while the request was unread, in a process that was stopped or busy: servers
+	// would work for a client that has stopped waiting.
 	if m.LongSize == 0 {
-		wait -= now - c.arrivedAt
-		if safety.CheckStart(safety.Request{Remaining: wait}) != safety.Allowed {
+		timeout -= now - c.arrivedAt
+		if safety.CheckStart(safety.Request{Remaining: timeout}) != safety.Allowed {
 			n.count.tooLate++
-			c.refuse(kind)
+			c.refuse(class)
 			return
 		}
 	}
-	k := &request{id: string(m.ID), class: kind, client: c, command: copyCommand(m)}
+	k := &request{id: string(m.ID), class: class, client: c, command: copyCommand(m)}
 	if m.LongSize > 0 {
-		c.beginUpload(k, m.LongSize, wait)
+		c.beginUpload(k, m.LongSize, timeout)
 		return
 	}
 	c.requests = append(c.requests, k)
-	k.deadline = now + n.capTimeout(wait, now)
+	k.deadline = now + n.capTimeout(timeout, now)
 	n.writeBytes += len(m.Value)
 	n.submit(k, now)
 }
 
-// checkUniqueID says what is wrong with an id that another request has.
+// checkUniqueID returns an error if another request has or recently had this id.
 func (n *Node) checkUniqueID(id []byte) error {
-	// Guards against one who sends the id of another's request: an open one would be taken for that request, and a
-	// refusal would be taken for that request's. Each request has an id of its own, also a retry.
+	// Guards against a client that sends the id of another's request: servers would take an open one for that request, and a
+	// refusal would count for it. Each request has its own id, also a retry by the client.
 	if n.requests[string(id)] != nil || n.clients.recentIDs.has(id) {
 		n.count.sameID++
 		return errors.New("request id in use")
@@ -175,13 +175,13 @@
 	return nil
 }
 
-// registerID notes that a request has come.
+// registerID remembers a request's id and counts the request.
 func (n *Node) registerID(id []byte) {
 	n.clients.recentIDs.add(id, n.loop.Now())
 	n.count.taken++
 }
 
-// reject answers what is no request, and ends a connection on which there is nothing else.
+// reject answers a malformed command with an error, and closes a connection that keeps sending those.
 func (c *client) reject(err error) {
 	c.node.count.badLines++
 	c.queueAnswer("CLIENT_ERROR " + err.Error() + "\r\n")
@@ -191,21 +191,21 @@
 	}
 }
 
-// refuse turns a request away that the module has not seen.
-func (c *client) refuse(kind *class) {
-	c.node.end(kind, refused)
+// refuse answers a request that the policy has not seen with a refusal.
+func (c *client) refuse(class *class) {
+	c.node.end(class, refused)
 	c.queueAnswer(string(meta.AppendBusy(nil, 0)))
 }
 
-// classAndTimeout is the request's class and how long the client waits, as the request tells; no longer than its class allows.
+// classAndTimeout returns a request's class and how long its client waits, limited to the longest deadline of the class.
 func (n *Node) classAndTimeout(info []byte) (*class, time.Duration, error) {
-	kind := n.classes[meta.FieldValue(info, "c")]
-	if kind == nil {
-		// Guards against what servers turn away: each such answer told against a healthy server, and three skipped it
-		// (launceston-platform, rude+garble 3: all nine caches skipped at once).
+	class := n.classes[meta.FieldValue(info, "c")]
+	if class == nil {
+		// Guards against forwarding what servers reject: each such answer counted against a healthy server, and three of them had
+		// it skipped, until all nine caches of a fleet were skipped at once.
 		return nil, 0, errors.New("no such class")
 	}
-	text := meta.FieldValue(info, "d") // an empty one is no number either: servers turn it away
+	text := meta.FieldValue(info, "d") // an empty value is an error too: servers reject it
 	if whole, _, ok := strings.Cut(text, "."); ok {
 		text = whole
 	}
@@ -213,10 +213,10 @@
 	if err != nil || ms <= 0 {
 		return nil, 0, errors.New("bad deadline")
 	}
-	return kind, min(time.Duration(ms)*time.Millisecond, kind.longest), nil
+	return class, min(time.Duration(ms)*time.Millisecond, class.longest), nil
 }
 
-// copyCommand copies a command out of the buffer it was parsed from.
+// copyCommand copies a command out of the input buffer.
 func copyCommand(m meta.Command) meta.Command {
 	text := make([]byte, 0, len(m.Line)+len(m.Value))
 	text = append(append(text, m.Line...), m.Value...)
@@ -224,7 +224,7 @@
 		if len(part) == 0 {
 			return nil
 		}
-		from := cap(m.Line) - cap(part) // parts of one line end where its buffer ends
+		from := cap(m.Line) - cap(part) // slices of one line share the end of its buffer
 		return text[from : from+len(part)]
 	}
 	k := meta.Command{Kind: m.Kind, Line: text[:len(m.Line)], InfoOffset: m.InfoOffset, LongSize: m.LongSize}
@@ -235,19 +235,19 @@
 	return k
 }
 
-// queueAnswer answers, in its turn, what is no request.
+// queueAnswer queues an answer to something other than a request, behind the answers before it.
 func (c *client) queueAnswer(text string) {
 	c.requests = append(c.requests, &request{client: c, answered: true, answer: []byte(text)})
 	c.queuedBytes += len(text)
 }
 
-// hasWholeCommand reports whether the input begins with a whole command, which had to wait.
+// hasWholeCommand reports whether the buffered input begins with a whole or malformed command.
 func (c *client) hasWholeCommand() bool {
 	_, used, err := meta.ParseCommand(c.input, meta.MaxValue, meta.MaxLongValue)
 	return used > 0 || err != nil
 }
 
-// parseBuffered takes what had to wait.
+// parseBuffered parses the buffered input.
 func (c *client) parseBuffered() {
 	c.parseScheduled = false
 	if c.closed {
--- a/internal/node/connection.go
+++ b/internal/node/connection.go
@@ -5,12 +5,12 @@
 	"log"
 )
 
-// A client's connection: its answers in their turn, its rests and its end.
+// A client's connection: the order of its answers, idle and slow clients, and its end.
 
 // Connected implements loop.Handler.
 func (c *client) Connected() {}
 
-// flush writes the answers whose turn it is, then goes on with what had to wait for them.
+// flush writes the answers that are next in order, then continues with the input that had to wait for them.
 func (c *client) flush() {
 	if c.closed {
 		return
@@ -35,15 +35,15 @@
 	c.updateHeldBytes()
 	c.watchSlowReader()
 	if c.parsing {
-		return // the rest is done when that is over
+		return // the rest follows when parse returns
 	}
 	closing := c.noMoreInput || c.closeWhenIdle || c.node.clients.closing
-	incomplete := len(c.input) > 0 || c.skip > 0 || c.upload != nil || !c.sentCommand // the rest of a command
+	incomplete := len(c.input) > 0 || c.skip > 0 || c.upload != nil || !c.sentCommand // part of a command is missing
 	switch {
 	case len(c.requests) > 0 || c.conn.Pending() > 0:
 		c.removeFromList()
 	case c.noMoreInput || closing && !incomplete && c.mayClose():
-		// Guards against closing on a request that has come but was not read yet, which would lose it.
+		// Guards against closing while a request has arrived but is unread: it would be lost.
 		c.closeGracefully(closedAfterAnswers)
 		return
 	case incomplete:
@@ -66,8 +66,8 @@
 	}
 }
 
-// moveTo puts the connection among the idle or the owing ones. Who comes to owe is given time from then on, who just
-// connected from then.
+// moveTo moves the connection to the list of idle or of incomplete ones. The time limit of an incomplete command counts from this
+// move, that of a new connection from the accept.
 func (c *client) moveTo(l *list.List) {
 	if c.list == l && l == c.node.clients.incomplete {
 		return
@@ -78,7 +78,7 @@
 	c.list, c.listElem = l, l.PushBack(c)
 }
 
-// removeFromList takes the connection off the list it is in.
+// removeFromList removes the connection from the list it is in.
 func (c *client) removeFromList() {
 	if c.listElem != nil {
 		c.list.Remove(c.listElem)
@@ -86,7 +86,8 @@
 	}
 }
 
-// watchSlowReader closes a connection that takes nothing of what it is owed for long: its answers fill the memory.
+// watchSlowReader starts to watch a client that has unsent answers: one that takes nothing for long is closed, because its
+// answers fill the memory.
 func (c *client) watchSlowReader() {
 	if c.conn.Pending() == 0 {
 		c.slowTimer.Stop()
@@ -100,11 +101,11 @@
 	c.checkProgress()
 }
 
-// checkProgress gives up a client that has taken nothing for long.
+// checkProgress schedules the next check, and closes a client that has taken nothing for slowReaderTimeout.
 func (c *client) checkProgress() {
 	c.slowTimer = c.node.loop.After(slowReaderTimeout/5, func() {
-		// Guards against taking a slow reader for a dead one: the system hands over what it holds long before it asks
-		// for more, so only what the client has acknowledged tells.
+		// Guards against taking a slow reader for a dead one: the kernel delivers what it has buffered long before it accepts
+		// more, so only the bytes that the client has acknowledged show progress.
 		now, taken := c.node.loop.Now(), c.conn.Acknowledged()
 		if taken != c.acknowledged {
 			c.acknowledged, c.progressAt = taken, now
@@ -117,7 +118,7 @@
 	})
 }
 
-// closeSlow closes a connection that does not take what it is owed.
+// closeSlow closes a connection whose client does not read its answers.
 func (c *client) closeSlow() {
 	c.node.count.clientsSlow++
 	log.Printf("event=client_slow pending=%d held=%d", c.conn.Pending(), c.heldBytes)
@@ -129,7 +130,7 @@
 // Flushed implements loop.Handler.
 func (c *client) Flushed() { c.flush() }
 
-// End implements loop.Handler: the client has gone away, and nobody waits for what it had asked.
+// End implements loop.Handler: the client has gone, and its requests are abandoned.
 func (c *client) End(error) {
 	if !c.closed {
 		c.node.recordClose(c, closedByClient)
@@ -137,11 +138,11 @@
 	c.abandonRequests()
 }
 
-// abandonRequests lets go of a connection that has ended, and of what nobody waits for any more.
+// abandonRequests releases a connection that has ended and abandons its requests.
 func (c *client) abandonRequests() {
 	calls := c.requests
 	c.release()
-	// Guards against an attempt for one of its requests as another of them ends, whose fetch it had waited for.
+	// Guards against starting an attempt for one of its requests when another one ends whose fetch it had waited for.
 	for _, k := range calls {
 		k.client = nil
 	}
@@ -151,7 +152,7 @@
 	}
 }
 
-// closeDeparted ends the connection of a client that has left, though its end has not come by yet.
+// closeDeparted closes the connection of a client that has gone, before the loop has reported its end.
 func (c *client) closeDeparted() {
 	if !c.closed {
 		c.conn.Close()
@@ -159,7 +160,7 @@
 	}
 }
 
-// closeNow closes a connection that is owed nothing at once, whatever may still come on it.
+// closeNow closes a connection that has no open request at once, whatever may still arrive on it.
 func (c *client) closeNow(why closeReason) {
 	c.node.checkClose(c)
 	c.node.recordClose(c, why)
@@ -167,13 +168,13 @@
 	c.release()
 }
 
-// closeGracefully closes the connection between requests.
+// closeGracefully closes the connection between requests: the write side first, then lingering for the client's end.
 func (c *client) closeGracefully(why closeReason) {
 	if !c.closed {
 		c.node.checkClose(c)
 		c.node.recordClose(c, why)
 		linger := lingerTimeout
-		if c.badCommands > 0 || !c.sentCommand { // whose next bytes nobody wants
+		if c.badCommands > 0 || !c.sentCommand { // what it may still send is of no use
 			linger /= 4
 		}
 		c.conn.CloseGracefully(linger)
@@ -182,7 +183,7 @@
 	}
 }
 
-// release lets go of the connection, which the loop has given back or will after Finish.
+// release removes the connection from the node's books. The loop has closed it, or will when it has lingered.
 func (c *client) release() {
 	if c.closed {
 		return
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -2,12 +2,11 @@
 
 import ()
 
-// Draining: how clients are sent away at a planned end, or when an operator says so.
+// Draining: how clients are sent away, at a graceful shutdown or when an operator drains the node.
 
-// drain sends the clients away, at a planned end or when an operator says so: for a while all goes on, then a connection
-// closes with its next answer, so that its client learns of it before it sends again, and those that get no request
-// close once they have rested. At an end the listener closes too.
-// With a successor that takes clients already there is nothing to wait for.
+// drain sends the clients away. The node serves on as before for lameDuckPeriod; then a connection closes with its next answer,
+// so that its client learns of it before it sends again, and one without a request closes once it has been quiet. At a shutdown
+// the listener closes too. If a successor process already accepts clients, there is no such period.
 func (s *clients) drain(succeeded bool) {
 	switch {
 	case succeeded:
@@ -19,14 +18,14 @@
 	}
 }
 
-// startClosing begins to close connections.
+// startClosing starts to close connections.
 func (s *clients) startClosing() {
 	s.closing = true
 	s.closeQuiet()
 }
 
-// closeQuiet closes connections that have rested, and comes back while there may be others. At an end, each unanswered
-// request belongs to one of them, so after the last the loop stops; closing between requests takes a moment.
+// closeQuiet closes the connections that have been quiet, and runs again while there may be others. At a shutdown the loop stops
+// after the last connection, since each unanswered request belongs to one; the delay lets connections close gracefully.
 func (s *clients) closeQuiet() {
 	n := s.node
 	if n.shuttingDown {
@@ -38,11 +37,11 @@
 			c.growSendBuffer()
 		}
 		if len(c.requests) > 0 || c.conn.Pending() > 0 {
-			// Guards against ending the connection of a slow reader before the system has taken the end of its answer
-			// (launceston-platform, bulk+drain 3: one long value in 250 cut off in its last bytes).
+			// Guards against closing the connection of a slow reader before the kernel has taken the end of its answer: one long
+			// value in 250 lost its last bytes.
 			continue
 		}
-		// Guards against a connection that a drained node still holds after the time it has for that.
+		// Guards against a draining node that still keeps connections after the drain deadline.
 		if c.quiet() || due && c.mayClose() {
 			c.closeGracefully(closedByDrain)
 		}
@@ -55,15 +54,16 @@
 	s.drainTimer = n.loop.After(capacityCheckInterval, s.closeQuiet)
 }
 
-// stopDrain takes a drain back: connections that have begun to close between requests do close.
+// stopDrain ends a drain. Connections that are closing gracefully still close.
 func (s *clients) stopDrain() {
 	s.drainTimer.Stop()
 	s.drainTimer, s.closing = nil, false
 	for c := range s.all {
 		c.node.loop.Defer(c.flush)
 	}
-	s.enforceLimits() // the listener may rest
+	s.enforceLimits() // resumes a paused listener
 }
 
-// quiet reports whether nothing has gone either way for so long that nothing should be on its way, nor has come.
+// quiet reports whether nothing has gone in either direction for quietPeriod, and nothing is unread, so that no request should be
+// on its way.
 func (c *client) quiet() bool { return c.node.loop.Now()-c.lastActive >= quietPeriod && c.mayClose() }
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -12,9 +12,9 @@
 	"lapisshelf/policy"
 )
 
-// Planners: internal/forwarder talks to them, this brings their views to the module.
+// Planners: internal/forwarder communicates with them, and this file passes their views to the policy.
 
-// startForwarder begins to talk to planners, if there are any.
+// startForwarder starts to communicate with planners, if there are any.
 func (n *Node) startForwarder() {
 	if n.cfg.Planners == nil {
 		return
@@ -24,7 +24,7 @@
 		func(event, why string) { log.Printf("event=%s %s", event, why) })
 }
 
-// reportAttempt counts the end of an attempt for planners.
+// reportAttempt reports the end of an attempt to the planners.
 func (n *Node) reportAttempt(t *attempt, a response) {
 	if n.forwarder != nil {
 		took := n.loop.Now() - t.startedAt
@@ -32,7 +32,7 @@
 	}
 }
 
-// readyCaches are the caches that serve by the list.
+// readyCaches returns the caches that are ready by the server list.
 func (n *Node) readyCaches() (list []follow.Server) {
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
 		if p := n.pools[id]; p.ready && !p.origin() {
@@ -42,7 +42,7 @@
 	return list
 }
 
-// viewStatus says what view the node acts on.
+// viewStatus returns the state of the view that the node follows, for an operator.
 func (n *Node) viewStatus() control.Reply {
 	return control.Reply{Status: 200, Body: []byte(n.forwarder.Status())}
 }
--- a/internal/node/ids.go
+++ b/internal/node/ids.go
@@ -7,18 +7,18 @@
 
 const (
 	idRetention = 3 * time.Second // about how long an id is remembered
-	idsPerMB    = 128             // how many of a generation for each megabyte of memory
+	idsPerMB    = 128             // ids of one generation, per megabyte of the memory limit
 
-	listedPerMB = 32 // servers ever listed that are remembered, for each megabyte of memory
+	listedPerMB = 32 // remembered servers, per megabyte of the memory limit
 )
 
-// idSet remembers what requests were called lately, in two generations: neither grows beyond its bound nor is made anew.
+// idSet remembers recent request ids as hashes, in two generations of limited size whose maps are reused.
 type idSet struct {
 	seed        maphash.Seed
 	limit       int
 	recent      map[uint64]struct{}
 	older       map[uint64]struct{}
-	recentSince time.Duration // the recent generation
+	recentSince time.Duration // start of the recent generation
 }
 
 func newIDSet(memoryMB int) idSet {
@@ -41,7 +41,7 @@
 	s.recent[maphash.Bytes(s.seed, id)] = struct{}{}
 }
 
-// serverHistory remembers which servers have ever been in the list, the latest so many.
+// serverHistory remembers the servers that were ever listed, up to a limit; the oldest are dropped first.
 type serverHistory struct {
 	limit int
 	known map[string]bool
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,8 +1,8 @@
-// Package node is the balancer as a process on sockets. It turns what comes on them into calls of the decision
-// module and the module's actions into bytes; it decides nothing of its own about where a request goes.
+// Package node runs one balancer process: it connects the decisions of package policy to sockets. Bytes that arrive become calls
+// of the policy, and the policy's actions become bytes. The package makes no decision of its own about where a request goes.
 //
-// One file a peer: clients.go, caches.go, origin.go; members.go follows the list; pool.go holds the connections to caches and
-// origin. All of it runs on one loop.
+// clients.go, caches.go and origin.go each handle one kind of peer, members.go follows the server list, and pool.go holds the
+// connections to caches and the origin. Everything runs on one event loop.
 package node
 
 import (
@@ -21,124 +21,129 @@
 )
 
 const (
-	// deadlineMargin is kept off a client's deadline for the way back and the loop's lateness.
+	// deadlineMargin is subtracted from a client's deadline, for the way back to the client and for late timers.
 	deadlineMargin = 10 * time.Millisecond
-	// overdueMargin is when, before the deadline, a request that is still unanswered is failed come what may; it comes sooner
-	// where the margin is shorter.
+	// overdueMargin is how long before its deadline a request that is still unanswered is failed. It is shorter for a request
+	// with a short time budget, see startClock.
 	overdueMargin = 3 * time.Millisecond
-	// lameDuckPeriod is how long after SIGTERM new connections may come and all goes on as before.
+	// lameDuckPeriod is how long the node goes on accepting connections and serving as before, after SIGTERM or after an
+	// operator's drain begins.
 	lameDuckPeriod = 500 * time.Millisecond
-	// killDelay is how long after SIGTERM and the longest deadline the process may be killed, less a margin.
+	// killDelay is how long after SIGTERM and the longest deadline the platform may kill the process, less a margin.
 	killDelay = 500 * time.Millisecond
-	// maxDeadlineGrace is the longest that the platform waits for deadlines to pass, however long they are.
+	// maxDeadlineGrace is the longest that the platform waits for deadlines to pass before it kills the process, however long
+	// they are.
 	maxDeadlineGrace = 3 * time.Second
-	// reservedSockets is the number of descriptors kept for what is no pool's and no client's, and for clients of a full house,
-	// whose requests are refused.
+	// reservedSockets is the number of file descriptors kept back from pools and clients: for all other uses, and for clients
+	// that connect to a full node and have their requests refused.
 	reservedSockets = 32
-	// internalSockets of these are the loop's, the runtime's and the standard ones.
+	// internalSockets is the part of reservedSockets that the event loop, the runtime and the standard streams use.
 	internalSockets = 14
-	// discoverySockets are left by clients for a call for the list: by TLS one may still be closing as the next is made.
+	// discoverySockets is how many descriptors clients leave free for calls to discovery. With TLS, one connection may still be
+	// closing when the next is opened.
 	discoverySockets = 2
-	// overheadSockets of the room are the listener's, the call's for the list and the watch's over other processes.
+	// overheadSockets is how many descriptors of the node's room are taken by the listener, the call to discovery and the watch
+	// on this node's other processes.
 	overheadSockets = 3
-	// heldMemoryDivisor bounds the values of writes and of answers that are kept, as a part of the memory limit.
+	// heldMemoryDivisor bounds the values of buffered writes, and those of buffered answers, to this fraction of the memory
+	// limit.
 	heldMemoryDivisor = 4
-	// responseMemoryDivisor bounds one value, as a part of the memory limit.
+	// responseMemoryDivisor bounds a single buffered response to this fraction of the memory limit.
 	responseMemoryDivisor = 64
-	// failed is the answer that promises nothing.
+	// failedAnswer promises nothing about whether the request had an effect.
 	failedAnswer = "SERVER_ERROR failed\r\n"
 )
 
-// Node is one balancer on sockets.
+// Node is one balancer process.
 type Node struct {
 	cfg               Config
 	loop              *loop.Loop
 	policy            *policy.Balancer
-	control           *control.Server // nil: none
+	control           *control.Server // nil without a control address
 	classes           map[string]*class
 	requests          map[string]*request
-	inFlight          int // of them, not answered
+	inFlight          int // requests that have arrived whole and are not answered
 	everListed        serverHistory
-	bans              map[string]bool  // servers banned by hand
+	bans              map[string]bool  // by server id; whether an operator has banned the server
 	pools             map[string]*pool // by server id
 	clients           clients
 	registry          *registry.Client
-	announcer         *registry.Announcer  // nil: the node keeps no entry of itself
-	forwarder         *forwarder.Forwarder // nil: there are no planners
-	serverConns       int                  // connections to servers
-	writeBytes        int                  // bytes of writes kept
-	clientBytes       int                  // bytes of answers that clients have yet to take, and of commands not whole
-	responseBytes     int                  // bytes of answers that are not whole
-	sendBufferBytes   int                  // bytes that the system was asked to make room for, so that they outlive the process
+	announcer         *registry.Announcer  // nil if the node does not announce itself
+	forwarder         *forwarder.Forwarder // nil without planners
+	serverConns       int                  // open connections to servers
+	writeBytes        int                  // bytes of buffered writes
+	clientBytes       int                  // bytes held for clients: unsent answers and incomplete commands
+	responseBytes     int                  // bytes of incomplete responses
+	sendBufferBytes   int                  // bytes by which clients' kernel send buffers were grown, so that answers outlive the process
 	shedding          bool
 	count             counters
 	recorder          recorder
-	violationLoggedAt time.Duration // when a violation was logged last
+	violationLoggedAt time.Duration // when a violation was last logged
 	ready             bool
-	listReceived      bool // an answer about the list has come
+	listReceived      bool // discovery has answered
 	shuttingDown      bool
-	draining          bool          // drained by an operator
-	drainVersion      time.Duration // the version of that word, or of its end
-	drainDeadline     time.Duration // when nothing idle may be held any more
+	draining          bool          // an operator has drained the node
+	drainVersion      time.Duration // orders the drain and undrain commands of all processes of the node
+	drainDeadline     time.Duration // from then on a draining node keeps no idle connection
 	succession        succession
-	setMemoryLimit    func(mb int) // told of the megabytes that the process may use
-	// lastAnswer is when, after SIGTERM, all answers must have been given.
+	setMemoryLimit    func(mb int) // called with the memory limit of the process
+	// answerDeadline is when, after SIGTERM, all requests must have been answered.
 	answerDeadline time.Duration
 }
 
-// request is a request that the node has taken. It is the module's while it is open, and known here until it has been
-// answered and all its attempts have ended.
+// request is a client's request. The policy knows it while it is open; the node keeps it until it has been answered and all its
+// attempts have ended.
 type request struct {
 	id            string
 	class         *class
-	client        *client // nil once nobody waits
+	client        *client // nil once the client has gone
 	command       meta.Command
 	deadline      time.Duration // the client's
-	attemptsUntil time.Duration // until then attempts may run
-	answer        []byte        // complete, waiting for its turn on the connection
-	body          *body         // a long value that it is bound to, while that comes
+	attemptsUntil time.Duration // attempts may run until then
+	answer        []byte        // complete; waits for its turn on the connection
+	body          *body         // the long value that is streamed as its answer
 	upload        *upload       // the long value of a write
-	received      bool          // it counts as taken: all of it has come
+	received      bool          // it has arrived whole, and its deadline counts
 	answered      bool
 	attempts      []*attempt
 	openAttempts  int
 	timer         *loop.Timer
 }
 
-// attempt is one attempt.
+// attempt is one attempt of a request at a server.
 type attempt struct {
 	request     *request
 	number      int
 	pool        *pool
 	startedAt   time.Duration
-	runnableAt  time.Duration // as its request could first run: of a long value, when all of that had come
-	mayHaveRun  bool          // it has ended, and may have run
-	timeout     time.Duration // from then on the node waits for it
-	link        *link         // while it is out
-	startOffset int64         // where its first byte stands on the link
-	endOffset   int64         // and the byte behind its last
-	written     bool          // it has been written whole
-	queued      bool          // no byte of it went to the system as it was written
+	runnableAt  time.Duration // when the server could first run it; with a long value, when all of that had arrived
+	mayHaveRun  bool          // it has ended, and the server may have run it
+	timeout     time.Duration // how long the node waits for it, as the server is told
+	link        *link         // while it is outstanding
+	startOffset int64         // position of its first byte in the connection's output
+	endOffset   int64         // position after its last byte
+	written     bool          // the system has taken all of it
+	queued      bool          // the system took none of it at first
 	timer       *loop.Timer
-	expiryTimer *loop.Timer // when it may not go out any more
-	writeTimer  *loop.Timer // when it is taken back if no byte of it has gone out
+	expiryTimer *loop.Timer // fires when it may no longer be sent
+	writeTimer  *loop.Timer // withdraws it if the system has taken none of it
 	done        bool
 }
 
-// response is what a server said of an attempt. Its slices are good only while they are being handled.
+// response is how an attempt ended. Its slices are valid only while it is being handled.
 type response struct {
 	outcome     policy.Outcome
 	cacheStatus policy.CacheStatus
 	value       []byte
 	receipt     []byte
-	stored      bool   // served without a value: a receipt
-	longSize    int    // bytes of a long value, which follows
-	trailer     string // what must stand behind that
-	close       bool   // the connection carries nothing after it
-	reusedConn  bool   // of a reset: the connection had answered before
+	stored      bool   // a write was stored; receipt holds its receipt
+	longSize    int    // size of a long value that follows
+	trailer     string // what must follow the long value
+	close       bool   // the server closes the connection after it
+	reusedConn  bool   // with Reset: the connection had carried a response before
 }
 
-// New builds a node that listens and follows the list. Nothing happens until the loop runs.
+// New creates a node that listens and follows the server list. Nothing happens until the loop runs.
 func New(cfg Config, l *loop.Loop) (*Node, error) {
 	n := &Node{cfg: cfg, loop: l, requests: map[string]*request{}, pools: map[string]*pool{}, classes: map[string]*class{}, bans: map[string]bool{}}
 	for name, longest := range cfg.Transport.Deadlines {
@@ -165,7 +170,7 @@
 		n.count.knownBad++
 		log.Printf("event=bad_known why=%q", cfg.BadKnown)
 	}
-	if n.cfg.Settings.MayProbe { // reads are sent unasked, as where probes are not allowed
+	if n.cfg.Settings.MayProbe { // reads are then sent without a probe, as where settings don't allow probes
 		n.cfg.Settings.MayProbe = false
 		log.Printf("event=no_probes why=%q", "settings call for probes, which the cache protocol does not have; serving without")
 	}
@@ -179,8 +184,8 @@
 	return n, nil
 }
 
-// guard runs the module. A panic in it is a bug, but one that must cost a decision, not all that the node holds: the
-// requests concerned are failed by their last call.
+// guard runs f, a call of the policy. A panic in the policy is a bug, but it must cost one decision, not all that the node holds:
+// requests that it leaves unanswered are failed by failOverdue.
 func (n *Node) guard(what string, f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -191,7 +196,7 @@
 	f()
 }
 
-// submit hands a client's request to the module.
+// submit passes a client's request to the policy.
 func (n *Node) submit(c *request, now time.Duration) {
 	info := c.command.Info
 	n.requests[c.id] = c
@@ -201,7 +206,7 @@
 	}
 	if c.upload == nil {
 		n.startClock(c, now, c.deadline-now)
-	} else { // until all has come its time does not count: this is how long it may wait for an attempt
+	} else { // the deadline does not count until the value is complete; this is how long it may wait for an attempt
 		c.attemptsUntil = now + c.upload.timeout
 	}
 	n.guard("request", func() {
@@ -211,18 +216,18 @@
 	})
 }
 
-// startClock has a request's time run, all of which has come: so long from now its client goes away.
-func (n *Node) startClock(c *request, now, wait time.Duration) {
-	c.deadline, c.attemptsUntil = now+wait, now+wait-min(deadlineMargin, wait/2)
+// startClock starts the time budget of a request that has arrived whole: its client stops waiting after wait.
+func (n *Node) startClock(c *request, now, timeout time.Duration) {
+	c.deadline, c.attemptsUntil = now+timeout, now+timeout-min(deadlineMargin, timeout/2)
 	c.received = true
 	n.inFlight++
-	// Guards against taking a request with hardly any time for one left unanswered: with 6 ms or less the last call came
-	// before the end that the module is told (lab, slow-origin: a retry with 5 ms left).
+	// Guards against leaving a request with very little time unanswered: with 6 ms or less, the overdue timer fired before the
+	// end that the policy is told, as for a retry with 5 ms left.
 	margin := min(overdueMargin, (c.deadline-c.attemptsUntil)/3)
 	c.timer = n.loop.After(c.deadline-margin-now, func() { n.failOverdue(c) })
 }
 
-// stopClock notes that a request is over.
+// stopClock marks a request as answered and ends its time budget.
 func (n *Node) stopClock(c *request) {
 	c.answered = true
 	c.timer.Stop()
@@ -231,17 +236,17 @@
 	}
 }
 
-// capTimeout cuts how long a client waits to what this process can wait.
-func (n *Node) capTimeout(wait, now time.Duration) time.Duration {
-	if n.shuttingDown { // what is unanswered at the kill is lost, however long its client would wait
-		return min(wait, n.answerDeadline-now)
-	} else if n.draining && n.drainDeadline-now < lameYoung { // a request as young as that may not be held any more then
-		return max(min(wait, n.drainDeadline-now), lameLeast)
+// capTimeout limits a client's timeout to the time that this process can still wait.
+func (n *Node) capTimeout(timeout, now time.Duration) time.Duration {
+	if n.shuttingDown { // what is unanswered when the process is killed is lost, however long its client would wait
+		return min(timeout, n.answerDeadline-now)
+	} else if n.draining && n.drainDeadline-now < lameYoung { // at the drain deadline no request that is younger than lameYoung may be left
+		return max(min(timeout, n.drainDeadline-now), lameLeast)
 	}
-	return wait
+	return timeout
 }
 
-// shortenDeadlines cuts what was taken before a planned end to what this process can wait.
+// shortenDeadlines limits the deadlines of open requests to the time that this process can still wait, at a planned shutdown.
 func (n *Node) shortenDeadlines() {
 	now := n.loop.Now()
 	for _, c := range n.requests {
@@ -254,16 +259,16 @@
 	}
 }
 
-// endingTransitions are how a request's end is recorded.
+// endingTransitions maps how a request ended to its transition in the flight recorder.
 var endingTransitions = [endings]transition{served: requestServed, refused: requestRefused, failed: requestFailed}
 
-// failOverdue fails a request that the module has left unanswered. It should never be needed; it guards rule 1 against
-// what nobody has thought of.
+// failOverdue fails a request that the policy has left unanswered. It should never be needed; it ensures that every request is
+// answered even after an unforeseen fault.
 func (n *Node) failOverdue(c *request) {
 	if c.answered {
 		return
 	}
-	if !n.shuttingDown || c.deadline < n.answerDeadline { // else it would have gone on waiting
+	if !n.shuttingDown || c.deadline < n.answerDeadline { // otherwise the shutdown has cut its deadline
 		n.count.overdue++
 		n.recordTransition(requestOverdue, c)
 		log.Printf("event=overdue id=%s attempts=%d", c.id, len(c.attempts))
@@ -273,7 +278,7 @@
 	n.guard("abandoned", func() { n.policy.Abandoned(n.loop.Now(), c.id) })
 }
 
-// reply gives a request its one answer.
+// reply answers a request, once.
 func (n *Node) reply(c *request, text []byte, how ending) {
 	if c.answered {
 		return
@@ -290,7 +295,7 @@
 	n.removeIfDone(c)
 }
 
-// abandon notes that nobody waits for a request any more.
+// abandon ends a request whose client has gone.
 func (n *Node) abandon(c *request) {
 	c.client = nil
 	if c.answered {
@@ -302,7 +307,7 @@
 	n.count.abandoned++
 	n.stopClock(c)
 	n.guard("abandoned", func() { n.policy.Abandoned(n.loop.Now(), c.id) })
-	if b != nil { // what comes of it has nowhere to go
+	if b != nil { // the rest of the value has no receiver
 		b.attempt.pool.cancel(b.attempt)
 	}
 	if u := c.upload; u != nil && u.attempt != nil {
@@ -312,7 +317,7 @@
 	n.removeIfDone(c)
 }
 
-// withdrawAttempts takes back what has not gone out for a request that is over.
+// withdrawAttempts withdraws the attempts of a finished request that have not been sent.
 func (n *Node) withdrawAttempts(c *request) {
 	for _, t := range c.attempts {
 		if !t.done {
@@ -321,7 +326,7 @@
 	}
 }
 
-// removeIfDone forgets a request that has been answered and has no attempt out.
+// removeIfDone removes a request that has been answered and has no outstanding attempt.
 func (n *Node) removeIfDone(c *request) {
 	if !c.answered || c.openAttempts > 0 || n.requests[c.id] != c {
 		return
@@ -331,12 +336,13 @@
 	c.command = meta.Command{}
 }
 
-// attemptFinished takes the end of an attempt, at the moment it is known and outside any call of the module.
+// attemptFinished handles the end of an attempt, as soon as it is known and outside any call of the policy.
 func (n *Node) attemptFinished(t *attempt, a response) {
 	if t.done {
 		return
 	}
-	// Guards against counting against the server what this process takes to answer the client, stopped in the midst of it.
+	// Guards against adding to the server's latency the time that this process takes to answer the client, for instance if it is
+	// stopped in between.
 	now := n.loop.Now()
 	t.done, t.mayHaveRun = true, !a.outcome.NeverRan()
 	n.recordAttempt(attemptEnded, t, 0, a.outcome)
@@ -367,11 +373,11 @@
 	n.removeIfDone(c)
 }
 
-// actions carries out what the module asks for.
+// actions implements policy.Actions on the node.
 type actions struct{ n *Node }
 
 // Send implements policy.Actions.
-func (a actions) Send(id, server string, wait, by time.Duration) {
+func (a actions) Send(id, server string, timeout, by time.Duration) {
 	n := a.n
 	c := n.requests[id]
 	if c == nil {
@@ -381,16 +387,17 @@
 	t := &attempt{request: c, number: len(c.attempts), pool: n.pools[server], startedAt: now, runnableAt: now}
 	c.attempts = append(c.attempts, t)
 	c.openAttempts++
-	if t.pool == nil { // never listed here: nothing can have been sent
+	if t.pool == nil { // never listed, so nothing can have been sent
 		t.pool = &pool{node: n, id: server, banned: true}
 	}
 	left := c.attemptsUntil - now
-	if wait > 0 {
-		left = min(left, wait)
+	if timeout > 0 {
+		left = min(left, timeout)
 	}
 	x := c.client
-	// Guards against an attempt for a client that has gone, whose end stands in the system behind what had this one begin: an
-	// answer that gave it room, a time-out, another that was to fetch for it.
+	// Guards against an attempt for a client that has gone, where the loop has yet to read the end of its connection because it
+	// comes after the event that starts the attempt: a response that freed capacity, a timeout, or the end of the fetch that the
+	// request had waited for.
 	gone := x == nil || x.conn.PeerClosed()
 	why := n.maySend(t, left, gone)
 	if why == safety.Allowed && left <= 0 {
@@ -414,9 +421,9 @@
 }
 
 // Refuse implements policy.Actions.
-func (a actions) Refuse(id string, comeBack time.Duration) {
+func (a actions) Refuse(id string, retryAfter time.Duration) {
 	if c := a.n.requests[id]; c != nil && c.client != nil {
-		a.n.reply(c, meta.AppendBusy(nil, comeBack.Milliseconds()), refused)
+		a.n.reply(c, meta.AppendBusy(nil, retryAfter.Milliseconds()), refused)
 	}
 }
 
@@ -428,15 +435,15 @@
 }
 
 // Cancel implements policy.Actions.
-func (a actions) Cancel(id string, k int) {
+func (a actions) Cancel(id string, number int) {
 	c := a.n.requests[id]
-	if c == nil || k < 0 || k >= len(c.attempts) || c.attempts[k].done {
+	if c == nil || number < 0 || number >= len(c.attempts) || c.attempts[number].done {
 		return
 	}
-	if b := c.body; b != nil && b.attempt == c.attempts[k] {
-		return // its value has begun to flow
+	if b := c.body; b != nil && b.attempt == c.attempts[number] {
+		return // its value is being streamed to the client
 	}
-	t := c.attempts[k]
+	t := c.attempts[number]
 	a.n.loop.Defer(func() { t.pool.cancel(t) })
 }
 
@@ -446,7 +453,7 @@
 	n.loop.After(after, func() { n.guard("timer", func() { n.policy.Timer(n.loop.Now(), token) }) })
 }
 
-// Subscribe implements policy.Actions. The list is followed in any case, see decide/roster.
+// Subscribe implements policy.Actions. The node follows the list in any case, see decide/roster.
 func (a actions) Subscribe() {}
 
 // Probe implements policy.Actions; the protocol has no probes, and New says so where settings call for them.
@@ -455,8 +462,8 @@
 // Log implements policy.Actions.
 func (a actions) Log(text string) { log.Printf("event=policy text=%q", text) }
 
-// Shutdown begins a planned end: for a while all goes on, then each connection closes with its next answer or once it
-// has rested, and after the last the loop stops.
+// Shutdown begins a graceful shutdown. The node first serves on as before; then each connection closes with its next answer or
+// once it has been quiet, and after the last one the loop stops.
 func (n *Node) Shutdown() {
 	if n.shuttingDown {
 		return
@@ -466,14 +473,14 @@
 	for _, d := range n.cfg.Transport.Deadlines {
 		longest = max(longest, d)
 	}
-	// Guards against requests whose clients would wait for longer than the process lives (launceston-platform,
-	// roll+term+brink, reads of 5 s: unanswered at the kill 3.7 s after SIGTERM).
+	// Guards against requests whose clients would wait longer than the process lives: reads with a 5 s deadline were still
+	// unanswered when the process was killed 3.7 s after SIGTERM.
 	n.answerDeadline = n.loop.Now() + min(longest, maxDeadlineGrace) + killDelay
 	n.shortenDeadlines()
 	n.recordTransition(nodeLeaving, nil)
 	succeeded := n.succession.succeeded()
 	log.Printf("event=leaving open=%d clients=%d succeeded=%t", len(n.requests), len(n.clients.all), succeeded)
-	if n.announcer != nil { // whoever follows the nodes knows before the listener closes
+	if n.announcer != nil { // so that those who follow the list of nodes know before the listener closes
 		n.announcer.Stop(func() {})
 	}
 	n.clients.drain(succeeded)
@@ -481,8 +488,8 @@
 	n.succession.settle()
 }
 
-// Reload takes the configuration as it is after a change of its file: where discovery is, and the limits. All else
-// stays as at the start, the list held included. It reports whether the new one is in force; a bad one is not.
+// Reload applies a changed configuration file: the address of discovery, and the limits. All else stays as at the start,
+// including the server list. It reports whether the new configuration is in force; an invalid one is rejected.
 func (n *Node) Reload(cfg Config, err error) bool {
 	if err != nil {
 		n.count.reloadsBad++
@@ -492,7 +499,7 @@
 	n.count.reloads++
 	log.Printf("event=reload list=%s memory_mb=%d sockets=%d", cfg.Registry.Endpoints, cfg.MemoryMB, cfg.Sockets)
 	if cfg.Listen != n.cfg.Listen {
-		log.Printf("event=reload_ignored listen=%s why=%q", cfg.Listen, "the address is given up only at the end")
+		log.Printf("event=reload_ignored listen=%s why=%q", cfg.Listen, "the listen address cannot change while the process runs")
 	}
 	n.cfg.MemoryMB, n.cfg.Sockets = cfg.MemoryMB, cfg.Sockets
 	n.tellMemory()
--- a/internal/node/recorder.go
+++ b/internal/node/recorder.go
@@ -10,18 +10,18 @@
 	"lapisshelf/policy"
 )
 
-// The flight recorder: the last transitions of requests, attempts and connections, in a ring that is written in place. It costs
-// no allocation on the serving path, is told whole to an operator who asks (GET /_flight), and what it knows of one request goes to
-// the log with each violation and each request that was overdue.
+// The flight recorder keeps the latest transitions of requests, attempts and connections in a ring buffer. It allocates nothing
+// on the serving path. An operator can read all of it (GET /_flight), and a request's transitions are logged with each violation
+// and each overdue request.
 
 const (
-	recorderSize     = 4096 // transitions that are kept
-	maxLoggedRecords = 24   // of one request or connection that are logged at once, at most
-	// violationLogInterval bounds how often a violation is logged with what led to it; all are counted.
+	recorderSize     = 4096 // transitions in the ring
+	maxLoggedRecords = 24   // logged transitions of one request
+	// violationLogInterval is the minimum interval between logged violations; all are counted.
 	violationLogInterval = time.Second
 )
 
-// transition is what has happened.
+// transition is a kind of recorded event.
 type transition uint8
 
 const (
@@ -66,23 +66,23 @@
 var closeReasonNames = [closeReasons]string{"by_client", "idle", "owes_a_command", "for_room", "after_its_answers", "node_ends_or_drains", "slow",
 	"answer_broken_off", "not_accepted"}
 
-// record is one transition. What does not belong to its kind is zero.
+// record is one recorded transition. Fields that don't apply to its kind are zero.
 type record struct {
 	at          time.Duration
 	transition  transition
 	why         safety.Reason
-	outcome     policy.Outcome // of an attempt that has ended
-	closeReason closeReason    // of a connection
-	attempt     int            // of the request, from 0
-	client      uint64         // the connection, by the order of opening
+	outcome     policy.Outcome // for attemptEnded
+	closeReason closeReason    // for clientClosed
+	attempt     int            // index among the request's attempts, from 0
+	client      uint64         // the connection's number, in the order of opening
 	request     string
 	server      string
 }
 
-// recorder is the ring.
+// recorder is a ring buffer of transitions.
 type recorder struct {
 	ring [recorderSize]record
-	next uint64 // how many were recorded
+	next uint64 // transitions recorded so far
 }
 
 // add records a transition.
@@ -91,7 +91,7 @@
 	r.next++
 }
 
-// forEach gives what is recorded, oldest first.
+// forEach calls f for each recorded transition, oldest first.
 func (r *recorder) forEach(f func(x *record)) {
 	first := uint64(0)
 	if r.next > recorderSize {
@@ -102,7 +102,7 @@
 	}
 }
 
-// text is a transition as key=value.
+// text formats a transition as key=value pairs.
 func (x *record) text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "at=%d.%06d what=%s", x.at/time.Second, x.at%time.Second/time.Microsecond, transitionNames[x.transition])
@@ -127,7 +127,7 @@
 	return b.String()
 }
 
-// flightRecords gives all that is recorded, to an operator.
+// flightRecords returns all recorded transitions, for an operator.
 func (n *Node) flightRecords() control.Reply {
 	var b strings.Builder
 	n.recorder.forEach(func(x *record) {
@@ -137,7 +137,7 @@
 	return control.Reply{Status: 200, Body: []byte(b.String())}
 }
 
-// history is what is recorded of a request, the latest transitions of it.
+// history returns the latest transitions of a request, as text.
 func (r *recorder) history(request string) (lines []string) {
 	r.forEach(func(x *record) {
 		if x.request == request {
@@ -160,8 +160,8 @@
 }
 
 // recordAttempt records a transition of an attempt.
-func (n *Node) recordAttempt(what transition, t *attempt, why safety.Reason, o policy.Outcome) {
-	x := record{at: n.loop.Now(), transition: what, why: why, outcome: o, attempt: t.number, request: t.request.id, server: t.pool.id}
+func (n *Node) recordAttempt(what transition, t *attempt, why safety.Reason, outcome policy.Outcome) {
+	x := record{at: n.loop.Now(), transition: what, why: why, outcome: outcome, attempt: t.number, request: t.request.id, server: t.pool.id}
 	if c := t.request.client; c != nil {
 		x.client = c.number
 	}
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -8,46 +8,46 @@
 )
 
 const (
-	maxUploadTime       = 30 * time.Second // how long a long value may take to come
-	minRemaining        = time.Millisecond // what is left to a request whose time was over as its last byte was read
+	maxUploadTime       = 30 * time.Second // how long a long value may take to arrive
+	minRemaining        = time.Millisecond // remaining time of a request whose deadline had passed when its last byte was read
 	uploadCheckInterval = 500 * time.Millisecond
 )
 
-// upload is a long value on its way from a client to a server. Its first bytes are kept, as many as a whole value may hold;
-// then the request goes to the module, and the value to the server as it comes. The last byte goes on only when the line
-// end behind it is seen to be right: until then the write has provably never run, whatever becomes of it.
+// upload is a long value that is streamed from a client to a server. Its beginning is buffered, up to maxBufferedBody; then the
+// request goes to the policy, and the value to the server as it arrives. The last byte is sent only after the line end behind it
+// has been checked: until then the write has provably not run, whatever happens to it.
 type upload struct {
 	client          *client
 	request         *request
-	timeout         time.Duration // how long the client waits once all has come
-	remaining       int           // bytes of the value to come
-	trailer         string        // of the line end behind it, what has yet to come
-	buffered        []byte        // all that has come, while that is little enough to be sent again
-	finalBytes      []byte        // the value's last byte, and what the server wants behind it
-	attempt         *attempt      // the attempt that it is written to
-	submitted       bool          // the module knows of it
-	bufferDropped   bool          // more has come than was kept
-	complete        bool          // all has come
+	timeout         time.Duration // how long the client waits once all has arrived
+	remaining       int           // bytes of the value still to arrive
+	trailer         string        // the part of the line end after the value that has yet to arrive
+	buffered        []byte        // all that has arrived, while it is small enough to be sent again
+	finalBytes      []byte        // the value's last byte, held back until the end
+	attempt         *attempt      // the attempt that it is written to; nil: none
+	submitted       bool          // the policy has been given the request
+	bufferDropped   bool          // the buffer was given up, so no other attempt is possible
+	complete        bool          // all has arrived
 	startedAt       time.Duration
-	lastProgress    time.Duration // when bytes last came
-	writtenBytes    int64         // of the try, what the system had taken when last looked at
-	writeProgressAt time.Duration // when that was seen to grow
+	lastProgress    time.Duration // when bytes last arrived
+	writtenBytes    int64         // bytes of the attempt that the system had taken at the last check
+	writeProgressAt time.Duration // when writtenBytes last grew
 	timer           *loop.Timer
 }
 
-// beginUpload begins to take a long value of a request.
-func (c *client) beginUpload(k *request, size int, wait time.Duration) {
+// beginUpload starts to receive the long value of a request.
+func (c *client) beginUpload(k *request, size int, timeout time.Duration) {
 	now := c.node.loop.Now()
-	c.upload = &upload{client: c, request: k, timeout: wait, remaining: size, trailer: "\r\n", startedAt: now, lastProgress: now}
+	c.upload = &upload{client: c, request: k, timeout: timeout, remaining: size, trailer: "\r\n", startedAt: now, lastProgress: now}
 	k.upload = c.upload
 	c.node.count.uploads++
 	c.upload.checkStalled()
 }
 
-// consume takes what belongs to the value off what has come.
+// consume takes the part of data that belongs to the value.
 func (u *upload) consume(data []byte) (used int, ok bool) {
 	u.lastProgress = u.client.node.loop.Now()
-	u.client.removeFromList() // it owes less than before: what it may owe, and for how long, begins anew
+	u.client.removeFromList() // this is progress: the time limit of an incomplete command starts anew
 	if used = min(u.remaining, len(data)); used > 0 {
 		piece := data[:used]
 		if u.remaining -= used; u.remaining == 0 {
@@ -55,7 +55,7 @@
 		}
 		u.forward(piece)
 	}
-	// Guards against a write that runs though its value was longer or shorter than it said.
+	// Guards against a write that runs although its value is longer or shorter than announced.
 	if u.remaining == 0 {
 		var end int
 		u.trailer, end, ok = consumePrefix(u.trailer, data[used:])
@@ -64,9 +64,9 @@
 	return used, true
 }
 
-// forward passes a piece on, or keeps it until there is an attempt.
+// forward writes a piece of the value to the attempt, or buffers it until there is one.
 func (u *upload) forward(piece []byte) {
-	if u.request.answered { // nobody wants it any more
+	if u.request.answered { // the value is no longer needed
 		u.buffered = nil
 		return
 	}
@@ -83,8 +83,8 @@
 	}
 }
 
-// submit takes the request: enough of it has come to be believed. Until then its connection owes the rest of a command like
-// any other, and its id is nobody's: half a command with another's id must not cost that one its request.
+// submit passes the request to the policy once enough of its value has arrived to be credible. Until then it is an incomplete
+// command like any other, and its id is not registered: half a command with another request's id must not affect that request.
 func (u *upload) submit() {
 	c, n := u.client, u.client.node
 	if err := n.checkUniqueID(u.request.command.ID); err != nil {
@@ -97,14 +97,15 @@
 	n.submit(u.request, n.loop.Now())
 }
 
-// dropLargeBuffer gives up keeping what has been written to an attempt once it is too much: from then on there is no other.
+// dropLargeBuffer drops the buffer once the part written to an attempt is too large to be kept. From then on no other attempt is
+// possible.
 func (u *upload) dropLargeBuffer() {
 	if u.attempt != nil && len(u.buffered) > maxBufferedBody {
 		u.bufferDropped, u.buffered = true, nil
 	}
 }
 
-// sendTo writes to a new attempt what has come.
+// sendTo writes what has arrived to a new attempt.
 func (u *upload) sendTo(t *attempt) {
 	now := u.client.node.loop.Now()
 	u.attempt, u.writtenBytes, u.writeProgressAt = t, 0, now
@@ -117,7 +118,7 @@
 	u.client.node.loop.Defer(u.updatePaused)
 }
 
-// finish writes the end of the value: from here on the write may run.
+// finish writes the end of the value. From here on the server may run the write.
 func (u *upload) finish() {
 	l := u.attempt.link
 	l.going = nil
@@ -125,7 +126,7 @@
 	l.wrote()
 }
 
-// received notes that all has come: the request is taken, and its time counts.
+// received handles the end of the value: the request counts as taken, and its time budget starts.
 func (u *upload) received() {
 	c, n := u.request, u.client.node
 	u.complete = true
@@ -143,7 +144,7 @@
 	}
 }
 
-// attemptDone notes that its attempt has ended.
+// attemptDone handles the end of its attempt.
 func (u *upload) attemptDone(t *attempt) {
 	if u.attempt == t {
 		u.attempt = nil
@@ -151,8 +152,8 @@
 	}
 }
 
-// shouldPause reports whether nothing more is wanted of the client for now: the server has not taken what it was given, or there
-// is no attempt yet.
+// shouldPause reports whether reading from the client should pause: the server has not taken what was sent, or there is no
+// attempt yet and the buffer is full.
 func (u *upload) shouldPause() bool {
 	if u.request.answered {
 		return false
@@ -163,7 +164,7 @@
 	return len(u.buffered) >= maxBufferedBody
 }
 
-// updatePaused reads on, or not.
+// updatePaused pauses or resumes reading from the client.
 func (u *upload) updatePaused() {
 	if c := u.client; c.upload == u && !c.closed {
 		c.conn.SetPaused(u.shouldPause())
@@ -171,7 +172,7 @@
 	}
 }
 
-// bufferedBytes is how many bytes it keeps.
+// bufferedBytes is the number of bytes held for the value.
 func (u *upload) bufferedBytes() int {
 	if u.attempt != nil && !u.attempt.link.gone {
 		return cap(u.buffered) + u.attempt.link.conn.Pending()
@@ -179,7 +180,8 @@
 	return cap(u.buffered)
 }
 
-// checkStalled ends a value of which nothing comes though it could, and an attempt whose server takes nothing of it.
+// checkStalled ends an upload whose client sends nothing although it is read, and an attempt whose server takes nothing of the
+// value.
 func (u *upload) checkStalled() {
 	c := u.client
 	now := c.node.loop.Now()
@@ -204,7 +206,8 @@
 	u.timer = c.node.loop.After(uploadCheckInterval, u.checkStalled)
 }
 
-// rejectMalformed ends a request whose value does not end where it should, and the connection: nobody knows what comes next.
+// rejectMalformed ends a request whose value does not end where it should. Its connection closes too, since the start of the next
+// command is unknown.
 func (u *upload) rejectMalformed() {
 	c, k := u.client, u.request
 	c.upload = nil
