--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -9,15 +9,16 @@
 	"lapisshelf/internal/control"
 )
 
-// fillWithClients has clients connect, one by one, until a condition holds. They say nothing and stay, and nothing is closed for it.
+// fillWithClients connects clients one by one until a condition holds. They send nothing and stay, and none of them is closed for
+// that.
 func (b *bench) fillWithClients(until func() bool) {
 	b.t.Helper()
 	n := b.node
-	n.clients.closing = true // thin does nothing
+	n.clients.closing = true // enforceLimits then closes nothing
 	defer func() { n.clients.closing = false }()
 	for i := 0; !until(); i++ {
 		if i > n.sockets() {
-			b.t.Fatal("clients take more than there is")
+			b.t.Fatal("more clients connected than there are descriptors")
 		}
 		conn, err := net.Dial("tcp", b.listens().String())
 		if err != nil {
@@ -25,14 +26,14 @@
 		}
 		b.t.Cleanup(func() { conn.Close() })
 		before := n.count.clientsIn
-		b.run("it is taken in", func() bool { return n.count.clientsIn > before })
-		for c := range n.clients.all { // and tidy does nothing, however slow the machine
+		b.run("the client is accepted", func() bool { return n.count.clientsIn > before })
+		for c := range n.clients.all { // nor does closeTimedOut, however slow the machine
 			c.incompleteSince, c.lastActive = n.loop.Now()+time.Hour, n.loop.Now()+time.Hour
 		}
 	}
 }
 
-// markAllIdle has all of them have asked, and been answered.
+// markAllIdle makes all clients idle ones that have sent a request.
 func (b *bench) markAllIdle() {
 	for c := range b.node.clients.all {
 		c.sentCommand = true
@@ -40,40 +41,40 @@
 	}
 }
 
-// Guards against clients who fill the room and the reserve: servers to whom no connection stands, and the call for the list,
-// still get their descriptors.
+// Guards against clients that fill the room and the reserve: servers without a connection, and the call to discovery, must still
+// get their descriptors.
 func TestClientsLeaveDescriptorsForServersAndDiscovery(t *testing.T) {
 	b := newBench(t)
 	n := b.node
 	n.cfg.Sockets = 64
 	b.fillWithClients(n.clients.reserveFull)
 	if left := n.brim() - n.open(); left < n.linkLeast()+discoverySockets {
-		t.Errorf("%d descriptors are left, of which servers must have %d and the list %d", left, n.linkLeast(), discoverySockets)
+		t.Errorf("%d descriptors are left, but servers must be left %d and discovery %d", left, n.linkLeast(), discoverySockets)
 	}
-	for c := range n.clients.all { // each has asked, and sent one away that had not
+	for c := range n.clients.all { // as if each had sent a request and had evicted one that had not
 		c.setInReserve(false)
 	}
 	for i := range n.linkLeast() {
 		if !n.mayDial() || b.pool.dial() == nil {
-			t.Fatalf("connection %d to a server finds no room", i)
+			t.Fatalf("no room for connection %d to a server", i)
 		}
 	}
 	if n.mayDial() {
-		t.Error("servers take more than they must have from a full house")
+		t.Error("a full node lets servers have more than they must be left")
 	}
 	if !n.clients.reserveFull() || n.open() > n.brim() {
-		t.Errorf("%d of %d descriptors are taken, and there is room for a client", n.open(), n.brim())
+		t.Errorf("%d of %d descriptors are in use, and there is room for a client", n.open(), n.brim())
 	}
 }
 
-// Guards against clients in the reserve, or refused and not yet gone, who are counted in the room: it would be full of them.
+// Guards against counting clients of the reserve, or refused ones that linger, in the room: they would fill it.
 func TestReservedClientsDoNotCountAgainstTheRoom(t *testing.T) {
 	b := newBench(t)
 	n := b.node
 	n.cfg.Sockets = 64
 	b.fillWithClients(n.clients.reserveFull)
 	if n.clients.reserved == 0 {
-		t.Fatal("nobody stands in the reserve")
+		t.Fatal("no client is in the reserve")
 	}
 	reserved, left := n.clients.reserved, 10
 	n.clients.closing = true
@@ -84,25 +85,25 @@
 		}
 	}
 	if n.clients.full() || n.clients.reserved != reserved {
-		t.Error("the house is full of clients in the reserve")
+		t.Error("clients in the reserve fill the room")
 	}
 	for i := range 10 {
 		if !n.mayDial() || b.pool.dial() == nil {
-			t.Fatalf("connection %d to a server finds no room", i)
+			t.Fatalf("no room for connection %d to a server", i)
 		}
 	}
-	for c := range n.clients.all { // however they end, they give their places back
+	for c := range n.clients.all { // their places are freed however they end
 		if c.inReserve {
 			c.closeGracefully(closedIdle)
 		}
 	}
-	b.run("those of the reserve are gone", func() bool { return n.clients.lingering.Len() == 0 })
+	b.run("the clients of the reserve are gone", func() bool { return n.clients.lingering.Len() == 0 })
 	if n.clients.reserved != 0 {
-		t.Errorf("%d descriptors of the reserve are held by nobody", n.clients.reserved)
+		t.Errorf("%d descriptors of the reserve are counted after all clients have gone", n.clients.reserved)
 	}
 }
 
-// Guards against clients that don't close what the node has ended: in a full house they are waited for only until they have
+// Guards against clients that don't close a connection that the node has ended: a full node waits for them only until they have
 // acknowledged their answers.
 func TestFullNodeClosesLingeringConnections(t *testing.T) {
 	b := newBench(t)
@@ -118,17 +119,18 @@
 	n.clients.closing = true
 	first := front(n.clients.lingering)
 	if first == nil || n.clients.evictLingering() {
-		t.Fatal("nobody is waited for, or no time at all")
+		t.Fatal("no connection lingers, or it was closed at once")
 	}
-	b.run("a moment has passed", func() bool { return n.loop.Now()-first.lastActive >= shortLingerTimeout })
+	b.run("shortLingerTimeout has passed", func() bool { return n.loop.Now()-first.lastActive >= shortLingerTimeout })
 	n.clients.closing = false
 	n.clients.enforceLimits()
 	if got := n.clients.lingering.Len(); got == 5 || n.clients.reserveFull() {
-		t.Errorf("%d are waited for in a full house", got)
+		t.Errorf("%d connections linger in a full node", got)
 	}
 }
 
-// Guards against a process with few descriptors, as one of two is, that keeps the few clients it has places for idle for long.
+// Guards against a process with few descriptors, such as one of two during an upgrade, that keeps idle connections for long in
+// the few places it has for clients.
 func TestIdleTimeoutShrinksWithFewDescriptors(t *testing.T) {
 	b := newBench(t)
 	n := b.node
@@ -138,9 +140,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(n.control.Close)
-	b.fillWithClients(n.clients.reserveFull) // the reserve has no place beyond that
+	b.fillWithClients(n.clients.reserveFull) // the reserve has no place beyond those
 	if got := len(n.clients.all); got < 4 {
-		t.Fatalf("places for %d clients only", got)
+		t.Fatalf("room for %d clients only", got)
 	}
 	b.markAllIdle()
 	if got := n.clients.idleTimeout(); got != minIdleTimeout {
@@ -148,7 +150,7 @@
 	}
 }
 
-// connectClients has so many clients connect without a word; the system takes them in its queue.
+// connectClients connects clients that send nothing; the system keeps them in the listen queue.
 func (b *bench) connectClients(clients int) (all []net.Conn) {
 	b.t.Helper()
 	for range clients {
@@ -162,10 +164,10 @@
 	return all
 }
 
-// Guards against idle clients that take all descriptors of a node that sends its clients away: thin, which keeps to the room, did
-// nothing while connections close, and the listen queue was taken whole as the listener closed. Servers and the list keep theirs,
-// whether an operator drains the node or it ends; those who come later are taken in as soon as there is room, in a drain and
-// behind it.
+// Guards against idle clients that take all descriptors of a draining node: enforceLimits did nothing while connections were
+// being closed, and the whole listen queue was accepted when the listener closed. Servers and discovery must keep their
+// descriptors, whether an operator drains the node or it shuts down; later clients are accepted as soon as there is room, during
+// a drain and after it.
 func TestIdleClientsAtANodeThatSendsClientsAway(t *testing.T) {
 	for name, begin := range map[string]func(n *Node){
 		"drained": func(n *Node) { n.draining, n.drainDeadline = true, n.loop.Now()+time.Hour },
@@ -180,19 +182,19 @@
 			begin(n)
 			n.clients.startClosing()
 			for range 10 {
-				b.run("a look", func() bool { return true })
+				b.run("a turn of the loop", func() bool { return true })
 				if left := n.brim() - n.open(); left < n.linkLeast()+discoverySockets {
-					t.Fatalf("%d descriptors are left, of which servers must have %d and the list %d", left, n.linkLeast(), discoverySockets)
+					t.Fatalf("%d descriptors are left, but servers must be left %d and discovery %d", left, n.linkLeast(), discoverySockets)
 				}
 			}
 			if n.count.clientsIn == before || !n.shuttingDown && !n.clients.reserveFull() {
-				t.Errorf("%d are taken in, where there is room", n.count.clientsIn-before)
+				t.Errorf("%d clients accepted, where there is room", n.count.clientsIn-before)
 			}
 			if !n.shuttingDown && n.count.clientsShed > 0 {
-				t.Errorf("%d are shut, who could wait", n.count.clientsShed)
+				t.Errorf("%d connections closed that could have waited", n.count.clientsShed)
 			}
 			if !n.mayDial() || b.pool.dial() == nil {
-				t.Error("a connection to a server finds no room")
+				t.Error("no room for a connection to a server")
 			}
 			for _, c := range all {
 				c.Close()
@@ -200,13 +202,13 @@
 			if n.shuttingDown {
 				return
 			}
-			for _, what := range []string{"in the drain", "behind it"} {
-				b.run("the crowd is gone", func() bool { return len(n.clients.all) == 0 && n.clients.lingering.Len() == 0 })
+			for _, what := range []string{"in the drain", "after it"} {
+				b.run("all clients are gone", func() bool { return len(n.clients.all) == 0 && n.clients.lingering.Len() == 0 })
 				before := n.count.clientsIn
 				b.connectClients(1)[0].Close()
-				b.run("one is taken in "+what, func() bool { return n.count.clientsIn > before })
-				b.run("it is gone", func() bool { return len(n.clients.all) == 0 && n.clients.lingering.Len() == 0 })
-				n.clients.listener.SetPaused(true) // as in a full house, of which the last has gone
+				b.run("a client is accepted "+what, func() bool { return n.count.clientsIn > before })
+				b.run("that client is gone", func() bool { return len(n.clients.all) == 0 && n.clients.lingering.Len() == 0 })
+				n.clients.listener.SetPaused(true) // as in a full node whose last client has gone
 				n.draining = false
 				n.clients.stopDrain()
 			}
--- a/internal/node/holdup_test.go
+++ b/internal/node/holdup_test.go
@@ -10,13 +10,13 @@
 	"lapisshelf/policy"
 )
 
-// stallTime is how long the node stands still in these tests, allowed is by how much what it tells may be too long.
+// stallTime is how long the node stands still in these tests, tolerance by how much a forwarded timeout may be too long.
 const (
 	stallTime = 600 * time.Millisecond
 	tolerance = 150 * time.Millisecond
 )
 
-// timeoutSent is what the cache was told of the time that is left to a request.
+// timeoutSent returns the timeout that a request told the cache.
 func (s *fixture) timeoutSent(id string) time.Duration {
 	s.t.Helper()
 	for _, line := range s.cache.Lines() {
@@ -28,12 +28,13 @@
 	return 0
 }
 
-// A request's time counts from its last byte: what it waited unread, because the process was stopped or busy, is not told to
-// servers as left. The request may come on a connection that stands, or wait with its connection in the listen queue.
+// A request's time budget counts from the arrival of its last byte: time during which it was unread, because the process was
+// stopped or busy, must not be forwarded to servers as remaining. The request may arrive on an established connection, or wait
+// with its connection in the listen queue.
 func TestTimeUnreadIsDeductedFromTheForwardedTimeout(t *testing.T) {
 	const timeout = 25000 * time.Millisecond
 	line := func(id string) []byte { return []byte("mg key-" + id + " v O" + id + " Pc=read,d=25000\r\n") }
-	stopped := func(s *fixture, send func()) { // between two runs of the loop, as a process that is stopped
+	stopped := func(s *fixture, send func()) { // between two runs of the loop, as in a stopped process
 		send()
 		time.Sleep(stallTime)
 	}
@@ -57,16 +58,16 @@
 			})
 			s.run("it is served", func() bool { return s.outcomes(policy.OK) == 2 })
 			if got := s.timeoutSent("waits"); got > timeout-stallTime+tolerance {
-				t.Errorf("%s, on a new connection %t: told %v with %v left", name, fresh, got, timeout-stallTime)
+				t.Errorf("%s, on a new connection %t: forwarded a timeout of %v with %v left", name, fresh, got, timeout-stallTime)
 			}
 			if got := s.timeoutSent("first"); got < timeout-tolerance {
-				t.Errorf("%s: the first told %v", name, got)
+				t.Errorf("%s: the first forwarded a timeout of %v", name, got)
 			}
 		}
 	}
 }
 
-// A request whose time is over as it is read is refused at once: nothing is sent for it.
+// A request whose deadline has passed when it is read is refused at once, and nothing is sent for it.
 func TestARequestThatIsReadTooLateIsRefused(t *testing.T) {
 	s := newFixture(t, false, answerHit)
 	conn := s.sendReads("first")
@@ -87,7 +88,7 @@
 	}
 }
 
-// Connections that wait beyond those that are accepted in a turn have waited as long as those.
+// Connections left in the listen queue after one turn of accepts have waited as long as those accepted in it.
 func TestConnectionsAcceptedInLaterTurnsHaveWaitedAsLong(t *testing.T) {
 	const many = 150
 	s := newFixture(t, false, answerHit)
@@ -105,7 +106,7 @@
 	}
 }
 
-// readLines reads so many lines of answers.
+// readLines reads this many lines of answers.
 func readLines(t *testing.T, conn net.Conn, count int) []string {
 	t.Helper()
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -17,17 +17,18 @@
 	"lapisshelf/policy"
 )
 
-// Clients that leave at each place where their request may wait. Nothing is sent for it from then on, its place is free, and
-// who waited behind it is served. Cancels may be allowed or not: what has not gone out needs none.
+// Clients that leave at each point where their request may wait. From then on nothing is sent for it, its place is free, and
+// requests that waited behind it are served. The policy may be allowed to cancel attempts or not: what has not been sent needs no
+// cancel.
 
-// leaveWays are how a client may leave.
+// leaveWays are the ways in which a client may leave.
 var leaveWays = map[string]func(*net.TCPConn){
 	"close":      func(c *net.TCPConn) { c.Close() },
 	"half-close": func(c *net.TCPConn) { c.CloseWrite() },
 	"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 }
 
-// eachWay runs a test for each way to leave, with cancels allowed and not.
+// eachWay runs a test for each way to leave, with cancels allowed and not allowed.
 func eachWay(t *testing.T, f func(t *testing.T, leave func(*net.TCPConn), cancel bool)) {
 	for _, cancel := range []bool{false, true} {
 		for name, leave := range leaveWays {
@@ -39,7 +40,7 @@
 	}
 }
 
-// fixture is a bench whose requests come from clients on sockets, through the module, to a stand-in cache.
+// fixture is a bench whose requests come from clients on sockets and go through the policy to a stand-in cache.
 type fixture struct {
 	*bench
 	cache *standin.Cache
@@ -54,7 +55,7 @@
 	t.Cleanup(c.Close)
 	b := newBench(t)
 	n := b.node
-	// The quick class has the module expect quick answers: it holds what there is no room for, and refuses nothing.
+	// The quick class makes the policy expect quick answers: it queues requests for which there is no room, and refuses none.
 	set := policy.Settings{Classes: []policy.Class{{Name: "read", Aim: 20 * time.Second}, {Name: "quick", Aim: 10 * time.Millisecond}}, MaxAttempts: 3, MayCancel: cancel,
 		Tick: 5 * time.Millisecond, FallWindow: time.Second, FallMultiple: 3}
 	n.classes["read"] = &class{name: "read", longest: 25 * time.Second}
@@ -65,7 +66,7 @@
 	return &fixture{b, c}
 }
 
-// sendReads sends requests from one new client.
+// sendReads sends read requests from one new client.
 func (s *fixture) sendReads(ids ...string) *net.TCPConn {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.listens().String())
@@ -88,7 +89,7 @@
 	s.run("the requests are taken", func() bool { return s.node.count.taken >= n })
 }
 
-// idsAtCache are the ids of the requests that the cache was sent, in order.
+// idsAtCache returns the ids of the requests that the cache received, in order.
 func (s *fixture) idsAtCache() (ids []string) {
 	for _, line := range s.cache.Lines() {
 		for _, w := range strings.Fields(line) {
@@ -109,21 +110,21 @@
 	return "VA 1\r\nx\r\n"
 }
 
-// Guards against a request that is written when its connection comes up at last, its client long gone.
+// Guards against writing a request when its connection is established, long after its client has left.
 func TestAClientLeavesWhileTheConnectionComesUp(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
 		s := newFixture(t, cancel, answerHit)
-		s.cache.Silence(true) // connections come up once it is back
+		s.cache.Silence(true) // connections are established when this ends
 		gone := s.sendReads("gone")
 		s.waitTaken(1)
 		if len(s.pool.links) != 1 || s.pool.links[0].up {
 			t.Fatal("the connection is up")
 		}
 		leave(gone)
-		s.run("it has left", func() bool { return s.node.count.abandoned == 1 })
-		s.run("its place is free", func() bool { return len(s.node.requests) == 0 })
+		s.run("its end is seen", func() bool { return s.node.count.abandoned == 1 })
+		s.run("the request is removed", func() bool { return len(s.node.requests) == 0 })
 		if s.node.inFlight != 0 || len(s.node.requests) != 0 || len(s.pool.links[0].tries) != 0 {
-			t.Errorf("%d in flight, %d known, %d on the connection", s.node.inFlight, len(s.node.requests), len(s.pool.links[0].tries))
+			t.Errorf("%d in flight, %d requests, %d on the connection", s.node.inFlight, len(s.node.requests), len(s.pool.links[0].tries))
 		}
 		l := s.pool.links[0]
 		s.cache.Silence(false)
@@ -134,12 +135,13 @@
 			t.Errorf("the cache was sent %q", got)
 		}
 		if s.outcomes(policy.ConnectFailed) != 0 {
-			t.Error("it is held against the server")
+			t.Error("the server was charged with a failure")
 		}
 	})
 }
 
-// Guards against a burst of clients that leave at once while no connection is up: none of theirs is sent, all others' are.
+// Guards against sending requests of a burst of clients that leave while no connection is established; those of all others are
+// sent.
 func TestABurstOfClientsLeaves(t *testing.T) {
 	for _, cancel := range []bool{false, true} {
 		t.Run(fmt.Sprintf("cancels %t", cancel), func(t *testing.T) {
@@ -155,7 +157,7 @@
 			for _, c := range leaving {
 				c.Close()
 			}
-			s.run("they have left", func() bool { return s.node.count.abandoned == 10 })
+			s.run("their ends are seen", func() bool { return s.node.count.abandoned == 10 })
 			s.cache.Silence(false)
 			s.run("the others are served", func() bool { return s.outcomes(policy.OK) == 10 })
 			for _, id := range s.idsAtCache() {
@@ -170,11 +172,11 @@
 	}
 }
 
-// Guards against a client that leaves unseen since its connection is not read: as many requests as it may have open stand
-// before the end of its sending.
+// Guards against not noticing that a client leaves while its connection is not read: as many requests as may be open come before
+// the end of the stream.
 func TestAClientLeavesWhileItIsNotRead(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
-		gate := make(chan struct{}) // until then the cache hangs
+		gate := make(chan struct{}) // the cache hangs until this is closed
 		s := newFixture(t, cancel, func(line string, v []byte) string { <-gate; return answerHit(line, v) })
 		var ids []string
 		for i := range 2 * maxPipelined {
@@ -182,16 +184,16 @@
 		}
 		c := s.sendReads(ids...)
 		s.waitTaken(maxPipelined)
-		for range 3 { // what could be read has been
-			s.run("a look", func() bool { return true })
+		for range 3 { // lets the loop read what it may
+			s.run("a turn of the loop", func() bool { return true })
 		}
 		leave(c)
-		s.run("it has left", func() bool { return s.node.count.abandoned == maxPipelined })
+		s.run("its end is seen", func() bool { return s.node.count.abandoned == maxPipelined })
 		attempts := s.node.count.attempts
-		s.run("all places are free", func() bool { return s.node.inFlight == 0 })
+		s.run("no request is in flight", func() bool { return s.node.inFlight == 0 })
 		s.sendReads("stays")
 		s.waitTaken(maxPipelined + 1)
-		close(gate) // what was sent and may not be called off keeps its place until then
+		close(gate) // attempts that were sent and may not be cancelled keep their places until then
 		s.run("it is sent", func() bool { return slices.Contains(s.idsAtCache(), "stays") })
 		if s.node.count.attempts != attempts+1 || s.node.count.taken != maxPipelined+1 {
 			t.Errorf("%d attempts, then %d; %d taken", attempts, s.node.count.attempts, s.node.count.taken)
@@ -199,22 +201,22 @@
 	})
 }
 
-// Guards against a request that is sent on from behind others of a shared connection, its client gone; those before and
+// Guards against sending a request from behind others on a shared connection after its client has gone; the requests before and
 // behind it keep their answers.
 func TestAClientLeavesBehindOthersOnASharedConnection(t *testing.T) {
 	for _, cancel := range []bool{false, true} {
 		b := newBench(t)
 		b.node.policy = policy.New(b.node.loop.Now(), policy.Settings{MayCancel: cancel, Classes: []policy.Class{{Name: "read", Aim: time.Second}}}, 1, actions{b.node})
 		b.send("1")
-		b.run("it stands", func() bool { return b.pool.links[0].up })
+		b.run("the connection is up", func() bool { return b.pool.links[0].up })
 		b.node.serverConns = b.node.linkMost() // what follows shares the connection
 		l := b.pool.links[0]
 		filler := 32 << 20 // more than the system takes
 		l.conn.Write(append(make([]byte, filler-1), '\n'))
 		second, third := b.sendWaitedFor("2"), b.sendWaitedFor("3")
-		third.writeTimer.Stop() // which TestWhatWaitsBehindOthersBytesIsTakenBack is about
+		third.writeTimer.Stop() // see TestAnAttemptQueuedBehindOtherBytesIsWithdrawn
 		b.node.abandon(second.request)
-		b.run("it is taken back", func() bool { return second.done })
+		b.run("it is withdrawn", func() bool { return second.done })
 		if !second.done || b.outcomes(policy.NotSent) != 1 || third.done || len(l.tries) != 2 {
 			t.Fatalf("%v, %d on the connection", b.node.count.outcomes, len(l.tries))
 		}
@@ -247,24 +249,23 @@
 	}
 }
 
-// Guards against an attempt that is written long after it was queued, with the time that it told then: behind bytes that a
-// server does not read it is taken back, as one that never ran, and what has begun to go out stays.
+// Guards against writing an attempt long after it was queued, with the timeout of that time: behind bytes that a server does not
+// read, it is withdrawn as one that never ran. What has begun to be sent stays.
 func TestAnAttemptQueuedBehindOtherBytesIsWithdrawn(t *testing.T) {
 	b := newBench(t)
 	b.send("1")
-	b.run("it stands", func() bool { return b.pool.links[0].up })
+	b.run("the connection is up", func() bool { return b.pool.links[0].up })
 	b.node.serverConns = b.node.linkMost() // what follows shares the connection
 	l := b.pool.links[0]
 	l.conn.Write(make([]byte, 32<<20)) // more than the system takes
 	behind := b.sendWaitedFor("2")
-	b.run("it is taken back", func() bool { return behind.done })
+	b.run("it is withdrawn", func() bool { return behind.done })
 	if b.outcomes(policy.ConnectFailed) != 1 || len(l.tries) != 1 || l.gone {
 		t.Errorf("%v, %d on the connection, gone %t", b.node.count.outcomes, len(l.tries), l.gone)
 	}
 }
 
-// Guards against a request that is sent on when it has been answered as failed at its last moment, on a connection that
-// comes up later, where attempts may not be called off.
+// Guards against sending a request that was failed as overdue when its connection is established later, with cancels not allowed.
 func TestNothingIsSentAfterAnOverdueRequestFails(t *testing.T) {
 	s := newFixture(t, false, answerHit)
 	s.cache.Silence(true)
@@ -272,7 +273,7 @@
 	s.waitTaken(1)
 	s.node.failOverdue(s.node.requests["late"])
 	l := s.pool.links[0]
-	s.run("its place is free", func() bool { return len(s.node.requests) == 0 })
+	s.run("the request is removed", func() bool { return len(s.node.requests) == 0 })
 	s.cache.Silence(false)
 	s.run("the connection is up", func() bool { return l.up })
 	s.sendReads("next")
@@ -282,12 +283,12 @@
 	}
 }
 
-// sendWaitedFor starts an attempt of a request that somebody waits for.
+// sendWaitedFor starts an attempt of a request that has a client.
 func (b *bench) sendWaitedFor(id string) *attempt {
 	return b.attempt(&request{id: id, class: &class{name: "read"}, client: &client{node: b.node, closed: true}})
 }
 
-// timeoutOf is what a line that a cache was sent tells of the time that the node waits.
+// timeoutOf returns the timeout in a line that a cache received.
 func timeoutOf(t *testing.T, line string) (ms int) {
 	t.Helper()
 	_, text, ok := strings.Cut(line, ",d=")
@@ -297,8 +298,8 @@
 	return ms
 }
 
-// Guards against an attempt that tells its server of time that has passed while its connection came up: it would be worked on
-// for a client that has stopped waiting. One that was called off meanwhile is not written.
+// Guards against an attempt whose timeout includes time that passed while its connection was being established: the server would
+// work for a client that has stopped waiting. An attempt cancelled meanwhile is not written.
 func TestAnAttemptTellsWhatIsLeftAsItsConnectionComesUp(t *testing.T) {
 	s := newFixture(t, true, answerHit)
 	s.cache.Silence(true)
@@ -336,17 +337,17 @@
 			t.Errorf("%q, where %d ms were left before its connection came up", line, most)
 		}
 	}
-	s.run("the connection rests", func() bool { return len(s.pool.idle) == 1 })
+	s.run("the connection is idle", func() bool { return len(s.pool.idle) == 1 })
 	if x := &s.node.count; x.written != 2 || l.conn.Pending() > 0 || first.startOffset != 0 || first.endOffset == 0 || !first.written {
-		t.Errorf("%d written whole, %d wait, the first from %d to %d", x.written, l.conn.Pending(), first.startOffset, first.endOffset)
+		t.Errorf("%d attempts written, %d bytes pending, the first from %d to %d", x.written, l.conn.Pending(), first.startOffset, first.endOffset)
 	}
 	s.node.serverConns -= s.node.linkMost() - 1
 	s.sendReads("next")
 	s.run("the next is served", func() bool { return s.outcomes(policy.OK) == 3 })
 }
 
-// A fetch begins when a cache has answered, or later: it tells the origin what is left then. Guards against one that tells what the
-// client had at first, and has the origin work for those who have left.
+// A fetch begins when a cache has answered or later, and tells the origin what is left then. Guards against a fetch with the
+// client's initial timeout, which makes the origin work for clients that have left.
 func TestAFetchTellsWhatIsLeft(t *testing.T) {
 	gate, infos := make(chan struct{}), make(chan string, 1)
 	s := newFixture(t, true, func(line string, v []byte) string { <-gate; return answerMiss(line, v) })
--- a/internal/node/leave_turn_test.go
+++ b/internal/node/leave_turn_test.go
@@ -16,10 +16,11 @@
 	"lapisshelf/policy"
 )
 
-// Clients that leave while the node stands still or is busy: their end waits in the system with, before or behind what would
-// have an attempt begin for them. None begins, however long that has been so. The loop stands between two calls of run.
+// Clients that leave while the node stands still or is busy: the end of their connection waits in the kernel together with,
+// before or behind the event that would start an attempt for them. No attempt may begin, however long this lasts. The loop stands
+// still between two calls of run.
 
-// established reports whether the system has a connection between two ports; 0 stands for any.
+// established reports whether the system has an established connection between two ports; 0 stands for any port.
 func established(t *testing.T, local, remote int) bool {
 	t.Helper()
 	table, err := os.ReadFile("/proc/net/tcp")
@@ -35,7 +36,7 @@
 	return false
 }
 
-// eventually waits until a condition holds while the loop stands.
+// eventually waits until a condition holds, while the loop stands still.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
@@ -45,30 +46,30 @@
 	}
 }
 
-// leaveAndWait has a client leave, until the system knows of it on the node's side.
+// leaveAndWait makes a client leave and waits until the system knows of it on the node's side.
 func leaveAndWait(t *testing.T, c *net.TCPConn, leave func(*net.TCPConn)) {
 	t.Helper()
 	here, there := c.RemoteAddr().(*net.TCPAddr).Port, c.LocalAddr().(*net.TCPAddr).Port
 	leave(c)
-	eventually(t, "the end has come", func() bool { return !established(t, here, there) })
+	eventually(t, "the system knows of the end", func() bool { return !established(t, here, there) })
 }
 
-// pollIdle lets the loop look until it knows that nothing has come, so that what comes from here on is told in that order.
+// pollIdle lets the loop poll until nothing is pending, so that it reports later events in the order in which they occur.
 func (s *fixture) pollIdle() {
 	s.t.Helper()
 	for range 3 {
-		s.run("a look", func() bool { return true })
+		s.run("a turn of the loop", func() bool { return true })
 	}
 }
 
-// waitAnswer waits until the answer to a request's attempt waits to be read.
+// waitAnswer waits until the response to a request's first attempt is readable.
 func (s *fixture) waitAnswer(id string) {
 	s.t.Helper()
 	l := s.node.requests[id].attempts[0].link
-	eventually(s.t, "the answer of "+id+" waits", l.conn.Stale)
+	eventually(s.t, "the response to "+id+" is readable", l.conn.Stale)
 }
 
-// waitConnected waits until a connection to the cache is up, which the node has not seen yet.
+// waitConnected waits until a connection to the cache is established, of which the node has not been notified yet.
 func (s *fixture) waitConnected() {
 	s.t.Helper()
 	_, port, _ := net.SplitHostPort(s.cache.Addr())
@@ -77,9 +78,9 @@
 	eventually(s.t, "the connection is up", func() bool { return established(s.t, 0, at) })
 }
 
-// newHeldFixture is a stage whose one place at the cache the request "first" has until the gate opens, while "gone", whose connection it
-// gives, waits for it.
-func newHeldFixture(t *testing.T, cancel bool) (s *fixture, gone *net.TCPConn, gate chan struct{}) {
+// newQueuedFixture returns a fixture in which the request "first" has the only place at the cache until the gate opens, and
+// "gone", whose connection it returns, is queued behind it.
+func newQueuedFixture(t *testing.T, cancel bool) (s *fixture, gone *net.TCPConn, gate chan struct{}) {
 	t.Helper()
 	gate = make(chan struct{})
 	s = newFixture(t, cancel, func(line string, v []byte) string { <-gate; return answerHit(line, v) })
@@ -88,12 +89,12 @@
 	gone = s.sendReads("gone")
 	s.waitTaken(2)
 	if len(s.node.requests["gone"].attempts) > 0 {
-		t.Fatal("it is not held")
+		t.Fatal("the second request is not queued")
 	}
 	return s, gone, gate
 }
 
-// serveAnother lets the loop run until a further request is served, by which time all that came before has been handled.
+// serveAnother lets the loop run until a further request is served, by which time all earlier events have been handled.
 func (s *fixture) serveAnother() {
 	s.t.Helper()
 	ok := s.outcomes(policy.OK)
@@ -103,7 +104,8 @@
 	})
 }
 
-// withOrigin makes the stage an aside one, whose cache lacks everything; it gives what was asked of the origin.
+// withOrigin switches the fixture to aside mode, with an origin; the cache lacks every key. It returns the ids that the origin
+// was asked for.
 func (s *fixture) withOrigin(cancel bool, script http.HandlerFunc) (asked func() []string) {
 	s.t.Helper()
 	o, err := standin.NewOrigin(s.cache.Common, standin.OriginOptions{Addr: "127.0.0.1:0", Script: script})
@@ -135,7 +137,7 @@
 	return "EN\r\n"
 }
 
-// Guards against taking a request whose client has left already: on a connection that stands, or on one that has waited in the
+// Guards against accepting a request whose client has already left, on an established connection or on one that waited in the
 // listen queue.
 func TestAClientLeavesInTheTurnOfItsRequest(t *testing.T) {
 	for _, queued := range []bool{false, true} {
@@ -157,10 +159,11 @@
 	}
 }
 
-// Guards against a held request that is sent on as an answer makes room, its client's end behind that in the same turn.
+// Guards against sending a queued request when a response makes room, if the end of its client's connection comes behind that
+// response in the same turn.
 func TestAClientLeavesInTheTurnOfTheAnswerItWaitsFor(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
-		s, c, gate := newHeldFixture(t, cancel)
+		s, c, gate := newQueuedFixture(t, cancel)
 		s.pollIdle()
 		close(gate)
 		s.waitAnswer("first")
@@ -172,7 +175,8 @@
 	})
 }
 
-// Guards against a request that is written as its connection comes up, its client's end behind that in the same turn.
+// Guards against writing a request when its connection is established, if the end of its client's connection comes behind that in
+// the same turn.
 func TestAClientLeavesInTheTurnInWhichItsConnectionComesUp(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
 		s := newFixture(t, cancel, answerHit)
@@ -182,7 +186,7 @@
 		s.cache.Silence(false)
 		s.waitConnected()
 		if s.pool.links[0].up {
-			t.Fatal("the node knows")
+			t.Fatal("the node has been notified")
 		}
 		leaveAndWait(t, c, leave)
 		s.serveAnother()
@@ -192,8 +196,8 @@
 	})
 }
 
-// newSharedFetch is an aside stage whose origin has served two reads at once, so that it has connections and room to spare, and keeps
-// those of the key hot until the gate opens.
+// newSharedFetch returns a fixture in aside mode whose origin has served two reads at once, so that it has connections and room
+// to spare, and which holds reads of the key "hot" until the gate opens.
 func newSharedFetch(t *testing.T, cancel bool) (s *fixture, asked func() []string, gate chan struct{}) {
 	t.Helper()
 	gate = make(chan struct{})
@@ -208,17 +212,17 @@
 		}
 		fmt.Fprint(w, "x")
 	})
-	s.sendReads("warm") // after which the origin may have two out
+	s.sendReads("warm") // after this the origin may have two reads outstanding
 	s.run("it is served", func() bool { return s.outcomes(policy.OK) == 1 })
 	s.sendReads("warm-1")
 	s.sendReads("warm-2")
-	s.run("both are out", func() bool { return len(all()) == 3 })
+	s.run("both are outstanding", func() bool { return len(all()) == 3 })
 	close(both)
 	s.run("both are served", func() bool { return s.outcomes(policy.OK) == 3 && len(s.node.pools["o-1"].idle) == 2 })
 	return s, func() []string { return all()[3:] }, gate
 }
 
-// readHot asks for the key hot on a connection.
+// readHot requests the key "hot" on a connection.
 func (s *fixture) readHot(c *net.TCPConn, id string) {
 	s.t.Helper()
 	taken := s.node.count.taken
@@ -226,7 +230,8 @@
 	s.waitTaken(taken + 1)
 }
 
-// Guards against a fetch that passes from one who leaves to another who leaves in the same turn; who stays gets one of its own.
+// Guards against passing a shared fetch from a client that leaves to another one that leaves in the same turn. A client that
+// stays gets its own fetch.
 func TestAllWhoShareAFetchLeave(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
 		s, asked, gate := newSharedFetch(t, cancel)
@@ -242,7 +247,7 @@
 		for _, c := range leaving {
 			leaveAndWait(t, c, leave)
 		}
-		s.run("they have left", func() bool { return s.node.count.abandoned == 3 })
+		s.run("their ends are seen", func() bool { return s.node.count.abandoned == 3 })
 		close(gate)
 		s.run("the other is served", func() bool { return s.node.count.ended[served] == 4 })
 		if got := asked(); !slices.Equal(got, []string{"lead", "stays"}) || s.node.count.abandoned != 3 {
@@ -251,8 +256,8 @@
 	})
 }
 
-// Guards against a fetch that passes from one request of a client to another of the same as it leaves, and against telling
-// such a one refused, where the origin leaves too.
+// Guards against passing a shared fetch from one request to another of the same client when that leaves, and against counting
+// such a request as refused if the origin drains too.
 func TestAClientLeavesWithItsOwnFetchShared(t *testing.T) {
 	for _, drains := range []bool{false, true} {
 		eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
@@ -266,9 +271,9 @@
 				s.node.members(policy.ListChanges, []roster.Entry{{Server: policy.Server{ID: "o-1", Kind: "origin", Weight: -1, State: policy.Draining}, Addr: s.node.pools["o-1"].addr.String()}})
 			}
 			leave(c)
-			s.run("it has left", func() bool { return s.node.count.abandoned == 3 })
+			s.run("its end is seen", func() bool { return s.node.count.abandoned == 3 })
 			close(gate)
-			s.run("all places are free", func() bool { return len(s.node.requests) == 0 })
+			s.run("all requests are removed", func() bool { return len(s.node.requests) == 0 })
 			s.pollIdle()
 			if got := asked(); !slices.Equal(got, []string{"lead"}) || s.node.count.ended[refused] != 0 {
 				t.Errorf("the origin was asked by %q, %d refused", got, s.node.count.ended[refused])
@@ -277,15 +282,15 @@
 	}
 }
 
-// Guards against a long write that is sent on when its server has room, or its connection comes up, its client's end behind
-// that in the same turn.
+// Guards against sending a long write when its server has room or its connection is established, if the end of its client's
+// connection comes behind that in the same turn.
 func TestAClientLeavesInTheMidstOfALongWrite(t *testing.T) {
 	const size = 2 * meta.MaxValue
-	for _, held := range []bool{false, true} {
+	for _, queued := range []bool{false, true} {
 		eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
 			gate := make(chan struct{})
 			s := newFixture(t, cancel, func(line string, v []byte) string { <-gate; return answerHit(line, v) })
-			if held {
+			if queued {
 				s.sendReads("first")
 				s.waitTaken(1)
 			} else {
@@ -295,12 +300,12 @@
 			c := s.sendReads()
 			fmt.Fprintf(c, "ms key %d Ogone Pc=read,d=25000\r\n%s", size, strings.Repeat("x", maxBufferedBody+100))
 			s.waitTaken(before + 1)
-			if got := len(s.node.requests["gone"].attempts); got != map[bool]int{false: 1, true: 0}[held] {
-				t.Fatalf("held %t: %d attempts", held, got)
+			if got := len(s.node.requests["gone"].attempts); got != map[bool]int{false: 1, true: 0}[queued] {
+				t.Fatalf("queued %t: %d attempts", queued, got)
 			}
 			s.pollIdle()
 			close(gate)
-			if held {
+			if queued {
 				s.waitAnswer("first")
 			} else {
 				s.cache.Silence(false)
@@ -308,7 +313,7 @@
 			}
 			leaveAndWait(t, c, leave)
 			s.serveAnother()
-			// One of which a byte had gone would have taken its connection with it.
+			// An attempt of which a byte was sent would have closed its connection.
 			if x := &s.node.count; x.abandoned != 1 || x.attempts != 2 || x.links != 1 {
 				t.Errorf("%d abandoned, %d attempts, %d connections", x.abandoned, x.attempts, x.links)
 			}
@@ -316,15 +321,15 @@
 	}
 }
 
-// Guards against a client that leaves unseen while it takes nothing of what it is owed, with more asked than is read.
+// Guards against not noticing that a client leaves while it reads none of its answers and has sent more requests than are read.
 func TestASlowReaderLeaves(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
-		s, far, gate := newHeldFixture(t, cancel)
+		s, far, gate := newQueuedFixture(t, cancel)
 		c := s.node.requests["gone"].client
 		c.conn.Write(make([]byte, 12<<20)) // more than the system takes
 		c.flush()
 		if c.conn.Pending() < maxUnsentBytes {
-			t.Fatal("it has taken all")
+			t.Fatal("the client has taken all")
 		}
 		fmt.Fprintf(far, "mg key v Ounread Pc=read,d=25000\r\n")
 		s.pollIdle()
@@ -338,12 +343,12 @@
 	})
 }
 
-// Guards against a client that leaves unseen while connections close with their next answer, when nothing more is read.
+// Guards against not noticing that a client leaves while connections close with their next answer and nothing more is read.
 func TestAClientLeavesDuringADrain(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
-		s, c, gate := newHeldFixture(t, cancel)
+		s, c, gate := newQueuedFixture(t, cancel)
 		s.node.clients.startClosing()
-		s.node.requests["gone"].client.flush() // from here on it is not read
+		s.node.requests["gone"].client.flush() // from here on its connection is not read
 		fmt.Fprintf(c, "mg key v Ounread Pc=read,d=25000\r\n")
 		s.pollIdle()
 		close(gate)
@@ -356,7 +361,7 @@
 	})
 }
 
-// Guards against a fault where both are so: the client has left, and the server is none that was ever listed.
+// Guards against a fault when both hold: the client has left, and the server was never listed.
 func TestAClientLeavesBeforeASendToNobody(t *testing.T) {
 	s := newFixture(t, false, answerHit)
 	s.cache.Silence(true)
@@ -364,30 +369,30 @@
 	s.waitTaken(1)
 	leaveAndWait(t, c, leaveWays["close"])
 	s.node.loop.Defer(func() { actions{s.node}.Send("gone", "c-9", 0, 0) })
-	s.run("its place is free", func() bool { return len(s.node.requests) == 0 })
+	s.run("the request is removed", func() bool { return len(s.node.requests) == 0 })
 	if s.node.count.abandoned != 1 || s.outcomes(policy.ConnectFailed) != 1 {
 		t.Errorf("%d abandoned, %v", s.node.count.abandoned, s.node.count.outcomes)
 	}
 }
 
-// Guards against a close over the rest of a command that has come in that moment, at the end of the time that it was owed for: the
-// request would be reset unread. One who goes on owing is closed at the next look.
+// Guards against closing a connection when the rest of a command has just arrived as its time limit passes: the request would be
+// lost unread. A connection whose command stays incomplete is closed at the next check.
 func TestTheRestOfACommandComesAsItsTimeEnds(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		t.Run(fmt.Sprintf("whole %t", whole), func(t *testing.T) {
 			s := newFixture(t, false, answerHit)
 			far := s.sendReads()
 			fmt.Fprint(far, "mg key v Olate Pc=read")
-			s.run("half of it has come", func() bool {
+			s.run("half of the command has arrived", func() bool {
 				c := front(s.node.clients.incomplete)
 				return c != nil && len(c.input) > 0
 			})
 			c := front(s.node.clients.incomplete)
 			fmt.Fprint(far, map[bool]string{true: ",d=25000\r\n", false: ",d=25"}[whole])
-			eventually(t, "the rest waits", c.conn.Stale)
+			eventually(t, "the rest is readable", c.conn.Stale)
 			c.incompleteSince = s.node.loop.Now() - commandTimeout
 			if s.node.clients.closeTimedOut(); c.closed {
-				t.Fatal("closed over what has come")
+				t.Fatal("closed with unread input")
 			}
 			if !whole {
 				s.run("it is closed", func() bool { return c.closed })
--- a/internal/node/recorder_test.go
+++ b/internal/node/recorder_test.go
@@ -9,7 +9,7 @@
 	"lapisshelf/policy"
 )
 
-// The ring keeps the last transitions in their order, whatever came before, and costs no allocation.
+// The ring keeps the latest transitions in order, and adding one allocates nothing.
 func TestTheRecorderKeepsTheLast(t *testing.T) {
 	r := &recorder{}
 	ids := make([]string, 3)
@@ -22,13 +22,13 @@
 	count, last := 0, recorderSize+6
 	r.forEach(func(x *record) {
 		if x.attempt != last+1 {
-			t.Fatalf("%d comes after %d", x.attempt, last)
+			t.Fatalf("%d follows %d", x.attempt, last)
 		}
 		last = x.attempt
 		count++
 	})
 	if count != recorderSize {
-		t.Errorf("%d are kept", count)
+		t.Errorf("%d transitions are kept", count)
 	}
 	if lines := r.history("r-1"); len(lines) != maxLoggedRecords || !strings.Contains(lines[0], `what=taken request="r-1"`) {
 		t.Errorf("%d lines of one request, the first %q", len(lines), lines[0])
@@ -39,7 +39,8 @@
 	}
 }
 
-// A request's life can be read from the recorder: taken, sent, written, ended and served, by connection, attempt and server.
+// A request's history can be read from the recorder: taken, sent, written, ended and served, with its connection, attempt and
+// server.
 func TestARequestIsRecorded(t *testing.T) {
 	s := newFixture(t, false, answerHit)
 	s.sendReads("one")
@@ -53,15 +54,15 @@
 		}
 	}
 	if body := string(s.node.flightRecords().Body); !strings.Contains(body, "what=opened client=1") || !strings.Contains(body, text) {
-		t.Errorf("an operator is told\n%s", body)
+		t.Errorf("the operator gets\n%s", body)
 	}
 	if s.node.count.violations != 0 {
 		t.Errorf("%d violations", s.node.count.violations)
 	}
 }
 
-// What a failed guard lets through is counted by its reason: a send for a request that has its answer, one to a server that leaves,
-// and a close over an open request.
+// What passes a failed guard is counted by reason: a send for an answered request or one without a client, a send to a server
+// that drains, and a close with an open request.
 func TestViolationsAreCounted(t *testing.T) {
 	for why, break_ := range map[safety.Reason]func(b *bench, x *attempt){
 		safety.Answered:          func(b *bench, x *attempt) { x.request.answered = true; b.pool.send(x, 1) },
@@ -72,7 +73,7 @@
 		b := newBench(t)
 		x := b.send("1")
 		if b.node.count.violations != 0 {
-			t.Fatalf("%v before anything is broken", why)
+			t.Fatalf("%v: a violation before anything is broken", why)
 		}
 		break_(b, &attempt{request: x.request, pool: b.pool, number: 1})
 		if c := &b.node.count; c.violations != 1 || c.violated[why] != 1 {
@@ -82,12 +83,12 @@
 			t.Errorf("%v: %v refused, %d attempts", why, b.node.count.sendsRefused, b.node.count.attempts)
 		}
 		if line := b.node.count.line(b.node); !strings.Contains(line, "violations=1 ") || !strings.Contains(line, "violated_"+why.String()+"=1") {
-			t.Errorf("the counters tell %s", line)
+			t.Errorf("the counters are %s", line)
 		}
 	}
 }
 
-// Time that has passed since an attempt was chosen has it refused, and is no violation.
+// An attempt whose time has run out since it was chosen is refused, which is no violation.
 func TestAnAttemptThatComesTooLateIsRefused(t *testing.T) {
 	for why, late := range map[safety.Reason]func(b *bench, x *attempt){
 		safety.DeadlineExceeded: func(b *bench, x *attempt) { x.request.deadline = b.node.loop.Now(); b.pool.send(x, 1) },
@@ -105,7 +106,7 @@
 	}
 }
 
-// A repeat of a request that may have run and must not run twice is not sent, though the module asks for it.
+// A repeat of a request that may have run and must not run twice is not sent, even if the policy asks for it.
 func TestARepeatAgainstTheRulesIsNotSent(t *testing.T) {
 	s := newFixture(t, false, answerHit)
 	s.cache.Silence(true)
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -16,7 +16,7 @@
 	"lapisshelf/policy"
 )
 
-// The slopes of a node by itself that docs/CAPACITY.md multiplies.
+// Measures the costs per cache and per connection of a single node that docs/CAPACITY.md extrapolates.
 
 func newSizedNode(b *testing.B, caches int) *Node {
 	l, err := loop.New()
@@ -50,7 +50,7 @@
 	return n
 }
 
-// BenchmarkVarsBySize tells what a scrape of the operators' address costs the node, and its body, with five classes.
+// BenchmarkVarsBySize measures the cost and the size of a scrape of the control address, with five classes.
 func BenchmarkVarsBySize(b *testing.B) {
 	for _, caches := range []int{80, 420} {
 		b.Run(fmt.Sprintf("caches=%d", caches), func(b *testing.B) {
@@ -65,8 +65,8 @@
 	}
 }
 
-// BenchmarkConnectionMemory tells what a connection holds of the node's heap, idle: a client's that has just come, and one to a
-// server. The system's buffers for it are not in it.
+// BenchmarkConnectionMemory measures the heap that an idle connection holds: a new one of a client, and one to a server. The
+// kernel's buffers are not included.
 func BenchmarkConnectionMemory(b *testing.B) {
 	const many = 800
 	b.Run("client", func(b *testing.B) {
@@ -103,7 +103,7 @@
 			for i := range many {
 				n.pool(policy.Server{ID: fmt.Sprint("s", i), State: policy.Ready}, addr)
 				if n.pools[fmt.Sprint("s", i)].dial() == nil {
-					b.Fatal("not dialled")
+					b.Fatal("connection not opened")
 				}
 			}
 			up := func() (all int) {
@@ -127,7 +127,7 @@
 		case holds():
 			n.loop.Stop()
 		case time.Now().After(end):
-			b.Error("never")
+			b.Error("the condition never held")
 			n.loop.Stop()
 		default:
 			n.loop.After(time.Millisecond, look)
