--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -10,15 +10,15 @@
 	"lapisshelf/internal/meta"
 )
 
-// Commands: from the bytes of a client to requests.
+// Commands: parses a client's bytes into requests.
 
 // Data implements loop.Handler.
 func (c *client) Data(data []byte) {
-	if c.last {
+	if c.noMoreInput {
 		return
 	}
-	c.used = c.node.loop.Now()
-	c.settleArrival()
+	c.lastActive = c.node.loop.Now()
+	c.updateArrival()
 	if c.skip > 0 {
 		n := min(c.skip, len(data))
 		c.skip -= n
@@ -28,50 +28,50 @@
 		c.input = append(c.input, data...)
 		data = c.input
 	}
-	c.keepRest(c.parse(data))
+	c.bufferRest(c.parse(data))
 	c.flush()
 }
 
-// settleArrival settles since when what is being read may have been there: as long as its connection waited for being accepted, if
-// it is read soon after; else since the loop can't say that nothing was there. Where that is long, because the process stood
-// still, the system may know better.
-func (c *client) settleArrival() {
-	if came := c.node.loop.EarliestArrival(); c.asked || came > c.opened+withOpening {
-		c.arrived = came
+// updateArrival sets the earliest time at which the data being read may have arrived. A connection that is read right after its
+// accept may have had data for as long as it waited in the listen queue; otherwise the event loop knows since when nothing had
+// been there. If that is long ago because the process stood still, the system may know a later time.
+func (c *client) updateArrival() {
+	if arrived := c.node.loop.EarliestArrival(); c.sentCommand || arrived > c.openedAt+acceptReadWindow {
+		c.arrivedAt = arrived
 	}
-	if c.used-c.arrived <= withOpening {
+	if c.lastActive-c.arrivedAt <= acceptReadWindow {
 		return
 	}
 	if ago, known := c.conn.SinceLastData(); known {
-		c.arrived = max(c.arrived, c.used-ago)
+		c.arrivedAt = max(c.arrivedAt, c.lastActive-ago)
 	}
 }
 
-// keepRest keeps what has not been taken yet.
-func (c *client) keepRest(rest []byte) {
+// bufferRest keeps the input that has not been parsed.
+func (c *client) bufferRest(rest []byte) {
 	switch {
-	case c.gone || c.last || len(rest) == 0:
+	case c.closed || c.noMoreInput || len(rest) == 0:
 		c.input = nil
-	case len(rest) != len(c.input): // else it is all of the input
+	case len(rest) != len(c.input): // otherwise the rest is c.input, unchanged
 		c.input = append([]byte(nil), rest...)
 	}
 }
 
-// parse takes commands off data as long as there is room for them and returns what is left.
+// parse handles the commands in data while limits allow, and returns the rest.
 func (c *client) parse(data []byte) []byte {
 	c.parsing = true
 	defer func() { c.parsing = false }()
-	for len(data) > 0 && !c.gone && !c.last && (c.up != nil || len(c.calls) < mostPipelined && c.conn.Pending() < mostUnsent) {
-		if u := c.up; u != nil {
-			used, ok := u.take(data)
+	for len(data) > 0 && !c.closed && !c.noMoreInput && (c.upload != nil || len(c.requests) < maxPipelined && c.conn.Pending() < maxUnsentBytes) {
+		if u := c.upload; u != nil {
+			used, ok := u.consume(data)
 			data = data[used:]
 			if !ok {
-				u.spoilt()
+				u.rejectMalformed()
 				return nil
 			}
-			if u.left == 0 && u.end == "" {
-				c.up = nil
-				u.came()
+			if u.remaining == 0 && u.trailer == "" {
+				c.upload = nil
+				u.received()
 			}
 			continue
 		}
@@ -79,133 +79,133 @@
 		switch {
 		case err != nil:
 			c.reject(err)
-			if used == 0 || c.last {
-				c.last = true
+			if used == 0 || c.noMoreInput {
+				c.noMoreInput = true
 				return nil
 			}
-			data = c.pass(data[used:], m.SkipBytes)
+			data = c.skipBytes(data[used:], m.SkipBytes)
 		case used == 0:
 			return data
 		default:
 			data = data[used:]
-			if c.command(m); m.LongSize > 0 && c.up == nil { // turned away, as is its value
-				data = c.pass(data, m.LongSize+len("\r\n"))
+			if c.handleCommand(m); m.LongSize > 0 && c.upload == nil { // rejected, so its value is skipped
+				data = c.skipBytes(data, m.LongSize+len("\r\n"))
 			}
 		}
 	}
 	return data
 }
 
-// pass passes over so many bytes, those too that have yet to come.
-func (c *client) pass(data []byte, bytes int) []byte {
+// skipBytes skips this many bytes of the input, including those that have yet to arrive, and returns the rest.
+func (c *client) skipBytes(data []byte, bytes int) []byte {
 	n := min(bytes, len(data))
 	c.skip = bytes - n
 	return data[n:]
 }
 
-// command handles one whole command.
-func (c *client) command(m meta.Command) {
+// handleCommand handles one whole command, or the line of one with a long value.
+func (c *client) handleCommand(m meta.Command) {
 	n := c.node
-	c.asked = true
-	c.unrest() // it owes nothing, whatever room is made below
+	c.sentCommand = true
+	c.removeFromList() // it is complete, so evictIncomplete must not take it below
 	if m.Kind == meta.Noop {
 		switch {
-		case n.lame:
-			c.say("SERVER_ERROR draining\r\n")
+		case n.draining:
+			c.queueAnswer("SERVER_ERROR draining\r\n")
 		case n.ready:
-			c.say("MN\r\n")
+			c.queueAnswer("MN\r\n")
 		default:
-			c.say("SERVER_ERROR starting\r\n")
+			c.queueAnswer("SERVER_ERROR starting\r\n")
 		}
 		return
 	}
-	kind, wait, err := n.patience(m.Info)
+	class, timeout, err := n.classAndTimeout(m.Info)
 	if err == nil {
-		err = n.used(m.ID)
+		err = n.checkUniqueID(m.ID)
 	}
 	if err != nil {
 		c.reject(err)
 		return
 	}
 	if m.LongSize == 0 {
-		n.register(m.ID)
+		n.registerID(m.ID)
 	}
-	// Whoever asks goes before those who may be about to.
-	if c.seat(c.excess && n.clients.full() && !n.clients.evict(0)); c.excess {
+	// A connection with a request takes precedence over one that may send a request.
+	if c.setInReserve(c.inReserve && n.clients.full() && !n.clients.evictIncomplete(0)); c.inReserve {
 		n.count.full++
-		c.refuse(kind)
-		c.parting = true // its descriptor is wanted
+		c.refuse(class)
+		c.closeWhenIdle = true // to free its descriptor
 		return
 	}
-	if n.full(len(m.Value) + min(m.LongSize, bodyKept)) {
+	if n.atCapacity(len(m.Value) + min(m.LongSize, maxBufferedBody)) {
 		n.count.full++
-		c.refuse(kind)
+		c.refuse(class)
 		return
 	}
 	now := n.loop.Now()
-	// Guards against telling servers of time that has passed while the request stood unread, in a process that was stopped or
-	// busy: they would work for a client that has stopped waiting.
+	// Guards against forwarding time that has passed while the request was unread, in a process that was stopped or busy: servers
+	// would work for a client that has stopped waiting.
 	if m.LongSize == 0 {
-		wait -= now - c.arrived
-		if safety.CheckStart(safety.Request{Remaining: wait}) != safety.Allowed {
+		timeout -= now - c.arrivedAt
+		if safety.CheckStart(safety.Request{Remaining: timeout}) != safety.Allowed {
 			n.count.tooLate++
-			c.refuse(kind)
+			c.refuse(class)
 			return
 		}
 	}
-	k := &call{id: string(m.ID), class: kind, client: c, command: keep(m)}
+	k := &request{id: string(m.ID), class: class, client: c, command: copyCommand(m)}
 	if m.LongSize > 0 {
-		c.upload(k, m.LongSize, wait)
+		c.beginUpload(k, m.LongSize, timeout)
 		return
 	}
-	c.calls = append(c.calls, k)
-	k.deadline = now + n.within(wait, now)
-	n.held += len(m.Value)
-	n.take(k, now)
+	c.requests = append(c.requests, k)
+	k.deadline = now + n.capTimeout(timeout, now)
+	n.writeBytes += len(m.Value)
+	n.submit(k, now)
 }
 
-// used says what is wrong with an id that another request has.
-func (n *Node) used(id []byte) error {
-	// Guards against one who sends the id of another's request: an open one would be taken for that request, and a
-	// refusal would be taken for that request's. Each request has an id of its own, also a retry.
-	if n.calls[string(id)] != nil || n.clients.seen.has(id) {
+// checkUniqueID returns an error if another request has or recently had this id.
+func (n *Node) checkUniqueID(id []byte) error {
+	// Guards against a client that sends the id of another's request: servers would take an open one for that request, and a
+	// refusal would count for it. Each request has its own id, also a retry by the client.
+	if n.requests[string(id)] != nil || n.clients.recentIDs.has(id) {
 		n.count.sameID++
 		return errors.New("request id in use")
 	}
 	return nil
 }
 
-// register notes that a request has come.
-func (n *Node) register(id []byte) {
-	n.clients.seen.add(id, n.loop.Now())
+// registerID remembers a request's id and counts the request.
+func (n *Node) registerID(id []byte) {
+	n.clients.recentIDs.add(id, n.loop.Now())
 	n.count.taken++
 }
 
-// reject answers what is no request, and ends a connection on which there is nothing else.
+// reject answers a malformed command with an error, and closes a connection that keeps sending those.
 func (c *client) reject(err error) {
 	c.node.count.badLines++
-	c.say("CLIENT_ERROR " + err.Error() + "\r\n")
-	if c.bad++; c.bad >= mostBad {
+	c.queueAnswer("CLIENT_ERROR " + err.Error() + "\r\n")
+	if c.badCommands++; c.badCommands >= maxBadCommands {
 		c.node.count.clientsBad++
-		c.last = true
+		c.noMoreInput = true
 	}
 }
 
-// refuse turns a request away that the module has not seen.
-func (c *client) refuse(kind *class) {
-	c.node.end(kind, refused)
-	c.say(string(meta.AppendBusy(nil, 0)))
+// refuse answers a request that the policy has not seen with a refusal.
+func (c *client) refuse(class *class) {
+	c.node.end(class, refused)
+	c.queueAnswer(string(meta.AppendBusy(nil, 0)))
 }
 
-// patience is the request's class and how long the client waits, as the request tells; no longer than its class allows.
-func (n *Node) patience(info []byte) (*class, time.Duration, error) {
-	kind := n.classes[meta.FieldValue(info, "c")]
-	if kind == nil {
-		// Guards against what servers turn away: each such answer told against a healthy server, and three skipped it
-		// (launceston-platform, rude+garble 3: all nine caches skipped at once).
+// classAndTimeout returns a request's class and how long its client waits, limited to the longest deadline of the class.
+func (n *Node) classAndTimeout(info []byte) (*class, time.Duration, error) {
+	class := n.classes[meta.FieldValue(info, "c")]
+	if class == nil {
+		// Guards against forwarding what servers reject: each such answer counted against a healthy server, and three of them had
+		// it skipped, until all nine caches of a fleet were skipped at once.
 		return nil, 0, errors.New("no such class")
 	}
-	text := meta.FieldValue(info, "d") // an empty one is no number either: servers turn it away
+	text := meta.FieldValue(info, "d") // an empty value is an error too: servers reject it
 	if whole, _, ok := strings.Cut(text, "."); ok {
 		text = whole
 	}
@@ -213,18 +213,18 @@
 	if err != nil || ms <= 0 {
 		return nil, 0, errors.New("bad deadline")
 	}
-	return kind, min(time.Duration(ms)*time.Millisecond, kind.longest), nil
+	return class, min(time.Duration(ms)*time.Millisecond, class.longest), nil
 }
 
-// keep copies a command out of the buffer it was parsed from.
-func keep(m meta.Command) meta.Command {
+// copyCommand copies a command out of the input buffer.
+func copyCommand(m meta.Command) meta.Command {
 	text := make([]byte, 0, len(m.Line)+len(m.Value))
 	text = append(append(text, m.Line...), m.Value...)
 	at := func(part []byte) []byte {
 		if len(part) == 0 {
 			return nil
 		}
-		from := cap(m.Line) - cap(part) // parts of one line end where its buffer ends
+		from := cap(m.Line) - cap(part) // slices of one line share the end of its buffer
 		return text[from : from+len(part)]
 	}
 	k := meta.Command{Kind: m.Kind, Line: text[:len(m.Line)], InfoOffset: m.InfoOffset, LongSize: m.LongSize}
@@ -235,24 +235,24 @@
 	return k
 }
 
-// say answers, in its turn, what is no request.
-func (c *client) say(text string) {
-	c.calls = append(c.calls, &call{client: c, answered: true, answer: []byte(text)})
-	c.waiting += len(text)
+// queueAnswer queues an answer to something other than a request, behind the answers before it.
+func (c *client) queueAnswer(text string) {
+	c.requests = append(c.requests, &request{client: c, answered: true, answer: []byte(text)})
+	c.queuedBytes += len(text)
 }
 
-// waits reports whether the input begins with a whole command, which had to wait.
-func (c *client) waits() bool {
+// hasWholeCommand reports whether the buffered input begins with a whole or malformed command.
+func (c *client) hasWholeCommand() bool {
 	_, used, err := meta.ParseCommand(c.input, meta.MaxValue, meta.MaxLongValue)
 	return used > 0 || err != nil
 }
 
-// more takes what had to wait.
-func (c *client) more() {
-	c.again = false
-	if c.gone {
+// parseBuffered parses the buffered input.
+func (c *client) parseBuffered() {
+	c.parseScheduled = false
+	if c.closed {
 		return
 	}
-	c.keepRest(c.parse(c.input))
+	c.bufferRest(c.parse(c.input))
 	c.flush()
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -2,68 +2,68 @@
 
 import ()
 
-// Draining: how clients are sent away at a planned end, or when an operator says so.
+// Draining: how clients are sent away, at a graceful shutdown or when an operator drains the node.
 
-// drain sends the clients away, at a planned end or when an operator says so: for a while all goes on, then a connection
-// closes with its next answer, so that its client learns of it before it sends again, and those that get no request
-// close once they have rested. At an end the listener closes too.
-// With a successor that takes clients already there is nothing to wait for.
+// drain sends the clients away. The node serves on as before for lameDuckPeriod; then a connection closes with its next answer,
+// so that its client learns of it before it sends again, and one without a request closes once it has been quiet. At a shutdown
+// the listener closes too. If a successor process already accepts clients, there is no such period.
 func (s *clients) drain(succeeded bool) {
 	switch {
 	case succeeded:
 		s.listener.Close()
-		s.drained.Stop()
-		s.node.loop.Defer(s.empty)
-	case s.drained == nil:
-		s.drained = s.node.loop.After(lameFor, s.empty)
+		s.drainTimer.Stop()
+		s.node.loop.Defer(s.startClosing)
+	case s.drainTimer == nil:
+		s.drainTimer = s.node.loop.After(lameDuckPeriod, s.startClosing)
 	}
 }
 
-// empty begins to close connections.
-func (s *clients) empty() {
+// startClosing starts to close connections.
+func (s *clients) startClosing() {
 	s.closing = true
-	s.retire()
+	s.closeQuiet()
 }
 
-// retire closes connections that have rested, and comes back while there may be others. At an end, each unanswered
-// request belongs to one of them, so after the last the loop stops; closing between requests takes a moment.
-func (s *clients) retire() {
+// closeQuiet closes the connections that have been quiet, and runs again while there may be others. At a shutdown the loop stops
+// after the last connection, since each unanswered request belongs to one; the delay lets connections close gracefully.
+func (s *clients) closeQuiet() {
 	n := s.node
-	if n.leaving {
+	if n.shuttingDown {
 		s.listener.Close()
 	}
-	due := n.lame && n.loop.Now() >= n.lameUntil
+	due := n.draining && n.loop.Now() >= n.drainDeadline
 	for c := range s.all {
-		if n.leaving {
-			c.deepen()
+		if n.shuttingDown {
+			c.growSendBuffer()
 		}
-		if len(c.calls) > 0 || c.conn.Pending() > 0 {
-			// Guards against ending the connection of a slow reader before the system has taken the end of its answer
-			// (launceston-platform, bulk+drain 3: one long value in 250 cut off in its last bytes).
+		if len(c.requests) > 0 || c.conn.Pending() > 0 {
+			// Guards against closing the connection of a slow reader before the kernel has taken the end of its answer: one long
+			// value in 250 lost its last bytes.
 			continue
 		}
-		// Guards against a connection that a drained node still holds after the time it has for that.
-		if c.rested() || due && c.mayClose() {
-			c.finish(closedAtEnd)
+		// Guards against a draining node that still keeps connections after the drain deadline.
+		if c.quiet() || due && c.mayClose() {
+			c.closeGracefully(closedByDrain)
 		}
 	}
-	if n.leaving && len(s.all) == 0 && (s.listener.Closed() || n.loop.Now() >= n.lastAnswer) {
-		n.loop.After(lingerFor/4, n.loop.Stop)
+	if n.shuttingDown && len(s.all) == 0 && (s.listener.Closed() || n.loop.Now() >= n.answerDeadline) {
+		n.loop.After(lingerTimeout/4, n.loop.Stop)
 		return
 	}
-	s.thin()
-	s.drained = n.loop.After(lookEvery, s.retire)
+	s.enforceLimits()
+	s.drainTimer = n.loop.After(capacityCheckInterval, s.closeQuiet)
 }
 
-// resume takes a drain back: connections that have begun to close between requests do close.
-func (s *clients) resume() {
-	s.drained.Stop()
-	s.drained, s.closing = nil, false
+// stopDrain ends a drain. Connections that are closing gracefully still close.
+func (s *clients) stopDrain() {
+	s.drainTimer.Stop()
+	s.drainTimer, s.closing = nil, false
 	for c := range s.all {
 		c.node.loop.Defer(c.flush)
 	}
-	s.thin() // the listener may rest
+	s.enforceLimits() // resumes a paused listener
 }
 
-// rested reports whether nothing has gone either way for so long that nothing should be on its way, nor has come.
-func (c *client) rested() bool { return c.node.loop.Now()-c.used >= restFor && c.mayClose() }
+// quiet reports whether nothing has gone in either direction for quietPeriod, and nothing is unread, so that no request should be
+// on its way.
+func (c *client) quiet() bool { return c.node.loop.Now()-c.lastActive >= quietPeriod && c.mayClose() }
