--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// Most is how many connections of callers are held at once, and Descriptors what the address takes in all.
-	Most        = 12
-	Descriptors = Most + 1
-	mostHead    = 4 << 10         // bytes of a call's head
-	callWithin  = 5 * time.Second // from connecting to a whole call
-	lingerFor   = 500 * time.Millisecond
+	// MaxConns is how many connections of callers are held at once, and Descriptors what the address takes in all.
+	MaxConns       = 12
+	MaxDescriptors = MaxConns + 1
+	mostHead       = 4 << 10         // bytes of a call's head
+	callWithin     = 5 * time.Second // from connecting to a whole call
+	lingerFor      = 500 * time.Millisecond
 )
 
 // Reply is what a call is answered: 2xx is yes, 4xx and 5xx no.
@@ -31,13 +31,15 @@
 	Body   []byte
 }
 
-// Say is a reply of one plain line.
-func Say(status int, line string) Reply { return Reply{Status: status, Body: []byte(line + "\n")} }
+// TextReply is a reply of one plain line.
+func TextReply(status int, line string) Reply {
+	return Reply{Status: status, Body: []byte(line + "\n")}
+}
 
 // Route is one call. A path that ends in a slash takes one more segment, which Do is given, unescaped.
 type Route struct {
 	Method, Path string
-	Do           func(arg string) Reply
+	Handler      func(arg string) Reply
 }
 
 // Server owns the listener and the connections of callers.
@@ -49,8 +51,8 @@
 	closed   bool
 
 	// Calls counts answers by status; Shed the connections that made room for others or brought no call in time.
-	Calls map[int]int64
-	Shed  int64
+	RepliesByStatus map[int]int64
+	Shed            int64
 }
 
 // caller is one connection. It leaves the list when its descriptor is given back.
@@ -65,7 +67,7 @@
 
 // Listen opens the address, and nothing but it.
 func Listen(l *loop.Loop, addr netip.AddrPort, routes []Route) (*Server, error) {
-	s := &Server{loop: l, routes: routes, conns: list.New(), Calls: map[int]int64{}}
+	s := &Server{loop: l, routes: routes, conns: list.New(), RepliesByStatus: map[int]int64{}}
 	var err error
 	if s.listener, err = l.Listen(addr, s.accept); err != nil {
 		return nil, err
@@ -74,20 +76,20 @@
 	return s, nil
 }
 
-// Open is how many descriptors are held; a nil Server holds none.
-func (s *Server) Open() int {
+// OpenDescriptors is how many descriptors are held; a nil Server holds none.
+func (s *Server) OpenDescriptors() int {
 	if s == nil || s.closed {
 		return 0
 	}
 	return s.conns.Len() + 1
 }
 
-// Share is how many descriptors are kept for the address; a nil Server needs none.
-func (s *Server) Share() int {
+// ReservedDescriptors is how many descriptors are kept for the address; a nil Server needs none.
+func (s *Server) ReservedDescriptors() int {
 	if s == nil {
 		return 0
 	}
-	return Descriptors
+	return MaxDescriptors
 }
 
 // accept takes a caller. With no place left the oldest that has finished no call makes room, then the oldest that only
@@ -98,7 +100,7 @@
 	if err != nil {
 		return
 	}
-	for s.conns.Len() >= Most {
+	for s.conns.Len() >= MaxConns {
 		oldest := s.conns.Front()
 		for e := oldest; e != nil; e = e.Next() {
 			if !e.Value.(*caller).answered {
@@ -140,9 +142,9 @@
 	r, used, err := httpc.ParseRequest(c.input, mostHead)
 	switch {
 	case errors.Is(err, httpc.ErrLarge):
-		c.answer(Say(431, "the head is too long"), "")
+		c.answer(TextReply(431, "the head is too long"), "")
 	case err != nil:
-		c.answer(Say(400, "no HTTP/1.1 request"), "")
+		c.answer(TextReply(400, "no HTTP/1.1 request"), "")
 	case used > 0:
 		reply, allow := c.server.call(string(r.Method), string(r.Path))
 		c.answer(reply, allow)
@@ -158,14 +160,14 @@
 			continue
 		}
 		if r.Method == method {
-			return r.Do(arg), ""
+			return r.Handler(arg), ""
 		}
 		methods = append(methods, r.Method)
 	}
 	if len(methods) > 0 {
-		return Say(405, "not with this method"), strings.Join(slices.Compact(methods), ", ")
+		return TextReply(405, "not with this method"), strings.Join(slices.Compact(methods), ", ")
 	}
-	return Say(404, "no such call"), ""
+	return TextReply(404, "no such call"), ""
 }
 
 // match reports whether a path is a route's and gives its argument.
@@ -184,7 +186,7 @@
 // answer ends the call.
 func (c *caller) answer(r Reply, allow string) {
 	c.answered, c.input = true, nil
-	c.server.Calls[r.Status]++
+	c.server.RepliesByStatus[r.Status]++
 	headers := []httpc.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}, {Name: "Cache-Control", Value: "no-store"}}
 	if r.Type != "" {
 		headers[0].Value = r.Type
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -26,14 +26,14 @@
 		return nil
 	}
 	routes := []control.Route{
-		{Method: "GET", Path: "/_ready", Do: func(string) control.Reply { return n.readiness() }},
-		{Method: "GET", Path: "/_vars", Do: func(string) control.Reply { return n.vars() }},
-		{Method: "GET", Path: "/_flight", Do: func(string) control.Reply { return n.flight() }},
-		{Method: "GET", Path: "/_view", Do: func(string) control.Reply { return n.view() }},
-		{Method: "POST", Path: "/_cache-servers/detach/", Do: func(id string) control.Reply { return n.ban(id, true) }},
-		{Method: "POST", Path: "/_cache-servers/attach/", Do: func(id string) control.Reply { return n.ban(id, false) }},
-		{Method: "POST", Path: "/_lameduck/on", Do: func(string) control.Reply { return n.lameduck(true) }},
-		{Method: "POST", Path: "/_lameduck/off", Do: func(string) control.Reply { return n.lameduck(false) }},
+		{Method: "GET", Path: "/_ready", Handler: func(string) control.Reply { return n.readiness() }},
+		{Method: "GET", Path: "/_vars", Handler: func(string) control.Reply { return n.vars() }},
+		{Method: "GET", Path: "/_flight", Handler: func(string) control.Reply { return n.flight() }},
+		{Method: "GET", Path: "/_view", Handler: func(string) control.Reply { return n.view() }},
+		{Method: "POST", Path: "/_cache-servers/detach/", Handler: func(id string) control.Reply { return n.ban(id, true) }},
+		{Method: "POST", Path: "/_cache-servers/attach/", Handler: func(id string) control.Reply { return n.ban(id, false) }},
+		{Method: "POST", Path: "/_lameduck/on", Handler: func(string) control.Reply { return n.lameduck(true) }},
+		{Method: "POST", Path: "/_lameduck/off", Handler: func(string) control.Reply { return n.lameduck(false) }},
 	}
 	err := persist(func() (err error) {
 		n.control, err = control.Listen(n.loop, n.cfg.Control, routes)
@@ -49,13 +49,13 @@
 func (n *Node) readiness() control.Reply {
 	switch {
 	case n.leaving:
-		return control.Say(503, "leaving")
+		return control.TextReply(503, "leaving")
 	case !n.ready || n.clients.listener == nil:
-		return control.Say(503, "starting")
+		return control.TextReply(503, "starting")
 	case n.lame:
-		return control.Say(200, "ready, draining")
+		return control.TextReply(200, "ready, draining")
 	}
-	return control.Say(200, "ready")
+	return control.TextReply(200, "ready")
 }
 
 // banned reports whether a server is banned by hand, listed or not.
@@ -64,7 +64,7 @@
 // ban has a server get nothing more, or lifts that. It is in force when the call is answered.
 func (n *Node) ban(id string, on bool) control.Reply {
 	if !n.listed.known[id] && !n.bans[id] {
-		return control.Say(404, "no cache server of this id was ever listed")
+		return control.TextReply(404, "no cache server of this id was ever listed")
 	}
 	n.succession.look() // the word that this one replaces may be another process's
 	n.guard("ban", func() { n.policy.Ban(n.loop.Now(), id, on) })
@@ -78,9 +78,9 @@
 	if err := n.succession.unsaved(); err != nil {
 		// Guards against a ban that is told as done and is gone with the process.
 		log.Printf("event=ban_unsaved server=%s on=%t why=%q", id, on, err)
-		return control.Say(503, done+" by this process; not saved for the next one yet, which is tried again")
+		return control.TextReply(503, done+" by this process; not saved for the next one yet, which is tried again")
 	}
-	return control.Say(200, done)
+	return control.TextReply(200, done)
 }
 
 // hands brings the pools in line with what the module has been told by hand.
@@ -122,14 +122,14 @@
 func (n *Node) lameduck(on bool) control.Reply {
 	switch {
 	case n.leaving && !on:
-		return control.Say(409, "the process is ending")
+		return control.TextReply(409, "the process is ending")
 	default:
 		n.succession.look()
 		n.drained(on, max(n.loop.Now(), n.lameAt+1), 0)
 		n.succession.settle()
 	}
 	if n.lame {
-		return control.Say(200, "draining")
+		return control.TextReply(200, "draining")
 	}
-	return control.Say(200, "taking clients")
+	return control.TextReply(200, "taking clients")
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -313,8 +313,8 @@
 
 // room is how many connections the node may have, of clients and to servers; open is how many descriptors they, and what
 // is in reserve, hold. The operators' address has its own.
-func (n *Node) room() int { return n.sockets() - n.reserve() - n.control.Share() }
-func (n *Node) open() int { return n.loop.OpenSockets() - n.control.Open() }
+func (n *Node) room() int { return n.sockets() - n.reserve() - n.control.ReservedDescriptors() }
+func (n *Node) open() int { return n.loop.OpenSockets() - n.control.OpenDescriptors() }
 
 // brim is how many the node may have in all, with the reserve.
 func (n *Node) brim() int { return n.room() + n.reserve() - min(ownSockets, n.sockets()/4) }
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -362,5 +362,5 @@
 	}
 	// Guards against a half of few descriptors of which the operators' address and the reserve took all: with 64 in all no
 	// request was served while two processes ran.
-	return max(0, min(reserve, (n.sockets()-n.control.Share())/2))
+	return max(0, min(reserve, (n.sockets()-n.control.ReservedDescriptors())/2))
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -123,9 +123,9 @@
 	}
 	if cfg.Control.IsValid() {
 		p.control, err = control.Listen(p.loop, cfg.Control, []control.Route{
-			{Method: "GET", Path: "/_ready", Do: func(string) control.Reply { return p.ready() }},
-			{Method: "GET", Path: "/_view", Do: func(string) control.Reply { return control.Reply{Status: 200, Body: []byte(p.Status())} }},
-			{Method: "GET", Path: "/_vars", Do: func(string) control.Reply { return p.vars() }},
+			{Method: "GET", Path: "/_ready", Handler: func(string) control.Reply { return p.ready() }},
+			{Method: "GET", Path: "/_view", Handler: func(string) control.Reply { return control.Reply{Status: 200, Body: []byte(p.Status())} }},
+			{Method: "GET", Path: "/_vars", Handler: func(string) control.Reply { return p.vars() }},
 		})
 		if err != nil {
 			return nil, err
@@ -417,9 +417,9 @@
 
 func (p *Planner) ready() control.Reply {
 	if len(p.entries) == 0 {
-		return control.Say(503, "no server list")
+		return control.TextReply(503, "no server list")
 	}
-	return control.Say(200, "ready")
+	return control.TextReply(200, "ready")
 }
 
 // Status is the view that the planner makes and why each weight is what it is, in plain lines.
