--- a/internal/handover/faults_test.go
+++ b/internal/handover/faults_test.go
@@ -34,18 +34,18 @@
 			old, fresh := join(t, l, dir, "n1"), join(t, l, dir, "n1")
 			old.say(t, func(s *State) { s.Process.FDLimit = 100 })
 			fresh.say(t, func(*State) {})
-			fresh.Look()
+			fresh.Refresh()
 			end := failing(t, errno, calls...)
 			for range 3 {
-				fresh.Look()
-				if len(fresh.Peers()) != 1 || len(fresh.Left()) != 0 {
-					t.Errorf("%v, %v: beside %d, left by %d", calls, errno, len(fresh.Peers()), len(fresh.Left()))
+				fresh.Refresh()
+				if len(fresh.Peers()) != 1 || len(fresh.Ended()) != 0 {
+					t.Errorf("%v, %v: beside %d, left by %d", calls, errno, len(fresh.Peers()), len(fresh.Ended()))
 				}
 			}
 			end()
 			fresh.say(t, func(s *State) { s.Process.FDLimit = 1 })
 			old.die()
-			until(t, l, "its end is heard once that can be read", func() bool { return len(fresh.Left()) == 1 })
+			until(t, l, "its end is heard once that can be read", func() bool { return len(fresh.Ended()) == 1 })
 		}
 	}
 }
@@ -55,19 +55,19 @@
 	for _, calls := range [][]system.Call{{system.CallOpen}, {system.CallRead}} {
 		l, dir := newLoop(t), t.TempDir()
 		old := join(t, l, dir, "n1")
-		old.say(t, func(s *State) { s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5}} })
+		old.say(t, func(s *State) { s.Overrides = []policy.Override{{ID: "s-1", Banned: true, At: 5}} })
 		old.die()
 		end := failing(t, unix.ENOSPC, calls...)
 		fresh := join(t, l, dir, "n1")
-		if err := fresh.Publish(fresh.Self()); err == nil || fresh.Owed() == nil {
+		if err := fresh.Publish(fresh.Self()); err == nil || fresh.PublishErr() == nil {
 			t.Errorf("%v: made known with %v", calls, err)
 		}
 		end()
 		until(t, l, "it enters and hears", func() bool {
-			return fresh.lock != nil && len(fresh.Left()) == 1 && fresh.Self().Process.Order > old.Self().Process.Order
+			return fresh.lock != nil && len(fresh.Ended()) == 1 && fresh.Self().Process.Order > old.Self().Process.Order
 		})
-		fresh.say(t, func(s *State) { s.Hands = fresh.Left()[0].Hands })
-		if next := join(t, l, dir, "n1"); len(next.Peers()) != 1 || len(next.Peers()[0].Hands) != 1 {
+		fresh.say(t, func(s *State) { s.Overrides = fresh.Ended()[0].Overrides })
+		if next := join(t, l, dir, "n1"); len(next.Peers()) != 1 || len(next.Peers()[0].Overrides) != 1 {
 			t.Errorf("%v: what was said is lost: %+v", calls, next.Peers())
 		}
 	}
@@ -80,31 +80,31 @@
 		for _, errno := range []unix.Errno{unix.ENOSPC, unix.EIO} {
 			l, dir := newLoop(t), t.TempDir()
 			old := join(t, l, dir, "n1")
-			old.say(t, func(s *State) { s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5}} })
+			old.say(t, func(s *State) { s.Overrides = []policy.Override{{ID: "s-1", Banned: true, At: 5}} })
 			old.die()
 			fresh := join(t, l, dir, "n1")
-			if len(fresh.Left()) != 1 {
+			if len(fresh.Ended()) != 1 {
 				t.Fatal("nothing is left by the one before")
 			}
 			s := fresh.Self()
-			s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5}, {ID: "s-2", Banned: true, At: 6}}
+			s.Overrides = []policy.Override{{ID: "s-1", Banned: true, At: 5}, {ID: "s-2", Banned: true, At: 6}}
 			end := failing(t, errno, call)
 			for range 2 {
-				if err := fresh.Publish(s); err == nil || fresh.Owed() == nil || len(fresh.Left()) != 1 {
-					t.Errorf("%s, %v: %v, owed %v, left by %d", call, errno, err, fresh.Owed(), len(fresh.Left()))
+				if err := fresh.Publish(s); err == nil || fresh.PublishErr() == nil || len(fresh.Ended()) != 1 {
+					t.Errorf("%s, %v: %v, owed %v, left by %d", call, errno, err, fresh.PublishErr(), len(fresh.Ended()))
 				}
 			}
 			end()
-			if killed := join(t, l, dir, "n1"); len(killed.Left()) != 1 || len(killed.Left()[0].Hands) != 1 {
-				t.Errorf("%s, %v: killed here, the next one hears %+v", call, errno, killed.Left())
+			if killed := join(t, l, dir, "n1"); len(killed.Ended()) != 1 || len(killed.Ended()[0].Overrides) != 1 {
+				t.Errorf("%s, %v: killed here, the next one hears %+v", call, errno, killed.Ended())
 			} else {
 				killed.die()
 			}
-			if err := fresh.Publish(s); err != nil || fresh.Owed() != nil {
+			if err := fresh.Publish(s); err != nil || fresh.PublishErr() != nil {
 				t.Errorf("%s, %v: then %v", call, errno, err)
 			}
-			if next := join(t, l, dir, "n1"); len(next.Peers()) != 1 || len(next.Peers()[0].Hands) != 2 || len(next.Left()) != 0 {
-				t.Errorf("%s, %v: in the end %+v, left %+v", call, errno, next.Peers(), next.Left())
+			if next := join(t, l, dir, "n1"); len(next.Peers()) != 1 || len(next.Peers()[0].Overrides) != 2 || len(next.Ended()) != 0 {
+				t.Errorf("%s, %v: in the end %+v, left %+v", call, errno, next.Peers(), next.Ended())
 			}
 		}
 	}
--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -191,7 +191,7 @@
 	case s.Name != m.opt.Name || s.Listen != m.opt.Listen:
 		return s, fmt.Errorf("of another node, %q at %s", s.Name, s.Listen)
 	case s.Process.OpenFDs < 0 || s.Process.FDLimit < 0 || s.Process.Order <= 0 || s.Process.Order >= mostOrder,
-		s.Lame.At < 0 || s.Lame.At >= mostOrder, slices.ContainsFunc(s.Hands, senseless):
+		s.LameDuck.Version < 0 || s.LameDuck.Version >= mostOrder, slices.ContainsFunc(s.Overrides, senseless):
 		return s, errors.New("figures that make no sense")
 	}
 	return s, nil
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -35,24 +35,24 @@
 
 // State is what a process makes known.
 type State struct {
-	Version int               `json:"version"`
-	Name    string            `json:"name"`
-	Listen  string            `json:"listen"`
-	PID     int               `json:"pid"`
-	Process decide.Process    `json:"process"`
-	Hands   []policy.Override `json:"hands,omitempty"` // what was said of servers by hand
-	Lame    Lame              `json:"lame"`
-	List    List              `json:"list"`
+	Version   int               `json:"version"`
+	Name      string            `json:"name"`
+	Listen    string            `json:"listen"`
+	PID       int               `json:"pid"`
+	Process   decide.Process    `json:"process"`
+	Overrides []policy.Override `json:"hands,omitempty"` // what was said of servers by hand
+	LameDuck  LameDuck          `json:"lame"`
+	List      ServerList        `json:"list"`
 }
 
-// Lame is the last word on whether the node is drained.
-type Lame struct {
-	On bool          `json:"on"`
-	At time.Duration `json:"at"` // its version: higher than that of the word before it, whoever took that
+// LameDuck is the last word on whether the node is drained.
+type LameDuck struct {
+	On      bool          `json:"on"`
+	Version time.Duration `json:"at"` // its version: higher than that of the word before it, whoever took that
 }
 
-// List is what a process's list says of servers that get nothing new.
-type List struct {
+// ServerList is what a process's list says of servers that get nothing new.
+type ServerList struct {
 	Source   string   `json:"source,omitempty"` // the registry: revisions of two compare with nothing
 	Revision int64    `json:"revision"`
 	Leaving  []string `json:"leaving,omitempty"` // draining, or gone lately
@@ -63,7 +63,7 @@
 type Options struct {
 	Dir, Name, Listen string
 	Note              func(event, why string) // a line for the log
-	Changed           func()                  // the others, or what they make known, have changed
+	OnChange          func()                  // the others, or what they make known, have changed
 }
 
 // Member is this process among the others.
@@ -136,7 +136,7 @@
 				break
 			}
 		}
-		m.Look()
+		m.Refresh()
 	})
 	return err
 }
@@ -152,7 +152,7 @@
 	m.timer = m.loop.After(every, func() {
 		m.reenter()
 		if m.watch == nil || len(m.peers) > 0 || m.unread {
-			m.Look()
+			m.Refresh()
 		}
 		m.poll()
 	})
@@ -169,11 +169,11 @@
 		m.retry = now + m.pause
 		return
 	}
-	m.opt.Changed()
+	m.opt.OnChange()
 }
 
-// Look reads what the others say now, and tells of changes.
-func (m *Member) Look() {
+// Refresh reads what the others say now, and tells of changes.
+func (m *Member) Refresh() {
 	before, gone, owed := m.peers, len(m.left), m.owed
 	m.read()
 	same := func(a, b State) bool {
@@ -182,22 +182,22 @@
 		return string(x) == string(y)
 	}
 	if gone != len(m.left) || owed == nil && m.owed != nil || !slices.EqualFunc(before, m.peers, same) {
-		m.opt.Changed()
+		m.opt.OnChange()
 	}
 }
 
 // Self is what this process has made known last, or owes.
 func (m *Member) Self() State { return m.self }
 
-// Owed says why what Publish was told last is not safe yet; nil: it is.
-func (m *Member) Owed() error { return m.owed }
+// PublishErr says why what Publish was told last is not safe yet; nil: it is.
+func (m *Member) PublishErr() error { return m.owed }
 
 // Peers are the others that live, as they made themselves known last, the latest first.
 func (m *Member) Peers() []State { return m.peers }
 
-// Left is what processes that have ended made known, the latest first. It counts until Publish has made known what it
+// Ended is what processes that have ended made known, the latest first. It counts until Publish has made known what it
 // came to.
-func (m *Member) Left() (states []State) {
+func (m *Member) Ended() (states []State) {
 	for _, e := range m.left {
 		states = append(states, e.State)
 	}
@@ -218,12 +218,12 @@
 		return m.owed
 	}
 	if m.said == nil || string(text) != string(m.said) {
-		sync := !slices.Equal(s.Hands, m.words)
+		sync := !slices.Equal(s.Overrides, m.words)
 		if m.owed = system.WriteFileAtomic(m.own+fileEnding, m.own+newEnding, text, fileMode, sync); m.owed != nil {
 			return m.owed
 		}
 		m.said = text
-		m.words = slices.Clone(s.Hands)
+		m.words = slices.Clone(s.Overrides)
 	}
 	m.owed = nil
 	for _, e := range m.left { // what it said by hand stands in the own file now
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	m := &member{}
 	var err error
-	m.Member, err = Join(l, Options{Dir: dir, Name: name, Listen: "127.0.0.1:1", Changed: func() { m.changes++ },
+	m.Member, err = Join(l, Options{Dir: dir, Name: name, Listen: "127.0.0.1:1", OnChange: func() { m.changes++ },
 		Note: func(event, why string) { m.notes = append(m.notes, event+" "+why) }})
 	if err != nil {
 		t.Fatal(err)
@@ -76,11 +76,11 @@
 	l, dir := newLoop(t), t.TempDir()
 	old := join(t, l, dir, "n1")
 	old.say(t, func(s *State) {
-		s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5, Since: 5}}
+		s.Overrides = []policy.Override{{ID: "s-1", Banned: true, At: 5, Since: 5}}
 		s.Process.FDLimit = 100
 	})
 	fresh := join(t, l, dir, "n1")
-	if p := fresh.Peers(); len(p) != 1 || len(p[0].Hands) != 1 || p[0].Process.FDLimit != 100 || p[0].PID != os.Getpid() {
+	if p := fresh.Peers(); len(p) != 1 || len(p[0].Overrides) != 1 || p[0].Process.FDLimit != 100 || p[0].PID != os.Getpid() {
 		t.Fatalf("at its start: %+v", p)
 	}
 	if old.watch == nil {
@@ -91,16 +91,16 @@
 	other := join(t, l, dir, "n2") // another node in the same directory is none of theirs
 	other.say(t, func(*State) {})
 	old.die()
-	until(t, l, "its end is heard", func() bool { return len(fresh.Peers()) == 0 && len(fresh.Left()) == 1 })
+	until(t, l, "its end is heard", func() bool { return len(fresh.Peers()) == 0 && len(fresh.Ended()) == 1 })
 	if len(other.Peers()) != 0 {
 		t.Error("another node's process counts as one's own")
 	}
-	if h := fresh.Left()[0].Hands; len(h) != 1 || h[0].ID != "s-1" {
+	if h := fresh.Ended()[0].Overrides; len(h) != 1 || h[0].ID != "s-1" {
 		t.Errorf("left by hand: %v", h)
 	}
-	fresh.say(t, func(s *State) { s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5, Since: 5}} })
+	fresh.say(t, func(s *State) { s.Overrides = []policy.Override{{ID: "s-1", Banned: true, At: 5, Since: 5}} })
 	names, _ := filepath.Glob(filepath.Join(dir, fresh.prefix+"*"))
-	if len(names) != 2 || len(fresh.Left()) != 0 {
+	if len(names) != 2 || len(fresh.Ended()) != 0 {
 		t.Errorf("what the old one left is still there: %v", names)
 	}
 }
@@ -109,7 +109,7 @@
 func TestBadFiles(t *testing.T) {
 	l, dir := newLoop(t), t.TempDir()
 	good := join(t, l, dir, "n1")
-	good.say(t, func(s *State) { s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5}} })
+	good.say(t, func(s *State) { s.Overrides = []policy.Override{{ID: "s-1", Banned: true, At: 5}} })
 	whole, err := os.ReadFile(good.own + ".json")
 	if err != nil {
 		t.Fatal(err)
@@ -140,10 +140,10 @@
 		}) {
 			t.Errorf("%s: told %q", c.name, m.notes)
 		}
-		if p := m.Peers(); len(p) != 1 || len(p[0].Hands) != 1 {
+		if p := m.Peers(); len(p) != 1 || len(p[0].Overrides) != 1 {
 			t.Errorf("%s: the good one is not read: %+v", c.name, p)
 		}
-		m.Look()
+		m.Refresh()
 		if len(m.notes) != 1 {
 			t.Errorf("%s: told %d times", c.name, len(m.notes))
 		}
--- a/internal/node/override_test.go
+++ b/internal/node/override_test.go
@@ -39,12 +39,12 @@
 	}
 	next := func() (banned map[string]bool) { // what a process that comes now hears
 		banned = map[string]bool{}
-		m, err := handover.Join(n.loop, handover.Options{Dir: dir, Name: "n", Listen: n.cfg.Listen.String(), Note: func(string, string) {}, Changed: func() {}})
+		m, err := handover.Join(n.loop, handover.Options{Dir: dir, Name: "n", Listen: n.cfg.Listen.String(), Note: func(string, string) {}, OnChange: func() {}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, p := range m.Peers() {
-			for _, h := range p.Hands {
+			for _, h := range p.Overrides {
 				banned[h.ID] = h.Banned
 			}
 		}
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -50,7 +50,7 @@
 	}
 	var err error
 	s.member, err = handover.Join(n.loop, handover.Options{Dir: n.cfg.StateDir, Name: n.cfg.Name, Listen: n.cfg.Listen.String(),
-		Note: n.listNote, Changed: s.changed})
+		Note: n.listNote, OnChange: s.changed})
 	if err != nil { // it serves all the same; an upgrade finds the address taken
 		s.joinErr = err
 		log.Printf("event=handover_off why=%q", err)
@@ -95,8 +95,8 @@
 // heed takes what was said by hand to others, those that have ended included, and what their lists say.
 func (s *succession) heed() {
 	n, now, news := s.node, s.node.loop.Now(), false
-	for _, p := range slices.Concat(s.member.Left(), s.member.Peers()) {
-		for _, h := range p.Hands {
+	for _, p := range slices.Concat(s.member.Ended(), s.member.Peers()) {
+		for _, h := range p.Overrides {
 			n.listed.add(h.ID)
 			n.guard("hand", func() { n.policy.Override(now, h) })
 			news = true
@@ -109,8 +109,8 @@
 		n.hands()
 	}
 	for _, p := range s.member.Peers() { // a drain is the node's, and a process that has ended took it along
-		if p.Lame.At > n.lameAt {
-			n.drained(p.Lame.On, p.Lame.At, adoptLame)
+		if p.LameDuck.Version > n.lameAt {
+			n.drained(p.LameDuck.On, p.LameDuck.Version, adoptLame)
 		}
 	}
 	s.heedLists()
@@ -140,12 +140,12 @@
 
 // newer reports whether a list tells more than the own one. Guards against comparing the revisions of two registries, where
 // discovery was moved between two processes: servers that are ready by the own list would get nothing for good.
-func newer(l, own handover.List) bool {
+func newer(l, own handover.ServerList) bool {
 	return l.Revision > own.Revision && (l.Source == "" || own.Source == "" || l.Source == own.Source)
 }
 
 // source is a list that says only which registry this process follows.
-func (s *succession) source() (l handover.List) {
+func (s *succession) source() (l handover.ServerList) {
 	r := &s.node.cfg.Registry
 	for _, e := range r.Endpoints {
 		l.Source += e.String() + " "
@@ -157,7 +157,7 @@
 // look hears what the other processes say now.
 func (s *succession) look() {
 	if s.member != nil {
-		s.member.Look()
+		s.member.Refresh()
 	}
 }
 
@@ -201,10 +201,10 @@
 	if self.OpenFDs = was.Process.OpenFDs; self != was.Process {
 		self.OpenFDs = held
 	}
-	x.Process, x.Hands, x.List = self, n.policy.Overrides(), s.list()
-	x.Lame = handover.Lame{On: n.lame, At: n.lameAt}
-	if now := n.loop.Now(); s.member.Owed() == nil && now-s.told < tellEvery && self.Stage == was.Process.Stage && self.SettledFor == was.Process.SettledFor &&
-		slices.Equal(x.Hands, was.Hands) && x.Lame == was.Lame && slices.Equal(x.List.Leaving, was.List.Leaving) {
+	x.Process, x.Overrides, x.List = self, n.policy.Overrides(), s.list()
+	x.LameDuck = handover.LameDuck{On: n.lame, Version: n.lameAt}
+	if now := n.loop.Now(); s.member.PublishErr() == nil && now-s.told < tellEvery && self.Stage == was.Process.Stage && self.SettledFor == was.Process.SettledFor &&
+		slices.Equal(x.Overrides, was.Overrides) && x.LameDuck == was.LameDuck && slices.Equal(x.List.Leaving, was.List.Leaving) {
 		return
 	} else {
 		s.told = now
@@ -241,7 +241,7 @@
 	if s.member == nil {
 		return s.joinErr
 	}
-	return s.member.Owed()
+	return s.member.PublishErr()
 }
 
 // tellMemory has the collector know how much this process may use.
@@ -269,7 +269,7 @@
 }
 
 // list is what other processes need to know of this one's list.
-func (s *succession) list() (l handover.List) {
+func (s *succession) list() (l handover.ServerList) {
 	n := s.node
 	if n.registry == nil {
 		return l
--- a/internal/node/succession_test.go
+++ b/internal/node/succession_test.go
@@ -11,16 +11,16 @@
 
 // The list of another process counts where it is newer, by the same registry: revisions of two compare with nothing.
 func TestWhichListOfTwoProcessesIsNewer(t *testing.T) {
-	own := handover.List{Source: "a", Revision: 7}
+	own := handover.ServerList{Source: "a", Revision: 7}
 	for _, c := range []struct {
-		l    handover.List
+		l    handover.ServerList
 		want bool
 	}{
-		{handover.List{Source: "a", Revision: 8}, true},
-		{handover.List{Source: "a", Revision: 7}, false},
-		{handover.List{Source: "a", Revision: 6}, false},
-		{handover.List{Source: "b", Revision: 900}, false}, // discovery was moved between the two
-		{handover.List{Revision: 8}, true},                 // a process of a version that does not tell
+		{handover.ServerList{Source: "a", Revision: 8}, true},
+		{handover.ServerList{Source: "a", Revision: 7}, false},
+		{handover.ServerList{Source: "a", Revision: 6}, false},
+		{handover.ServerList{Source: "b", Revision: 900}, false}, // discovery was moved between the two
+		{handover.ServerList{Revision: 8}, true},                 // a process of a version that does not tell
 	} {
 		if got := newer(c.l, own); got != c.want {
 			t.Errorf("%+v: %t", c.l, got)
@@ -40,7 +40,7 @@
 	n := b.node
 	s := &n.succession
 	join := func() *handover.Member {
-		m, err := handover.Join(n.loop, handover.Options{Dir: dir, Name: "n", Listen: "127.0.0.1:1", Note: func(string, string) {}, Changed: func() {}})
+		m, err := handover.Join(n.loop, handover.Options{Dir: dir, Name: "n", Listen: "127.0.0.1:1", Note: func(string, string) {}, OnChange: func() {}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,7 +69,7 @@
 	if err := young.Publish(young.Self()); err != nil {
 		t.Fatal(err)
 	}
-	s.member.Look()
+	s.member.Refresh()
 	if len(s.others()) != 1 || !settle() || s.room != 32 {
 		t.Fatalf("beside %d others it takes %d of 64 descriptors", len(s.others()), s.room)
 	}
@@ -87,7 +87,7 @@
 	if !settle() {
 		t.Error("its stage is not told")
 	}
-	young.Look()
+	young.Refresh()
 	if p := young.Peers()[0].Process; p.Stage != decide.Leaving || p.OpenFDs != n.loop.OpenSockets() || p.FDLimit != s.room {
 		t.Errorf("tells %+v, holds %d and takes %d", p, n.loop.OpenSockets(), s.room)
 	}
