--- a/cmd/lapislab/planted_test.go
+++ b/cmd/lapislab/planted_test.go
@@ -51,7 +51,7 @@
 		{"internal/loop/conn.go", "ln.resourceShortage = false", "ln.resourceShortage = true"}}},
 	{name: "a lost process is never replaced by one that is ready", seeds: 4, edits: []replacement{
 		{"internal/node/members.go", "readyWithin = 2 * time.Second", "readyWithin = 200 * time.Second"},
-		{"internal/node/members.go", "n.registry.Heard = n.listHeard", "n.registry.Heard = nil"}}},
+		{"internal/node/members.go", "n.registry.OnAnswer = n.listHeard", "n.registry.OnAnswer = nil"}}},
 }
 
 // overlay writes a planted fault's files and gives the flag that builds with them. The place of each must be there once.
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -31,7 +31,7 @@
 	Seed      uint64
 	MemoryMB  int
 	Sockets   int
-	Known     registry.Saved
+	Known     registry.SavedList
 	BadKnown  error // why the list known before is ignored
 	Settings  policy.Settings
 	Transport settings.Transport
@@ -154,7 +154,7 @@
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
 		// A list as bad as it may be is no reason not to start: discovery tells a better one.
-		c.Known, c.BadKnown = registry.ParseSaved(file.Known)
+		c.Known, c.BadKnown = registry.ParseSavedList(file.Known)
 	}
 	if len(file.Settings) == 0 {
 		var told bool
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -41,7 +41,7 @@
 	if r.MaxEntries == 0 {
 		r.MaxEntries = cfg.MemoryMB * entriesPer
 	}
-	c.MostBody = min(mostList, cfg.MemoryMB<<20/heldPart)
+	c.MaxBodyBytes = min(mostList, cfg.MemoryMB<<20/heldPart)
 	return c
 }
 
@@ -55,7 +55,7 @@
 // follow begins to follow the list, from the one known before.
 func (n *Node) follow() {
 	n.registry = registry.New(n.loop, n.cfg.followed(), n.cfg.Seed, n.told, n.listNote)
-	n.registry.Heard = n.listHeard
+	n.registry.OnAnswer = n.listHeard
 	n.registry.Start(n.cfg.Known.Revision, n.cfg.Known.Entries)
 	n.loop.After(readyWithin, n.nowReady)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -499,9 +499,9 @@
 	if cfg.Planners != nil {
 		n.forwarder.Reload(cfg.Planners.TLS)
 	}
-	if !cfg.Registry.Same(&n.cfg.Registry) {
+	if !cfg.Registry.Equal(&n.cfg.Registry) {
 		n.cfg.Registry = cfg.Registry
-		n.registry.Move(n.cfg.followed())
+		n.registry.ChangeRegistry(n.cfg.followed())
 	}
 	return true
 }
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -123,7 +123,7 @@
 		return
 	}
 	own := s.source()
-	own.Revision, _, _ = n.registry.Held()
+	own.Revision, _, _ = n.registry.ListStatus()
 	for _, p := range s.others() {
 		if !newer(p.List, own) {
 			continue
@@ -275,7 +275,7 @@
 		return l
 	}
 	l = s.source()
-	l.Revision, _, _ = n.registry.Held()
+	l.Revision, _, _ = n.registry.ListStatus()
 	now := n.loop.Now()
 	for id, at := range s.gone {
 		if now-at > goneFor {
--- a/internal/operator/registry.go
+++ b/internal/operator/registry.go
@@ -160,7 +160,7 @@
 		sum.Write(cert)
 		c.TLS.Certificates = []tls.Certificate{pair}
 	}
-	c.Secret = hex.EncodeToString(sum.Sum(nil))
+	c.TLSFingerprint = hex.EncodeToString(sum.Sum(nil))
 	return c, nil
 }
 
--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -44,7 +44,7 @@
 	held := l.announcer.Held()
 	if l.held && !held {
 		l.p.note("lease_lost", "id="+l.p.cfg.Plan.ID)
-		l.announcer.Change(l.entry())
+		l.announcer.SetValue(l.entry())
 	}
 	l.held = held
 	l.p.loop.After(leaseLook, l.look)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -160,7 +160,7 @@
 	if c.Roster.WatchTimeout == 0 {
 		c.Roster.WatchTimeout = listWatch
 	}
-	c.MostBody = mostListBody
+	c.MaxBodyBytes = mostListBody
 	p.registry = registry.New(p.loop, c, uint64(time.Now().UnixNano()), p.told, p.note)
 	p.registry.Start(0, nil)
 	if p.cfg.Lease != "" {
--- a/internal/registry/announce.go
+++ b/internal/registry/announce.go
@@ -38,8 +38,8 @@
 // Start begins to keep the entry.
 func (a *Announcer) Start() { a.keeper.Start(a.loop.Now()) }
 
-// Change keeps another value from now on.
-func (a *Announcer) Change(value []byte) { a.keeper.SetValue(a.loop.Now(), value) }
+// SetValue keeps another value from now on.
+func (a *Announcer) SetValue(value []byte) { a.keeper.SetValue(a.loop.Now(), value) }
 
 // Stop takes the entry out; over is called once that is done, or has failed.
 func (a *Announcer) Stop(over func()) {
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -19,20 +19,20 @@
 
 // Config says where the list is and how it is followed.
 type Config struct {
-	Kind      Kind
-	Endpoints []netip.AddrPort
-	Prefix    string      // of the keys, for a key-value store
-	Token     string      // sent with each request; empty: none
-	TLS       *tls.Config // nil: plain
-	Secret    string      // tells one TLS configuration from another
-	MostBody  int         // bytes of an answer, or of an object of a stream
-	Roster    roster.Config
+	Kind           Kind
+	Endpoints      []netip.AddrPort
+	Prefix         string      // of the keys, for a key-value store
+	Token          string      // sent with each request; empty: none
+	TLS            *tls.Config // nil: plain
+	TLSFingerprint string      // tells one TLS configuration from another
+	MaxBodyBytes   int         // bytes of an answer, or of an object of a stream
+	Roster         roster.Config
 }
 
-// Same reports whether two configurations name the same registry, reached and read in the same way.
-func (c *Config) Same(o *Config) bool {
+// Equal reports whether two configurations name the same registry, reached and read in the same way.
+func (c *Config) Equal(o *Config) bool {
 	return c.Kind == o.Kind && slices.Equal(c.Endpoints, o.Endpoints) && c.Prefix == o.Prefix && c.Token == o.Token &&
-		(c.TLS == nil) == (o.TLS == nil) && c.Secret == o.Secret && c.Roster == o.Roster
+		(c.TLS == nil) == (o.TLS == nil) && c.TLSFingerprint == o.TLSFingerprint && c.Roster == o.Roster
 }
 
 // protocol makes the Kind's.
@@ -58,9 +58,9 @@
 	wake     *loop.Timer
 	closed   bool
 	// Heard is called with each answer that made sense; nil: nobody is.
-	Heard func()
+	OnAnswer func()
 	// Bytes that have come, and Bad, answers that made no sense, since the start.
-	Bytes, Bad int64
+	BytesReceived, BadAnswers int64
 }
 
 // New makes a client that does nothing yet. Apply is told of the list, note of what the log should have.
@@ -86,9 +86,9 @@
 	c.follower.Start(c.loop.Now())
 }
 
-// Move begins anew with another configuration, from a read of the whole list: revisions are a registry's own, and what
+// ChangeRegistry begins anew with another configuration, from a read of the whole list: revisions are a registry's own, and what
 // the old one had still to tell must not be missed. The list held stays until then.
-func (c *Client) Move(cfg Config) {
+func (c *Client) ChangeRegistry(cfg Config) {
 	c.take(&cfg)
 	c.follower.ChangeRegistry(c.loop.Now(), c.cfg.Roster)
 }
@@ -96,8 +96,8 @@
 // Counts tells what has happened since the start.
 func (c *Client) Counts() roster.Counts { return c.follower.Counts }
 
-// Held is the revision of the list held, how many servers it has, and how many of them are kept though they vanished.
-func (c *Client) Held() (revision int64, servers, kept int) {
+// ListStatus is the revision of the list held, how many servers it has, and how many of them are kept though they vanished.
+func (c *Client) ListStatus() (revision int64, servers, kept int) {
 	return c.follower.Revision(), c.follower.Servers(), c.follower.HeldServers()
 }
 
@@ -197,7 +197,7 @@
 func (l *link) ask(call roster.Call) {
 	c := l.client
 	l.call, l.out = call, true
-	l.stream, l.body, l.objects, l.begun = httpc.StreamParser{}, nil, objects{most: c.cfg.MostBody}, false
+	l.stream, l.body, l.objects, l.begun = httpc.StreamParser{}, nil, objects{most: c.cfg.MaxBodyBytes}, false
 	method, target, headers, body := c.proto.request(call)
 	l.conn.Write(httpc.AppendRequest(nil, method, target, l.addr.String(), headers, body))
 }
@@ -247,7 +247,7 @@
 // Data implements loop.Handler.
 func (l *link) Data(data []byte) {
 	c := l.client
-	c.Bytes += int64(len(data))
+	c.BytesReceived += int64(len(data))
 	if !l.out {
 		l.fail("an answer to nothing")
 		return
@@ -260,7 +260,7 @@
 		case bad != nil || l.gone || l.call.ID != call.ID:
 		case c.proto.streams(call) && l.stream.ResponseHead.Status == 200:
 			bad = l.objects.feed(piece, l.object)
-		case len(l.body)+len(piece) > c.cfg.MostBody:
+		case len(l.body)+len(piece) > c.cfg.MaxBodyBytes:
 			bad = errLarge
 		default:
 			l.body = append(l.body, piece...)
@@ -271,7 +271,7 @@
 	case err != nil:
 		l.fail(err.Error())
 	case bad != nil:
-		c.Bad++
+		c.BadAnswers++
 		l.fail(bad.Error())
 	case l.stream.Done && used < len(data):
 		l.fail("more than an answer")
@@ -310,8 +310,8 @@
 // answer passes an answer on.
 func (c *Client) answer(a roster.Answer) {
 	c.follower.Answer(c.loop.Now(), a)
-	if c.Heard != nil {
-		c.Heard()
+	if c.OnAnswer != nil {
+		c.OnAnswer()
 	}
 }
 
@@ -344,7 +344,7 @@
 	c := l.client
 	if err != nil {
 		if l.stream.ResponseHead.Status == 200 {
-			c.Bad++
+			c.BadAnswers++
 		}
 		l.fail(err.Error())
 		return
--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -95,19 +95,19 @@
 	return text
 }
 
-// Saved is a list that a node had before.
-type Saved struct {
+// SavedList is a list that a node had before.
+type SavedList struct {
 	Revision int64
 	Entries  []roster.Entry
 }
 
-// ParseSaved reads one in the form of the platform's discovery.
-func ParseSaved(text []byte) (Saved, error) {
+// ParseSavedList reads one in the form of the platform's discovery.
+func ParseSavedList(text []byte) (SavedList, error) {
 	revision, _, entries, err := ParseList(text)
 	if err != nil {
-		return Saved{}, err
+		return SavedList{}, err
 	}
-	return Saved{revision, slices.DeleteFunc(entries, func(e roster.Entry) bool { return e.State == policy.Gone })}, nil
+	return SavedList{revision, slices.DeleteFunc(entries, func(e roster.Entry) bool { return e.State == policy.Gone })}, nil
 }
 
 // ParseList reads a list in the form of the platform's discovery. A list that holds anything senseless is refused whole:
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(reg.Close)
-	cfg := Config{Kind: kind, Prefix: prefix, MostBody: 8 << 20, Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: time.Second,
+	cfg := Config{Kind: kind, Prefix: prefix, MaxBodyBytes: 8 << 20, Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: time.Second,
 		CallTimeout: 700 * ms, PageSize: 100, RewindAfter: 2 * time.Second}}
 	for _, a := range reg.Addrs(0) {
 		cfg.Endpoints = append(cfg.Endpoints, netip.MustParseAddrPort(a))
@@ -225,7 +225,7 @@
 				r.reg.Set(server(1, world.Draining))
 				set(r, 1, false)
 				eventually(t, "the endpoint that is back tells of the drain", r.is)
-				if name == "garble" && r.client.Bad == 0 {
+				if name == "garble" && r.client.BadAnswers == 0 {
 					t.Error("no nonsense was counted")
 				}
 			})
--- a/internal/registry/watch_test.go
+++ b/internal/registry/watch_test.go
@@ -195,7 +195,7 @@
 func held(t *testing.T, reply func(n int, target string) (string, bool), pace func(n int, before string)) (*rig, *script) {
 	t.Helper()
 	s := servePaced(t, reply, pace)
-	cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MostBody: 1 << 20,
+	cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MaxBodyBytes: 1 << 20,
 		Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: 100 * time.Second, CallTimeout: 300 * ms, ImmediateFirstWatch: true}}
 	return run(t, cfg, 7, []roster.Entry{{Server: policy.Server{ID: "s-1", Weight: 1}, Addr: "10.0.0.1:1"}}), s
 }
@@ -231,7 +231,7 @@
 				}
 				return "", false
 			})
-			cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MostBody: 1 << 20,
+			cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MaxBodyBytes: 1 << 20,
 				Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: 100 * time.Second, CallTimeout: 300 * ms, ImmediateFirstWatch: true}}
 			r := run(t, cfg, 7, []roster.Entry{{Server: policy.Server{ID: "s-1", Weight: 1}, Addr: "10.0.0.1:1"}})
 			eventually(t, "the drain is known", func() bool {
@@ -301,7 +301,7 @@
 	r.on(func() {
 		cfg := r.client.cfg
 		cfg.Endpoints = []netip.AddrPort{netip.MustParseAddrPort(other.ln.Addr().String())}
-		r.client.Move(cfg)
+		r.client.ChangeRegistry(cfg)
 	})
 	close(old)
 	eventually(t, "the new list counts", func() bool {
@@ -310,7 +310,7 @@
 		return r.told["s-1"].State == policy.Draining
 	})
 	r.on(func() {
-		if rev, _, _ := r.client.Held(); rev != 3 {
+		if rev, _, _ := r.client.ListStatus(); rev != 3 {
 			t.Errorf("holds revision %d", rev)
 		}
 	})
@@ -337,7 +337,7 @@
 func follow(t *testing.T, reply func(n int, target string) (string, bool)) (*rig, *script) {
 	t.Helper()
 	s := serveScript(t, reply)
-	cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MostBody: 1 << 20,
+	cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MaxBodyBytes: 1 << 20,
 		Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: 200 * ms, CallTimeout: 300 * ms, ImmediateFirstWatch: true}}
 	t.Cleanup(func() {
 		if t.Failed() {
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -179,7 +179,7 @@
 	n.balancer = policy.New(now, policy.Settings{Classes: []policy.Class{{Name: "read", Aim: 600 * time.Millisecond, Worth: 1}}, Mode: policy.Aside, OriginKind: originKind,
 		Balancers: h.cfg.Nodes, Weighted: true, MaxAttempts: 4, ColdFrom: coldFrom, WarmUp: warmUp, FallMultiple: fallMultiple, FallWindow: fallWindow},
 		n.rng.Uint64(), noActions{})
-	c := registry.Config{Kind: registry.Kind(h.cfg.Kind), Endpoints: []netip.AddrPort{netip.MustParseAddrPort(h.cfg.List)}, Prefix: listPrefix, MostBody: mostList,
+	c := registry.Config{Kind: registry.Kind(h.cfg.Kind), Endpoints: []netip.AddrPort{netip.MustParseAddrPort(h.cfg.List)}, Prefix: listPrefix, MaxBodyBytes: mostList,
 		// As internal/node has them for a fleet of this size.
 		Roster: roster.Config{Nodes: h.cfg.Nodes, CallTimeout: 1500 * time.Millisecond, ImmediateFirstWatch: true, PushedRetryDelay: 100 * time.Millisecond,
 			WatchTimeout: min(time.Minute, max(5*time.Second, time.Second*time.Duration(h.cfg.Nodes)))}}
@@ -296,7 +296,7 @@
 		c.in, c.out, c.digests, c.views, c.errors = c.in+f.BytesIn, c.out+f.BytesOut, c.digests+f.Digests, c.views+f.Views, c.errors+f.Errors
 	}
 	if r := n.registry; r != nil {
-		c.listBytes, c.listCalls = c.listBytes+r.Bytes, c.listCalls+r.Counts().Calls
+		c.listBytes, c.listCalls = c.listBytes+r.BytesReceived, c.listCalls+r.Counts().Calls
 	}
 	return c
 }
--- a/lab/stage/list.go
+++ b/lab/stage/list.go
@@ -206,7 +206,7 @@
 		return nil, err
 	}
 	k := &keeper{stage: s, loop: l, done: make(chan error, 1), all: map[string]*registry.Announcer{},
-		cfg: registry.Config{Kind: registry.Kind(s.X.List.Kind), Token: s.X.List.Token, MostBody: 1 << 20}}
+		cfg: registry.Config{Kind: registry.Kind(s.X.List.Kind), Token: s.X.List.Token, MaxBodyBytes: 1 << 20}}
 	for _, a := range r.Addrs(0) {
 		addr, err := netip.ParseAddrPort(a)
 		if err != nil {
@@ -231,7 +231,7 @@
 			a.Stop(func() {})
 		case m.Phase == world.Deleted:
 		case a != nil:
-			a.Change(value)
+			a.SetValue(value)
 		default:
 			a = registry.NewAnnouncer(k.loop, k.cfg, registryPrefix+m.ID, value, k.stage.X.List.Lease.D(), k.stage.X.Seed, func(event, why string) {
 				k.stage.Log.AddEvent(fmt.Sprintf("%s: %s %s", name, event, why))
