--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,6 @@
-// Package control is the operators' second address: HTTP/1.1, one call to a connection, on the node's loop. It knows who
-// may call what and how; what a call does is its owner's.
+// Package control implements the control address, on which operators and their tools send requests to a process: HTTP/1.1 with one
+// request per connection, on the process's event loop. It matches requests to routes and limits connections; the handlers of
+// the routes belong to the caller.
 package control
 
 import (
@@ -16,46 +17,48 @@
 )
 
 const (
-	// MaxConns is how many connections of callers are held at once, and Descriptors what the address takes in all.
+	// MaxConns is the maximum number of open client connections. MaxDescriptors includes the listener.
 	MaxConns       = 12
 	MaxDescriptors = MaxConns + 1
-	maxHeadBytes   = 4 << 10         // bytes of a call's head
-	requestTimeout = 5 * time.Second // from connecting to a whole call
+	maxHeadBytes   = 4 << 10         // size of a request's head
+	requestTimeout = 5 * time.Second // from accepting a connection to its complete request
 	lingerTimeout  = 500 * time.Millisecond
 )
 
-// Reply is what a call is answered: 2xx is yes, 4xx and 5xx no.
+// Reply is the response to a request. 2xx means success, 4xx and 5xx failure.
 type Reply struct {
 	Status int
-	Type   string // of the body; empty: plain text
+	Type   string // Content-Type; empty selects plain text
 	Body   []byte
 }
 
-// TextReply is a reply of one plain line.
+// TextReply returns a reply with one line of plain text.
 func TextReply(status int, line string) Reply {
 	return Reply{Status: status, Body: []byte(line + "\n")}
 }
 
-// Route is one call. A path that ends in a slash takes one more segment, which Do is given, unescaped.
+// Route maps a method and path to a handler. A path that ends in a slash matches one further segment, which is unescaped and
+// passed to Handler.
 type Route struct {
 	Method, Path string
 	Handler      func(arg string) Reply
 }
 
-// Server owns the listener and the connections of callers.
+// Server owns the listener and the client connections.
 type Server struct {
 	loop     *loop.Loop
 	listener *loop.Listener
 	routes   []Route
-	conns    *list.List // all that hold a descriptor, oldest first
+	conns    *list.List // *clientConn that hold a descriptor, oldest first
 	closed   bool
 
-	// Calls counts answers by status; Shed the connections that made room for others or brought no call in time.
+	// RepliesByStatus counts replies by status code. Shed counts connections closed to make room for others or because no
+	// complete request arrived in time.
 	RepliesByStatus map[int]int64
 	Shed            int64
 }
 
-// clientConn is one connection. It leaves the list when its descriptor is given back.
+// clientConn is one connection. It is removed from Server.conns when its descriptor is closed.
 type clientConn struct {
 	server  *Server
 	conn    *loop.Conn
@@ -65,7 +68,7 @@
 	timer   *loop.Timer
 }
 
-// Listen opens the address, and nothing but it.
+// Listen opens the address and serves routes on it.
 func Listen(l *loop.Loop, addr netip.AddrPort, routes []Route) (*Server, error) {
 	s := &Server{loop: l, routes: routes, conns: list.New(), RepliesByStatus: map[int]int64{}}
 	var err error
@@ -76,7 +79,7 @@
 	return s, nil
 }
 
-// OpenDescriptors is how many descriptors are held; a nil Server holds none.
+// OpenDescriptors returns the number of open descriptors. It is 0 for a nil Server.
 func (s *Server) OpenDescriptors() int {
 	if s == nil || s.closed {
 		return 0
@@ -84,7 +87,7 @@
 	return s.conns.Len() + 1
 }
 
-// ReservedDescriptors is how many descriptors are kept for the address; a nil Server needs none.
+// ReservedDescriptors returns the number of descriptors reserved for the address. It is 0 for a nil Server.
 func (s *Server) ReservedDescriptors() int {
 	if s == nil {
 		return 0
@@ -92,8 +95,8 @@
 	return MaxDescriptors
 }
 
-// accept takes a caller. With no place left the oldest that has finished no call makes room, then the oldest that only
-// waits for the other end to close: callers that never finish must cost only themselves.
+// accept adds a connection. At the limit it closes the oldest connection without a complete request, or else the oldest one that
+// only waits for its peer to close: clients that never finish a request must not block others.
 func (s *Server) accept(fd int) {
 	c := &clientConn{server: s}
 	conn, err := s.loop.Accept(fd, c)
@@ -151,7 +154,7 @@
 	}
 }
 
-// dispatch finds and makes a call; allow tells the methods that its path has.
+// dispatch runs the handler for a request. If the path exists only with other methods, allow lists them.
 func (s *Server) dispatch(method, path string) (reply Reply, allow string) {
 	var methods []string
 	for _, r := range s.routes {
@@ -170,7 +173,7 @@
 	return TextReply(404, "no such call"), ""
 }
 
-// match reports whether a path is a route's and gives its argument.
+// match reports whether a path matches a route's path, and returns the route's argument.
 func match(route, path string) (arg string, ok bool) {
 	if !strings.HasSuffix(route, "/") {
 		return "", path == route
@@ -183,7 +186,7 @@
 	return arg, err == nil
 }
 
-// reply ends the call.
+// reply sends the response and closes the connection.
 func (c *clientConn) reply(r Reply, allow string) {
 	c.replied, c.input = true, nil
 	c.server.RepliesByStatus[r.Status]++
@@ -198,7 +201,7 @@
 	c.conn.CloseGracefully(lingerTimeout)
 }
 
-// Close gives the address back; calls that were answered reach their callers.
+// Close closes the listener and all connections without a reply. Replies already sent are still delivered.
 func (s *Server) Close() {
 	if s == nil || s.closed {
 		return
