--- a/internal/handover/clock_test.go
+++ b/internal/handover/clock_test.go
@@ -13,7 +13,7 @@
 	decide "lapisshelf/decide/handover"
 )
 
-// addSkewedPeer makes a process known that counts its order by a wall clock that is so far from this one's, as earlier builds do.
+// addSkewedPeer adds the files of a live process whose order is a wall-clock time that differs by skew, as with earlier builds.
 func addSkewedPeer(t *testing.T, m *testMember, dir string, skew time.Duration) (lock *os.File) {
 	t.Helper()
 	s := m.Self()
@@ -30,7 +30,7 @@
 	return lock
 }
 
-// A process that starts beside others is the youngest of them, though the wall clock has been set back since they started.
+// A process that starts beside others has the highest order, even if the wall clock has been set back since they started.
 func TestASteppedClockKeepsTheOrderOfProcesses(t *testing.T) {
 	for _, skew := range []time.Duration{-time.Hour, -time.Second, time.Second, time.Hour} {
 		l, dir := newLoop(t), t.TempDir()
@@ -38,13 +38,13 @@
 		lock := addSkewedPeer(t, scratch, dir, skew)
 		fresh := join(t, l, dir, "n1")
 		if p := fresh.Peers(); len(p) != 1 || fresh.Self().Process.Order <= p[0].Process.Order {
-			t.Errorf("skew %v: order %d beside %+v", skew, fresh.Self().Process.Order, p)
+			t.Errorf("skew %v: order %d, peers %+v", skew, fresh.Self().Process.Order, p)
 		}
 		lock.Close()
 	}
 }
 
-// A process of an earlier build that comes later, with a wall clock set back, is younger than those that were there.
+// A process of an earlier build that starts later, after the wall clock has been set back, still counts as the youngest.
 func TestALaterProcessOfAnEarlierBuildIsYounger(t *testing.T) {
 	l, dir := newLoop(t), t.TempDir()
 	first, second := join(t, l, dir, "n1"), join(t, l, dir, "n1")
@@ -52,14 +52,14 @@
 	second.publish(t, func(*State) {})
 	lock := addSkewedPeer(t, first, dir, -time.Hour)
 	defer lock.Close()
-	runUntil(t, l, "those that were there are elders", func() bool {
+	runUntil(t, l, "the processes that started earlier have lower orders", func() bool {
 		a, b := first.Self().Process.Order, second.Self().Process.Order
 		p := second.Peers()
 		return len(p) == 2 && len(first.Peers()) == 2 && a < b && b < p[0].Process.Order && b < first.Peers()[0].Process.Order
 	})
 }
 
-// writeState writes a process's file whole.
+// writeState writes a state file atomically.
 func writeState(t *testing.T, path string, s State) {
 	t.Helper()
 	text, err := json.Marshal(s)
--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -18,7 +18,7 @@
 	"lapisshelf/policy"
 )
 
-// The files of a process: what it makes known, the same while it is written, and the lock that it holds.
+// The suffixes of a process's files: its published state, the state while it is being written, and the lock that it holds.
 const (
 	stateSuffix = ".json"
 	tempSuffix  = ".new"
@@ -26,18 +26,18 @@
 	fileMode    = 0o600
 )
 
-// maxOrder bounds orders and versions, so that there is always a next one.
+// maxOrder is an exclusive upper bound of orders and versions, so that incrementing one never overflows.
 const maxOrder = 1 << 62
 
-// processFiles is the name of a process's files, without their ending.
+// processFiles identifies the files of one process, parsed from their name.
 type processFiles struct {
-	base     string // the path
+	base     string // path without the suffix
 	order    int64
 	pid      int
-	hasState bool // it has made something known
+	hasState bool // a state file exists
 }
 
-// listFiles gives the files of the node's processes, the youngest process first. Names that make no sense are left out.
+// listFiles returns the files of the node's processes, youngest process first. Files whose names are not valid are left out.
 func (m *Member) listFiles() ([]processFiles, error) {
 	names, err := system.ReadDirNames(m.opt.Dir)
 	if err != nil {
@@ -66,9 +66,10 @@
 	return list, nil
 }
 
-// readAll reads the others' files. Those of processes that have ended are read once more, and cleared away when what they
-// said has been made known anew. Guards against a process that counts as ended, or as one that said nothing, because a
-// descriptor was short or the disk failed for a moment: what was known of it stands until it can be read.
+// readAll reads the states of the other processes. The state of a process that has ended is kept in m.ended, and its files are
+// removed once Publish has written a state that includes it. If a state cannot be read for the moment, because of a descriptor
+// shortage or a disk error, the last known one stays in use: the process must not be taken for one that has ended or that has
+// published nothing.
 func (m *Member) readAll() {
 	files, err := m.listFiles()
 	if m.rereadNeeded = err != nil; m.rereadNeeded {
@@ -87,18 +88,18 @@
 		}
 	}
 	m.lastRead = states
-	if m.published != nil && !present { // somebody took this process for one that has ended
-		m.published, m.publishErr = nil, errors.New("the own file has gone")
+	if m.published != nil && !present { // another process has taken this one for ended and removed its files
+		m.published, m.publishErr = nil, errors.New("the state file of this process was removed")
 	}
 	m.keepSeniority()
 }
 
-// readProcess reads the file of one process.
+// readProcess reads the state of one process, and adds it to m.peers and states if the process is alive, else to m.ended.
 func (m *Member) readProcess(f processFiles, states map[string]State) {
 	alive, err := isLocked(f.base + lockSuffix)
 	if err != nil {
 		m.rereadNeeded = true
-		if s, ok := m.lastRead[f.base]; ok { // as far as is known it lives
+		if s, ok := m.lastRead[f.base]; ok { // assumed to be alive still
 			states[f.base] = s
 			m.peers = append(m.peers, s)
 		}
@@ -125,7 +126,7 @@
 	}
 }
 
-// reportBadFile tells of a file that makes no sense, once.
+// reportBadFile logs an invalid state file, once per file.
 func (m *Member) reportBadFile(f processFiles, why error) {
 	if !m.reportedFiles[f.base] && len(m.reportedFiles) < maxPeers {
 		m.reportedFiles[f.base] = true
@@ -133,13 +134,13 @@
 	}
 }
 
-// isTransient reports whether an error is the system's, which passes, and not the file's.
+// isTransient reports whether an error is one of the system, which may pass, rather than one of the file's content.
 func isTransient(err error) bool {
 	var failed *fs.PathError
 	return errors.As(err, &failed) && !errors.Is(err, fs.ErrNotExist)
 }
 
-// isLocked reports whether the holder of a lock lives; an error, that it can't be known now.
+// isLocked reports whether a lock is held, which means that its process is alive. An error means that this is unknown for now.
 func isLocked(path string) (bool, error) {
 	f, err := system.OpenFile(path, os.O_RDONLY, 0)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -156,7 +157,7 @@
 	return false, err
 }
 
-// flock locks a file, also where the call is interrupted.
+// flock locks a file and retries if a signal interrupts the call.
 func flock(f *os.File, how int) error {
 	for {
 		if err := unix.Flock(int(f.Fd()), how); !errors.Is(err, unix.EINTR) {
@@ -165,7 +166,7 @@
 	}
 }
 
-// readState reads one file. One that is not whole, of another version or of another node, is an error.
+// readState reads one state file. A file that is truncated, of another version or of another node is an error.
 func (m *Member) readState(path string) (s State, err error) {
 	f, err := system.OpenFile(path, os.O_RDONLY, 0)
 	if err != nil {
@@ -177,7 +178,7 @@
 		return s, err
 	}
 	if !info.Mode().IsRegular() || info.Size() > maxStateBytes {
-		return s, fmt.Errorf("no file of at most %d bytes", maxStateBytes)
+		return s, fmt.Errorf("not a regular file of at most %d bytes", maxStateBytes)
 	}
 	d := json.NewDecoder(f)
 	d.DisallowUnknownFields()
@@ -189,15 +190,15 @@
 	case s.Version != stateVersion:
 		return s, fmt.Errorf("version %d, not %d", s.Version, stateVersion)
 	case s.Name != m.opt.Name || s.Listen != m.opt.Listen:
-		return s, fmt.Errorf("of another node, %q at %s", s.Name, s.Listen)
+		return s, fmt.Errorf("belongs to another node, %q at %s", s.Name, s.Listen)
 	case s.Process.OpenFDs < 0 || s.Process.FDLimit < 0 || s.Process.Order <= 0 || s.Process.Order >= maxOrder,
 		s.LameDuck.Version < 0 || s.LameDuck.Version >= maxOrder, slices.ContainsFunc(s.Overrides, invalid):
-		return s, errors.New("figures that make no sense")
+		return s, errors.New("numbers out of range")
 	}
 	return s, nil
 }
 
-// removeFiles clears away the files of a process that has ended. What stays is tried again as it is read again.
+// removeFiles removes the files of a process. Errors are ignored: files that remain are read and removed again later.
 func removeFiles(base string) {
 	for _, suffix := range []string{stateSuffix, tempSuffix, lockSuffix} {
 		os.Remove(base + suffix)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,9 +1,11 @@
-// Package handover is how the processes of one node know of each other: by files in a directory that they share. Each
-// process has one that it alone writes, whole and by rename, and a lock beside it that it holds as long as it lives. All
-// of it runs on the node's loop; the files are small and lie in memory where the directory does.
+// Package handover lets the processes of one node exchange state during an upgrade, through files in a shared directory. Each
+// process has a state file that it alone writes, replaced atomically by rename, and a lock file beside it that it keeps locked as
+// long as it lives. Everything runs on the node's event loop; the files are small, and in memory if the directory is on a
+// memory file system.
 //
-// No wall clock decides anything between processes: their order is a counter kept by the names in the directory (order.go).
-// What can't be read for a moment says nothing of its process, and what can't be written is owed (Publish).
+// Nothing between processes depends on the wall clock: their start order is a counter, kept in the names of the files (order.go).
+// A file that cannot be read for the moment says nothing about its process. A state that cannot be written is reported by
+// Publish, and the caller retries.
 package handover
 
 import (
@@ -26,84 +28,84 @@
 
 const (
 	stateVersion         = 1
-	maxStateBytes        = 1 << 20                // of a file
-	maxPeers             = 8                      // processes that are looked at
-	notifiedPollInterval = 200 * time.Millisecond // besides what the system tells
-	pollInterval         = 50 * time.Millisecond  // where it tells nothing
-	maxRetryBackoff      = time.Second            // between tries to enter the directory
+	maxStateBytes        = 1 << 20                // size of a state file
+	maxPeers             = 8                      // processes whose state is read
+	notifiedPollInterval = 200 * time.Millisecond // if the system notifies of changes
+	pollInterval         = 50 * time.Millisecond  // if it does not
+	maxRetryBackoff      = time.Second            // between attempts to register in the directory
 )
 
-// State is what a process makes known.
+// State is what a process publishes. It is stored as JSON.
 type State struct {
 	Version   int               `json:"version"`
 	Name      string            `json:"name"`
 	Listen    string            `json:"listen"`
 	PID       int               `json:"pid"`
 	Process   decide.Process    `json:"process"`
-	Overrides []policy.Override `json:"hands,omitempty"` // what was said of servers by hand
+	Overrides []policy.Override `json:"hands,omitempty"` // decisions of operators about servers
 	LameDuck  LameDuck          `json:"lame"`
 	List      ServerList        `json:"list"`
 }
 
-// LameDuck is the last word on whether the node is drained.
+// LameDuck is the latest decision whether the node is drained.
 type LameDuck struct {
 	On      bool          `json:"on"`
-	Version time.Duration `json:"at"` // its version: higher than that of the word before it, whoever took that
+	Version time.Duration `json:"at"` // higher than that of the previous decision, whichever process took it
 }
 
-// ServerList is what a process's list says of servers that get nothing new.
+// ServerList is the part of a process's server list that other processes need: the servers that get no new requests.
 type ServerList struct {
-	Source   string   `json:"source,omitempty"` // the registry: revisions of two compare with nothing
+	Source   string   `json:"source,omitempty"` // the registry; revisions of different registries are not comparable
 	Revision int64    `json:"revision"`
-	Leaving  []string `json:"leaving,omitempty"` // draining, or gone lately
-	Listed   []string `json:"listed,omitempty"`  // ids that were ever listed
+	Leaving  []string `json:"leaving,omitempty"` // ids of servers that are draining or were removed recently
+	Listed   []string `json:"listed,omitempty"`  // ids of servers that were ever listed
 }
 
-// Options are what a process is told.
+// Options configure a member. Name and Listen identify the node in the shared directory Dir.
 type Options struct {
 	Dir, Name, Listen string
-	Note              func(event, why string) // a line for the log
-	OnChange          func()                  // the others, or what they make known, have changed
+	Note              func(event, why string) // writes a log line
+	OnChange          func()                  // called when the other processes or their states have changed
 }
 
-// Member is this process among the others.
+// Member is this process's view of the node's processes.
 type Member struct {
 	opt             Options
 	loop            *loop.Loop
-	prefix          string   // of the files of all of the node's processes
-	ownBase         string   // path of the own file, without its ending
-	ownLock         *os.File // nil: the process could not be made known yet
+	prefix          string   // of the names of all files of the node
+	ownBase         string   // path of the own files without the suffix
+	ownLock         *os.File // nil until the process is registered
 	inotify         *loop.File
 	pollTimer       *loop.Timer
-	retryBackoff    time.Duration // before the next try to be made known
-	retryAt         time.Duration // when that is due
+	retryBackoff    time.Duration // before the next attempt to register
+	retryAt         time.Duration // time of that attempt
 	self            State
-	published       []byte            // as written last; nil: nothing, or it has gone
-	syncedOverrides []policy.Override // as synced last
-	publishErr      error             // why self is not written; nil: it is
-	earlierPIDs     map[int]bool      // ids of processes that were there before this one
-	lastRead        map[string]State
+	published       []byte            // state file as written last; nil if there is none
+	syncedOverrides []policy.Override // overrides in the state file as synced last
+	publishErr      error             // why self is not written; nil if it is
+	earlierPIDs     map[int]bool      // processes that registered before this one
+	lastRead        map[string]State  // states of the live processes by path without the suffix
 	peers           []State
 	ended           []endedProcess
-	rereadNeeded    bool            // something could not be read, which is to be tried again
-	reportedFiles   map[string]bool // files that were told of as bad
+	rereadNeeded    bool            // something could not be read or written and is to be retried
+	reportedFiles   map[string]bool // invalid files that were logged
 }
 
-// endedProcess is what a process that has ended made known, and the path of its files, without their ending.
+// endedProcess is the last state of a process that has ended, and the path of its files without the suffix.
 type endedProcess struct {
 	State
 	base string
 }
 
-// errNotRegistered is why nothing is written as long as the process could not be made known.
-var errNotRegistered = errors.New("the process could not enter the state directory yet")
+// errNotRegistered is the result of Publish as long as the process could not register in the directory.
+var errNotRegistered = errors.New("the process is not registered in the state directory yet")
 
-// Join makes the process known, as coming and as the youngest, and reads what the others have made known. Where the directory
-// can't be written for now, that is tried again with growing pauses, and what can be read counts meanwhile. It fails where there
-// is no such directory.
+// Join registers this process as the youngest of its node and reads the states of the others. If the directory cannot be written
+// for the moment, registration is retried with exponential backoff and the states that can be read are used meanwhile. Join
+// fails if the directory does not exist.
 func Join(l *loop.Loop, opt Options) (*Member, error) {
 	if info, err := os.Stat(opt.Dir); errors.Is(err, fs.ErrNotExist) || err == nil && !info.IsDir() {
-		return nil, fmt.Errorf("%s is no directory", opt.Dir)
+		return nil, fmt.Errorf("%s is not a directory", opt.Dir)
 	}
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s\x00%s", opt.Name, opt.Listen)
@@ -119,7 +121,7 @@
 	return m, nil
 }
 
-// watchDir has the system tell of changes: of files renamed into place, and of locks closed as their holders end.
+// watchDir asks the system to notify of changes: files renamed into place, and lock files closed when their holders end.
 func (m *Member) watchDir() error {
 	fd, err := unix.InotifyInit1(unix.IN_NONBLOCK | unix.IN_CLOEXEC)
 	if err != nil {
@@ -131,7 +133,7 @@
 	}
 	m.inotify, err = m.loop.Watch(fd, func() {
 		var buf [4096]byte
-		for { // which file it is does not matter
+		for { // discards the events: all files are read again anyway
 			if n, err := unix.Read(fd, buf[:]); err != nil && !errors.Is(err, unix.EINTR) || n == 0 {
 				break
 			}
@@ -141,9 +143,10 @@
 	return err
 }
 
-// Start begins to tell of changes, by Changed.
+// Start begins to poll for changes, which are reported through OnChange.
 func (m *Member) Start() { m.schedulePoll() }
 
+// schedulePoll sets the timer of the next poll. Polling also finds changes that the system does not notify of.
 func (m *Member) schedulePoll() {
 	interval := pollInterval
 	if m.inotify != nil && m.ownLock != nil {
@@ -158,7 +161,7 @@
 	})
 }
 
-// retryRegister makes the process known that could not be so far.
+// retryRegister registers the process if that has failed so far and the backoff is over.
 func (m *Member) retryRegister() {
 	now := m.loop.Now()
 	if m.ownLock != nil || now < m.retryAt {
@@ -172,7 +175,7 @@
 	m.opt.OnChange()
 }
 
-// Refresh reads what the others say now, and tells of changes.
+// Refresh reads the states of the other processes and reports changes through OnChange.
 func (m *Member) Refresh() {
 	peersBefore, endedBefore, errBefore := m.peers, len(m.ended), m.publishErr
 	m.readAll()
@@ -186,17 +189,17 @@
 	}
 }
 
-// Self is what this process has made known last, or owes.
+// Self returns the state last passed to Publish, whether it is written or not.
 func (m *Member) Self() State { return m.self }
 
-// PublishErr says why what Publish was told last is not safe yet; nil: it is.
+// PublishErr returns why the state last passed to Publish is not written yet, or nil if it is.
 func (m *Member) PublishErr() error { return m.publishErr }
 
-// Peers are the others that live, as they made themselves known last, the latest first.
+// Peers returns the latest states of the other live processes, youngest first.
 func (m *Member) Peers() []State { return m.peers }
 
-// Ended is what processes that have ended made known, the latest first. It counts until Publish has made known what it
-// came to.
+// Ended returns the last states of processes that have ended, youngest first. They are kept until Publish has written a state,
+// which must include what is still valid of them.
 func (m *Member) Ended() (states []State) {
 	for _, e := range m.ended {
 		states = append(states, e.State)
@@ -204,9 +207,9 @@
 	return states
 }
 
-// Publish makes the own state known; it is in force for all who look when it returns nil, and outlasts the process. With an
-// error it is owed: the caller is to try again. What operators said is synced before that; other figures are only renamed into
-// place, since no other process needs them after a crash of the machine.
+// Publish writes the state of this process. If it returns nil, all other processes see the state, and it outlasts this process.
+// After an error the caller must retry. The file is synced to disk if the overrides of operators have changed; for other changes
+// it is only renamed into place, since no process needs them after a crash of the machine.
 func (m *Member) Publish(s State) error {
 	m.self = s
 	text, err := json.Marshal(m.self)
@@ -226,7 +229,7 @@
 		m.syncedOverrides = slices.Clone(s.Overrides)
 	}
 	m.publishErr = nil
-	for _, e := range m.ended { // what it said by hand stands in the own file now
+	for _, e := range m.ended { // its overrides are in the own state file now
 		removeFiles(e.base)
 	}
 	m.ended = nil
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,13 +15,14 @@
 	"lapisshelf/policy"
 )
 
+// testMember is a Member that records its log lines and counts the reported changes.
 type testMember struct {
 	*Member
 	notes   []string
 	changes int
 }
 
-// join makes a process known, as a member on a loop of its own would.
+// join registers and starts a member, as a process of the node does.
 func join(t *testing.T, l *loop.Loop, dir, name string) *testMember {
 	t.Helper()
 	m := &testMember{}
@@ -35,9 +36,10 @@
 	return m
 }
 
-// exit lets go of the lock, as the end of a process does.
+// exit releases the lock, as the end of a process does.
 func (m *testMember) exit() { m.ownLock.Close() }
 
+// publish changes and publishes the state of the member.
 func (m *testMember) publish(t *testing.T, change func(*State)) {
 	t.Helper()
 	s := m.Self()
@@ -56,7 +58,7 @@
 	return l
 }
 
-// runUntil lets the loop run until a condition holds.
+// runUntil runs the loop until a condition holds, and fails the test if it does not within 10 s.
 func runUntil(t *testing.T, l *loop.Loop, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
@@ -68,10 +70,10 @@
 			return
 		}
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timeout: %s", what)
 }
 
-// Processes of a node hear what each makes known, and of each other's end, with no one asking.
+// The processes of a node see each other's published states and are notified of each other's end.
 func TestProcessesHearOfEachOther(t *testing.T) {
 	l, dir := newLoop(t), t.TempDir()
 	old := join(t, l, dir, "n1")
@@ -81,31 +83,31 @@
 	})
 	fresh := join(t, l, dir, "n1")
 	if p := fresh.Peers(); len(p) != 1 || len(p[0].Overrides) != 1 || p[0].Process.FDLimit != 100 || p[0].PID != os.Getpid() {
-		t.Fatalf("at its start: %+v", p)
+		t.Fatalf("peers at the start: %+v", p)
 	}
 	if old.inotify == nil {
-		t.Log("the system does not tell of changes here: polling")
+		t.Log("the system does not notify of changes here; polling")
 	}
 	fresh.publish(t, func(*State) {})
-	runUntil(t, l, "the old one hears", func() bool { return len(old.Peers()) == 1 && old.changes > 0 })
-	other := join(t, l, dir, "n2") // another node in the same directory is none of theirs
+	runUntil(t, l, "the old process sees the new one", func() bool { return len(old.Peers()) == 1 && old.changes > 0 })
+	other := join(t, l, dir, "n2") // another node in the same directory
 	other.publish(t, func(*State) {})
 	old.exit()
-	runUntil(t, l, "its end is heard", func() bool { return len(fresh.Peers()) == 0 && len(fresh.Ended()) == 1 })
+	runUntil(t, l, "the end of the old process is noticed", func() bool { return len(fresh.Peers()) == 0 && len(fresh.Ended()) == 1 })
 	if len(other.Peers()) != 0 {
-		t.Error("another node's process counts as one's own")
+		t.Error("a process sees a process of another node")
 	}
 	if h := fresh.Ended()[0].Overrides; len(h) != 1 || h[0].ID != "s-1" {
-		t.Errorf("left by hand: %v", h)
+		t.Errorf("overrides of the ended process: %v", h)
 	}
 	fresh.publish(t, func(s *State) { s.Overrides = []policy.Override{{ID: "s-1", Banned: true, At: 5, Since: 5}} })
 	names, _ := filepath.Glob(filepath.Join(dir, fresh.prefix+"*"))
 	if len(names) != 2 || len(fresh.Ended()) != 0 {
-		t.Errorf("what the old one left is still there: %v", names)
+		t.Errorf("the files of the ended process remain: %v", names)
 	}
 }
 
-// A file that is not whole, foreign, huge or senseless is refused with a line, and costs nothing else.
+// A state file that is truncated, foreign, too large or invalid is logged once and ignored, and the other files are still read.
 func TestBadFiles(t *testing.T) {
 	l, dir := newLoop(t), t.TempDir()
 	good := join(t, l, dir, "n1")
@@ -120,10 +122,10 @@
 		{"empty", "", "EOF"},
 		{"foreign", "hello", "invalid character"},
 		{"another version", strings.Replace(text, `"version":1`, `"version":7`, 1), "version 7"},
-		{"another node's", strings.Replace(text, `"name":"n1"`, `"name":"n9"`, 1), "of another node"},
-		{"unknown words", strings.Replace(text, `"version":1`, `"version":1,"x":2`, 1), "unknown field"},
-		{"senseless", strings.Replace(text, `"Open":0`, `"Open":-4`, 1), "make no sense"},
-		{"huge", text + strings.Repeat(" ", maxStateBytes), "no file of at most"},
+		{"another node's", strings.Replace(text, `"name":"n1"`, `"name":"n9"`, 1), "belongs to another node"},
+		{"unknown field", strings.Replace(text, `"version":1`, `"version":1,"x":2`, 1), "unknown field"},
+		{"out of range", strings.Replace(text, `"Open":0`, `"Open":-4`, 1), "numbers out of range"},
+		{"huge", text + strings.Repeat(" ", maxStateBytes), "not a regular file of at most"},
 	} {
 		base := filepath.Join(dir, fmt.Sprintf("%s%019d-%d", good.prefix, 1000+i, 99999))
 		lock, err := os.Create(base + ".lock")
@@ -138,14 +140,14 @@
 		if !slices.ContainsFunc(m.notes, func(n string) bool {
 			return strings.HasPrefix(n, "handover_refused file=") && strings.Contains(n, c.why)
 		}) {
-			t.Errorf("%s: told %q", c.name, m.notes)
+			t.Errorf("%s: logged %q", c.name, m.notes)
 		}
 		if p := m.Peers(); len(p) != 1 || len(p[0].Overrides) != 1 {
-			t.Errorf("%s: the good one is not read: %+v", c.name, p)
+			t.Errorf("%s: the valid file is not read: %+v", c.name, p)
 		}
 		m.Refresh()
 		if len(m.notes) != 1 {
-			t.Errorf("%s: told %d times", c.name, len(m.notes))
+			t.Errorf("%s: logged %d times", c.name, len(m.notes))
 		}
 		m.exit()
 		os.Remove(base + ".json")
--- a/internal/handover/order.go
+++ b/internal/handover/order.go
@@ -13,16 +13,16 @@
 	"lapisshelf/internal/system"
 )
 
-// The order of a node's processes is a counter: who enters takes one more than the highest in the directory, under a lock that
-// all who enter take. It begins with the wall clock and is never below it, since earlier builds take their start by that clock
-// for their order.
+// The order of a node's processes is a counter: a process that registers takes one more than the highest order in the directory,
+// under a lock that is held during registration. The order is at least the wall-clock time, since earlier builds use the wall-clock
+// time of their start as their order.
 
 const (
-	registrationLockTimeout  = 200 * time.Millisecond // how long another that enters is waited for; it may have been stopped in it
+	registrationLockTimeout  = 200 * time.Millisecond // the holder of the lock may be a stopped process
 	registrationLockInterval = 5 * time.Millisecond
 )
 
-// register takes an order above all others' and locks the own file; the process is known once Publish has written it.
+// register takes an order above all others and locks the own lock file. Others see the process once Publish has written its state.
 func (m *Member) register() error {
 	entry, err := m.lockRegistration()
 	if err != nil {
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// lockRegistration takes the lock under which processes enter. One who holds it for long has been stopped, and is not waited for.
+// lockRegistration takes the lock that serializes registration. It goes on without the lock after registrationLockTimeout: a
+// process that holds it for longer has been stopped.
 func (m *Member) lockRegistration() (*os.File, error) {
 	path := filepath.Join(m.opt.Dir, strings.TrimSuffix(m.prefix, "-")+".entry")
 	f, err := system.OpenFile(path, os.O_CREATE|os.O_RDWR, fileMode)
@@ -62,7 +63,7 @@
 	return f, nil
 }
 
-// createLock makes and locks the file of a process with an order.
+// createLock creates and locks the lock file of this process for an order.
 func (m *Member) createLock(order int64) (base string, lock *os.File, err error) {
 	base = filepath.Join(m.opt.Dir, fmt.Sprintf("%s%d-%d", m.prefix, order, m.self.PID))
 	lock, err = system.OpenFile(base+lockSuffix, os.O_CREATE|os.O_RDWR, fileMode)
@@ -76,9 +77,9 @@
 	return base, lock, nil
 }
 
-// keepSeniority takes a lower order where a process that came later has one below the own. Guards against a process of an earlier
-// build, which takes the wall clock for its order: after a step back it counts as the elder, and is given no room as long as
-// this one lives.
+// keepSeniority takes a lower order if a process that registered later has one below the own. This happens with a process of an
+// earlier build, whose order is the wall-clock time, after the clock has been set back: it would count as the older process and be
+// allowed no file descriptors as long as this one lives.
 func (m *Member) keepSeniority() {
 	if m.ownLock == nil {
 		return
@@ -91,25 +92,26 @@
 		case f.order < own && !m.earlierPIDs[f.pid]:
 			lowest = min(lowest, s.Process.Order)
 		case f.order > own:
-			between++ // it came later than this process, and earlier than that one
+			between++ // registered after this process and before the one with the lowest order
 		}
 	}
 	if order := lowest - 1 - between; lowest < own && order > 0 {
 		if err := m.changeOrder(order); err != nil {
 			m.opt.Note("handover_failed", fmt.Sprintf("why=%q", err))
-			m.rereadNeeded = true // tried again at the next look
+			m.rereadNeeded = true // retried at the next poll
 		}
 	}
 }
 
-// parseBase takes a path without its ending apart.
+// parseBase parses the order and PID in a path without the suffix.
 func (m *Member) parseBase(base string) (f processFiles) {
 	f.base = base
 	fmt.Sscanf(strings.TrimPrefix(filepath.Base(base), m.prefix), "%d-%d", &f.order, &f.pid)
 	return f
 }
 
-// changeOrder goes over to another order: the new file stands before the old one goes, so that others never miss this process.
+// changeOrder moves this process to another order. The new files are complete before the old ones are removed, so that other
+// processes see it all the time.
 func (m *Member) changeOrder(order int64) error {
 	base, lock, err := m.createLock(order)
 	if err != nil {
