--- a/internal/registry/announce.go
+++ b/internal/registry/announce.go
@@ -15,8 +15,9 @@
 	"lapisshelf/internal/loop"
 )
 
-// Announcer keeps an entry of this process in a registry, under a lease: it vanishes with the process. What is done when
-// is decided by decide/lease; each operation goes on a connection of its own. All of it runs on the loop.
+// Announcer keeps an entry of this process in a registry, under a lease, so that the entry expires soon after the process ends.
+// Package decide/lease decides which operation is done when; Announcer carries them out, each on a connection of its own.
+// Everything runs on the event loop.
 type Announcer struct {
 	loop      *loop.Loop
 	cfg       Config
@@ -24,46 +25,46 @@
 	keeper    *lease.Keeper
 	onNote    func(event, why string)
 	timer     *loop.Timer
-	current   *operation
-	onStopped func()
+	current   *operation // outstanding; nil if none
+	onStopped func()     // set by Stop, until it is called
 }
 
-// NewAnnouncer makes one for a key of a key-value registry; it does nothing before Start.
-func NewAnnouncer(l *loop.Loop, cfg Config, key string, value []byte, ttl time.Duration, seed uint64, note func(event, why string)) *Announcer {
-	a := &Announcer{loop: l, cfg: cfg, key: key, onNote: note}
+// NewAnnouncer returns an announcer for a key of an etcd or Consul registry. It does nothing before Start. onNote writes log lines.
+func NewAnnouncer(l *loop.Loop, cfg Config, key string, value []byte, ttl time.Duration, seed uint64, onNote func(event, why string)) *Announcer {
+	a := &Announcer{loop: l, cfg: cfg, key: key, onNote: onNote}
 	a.keeper = lease.New(lease.Config{Endpoints: len(cfg.Endpoints), TTL: ttl}, value, seed, a)
 	return a
 }
 
-// Start begins to keep the entry.
+// Start begins to put the entry and to renew its lease.
 func (a *Announcer) Start() { a.keeper.Start(a.loop.Now()) }
 
-// SetValue keeps another value from now on.
+// SetValue changes the value of the entry.
 func (a *Announcer) SetValue(value []byte) { a.keeper.SetValue(a.loop.Now(), value) }
 
-// Stop takes the entry out; over is called once that is done, or has failed.
-func (a *Announcer) Stop(over func()) {
-	a.onStopped = over
+// Stop removes the entry. onStopped is called once that has succeeded or failed.
+func (a *Announcer) Stop(onStopped func()) {
+	a.onStopped = onStopped
 	a.keeper.Stop(a.loop.Now())
 	a.notifyIfStopped()
 }
 
-// Abandon does nothing more: the entry lapses with its lease.
+// Abandon stops all activity without removing the entry, which expires with its lease.
 func (a *Announcer) Abandon() {
 	a.timer.Stop()
 	a.closeCurrent()
 }
 
-// Held reports whether the entry stands, as far as is known.
+// Held reports whether the entry is in the registry, as far as is known.
 func (a *Announcer) Held() bool { return a.keeper.Held(a.loop.Now()) }
 
-// notifyIfStopped tells of the end.
+// notifyIfStopped calls onStopped once the keeper has finished.
 func (a *Announcer) notifyIfStopped() {
 	if a.onStopped != nil && a.keeper.Finished() {
-		over := a.onStopped
+		onStopped := a.onStopped
 		a.onStopped = nil
 		a.timer.Stop()
-		over()
+		onStopped()
 	}
 }
 
@@ -74,12 +75,13 @@
 func (a *Announcer) Wake(at time.Duration) {
 	a.timer.Stop()
 	a.timer = a.loop.After(at-a.loop.Now(), func() {
-		a.closeCurrent() // a call whose time is over is over
+		a.closeCurrent() // the outstanding call has timed out
 		a.keeper.Timer(a.loop.Now())
 		a.notifyIfStopped()
 	})
 }
 
+// closeCurrent gives up the outstanding operation and closes its connection.
 func (a *Announcer) closeCurrent() {
 	if o := a.current; o != nil {
 		a.current = nil
@@ -103,12 +105,13 @@
 	conn.Write(httpc.AppendRequest(nil, method, target, addr.String(), headers, body))
 }
 
+// reportFailure reports a failed call to the keeper.
 func (a *Announcer) reportFailure(call uint64, why string, leaseLost bool) {
 	a.keeper.Fail(a.loop.Now(), call, why, leaseLost)
 	a.notifyIfStopped()
 }
 
-// request is what an operation says.
+// request returns the request for an operation.
 func (a *Announcer) request(c lease.Call) (method, target string, headers []httpc.Header, body []byte) {
 	seconds := strconv.FormatInt(int64(math.Ceil(c.TTL.Seconds())), 10)
 	if a.cfg.Kind == Consul {
@@ -141,10 +144,10 @@
 	return "POST", target, headers, body
 }
 
-// errLeaseNotFound is a lease that the registry does not know.
-var errLeaseNotFound = errors.New("no such lease")
+// errLeaseNotFound means that the registry does not know the lease.
+var errLeaseNotFound = errors.New("lease not found")
 
-// parseAnswer reads an operation's answer.
+// parseAnswer parses the answer to an operation. It returns the lease and its TTL.
 func (a *Announcer) parseAnswer(c lease.Call, head *httpc.Response, body []byte) (id string, ttl time.Duration, err error) {
 	if a.cfg.Kind == Consul {
 		switch {
@@ -159,7 +162,7 @@
 		}
 		var in struct{ ID string }
 		if err := json.Unmarshal(body, &in); err != nil || in.ID == "" {
-			return "", 0, fmt.Errorf("no session: %w", err)
+			return "", 0, fmt.Errorf("answer has no session id: %w", err)
 		}
 		return in.ID, c.TTL, nil
 	}
@@ -185,18 +188,18 @@
 		in.ID, in.TTL = in.Result.ID, in.Result.TTL
 	}
 	if in.TTL < 0 || in.TTL > math.MaxInt32 {
-		return "", 0, errors.New("a time to live that makes no sense")
+		return "", 0, errors.New("lease TTL out of range")
 	}
 	return in.ID, time.Duration(in.TTL) * time.Second, nil
 }
 
-// grpcNotFound is the gRPC code of what is not there.
+// grpcNotFound is the gRPC status code NOT_FOUND.
 const grpcNotFound = 5
 
-// maxReplyBytes bounds an operation's answer, in bytes.
+// maxReplyBytes limits the size of an answer to an operation.
 const maxReplyBytes = 64 << 10
 
-// operation is one operation on a connection of its own.
+// operation is one lease operation on a connection of its own.
 type operation struct {
 	announcer *Announcer
 	call      lease.Call
@@ -221,7 +224,7 @@
 		o.finish()
 		return
 	}
-	o.fail(fmt.Sprint("the connection has ended: ", err), false)
+	o.fail(fmt.Sprint("connection closed: ", err), false)
 }
 
 // Data implements loop.Handler.
@@ -236,12 +239,13 @@
 	case err != nil:
 		o.fail(err.Error(), false)
 	case len(o.body) > maxReplyBytes:
-		o.fail("an answer too large", false)
+		o.fail("answer too large", false)
 	case o.stream.Done:
 		o.finish()
 	}
 }
 
+// finish parses the complete answer and reports the result to the keeper.
 func (o *operation) finish() {
 	a := o.announcer
 	id, ttl, err := a.parseAnswer(o.call, &o.stream.ResponseHead, o.body)
@@ -254,6 +258,7 @@
 	a.notifyIfStopped()
 }
 
+// fail closes the connection and reports the failure to the keeper.
 func (o *operation) fail(why string, leaseLost bool) {
 	a := o.announcer
 	a.closeCurrent()
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -12,8 +12,8 @@
 	"lapisshelf/lab/world"
 )
 
-// BenchmarkChange tells the time from a change in the registry to the node's knowing, what is read and what CPU is used for
-// it, the stand-in's part included, with lists of some lengths.
+// BenchmarkChange measures, for lists of several lengths, the time from a change in the registry until the client reports it, and the
+// bytes read and CPU time used for it, including those of the stand-in registry.
 func BenchmarkChange(b *testing.B) {
 	for _, k := range []Kind{Etcd, Consul} {
 		for _, entries := range []int{100, 420, 1000, 10000} {
@@ -67,6 +67,7 @@
 	}
 }
 
+// cpuTime returns the CPU time used by the process so far.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -1,6 +1,7 @@
-// Package registry follows a server list kept elsewhere, on the node's own loop: the platform's discovery, the JSON gateway
-// of etcd v3, or blocking reads of a key-value store as Consul has them. What is asked, and what an answer means, is
-// decided by decide/roster; here are connections, requests and parsers.
+// Package registry follows the server list of an external registry, and keeps an entry of this process in one (Announcer). It
+// supports the platform's discovery, the JSON gateway of etcd v3, and blocking queries of Consul's key-value store. Package
+// decide/roster decides which calls are made and what an answer means; this package has the connections, requests and parsers.
+// Everything runs on the event loop of the process.
 package registry
 
 import (
@@ -17,25 +18,25 @@
 	"lapisshelf/internal/loop"
 )
 
-// Config says where the list is and how it is followed.
+// Config tells where the registry is and how its list is followed.
 type Config struct {
 	Kind           Kind
 	Endpoints      []netip.AddrPort
-	Prefix         string      // of the keys, for a key-value store
-	Token          string      // sent with each request; empty: none
-	TLS            *tls.Config // nil: plain
-	TLSFingerprint string      // tells one TLS configuration from another
-	MaxBodyBytes   int         // bytes of an answer, or of an object of a stream
+	Prefix         string      // of the keys of servers; for etcd and Consul
+	Token          string      // sent with each request; empty for none
+	TLS            *tls.Config // nil for plain TCP
+	TLSFingerprint string      // identifies the content of TLS, for Equal
+	MaxBodyBytes   int         // maximum size of an answer, or of one object of a stream
 	Roster         roster.Config
 }
 
-// Equal reports whether two configurations name the same registry, reached and read in the same way.
+// Equal reports whether two configurations reach the same registry in the same way and follow it with the same settings.
 func (c *Config) Equal(o *Config) bool {
 	return c.Kind == o.Kind && slices.Equal(c.Endpoints, o.Endpoints) && c.Prefix == o.Prefix && c.Token == o.Token &&
 		(c.TLS == nil) == (o.TLS == nil) && c.TLSFingerprint == o.TLSFingerprint && c.Roster == o.Roster
 }
 
-// newProtocol makes the Kind's.
+// newProtocol returns the protocol of c.Kind.
 func (c *Config) newProtocol() protocol {
 	switch c.Kind {
 	case Etcd:
@@ -46,7 +47,7 @@
 	return discovery{}
 }
 
-// Client follows one registry. All of it runs on the loop.
+// Client follows the server list of one registry. It must be used on the event loop only.
 type Client struct {
 	loop     *loop.Loop
 	cfg      Config
@@ -54,31 +55,31 @@
 	follower *roster.Follower
 	onUpdate func(roster.Update)
 	onNote   func(event, why string)
-	conn     *endpointConn // to the endpoint in use; nil between calls that failed
+	conn     *endpointConn // to the endpoint in use; nil if there is none
 	timer    *loop.Timer
 	closed   bool
-	// Heard is called with each answer that made sense; nil: nobody is.
+	// OnAnswer is called after each valid answer, unless it is nil.
 	OnAnswer func()
-	// Bytes that have come, and Bad, answers that made no sense, since the start.
+	// BytesReceived counts bytes received, and BadAnswers invalid answers, both since the start.
 	BytesReceived, BadAnswers int64
 }
 
-// New makes a client that does nothing yet. Apply is told of the list, note of what the log should have.
-func New(l *loop.Loop, cfg Config, seed uint64, apply func(roster.Update), note func(event, why string)) *Client {
-	c := &Client{loop: l, onUpdate: apply, onNote: note}
+// New returns a client that does nothing before Start. onUpdate receives changes of the list; onNote writes log lines.
+func New(l *loop.Loop, cfg Config, seed uint64, onUpdate func(roster.Update), onNote func(event, why string)) *Client {
+	c := &Client{loop: l, onUpdate: onUpdate, onNote: onNote}
 	c.setConfig(&cfg)
 	c.follower = roster.New(l.Now(), c.cfg.Roster, seed, c)
 	return c
 }
 
-// setConfig makes a configuration the one in force.
+// setConfig puts a configuration into effect for later calls.
 func (c *Client) setConfig(cfg *Config) {
 	c.cfg = *cfg
 	c.protocol = c.cfg.newProtocol()
 	c.cfg.Roster.Endpoints, c.cfg.Roster.Streaming = len(cfg.Endpoints), cfg.Kind == Etcd
 }
 
-// Start begins to follow, from a list held before if its revision is above 0 or it names servers.
+// Start begins to follow the registry. It starts from a saved list if revision is above 0 or saved is not empty.
 func (c *Client) Start(revision int64, saved []roster.Entry) {
 	if revision > 0 || len(saved) > 0 {
 		c.follower.Restore(revision, saved)
@@ -86,22 +87,23 @@
 	c.follower.Start(c.loop.Now())
 }
 
-// ChangeRegistry begins anew with another configuration, from a read of the whole list: revisions are a registry's own, and what
-// the old one had still to tell must not be missed. The list held stays until then.
+// ChangeRegistry goes over to another configuration and reads the whole list anew: revisions of different registries are not
+// comparable, and changes that the old one had not reported yet must not be missed. The current list stays in effect until then.
 func (c *Client) ChangeRegistry(cfg Config) {
 	c.setConfig(&cfg)
 	c.follower.ChangeRegistry(c.loop.Now(), c.cfg.Roster)
 }
 
-// Counts tells what has happened since the start.
+// Counts returns the follower's event counts since the start.
 func (c *Client) Counts() roster.Counts { return c.follower.Counts }
 
-// ListStatus is the revision of the list held, how many servers it has, and how many of them are kept though they vanished.
+// ListStatus returns the revision of the current list, its number of servers, and how many of these have vanished from the registry
+// and are kept for now.
 func (c *Client) ListStatus() (revision int64, servers, kept int) {
 	return c.follower.Revision(), c.follower.Servers(), c.follower.HeldServers()
 }
 
-// Close gives back what is held.
+// Close stops following and closes the connection.
 func (c *Client) Close() {
 	c.closed = true
 	c.timer.Stop()
@@ -122,15 +124,16 @@
 	c.timer = c.loop.After(at-c.loop.Now(), func() { c.follower.Timer(c.loop.Now()) })
 }
 
-// Drop implements roster.Actions. A call ends with its connection: an answer on its way must not be taken for the next.
+// Drop implements roster.Actions. It closes the connection, so that a late answer is not taken for that of the next call.
 func (c *Client) Drop(uint64) { c.closeConn() }
 
+// closeConn closes the connection, if there is one, without reporting a failure.
 func (c *Client) closeConn() {
-	if l := c.conn; l != nil {
+	if e := c.conn; e != nil {
 		c.conn = nil
-		l.closed = true
-		l.connectTimer.Stop()
-		l.conn.Close()
+		e.closed = true
+		e.connectTimer.Stop()
+		e.conn.Close()
 	}
 }
 
@@ -140,28 +143,29 @@
 		return
 	}
 	addr := c.cfg.Endpoints[call.Endpoint]
-	if l := c.conn; l != nil && (l.addr != addr || l.callPending || l.stale()) {
+	if e := c.conn; e != nil && (e.addr != addr || e.callPending || e.stale()) {
 		c.closeConn()
 	}
 	if c.conn == nil {
-		l := &endpointConn{client: c, addr: addr}
-		conn, err := c.dial(addr, l)
+		e := &endpointConn{client: c, addr: addr}
+		conn, err := c.dial(addr, e)
 		if err != nil {
 			c.loop.Defer(func() { c.follower.Failed(c.loop.Now(), call.ID, err.Error()) })
 			return
 		}
-		l.conn, c.conn = conn, l
-		l.connectTimer = c.loop.After(connectTimeout, func() { l.fail("no connection") })
+		e.conn, c.conn = conn, e
+		e.connectTimer = c.loop.After(connectTimeout, func() { e.fail("connection timeout") })
 	}
 	c.conn.send(call)
 }
 
-// netConn is a connection: plain, or with TLS.
+// netConn is a TCP connection with or without TLS.
 type netConn interface {
 	Write([]byte)
 	Close()
 }
 
+// dial starts a connection, with TLS if configured. Its events go to h.
 func (c *Client) dial(addr netip.AddrPort, h loop.Handler) (netConn, error) {
 	if c.cfg.TLS != nil {
 		return c.loop.DialTLS(addr, c.cfg.TLS, h), nil
@@ -169,145 +173,146 @@
 	return c.loop.Dial(addr, h)
 }
 
-// endpointConn is a connection to an endpoint. It is given back in hangUp, or by its End.
+// endpointConn is a connection to an endpoint. It is released by closeConn, or in End.
 type endpointConn struct {
 	client       *Client
 	addr         netip.AddrPort
 	conn         netConn
-	call         roster.Call
-	callPending  bool // the call is
+	call         roster.Call // the outstanding or latest call
+	callPending  bool        // call is outstanding
 	stream       httpc.StreamParser
 	body         []byte
 	objects      objectSplitter
-	bodyStarted  bool // a part of what the answer tells has come
+	bodyStarted  bool // a part of the body other than whitespace was received
 	closed       bool
-	connectTimer *loop.Timer // until the connection stands
+	connectTimer *loop.Timer // fails the call if the connection is not established in time
 }
 
-// connectTimeout is how long a connection may take to stand: well under a call's own limit, so that another endpoint is asked.
+// connectTimeout bounds the establishment of a connection. It is well below the timeout of a call, so that another endpoint is
+// tried in time.
 const connectTimeout = time.Second
 
-// stale reports whether an idle connection has ended.
-func (l *endpointConn) stale() bool {
-	s, ok := l.conn.(interface{ Stale() bool })
+// stale reports whether the idle connection was closed by the peer or holds unsolicited bytes.
+func (e *endpointConn) stale() bool {
+	s, ok := e.conn.(interface{ Stale() bool })
 	return ok && s.Stale()
 }
 
-// send sends a call's request.
-func (l *endpointConn) send(call roster.Call) {
-	c := l.client
-	l.call, l.callPending = call, true
-	l.stream, l.body, l.objects, l.bodyStarted = httpc.StreamParser{}, nil, objectSplitter{maxBytes: c.cfg.MaxBodyBytes}, false
+// send sends the request of a call.
+func (e *endpointConn) send(call roster.Call) {
+	c := e.client
+	e.call, e.callPending = call, true
+	e.stream, e.body, e.objects, e.bodyStarted = httpc.StreamParser{}, nil, objectSplitter{maxBytes: c.cfg.MaxBodyBytes}, false
 	method, target, headers, body := c.protocol.request(call)
-	l.conn.Write(httpc.AppendRequest(nil, method, target, l.addr.String(), headers, body))
+	e.conn.Write(httpc.AppendRequest(nil, method, target, e.addr.String(), headers, body))
 }
 
-// fail ends the call and its connection.
-func (l *endpointConn) fail(why string) {
-	if l.closed {
+// fail closes the connection and reports the failure of the call.
+func (e *endpointConn) fail(why string) {
+	if e.closed {
 		return
 	}
-	c, call := l.client, l.call.ID
+	c, call := e.client, e.call.ID
 	c.closeConn()
 	c.follower.Failed(c.loop.Now(), call, why)
 }
 
 // Connected implements loop.Handler.
-func (l *endpointConn) Connected() { l.connectTimer.Stop() }
+func (e *endpointConn) Connected() { e.connectTimer.Stop() }
 
 // Flushed implements loop.Handler.
-func (l *endpointConn) Flushed() {}
+func (e *endpointConn) Flushed() {}
 
 // End implements loop.Handler.
-func (l *endpointConn) End(err error) {
-	if l.closed {
+func (e *endpointConn) End(err error) {
+	if e.closed {
 		return
 	}
-	if l.client.conn == l {
-		l.client.conn = nil
+	if e.client.conn == e {
+		e.client.conn = nil
 	}
-	l.closed = true
-	l.connectTimer.Stop()
-	if !l.callPending {
+	e.closed = true
+	e.connectTimer.Stop()
+	if !e.callPending {
 		return
 	}
-	c, call := l.client, l.call
-	if l.stream.HasHead && l.stream.End() == nil && !c.protocol.streams(call) { // an answer may end with its connection
-		if a, err := c.protocol.parseAnswer(call, &l.stream.ResponseHead, l.body); err == nil {
+	c, call := e.client, e.call
+	if e.stream.HasHead && e.stream.End() == nil && !c.protocol.streams(call) { // the end of the connection may be the end of the answer
+		if a, err := c.protocol.parseAnswer(call, &e.stream.ResponseHead, e.body); err == nil {
 			a.Call = call.ID
 			c.deliver(a)
 			return
 		}
 	}
-	c.follower.Failed(c.loop.Now(), call.ID, fmt.Sprint("the connection has ended: ", err))
+	c.follower.Failed(c.loop.Now(), call.ID, fmt.Sprint("connection closed: ", err))
 }
 
-var errAnswerTooLarge = errors.New("an answer too large")
+var errAnswerTooLarge = errors.New("answer too large")
 
 // Data implements loop.Handler.
-func (l *endpointConn) Data(data []byte) {
-	c := l.client
+func (e *endpointConn) Data(data []byte) {
+	c := e.client
 	c.BytesReceived += int64(len(data))
-	if !l.callPending {
-		l.fail("an answer to nothing")
+	if !e.callPending {
+		e.fail("data received without a call outstanding")
 		return
 	}
-	call := l.call
+	call := e.call
 	var bad error
-	used, err := l.stream.Feed(data, func(piece []byte) {
-		l.bodyStarted = l.bodyStarted || len(bytes.TrimSpace(piece)) > 0
+	used, err := e.stream.Feed(data, func(piece []byte) {
+		e.bodyStarted = e.bodyStarted || len(bytes.TrimSpace(piece)) > 0
 		switch {
-		case bad != nil || l.closed || l.call.ID != call.ID:
-		case c.protocol.streams(call) && l.stream.ResponseHead.Status == 200:
-			bad = l.objects.feed(piece, l.handleObject)
-		case len(l.body)+len(piece) > c.cfg.MaxBodyBytes:
+		case bad != nil || e.closed || e.call.ID != call.ID:
+		case c.protocol.streams(call) && e.stream.ResponseHead.Status == 200:
+			bad = e.objects.feed(piece, e.handleObject)
+		case len(e.body)+len(piece) > c.cfg.MaxBodyBytes:
 			bad = errAnswerTooLarge
 		default:
-			l.body = append(l.body, piece...)
+			e.body = append(e.body, piece...)
 		}
 	})
 	switch {
-	case l.closed || l.call.ID != call.ID: // the call is over already
+	case e.closed || e.call.ID != call.ID: // the call has ended already
 	case err != nil:
-		l.fail(err.Error())
+		e.fail(err.Error())
 	case bad != nil:
 		c.BadAnswers++
-		l.fail(bad.Error())
-	case l.stream.Done && used < len(data):
-		l.fail("more than an answer")
-	case l.stream.Done && c.protocol.streams(call) && l.stream.ResponseHead.Status == 200:
-		l.fail("the watch has ended")
-	case l.stream.Done:
-		l.parseBody()
+		e.fail(bad.Error())
+	case e.stream.Done && used < len(data):
+		e.fail("data received after the answer")
+	case e.stream.Done && c.protocol.streams(call) && e.stream.ResponseHead.Status == 200:
+		e.fail("the watch stream ended")
+	case e.stream.Done:
+		e.parseBody()
 	default:
-		c.follower.SetAnswerPending(c.loop.Now(), call.ID, l.answerPending())
+		c.follower.SetAnswerPending(c.loop.Now(), call.ID, e.answerPending())
 	}
 }
 
-// answerPending reports whether the rest of something that has begun to come is owed: of a head, of an answer, of an object of a stream.
-// Behind a whole head a watch may wait.
-func (l *endpointConn) answerPending() bool {
-	if l.stream.HasHead && l.client.protocol.streams(l.call) && l.stream.ResponseHead.Status == 200 {
-		return l.objects.depth > 0
+// answerPending reports whether something was received in part whose rest must follow at once: a head, an answer, or an object of a
+// stream. After a complete head, a watch may wait for a change.
+func (e *endpointConn) answerPending() bool {
+	if e.stream.HasHead && e.client.protocol.streams(e.call) && e.stream.ResponseHead.Status == 200 {
+		return e.objects.depth > 0
 	}
-	return !l.stream.HasHead || l.bodyStarted
+	return !e.stream.HasHead || e.bodyStarted
 }
 
-// handleObject takes one object of a stream.
-func (l *endpointConn) handleObject(text []byte) error {
-	if l.closed {
+// handleObject parses one object of a stream and passes it on.
+func (e *endpointConn) handleObject(text []byte) error {
+	if e.closed {
 		return nil
 	}
-	a, err := l.client.protocol.parseObject(text)
+	a, err := e.client.protocol.parseObject(text)
 	if err != nil {
 		return err
 	}
-	a.Call = l.call.ID
-	l.client.deliver(a)
+	a.Call = e.call.ID
+	e.client.deliver(a)
 	return nil
 }
 
-// deliver passes an answer on.
+// deliver passes an answer to the follower and calls OnAnswer.
 func (c *Client) deliver(a roster.Answer) {
 	c.follower.Answer(c.loop.Now(), a)
 	if c.OnAnswer != nil {
@@ -315,44 +320,44 @@
 	}
 }
 
-// offLoopParseBytes is the size of an answer from which it is read beside the loop: a list of thousands takes milliseconds, in which
-// no request would be served.
+// offLoopParseBytes is the size of an answer from which it is parsed outside the event loop: a list with thousands of servers takes
+// milliseconds to parse, during which no request would be served.
 const offLoopParseBytes = 64 << 10
 
-// parseBody takes a whole answer.
-func (l *endpointConn) parseBody() {
-	c, call, head, body := l.client, l.call, l.stream.ResponseHead, l.body
-	l.body = nil
+// parseBody parses a complete answer, in a goroutine of its own if it is large.
+func (e *endpointConn) parseBody() {
+	c, call, head, body := e.client, e.call, e.stream.ResponseHead, e.body
+	e.body = nil
 	if len(body) < offLoopParseBytes {
 		a, err := c.protocol.parseAnswer(call, &head, body)
-		l.handleAnswer(a, err)
+		e.handleAnswer(a, err)
 		return
 	}
 	proto := c.protocol
 	go func() {
 		a, err := proto.parseAnswer(call, &head, body)
 		c.loop.Post(func() {
-			if !l.closed && l.call.ID == call.ID && l.callPending { // else it has been given up
-				l.handleAnswer(a, err)
+			if !e.closed && e.call.ID == call.ID && e.callPending { // otherwise the call was given up
+				e.handleAnswer(a, err)
 			}
 		})
 	}()
 }
 
-// handleAnswer takes what an answer was read as.
-func (l *endpointConn) handleAnswer(a roster.Answer, err error) {
-	c := l.client
+// handleAnswer ends the call with the result of parsing its answer.
+func (e *endpointConn) handleAnswer(a roster.Answer, err error) {
+	c := e.client
 	if err != nil {
-		if l.stream.ResponseHead.Status == 200 {
+		if e.stream.ResponseHead.Status == 200 {
 			c.BadAnswers++
 		}
-		l.fail(err.Error())
+		e.fail(err.Error())
 		return
 	}
-	l.callPending = false
-	if l.stream.ResponseHead.Close && !l.closed {
+	e.callPending = false
+	if e.stream.ResponseHead.Close && !e.closed {
 		c.closeConn()
 	}
-	a.Call = l.call.ID
+	a.Call = e.call.ID
 	c.deliver(a)
 }
--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -13,7 +13,7 @@
 	"lapisshelf/policy"
 )
 
-// entry is a server as a registry's value has it: a JSON object. docs/registry.md describes it.
+// entry is the JSON form of a server in the value of a key. docs/registry.md describes it.
 type entry struct {
 	ID     string   `json:"id"`
 	Addr   string   `json:"addr"`
@@ -25,13 +25,13 @@
 	Start  int64    `json:"start_ms,omitempty"`
 }
 
-// The phases of an entry; one that is left out serves.
+// The phases of an entry. An entry without a phase is serving.
 const (
 	phaseServing  = "serving"
 	phaseDraining = "draining"
 )
 
-// ParseEntry reads the value of a key; without an id of its own the server has the key's last part.
+// ParseEntry parses the value of a key. If the value has no id, the last segment of the key is the server's id.
 func ParseEntry(key string, value []byte) (roster.Entry, error) {
 	var in entry
 	if err := json.Unmarshal(value, &in); err != nil {
@@ -52,26 +52,27 @@
 		return invalid("unknown phase " + in.Phase)
 	}
 	if _, err := netip.ParseAddrPort(in.Addr); err != nil {
-		return invalid("addr is no address and port")
+		return invalid("addr is not an IP address and port")
 	}
 	if in.ID == "" || len(in.ID) > maxIDBytes {
-		return invalid("no id, or too long a one")
+		return invalid("id is missing or too long")
 	}
 	if in.Weight != nil {
 		if e.Weight = *in.Weight; !(e.Weight >= 0 && e.Weight < math.MaxFloat32) {
-			return invalid("weight is negative or absurd")
+			return invalid("weight out of range")
 		}
 	}
 	if in.Start < 0 || in.Start > math.MaxInt64/int64(time.Millisecond) {
-		return invalid("no such start")
+		return invalid("start_ms out of range")
 	}
 	e.Started = time.Duration(in.Start) * time.Millisecond // the event clock is Unix time
 	return e, nil
 }
 
-// maxIDBytes bounds a server's id, in bytes.
+// maxIDBytes limits the length of a server's id.
 const maxIDBytes = 256
 
+// lastSegment returns the part of a key after its last slash.
 func lastSegment(key string) string {
 	for i := len(key) - 1; i >= 0; i-- {
 		if key[i] == '/' {
@@ -81,7 +82,7 @@
 	return key
 }
 
-// FormatEntry writes an entry's value, as ParseEntry reads it.
+// FormatEntry returns the value of an entry in the form that ParseEntry reads. It returns nil if the weight is infinite.
 func FormatEntry(e roster.Entry) []byte {
 	out := entry{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Start: e.Started.Milliseconds()}
 	if e.State == policy.Draining {
@@ -91,19 +92,19 @@
 		out.Weight = &e.Weight
 	}
 	text, err := json.Marshal(out)
-	if err != nil { // a weight that is no number
+	if err != nil { // the weight is infinite
 		return nil
 	}
 	return text
 }
 
-// SavedList is a list that a node had before.
+// SavedList is a server list that was saved before a restart.
 type SavedList struct {
 	Revision int64
 	Entries  []roster.Entry
 }
 
-// ParseSavedList reads one in the form of the platform's discovery.
+// ParseSavedList parses a saved list, which has the form of the platform's discovery. Servers that are gone are left out.
 func ParseSavedList(text []byte) (SavedList, error) {
 	revision, _, entries, err := ParseList(text)
 	if err != nil {
@@ -112,8 +113,8 @@
 	return SavedList{revision, slices.DeleteFunc(entries, func(e roster.Entry) bool { return e.State == policy.Gone })}, nil
 }
 
-// ParseList reads a list in the form of the platform's discovery. A list that holds anything senseless is refused whole:
-// half a list would be taken for servers that have gone.
+// ParseList parses a list in the form of the platform's discovery. A list with any invalid member is refused as a whole: servers
+// missing from it would be taken for gone.
 func ParseList(text []byte) (revision int64, complete bool, entries []roster.Entry, err error) {
 	var in struct {
 		Revision *int64
@@ -133,7 +134,7 @@
 		return 0, false, nil, err
 	}
 	if in.Revision == nil {
-		return 0, false, nil, errors.New("no revision")
+		return 0, false, nil, errors.New("revision is missing")
 	}
 	phases := map[string]policy.State{"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Gone}
 	seen := map[string]bool{}
@@ -142,7 +143,7 @@
 		_, addrErr := netip.ParseAddrPort(m.HostPort)
 		switch {
 		case m.ID == "" || seen[m.ID]:
-			err = fmt.Errorf("id %q is empty or told twice", m.ID)
+			err = fmt.Errorf("id %q is empty or not unique", m.ID)
 		case !known:
 			err = fmt.Errorf("server %s: unknown phase %q", m.ID, m.Phase)
 		case addrErr != nil && state != policy.Gone:
@@ -150,7 +151,7 @@
 		case m.Size != nil && *m.Size < 0:
 			err = fmt.Errorf("server %s: negative size", m.ID)
 		case m.UpSince < 0 || m.UpSince > math.MaxInt64/int64(time.Millisecond):
-			err = fmt.Errorf("server %s: no such start", m.ID)
+			err = fmt.Errorf("server %s: up_since_ms out of range", m.ID)
 		}
 		if err != nil {
 			return 0, false, nil, err
--- a/internal/registry/objects.go
+++ b/internal/registry/objects.go
@@ -2,25 +2,25 @@
 
 import "errors"
 
-// objectSplitter cuts a stream of JSON objects, one behind the other, into single ones. It knows strings and braces and nothing
-// else of JSON; what it cuts out must still be parsed.
+// objectSplitter splits a stream of concatenated JSON objects into single objects. It recognizes only strings, braces and brackets,
+// so its output must still be parsed.
 type objectSplitter struct {
-	maxBytes int // bytes of one object
-	buf      []byte
-	depth    int
+	maxBytes int    // maximum size of one object
+	buf      []byte // the object received so far
+	depth    int    // of nested objects and arrays; 0 between objects
 	inString bool
-	escaped  bool
+	escaped  bool // the next byte follows a backslash
 }
 
-var errBadObject = errors.New("an endless or senseless object")
+var errBadObject = errors.New("invalid or too large JSON object")
 
-// feed takes what has come and gives each whole object to take, which gets it for the time of the call.
+// feed processes received data and calls take with each complete object, which is valid only during the call.
 func (o *objectSplitter) feed(data []byte, take func([]byte) error) error {
 	for _, b := range data {
 		if o.depth == 0 {
 			switch b {
 			case ' ', '\t', '\r', '\n', ',':
-				continue // between objects
+				continue // separator between objects
 			case '{':
 			default:
 				return errBadObject
@@ -48,7 +48,7 @@
 		}
 	}
 	if o.depth == 0 && cap(o.buf) > 64<<10 {
-		o.buf = nil // a large one's room is not kept for the stream's life
+		o.buf = nil // a large buffer is not kept for the lifetime of the stream
 	}
 	return nil
 }
--- a/internal/registry/protocol.go
+++ b/internal/registry/protocol.go
@@ -17,29 +17,29 @@
 	"lapisshelf/policy"
 )
 
-// protocol is how a kind of registry is spoken to. It does no I/O.
+// protocol encodes the calls and parses the answers of a kind of registry. It does no I/O.
 type protocol interface {
-	// request is what a call says.
+	// request returns the request of a call.
 	request(c roster.Call) (method, target string, headers []httpc.Header, body []byte)
-	// streams reports whether the answer to a call comes piece by piece, for good.
+	// streams reports whether the answer to a call is an endless stream of objects.
 	streams(c roster.Call) bool
-	// answer reads a whole answer.
+	// parseAnswer parses a complete answer.
 	parseAnswer(c roster.Call, head *httpc.Response, body []byte) (roster.Answer, error)
-	// object reads one object of a stream.
+	// parseObject parses one object of a stream.
 	parseObject(text []byte) (roster.Answer, error)
 }
 
-// Kind names a protocol.
+// Kind is the kind of a registry, which determines the protocol.
 type Kind string
 
-// The protocols.
+// The kinds of registries.
 const (
-	Discovery Kind = "discovery" // the platform's own
+	Discovery Kind = "discovery" // the platform's list service
 	Etcd      Kind = "etcd"      // the JSON gateway of etcd v3
-	Consul    Kind = "consul"    // blocking reads of a key-value store, as Consul has them
+	Consul    Kind = "consul"    // blocking queries of Consul's key-value store
 )
 
-// statusError is an answer that is none.
+// statusError returns the error for an answer with an unexpected status, with the message of its JSON body if there is one.
 func statusError(head *httpc.Response, body []byte) error {
 	var in struct{ Error, Message string }
 	json.Unmarshal(body, &in)
@@ -49,7 +49,7 @@
 	return fmt.Errorf("status %d", head.Status)
 }
 
-// discovery is the platform's list service.
+// discovery is the protocol of the platform's list service: long polls that return the changes since a revision.
 type discovery struct{}
 
 func (discovery) streams(roster.Call) bool { return false }
@@ -81,16 +81,17 @@
 }
 
 func (discovery) parseObject([]byte) (roster.Answer, error) {
-	return roster.Answer{}, errors.New("no stream")
+	return roster.Answer{}, errors.New("discovery has no streams")
 }
 
-// etcd speaks the JSON gateway of etcd v3: protobuf messages as JSON, 64-bit numbers as text, bytes as base64.
+// etcd is the protocol of the JSON gateway of etcd v3: protobuf messages as JSON, with 64-bit numbers as strings and bytes as
+// base64.
 type etcd struct {
 	prefix string
 	token  string
 }
 
-// jsonInt64 is a 64-bit number, which the gateway writes as text.
+// jsonInt64 is a 64-bit number, which the gateway writes as a string.
 type jsonInt64 int64
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -134,14 +135,15 @@
 	} `json:"error"`
 }
 
-// grpcOutOfRange is the gRPC code of a revision that is compacted, or to come.
+// grpcOutOfRange is the gRPC status code OUT_OF_RANGE, for a revision that is compacted or in the future.
 const grpcOutOfRange = 11
 
 func (etcd) streams(c roster.Call) bool { return !c.ReadList }
 
-// keyAfter is the smallest key behind one, and rangeEnd the smallest behind all that begin with a prefix.
+// keyAfter returns the smallest key greater than key.
 func keyAfter(key string) []byte { return append([]byte(key), 0) }
 
+// rangeEnd returns the smallest key greater than all keys that begin with prefix.
 func rangeEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -150,7 +152,7 @@
 			return end[:i+1]
 		}
 	}
-	return []byte{0} // to the end of all keys
+	return []byte{0} // in etcd: up to the last key
 }
 
 func (p etcd) request(c roster.Call) (method, target string, headers []httpc.Header, body []byte) {
@@ -173,7 +175,7 @@
 		target, message = "/v3/watch", map[string]any{"create_request": map[string]any{"key": b64([]byte(p.prefix)), "range_end": b64(rangeEnd(p.prefix)),
 			"start_revision": strconv.FormatInt(c.Revision+1, 10), "progress_notify": true}}
 	}
-	body, _ = json.Marshal(message) // text and numbers alone: it cannot fail
+	body, _ = json.Marshal(message) // cannot fail: only strings, booleans and maps
 	return "POST", target, p.headers(), body
 }
 
@@ -185,7 +187,7 @@
 	return headers
 }
 
-// parseChange reads one key's value.
+// parseChange returns the change of one key.
 func (p etcd) parseChange(kv etcdKV, deleted bool) roster.Change {
 	c := roster.Change{Key: string(kv.Key), Revision: int64(kv.ModRevision), Deleted: deleted}
 	if !deleted {
@@ -209,11 +211,11 @@
 	}
 	a := roster.Answer{Kind: roster.List, Revision: int64(in.Header.Revision), Epoch: in.Header.Cluster, Final: true}
 	if a.Revision <= 0 {
-		return a, errors.New("no revision")
+		return a, errors.New("no valid revision")
 	}
 	for _, kv := range in.KVs {
 		if !strings.HasPrefix(string(kv.Key), p.prefix) || c.After != "" && string(kv.Key) <= c.After || kv.ModRevision <= 0 {
-			return a, errors.New("a key that was not asked for")
+			return a, errors.New("key outside the requested range")
 		}
 		a.Changes = append(a.Changes, p.parseChange(kv, false))
 	}
@@ -230,15 +232,15 @@
 	}
 	switch r := in.Result; {
 	case in.Error != nil:
-		return roster.Answer{}, errors.New("the watch has ended: " + in.Error.Message)
+		return roster.Answer{}, errors.New("the watch failed: " + in.Error.Message)
 	case r == nil:
-		return roster.Answer{}, errors.New("an object of another kind")
+		return roster.Answer{}, errors.New("object with neither result nor error")
 	case r.CompactRevision > 0:
 		return roster.Answer{Kind: roster.Compacted, Revision: int64(r.Header.Revision), Epoch: r.Header.Cluster}, nil
 	case r.Canceled:
-		return roster.Answer{}, errors.New("the watch is cancelled: " + r.CancelReason)
+		return roster.Answer{}, errors.New("the watch was canceled: " + r.CancelReason)
 	case r.Header.Revision <= 0:
-		return roster.Answer{}, errors.New("no revision")
+		return roster.Answer{}, errors.New("no valid revision")
 	default:
 		a := roster.Answer{Kind: roster.Progress, Revision: int64(r.Header.Revision), Epoch: r.Header.Cluster}
 		switch {
@@ -249,7 +251,7 @@
 		}
 		for _, e := range r.Events {
 			if !strings.HasPrefix(string(e.KV.Key), p.prefix) || e.KV.ModRevision <= 0 || e.Type != "" && e.Type != "PUT" && e.Type != "DELETE" {
-				return a, errors.New("an event that was not asked for")
+				return a, errors.New("invalid event, or event outside the requested prefix")
 			}
 			a.Changes = append(a.Changes, p.parseChange(e.KV, e.Type == "DELETE"))
 		}
@@ -257,13 +259,13 @@
 	}
 }
 
-// consul speaks Consul's key-value store by blocking reads: each answer is the whole list, at an index.
+// consul is the protocol of Consul's key-value store with blocking queries: each answer is the whole list at an index.
 type consul struct {
 	prefix string
 	token  string
 }
 
-// maxBlockingWait is the longest that a blocking read may wait there, leastBlock the shortest that is worth a blocking one.
+// maxBlockingWait is the longest wait that Consul allows for a blocking query. Below minBlockingWait a plain read is used instead.
 const (
 	maxBlockingWait = 10 * time.Minute
 	minBlockingWait = 10 * time.Millisecond
@@ -273,11 +275,11 @@
 
 func (p consul) request(c roster.Call) (method, target string, headers []httpc.Header, body []byte) {
 	target = "/v1/kv/" + (&url.URL{Path: p.prefix}).EscapedPath() + "?recurse=true"
-	// Guards against a look, which is to be answered at once, that blocks: a wait of 0 ms is taken for none there, which is
-	// 5 minutes. Without an index a read is answered at once.
+	// A watch with a very short wait must be answered at once. A wait of 0 ms would not do so: Consul takes it for no wait and
+	// uses its default of 5 minutes. A read without an index is answered at once.
 	if !c.ReadList && c.Wait >= minBlockingWait {
-		// Consul adds up to a sixteenth to the wait told, and an index below 1 would not block (its documentation, "Blocking
-		// Queries"). An answer that comes after the follower's own wait would be taken for a silent watch.
+		// Consul adds up to a sixteenth to the requested wait, and a query with an index below 1 does not block (its documentation,
+		// "Blocking Queries"). An answer later than the follower's own wait would count as a watch that does not answer.
 		wait := min(c.Wait, maxBlockingWait) * 16 / 17
 		target += "&index=" + strconv.FormatInt(max(1, c.Revision), 10) + "&wait=" + strconv.FormatInt(wait.Milliseconds(), 10) + "ms"
 	}
@@ -293,11 +295,11 @@
 
 func (p consul) parseAnswer(c roster.Call, head *httpc.Response, body []byte) (roster.Answer, error) {
 	index, err := strconv.ParseInt(string(head.Header("X-Consul-Index")), 10, 64)
-	if head.Status != 200 && head.Status != 404 { // 404: there is no such key, which is an answer
+	if head.Status != 200 && head.Status != 404 { // 404: no key has the prefix, so the list is empty
 		return roster.Answer{}, statusError(head, body)
 	}
 	if err != nil || index < 0 {
-		return roster.Answer{}, errors.New("no index")
+		return roster.Answer{}, errors.New("no valid X-Consul-Index header")
 	}
 	a := roster.Answer{Kind: roster.List, Revision: index, Final: true}
 	if head.Status == 404 {
@@ -314,11 +316,11 @@
 	seen := map[string]bool{}
 	for _, kv := range in {
 		if !strings.HasPrefix(kv.Key, p.prefix) || seen[kv.Key] {
-			return roster.Answer{}, errors.New("a key that was not asked for, or twice")
+			return roster.Answer{}, errors.New("key outside the requested prefix, or duplicate key")
 		}
 		seen[kv.Key] = true
 		if strings.HasSuffix(kv.Key, "/") && len(kv.Value) == 0 {
-			continue // a folder
+			continue // a folder, which is no server
 		}
 		e, err := ParseEntry(kv.Key, kv.Value)
 		a.Changes = append(a.Changes, roster.Change{Key: kv.Key, Revision: kv.ModifyIndex, Entry: e, Malformed: err != nil})
@@ -327,5 +329,5 @@
 }
 
 func (consul) parseObject([]byte) (roster.Answer, error) {
-	return roster.Answer{}, errors.New("no stream")
+	return roster.Answer{}, errors.New("consul has no streams")
 }
--- a/internal/registry/protocol_test.go
+++ b/internal/registry/protocol_test.go
@@ -26,14 +26,14 @@
 		t.Errorf("%+v", entries[0])
 	}
 	if s := entries[1]; s.State != policy.Draining || s.Weight != -1 || s.Started != 0 {
-		t.Errorf("no size and a start long ago: %+v", s)
+		t.Errorf("server without size, started at 0: %+v", s)
 	}
 	if s := entries[2]; s.State != policy.Gone || s.Weight != 0 {
-		t.Errorf("gone, weight 0: %+v", s)
+		t.Errorf("deleted server with weight 0: %+v", s)
 	}
 }
 
-// Whatever discovery says, what is taken from it makes sense to the module.
+// FuzzParseList checks that ParseList accepts only lists with unique ids, start times that are not negative, and valid weights.
 func FuzzParseList(f *testing.F) {
 	f.Add([]byte(`{"revision":41,"complete":true,"members":[{"id":"s","host_port":"10.1.0.18:1","phase":"SERVING","size":1}]}`))
 	f.Add([]byte(`{"revision":1,"members":[{"id":"s","phase":"DELETED","up_since_ms":-1}]}`))
@@ -55,7 +55,7 @@
 func TestEntries(t *testing.T) {
 	for _, c := range []struct{ in, want string }{
 		{`{"id":"s","addr":"10.0.0.1:1"}`, ""},
-		{`{"addr":"10.0.0.1:1"}`, ""}, // the key's last part
+		{`{"addr":"10.0.0.1:1"}`, ""}, // the id is the last segment of the key
 		{`{"addr":"[::1]:1","phase":"draining","weight":0,"start_ms":5,"cell":3,"zone":"z","kind":"k","more":[]}`, ""},
 		{`{"addr":"10.0.0.1"}`, "addr"},
 		{`{"addr":"10.0.0.1:1","phase":"asleep"}`, "phase"},
@@ -73,7 +73,7 @@
 		}
 		if err == nil {
 			if back, err := ParseEntry("other", FormatEntry(e)); err != nil || back != e {
-				t.Errorf("%+v comes back as %+v, %v", e, back, err)
+				t.Errorf("%+v formatted and parsed again: %+v, %v", e, back, err)
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 
 func b64(s string) string { return base64.StdEncoding.EncodeToString([]byte(s)) }
 
-// The requests are those of the published protocols.
+// The requests match the published protocols byte for byte.
 func TestRequests(t *testing.T) {
 	ask := func(p protocol, c roster.Call) string {
 		method, target, headers, body := p.request(c)
@@ -109,10 +109,11 @@
 		}
 	}
 	if string(rangeEnd("a\xff")) != "b" || string(rangeEnd("\xff")) != "\x00" {
-		t.Error("the end of a range")
+		t.Error("rangeEnd of a prefix that ends in 0xff")
 	}
 }
 
+// parseHead parses a response head without a body.
 func parseHead(t *testing.T, text string) *httpc.Response {
 	t.Helper()
 	a, _, err := httpc.ParseResponse([]byte(text+"Content-Length: 0\r\n\r\n"), 0, true)
@@ -129,7 +130,7 @@
 	a, err := p.parseAnswer(roster.Call{ReadList: true}, ok, []byte(`{"header":{"cluster_id":"77","revision":"12"},"kvs":[{"key":"`+b64("p/a")+`","mod_revision":"3","value":"`+value+
 		`"},{"key":"`+b64("p/b")+`","mod_revision":4,"value":"!"}],"more":true}`))
 	if err == nil {
-		t.Errorf("base64 that is none is taken: %+v", a)
+		t.Errorf("invalid base64 is accepted: %+v", a)
 	}
 	a, err = p.parseAnswer(roster.Call{ReadList: true}, ok, []byte(`{"header":{"cluster_id":"77","revision":"12"},"kvs":[{"key":"`+b64("p/a")+`","mod_revision":"3","value":"`+value+
 		`"},{"key":"`+b64("p/b")+`","mod_revision":4,"value":"`+b64("junk")+`"}],"more":true}`))
@@ -186,7 +187,7 @@
 	}
 }
 
-// Objects come out whole however the stream is split, and what is no object, or has no end, is an error.
+// Objects are complete however the stream is split into reads. Input that is no object, or an object without end, is an error.
 func TestObjects(t *testing.T) {
 	in := `{"a":"}\"{"} {"b":[{"c":1}]}` + "\n" + `{}` + "\r\n" + `{"d":"\\"}`
 	for size := 1; size < len(in); size++ {
@@ -204,12 +205,12 @@
 	for _, bad := range []string{"x", "[1]", `{"a":"` + strings.Repeat("x", 200), "{}x"} {
 		o := objectSplitter{maxBytes: 100}
 		if err := o.feed([]byte(bad), func([]byte) error { return nil }); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 }
 
-// Whatever a registry says, what is taken from it makes sense.
+// FuzzAnswers checks that accepted changes have keys below the prefix, and an id and an address unless deleted or malformed.
 func FuzzAnswers(f *testing.F) {
 	f.Add([]byte(`{"result":{"header":{"revision":"9"},"events":[{"kv":{"key":"cC9h","mod_revision":"8","value":"e30="}}]}}`))
 	f.Add([]byte(`{"header":{"revision":"12"},"kvs":[{"key":"cC9h","mod_revision":"3","value":"e30="}],"more":true}`))
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -33,18 +33,19 @@
 	prefix            = "lapisshelf/servers/"
 )
 
-// testClient is a client on a loop of its own, before a stand-in registry.
+// testClient is a client on an event loop of its own, which records the updates and log lines that it receives.
 type testClient struct {
 	t         *testing.T
 	registry  *standin.Registry
 	loop      *loop.Loop
 	client    *Client
 	mu        sync.Mutex
-	entries   map[string]roster.Entry
-	updatedAt map[string]time.Time
+	entries   map[string]roster.Entry // the current list by id
+	updatedAt map[string]time.Time    // time of the latest update by id
 	notes     []string
 }
 
+// startClient starts a stand-in registry and a client that follows it.
 func startClient(t *testing.T, kind Kind, opt standin.RegistryOptions, change func(*Config)) *testClient {
 	t.Helper()
 	reg, cfg := startRegistry(t, kind, opt, change)
@@ -53,7 +54,7 @@
 	return r
 }
 
-// startRegistry starts a stand-in registry, and gives what a client of it is configured with.
+// startRegistry starts a stand-in registry and returns the configuration of a client that follows it.
 func startRegistry(t *testing.T, kind Kind, opt standin.RegistryOptions, change func(*Config)) (*standin.Registry, Config) {
 	t.Helper()
 	opt.Addr, opt.Nodes, opt.Prefix = "127.0.0.1:0", 1, prefix
@@ -74,7 +75,7 @@
 	return reg, cfg
 }
 
-// runClient starts a client on a loop of its own, from a list held before; its notes are logged if the test fails.
+// runClient starts a client on an event loop of its own, with a saved list. Its log lines are printed if the test fails.
 func runClient(t *testing.T, cfg Config, revision int64, saved []roster.Entry) *testClient {
 	t.Helper()
 	r := &testClient{t: t, entries: map[string]roster.Entry{}, updatedAt: map[string]time.Time{}}
@@ -102,7 +103,7 @@
 	return r
 }
 
-// onLoop does something on the loop and waits for it.
+// onLoop runs f on the client's event loop and waits for it.
 func (r *testClient) onLoop(f func()) {
 	done := make(chan struct{})
 	r.loop.Post(func() { f(); close(done) })
@@ -124,7 +125,7 @@
 	}
 }
 
-// matchesRegistry reports whether the list is what the registry has.
+// matchesRegistry reports whether the client's list equals that of the registry.
 func (r *testClient) matchesRegistry() bool {
 	_, want := r.registry.Members()
 	r.mu.Lock()
@@ -149,6 +150,7 @@
 	return slices.ContainsFunc(r.notes, func(n string) bool { return strings.HasPrefix(n, event) })
 }
 
+// eventually waits until a condition holds, and fails the test after eventuallyTimeout.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventuallyTimeout); time.Now().Before(end); time.Sleep(2 * ms) {
@@ -156,13 +158,15 @@
 			return
 		}
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timeout: %s", what)
 }
 
+// testServer returns the i-th server of a list.
 func testServer(i int, phase world.Phase) world.Member {
 	return world.Member{ID: fmt.Sprintf("s-%05d", i), Addr: fmt.Sprintf("10.%d.%d.%d:11211", i>>16, i>>8&255, i&255), Zone: "a", Kind: "m2", Phase: phase, Weight: 1.5}
 }
 
+// forBothKinds runs a test with both kinds of registries that have a key-value store.
 func forBothKinds(t *testing.T, f func(t *testing.T, k Kind)) {
 	for _, k := range []Kind{Etcd, Consul} {
 		t.Run(string(k), func(t *testing.T) {
@@ -172,8 +176,8 @@
 	}
 }
 
-// The list is followed whatever the answers look like on the wire: in pages, split at any byte, told twice, with progress
-// ahead of the changes.
+// The client follows the list whatever the answers look like on the wire: in pages, split at any byte, with duplicated changes, and
+// with progress notifications ahead of the changes.
 func TestFollows(t *testing.T) {
 	forBothKinds(t, func(t *testing.T, k Kind) {
 		for _, mangled := range []bool{false, true} {
@@ -194,7 +198,7 @@
 			}
 			eventually(t, "all changes are known", r.matchesRegistry)
 			r.registry.Wipe()
-			eventually(t, "an empty list is a list", r.matchesRegistry)
+			eventually(t, "an empty list is applied", r.matchesRegistry)
 			if c := r.counts(); c.Failed > 0 {
 				t.Errorf("%+v", c)
 			}
@@ -202,7 +206,7 @@
 	})
 }
 
-// A registry that is down, mute or talks nonsense costs calls, not the list; another endpoint is asked.
+// If endpoints are down, do not answer or answer garbage, calls fail but the list is kept, and another endpoint is asked.
 func TestBadEndpoints(t *testing.T) {
 	forBothKinds(t, func(t *testing.T, k Kind) {
 		for name, set := range map[string]func(r *testClient, end int, on bool){
@@ -220,20 +224,20 @@
 				failed := r.counts().Failed
 				eventually(t, "calls fail", func() bool { return r.counts().Failed > failed+3 })
 				if len(r.entries) != 1 {
-					t.Errorf("%v is left of the list", r.entries)
+					t.Errorf("the list is %v", r.entries)
 				}
 				r.registry.Set(testServer(1, world.Draining))
 				set(r, 1, false)
-				eventually(t, "the endpoint that is back tells of the drain", r.matchesRegistry)
+				eventually(t, "the drain is known from the endpoint that is back", r.matchesRegistry)
 				if name == "garble" && r.client.BadAnswers == 0 {
-					t.Error("no nonsense was counted")
+					t.Error("no invalid answer was counted")
 				}
 			})
 		}
 	})
 }
 
-// A resume from a revision that was compacted during a break is one whole reread, with nothing missed.
+// If the client's revision is compacted while the registry is unreachable, the client reads the whole list once and misses nothing.
 func TestCompactedDuringABreak(t *testing.T) {
 	forBothKinds(t, func(t *testing.T, k Kind) {
 		r := startClient(t, k, standin.RegistryOptions{}, nil)
@@ -242,7 +246,7 @@
 		}
 		eventually(t, "they are known", r.matchesRegistry)
 		r.registry.Down(0, true)
-		eventually(t, "the break is noticed", func() bool { return r.counts().Failed > 0 })
+		eventually(t, "the outage is noticed", func() bool { return r.counts().Failed > 0 })
 		r.registry.Set(testServer(1, world.Deleted))
 		r.registry.Set(testServer(2, world.Draining))
 		r.registry.Set(testServer(7, world.Serving))
@@ -256,7 +260,7 @@
 	})
 }
 
-// An endpoint that lags never takes the list back; a registry restored from an old backup is believed after the stated time.
+// A lagging endpoint never reverts the list. A registry restored from an old backup is accepted after Config.Roster.RewindAfter.
 func TestRestored(t *testing.T) {
 	forBothKinds(t, func(t *testing.T, k Kind) {
 		r := startClient(t, k, standin.RegistryOptions{Endpoints: 2}, nil)
@@ -272,14 +276,14 @@
 		for time.Since(begin) < time.Second {
 			r.mu.Lock()
 			if r.entries["s-00001"].State != policy.Draining {
-				t.Fatal("a drain is taken back")
+				t.Fatal("a drain is reverted")
 			}
 			r.mu.Unlock()
 			time.Sleep(10 * ms)
 		}
 		r.registry.Lag(0, 0)
 		r.registry.Lag(1, 0)
-		eventually(t, "the restored list counts", r.matchesRegistry)
+		eventually(t, "the restored list is applied", r.matchesRegistry)
 		if !r.hasNote("list_older") || !r.hasNote("list_rewound") {
 			t.Errorf("%q", r.notes)
 		}
@@ -302,7 +306,7 @@
 	})
 }
 
-// Entries that make no sense are left out, counted and named once.
+// Invalid entries are left out and logged once each.
 func TestBadEntries(t *testing.T) {
 	forBothKinds(t, func(t *testing.T, k Kind) {
 		r := startClient(t, k, standin.RegistryOptions{}, nil)
@@ -314,9 +318,9 @@
 		knows := func(id string) func() bool {
 			return func() bool { r.mu.Lock(); defer r.mu.Unlock(); _, ok := r.entries[id]; return ok }
 		}
-		eventually(t, "the good one is known", knows("s-00001"))
+		eventually(t, "the valid entry is known", knows("s-00001"))
 		r.registry.Set(testServer(2, world.Serving))
-		eventually(t, "the next too", knows("s-00002"))
+		eventually(t, "the next one is known", knows("s-00002"))
 		named := 0
 		for _, n := range r.notes {
 			if strings.HasPrefix(n, "entry_bad ") {
@@ -329,7 +333,7 @@
 	})
 }
 
-// Spoken to with TLS, by the authority that is named and no other.
+// With TLS, the client accepts only a certificate of the configured authority.
 func TestTLS(t *testing.T) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -355,7 +359,7 @@
 		t.Cleanup(func() { ln.Close() })
 		r := startClient(t, Etcd, standin.RegistryOptions{}, func(c *Config) {
 			plain := c.Endpoints[0].String()
-			go func() { // ends the TLS before the registry
+			go func() { // terminates TLS in front of the registry
 				for {
 					in, err := ln.Accept()
 					if err != nil {
@@ -380,7 +384,7 @@
 		})
 		r.registry.Set(testServer(1, world.Serving))
 		if !trusts {
-			eventually(t, "the certificate is refused by name", func() bool { return r.hasNote(`list_failed why="the connection has ended: tls: `) })
+			eventually(t, "the refusal of the certificate is noted", func() bool { return r.hasNote(`list_failed why="connection closed: tls: `) })
 			continue
 		}
 		eventually(t, "it is known", r.matchesRegistry)
@@ -389,20 +393,20 @@
 		open := 0
 		r.onLoop(func() { r.client.Close(); open = r.loop.OpenSockets() })
 		if open != 0 {
-			t.Errorf("%d descriptors are held", open)
+			t.Errorf("%d descriptors are still open", open)
 		}
 	}
 }
 
-// A list of thousands is read in pages, within the memory of the smallest node, and what is beyond the bound is left out. The
-// heap is the whole process's: one kind runs after the other, and only what the client does falls between the two looks at it.
-// The registry is filled before the first, its log emptied before the second, and the client rests in a watch then, with
-// limits that a busy machine does not reach.
+// A list of thousands of servers is read in pages, within the memory of the smallest node, and entries beyond the limit are left
+// out. The heap is that of the whole process, so the kinds run one after the other, and only the work of the client happens between
+// the two measurements: the registry is filled before the first and its log is emptied before the second, while the client waits in
+// a watch. The timeouts are long enough for a busy machine.
 func TestManyEntries(t *testing.T) {
 	const servers, page = 10000, 500
 	for _, k := range []Kind{Etcd, Consul} {
 		t.Run(string(k), func(t *testing.T) {
-			calls := 1 + 1 // one that reads the list, and the watch
+			calls := 1 + 1 // one read of the list, and the watch
 			if k == Etcd {
 				calls = servers/page + 1
 			}
@@ -417,8 +421,8 @@
 			before := heapBytes()
 			r := runClient(t, cfg, 0, nil)
 			r.registry = reg
-			eventually(t, "all are known, and changes are waited for", func() bool { return r.matchesRegistry() && reg.Waits() > 0 })
-			reg.Log.Update(func(rec *seen.Record) { rec.ListUpdates = nil }) // it has each list that was told
+			eventually(t, "all are known, and the watch is waiting", func() bool { return r.matchesRegistry() && reg.Waits() > 0 })
+			reg.Log.Update(func(rec *seen.Record) { rec.ListUpdates = nil }) // the log holds each list that was sent
 			used := heapBytes() - before
 			if n, _ := reg.Calls(); n != calls {
 				t.Errorf("%d calls, not %d", n, calls)
@@ -427,7 +431,7 @@
 				t.Errorf("%d KB for %d entries", used>>10, servers)
 			}
 			reg.Set(testServer(servers, world.Serving))
-			eventually(t, "one too many is counted", func() bool { return r.counts().LeftOut > 0 })
+			eventually(t, "the entry beyond the limit is counted", func() bool { return r.counts().LeftOut > 0 })
 			if !r.hasNote("entries_left_out") {
 				t.Errorf("%q", r.notes)
 			}
@@ -435,7 +439,7 @@
 	}
 }
 
-// heapBytes is how many bytes are held. What a pool holds goes only as the second collection ends.
+// heapBytes returns the size of the live heap. The content of a sync.Pool is freed only by the second collection.
 func heapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -444,8 +448,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// An entry of one's own stands while its process renews it, through a registry that fails for a while and one that forgets
-// the lease, and goes at the end; a process that dies leaves it to lapse.
+// An announced entry stays in the registry while its lease is renewed, returns after an outage and after the loss of its lease, and
+// is removed by Stop. If the process dies, the entry expires.
 func TestAnnounce(t *testing.T) {
 	forBothKinds(t, func(t *testing.T, k Kind) {
 		r := startClient(t, k, standin.RegistryOptions{Endpoints: 2, Token: "tok"}, func(c *Config) { c.Token = "tok" })
@@ -467,12 +471,12 @@
 		for range 30 {
 			time.Sleep(50 * ms)
 			if gone() {
-				t.Fatal("it lapsed though it is renewed")
+				t.Fatal("the entry expired although it is renewed")
 			}
 		}
 		r.registry.Down(0, true)
 		r.registry.Down(1, true)
-		eventually(t, "it lapses while nobody can be reached", gone)
+		eventually(t, "it expires while no endpoint can be reached", gone)
 		r.registry.Down(0, false)
 		eventually(t, "it is back", there)
 		r.registry.Down(1, false)
@@ -483,11 +487,11 @@
 		r.onLoop(func() { a.Stop(func() { close(done) }) })
 		<-done
 		if there() {
-			t.Error("it outlives its process")
+			t.Error("the entry remains after Stop")
 		}
 		a = announce()
 		eventually(t, "it is there again", there)
 		r.onLoop(a.Abandon) // the process dies
-		eventually(t, "it lapses", gone)
+		eventually(t, "it expires", gone)
 	})
 }
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -14,8 +14,8 @@
 	"lapisshelf/lab/world"
 )
 
-// BenchmarkListBySize tells how many bytes a whole list is on the wire, the stand-in's head included, in each form, and what it
-// costs to parse, as the list grows. docs/CAPACITY.md multiplies the figures; bytes are the same in each run.
+// BenchmarkListBySize measures, for each kind of registry and several list lengths, the size of a whole list on the wire, including
+// the stand-in's response head, and the cost to parse it. docs/CAPACITY.md multiplies the figures; the sizes are the same in each run.
 func BenchmarkListBySize(b *testing.B) {
 	for _, kind := range []Kind{Discovery, Etcd, Consul} {
 		for _, entries := range []int{80, 105, 210, 420} {
@@ -70,12 +70,13 @@
 	}
 }
 
-// readAnswer makes a call on a connection of its own and gives all that comes.
+// readAnswer makes a call on a connection of its own and returns everything received.
 func readAnswer(b *testing.B, p protocol, call roster.Call, addr string) []byte {
 	_, answer := exchange(b, p, call, addr)
 	return answer
 }
 
+// exchange makes a call on a connection of its own and returns the request, as a client sends it, and everything received.
 func exchange(b *testing.B, p protocol, call roster.Call, addr string) (request, answer []byte) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -92,8 +93,8 @@
 	return request, answer
 }
 
-// BenchmarkDiscoveryWatch tells how many bytes a watch at discovery is, its request and the stand-in's head included, that ends with
-// nothing and with a change of one server, and what the latter costs to parse.
+// BenchmarkDiscoveryWatch measures the size of a discovery watch that ends without a change and of one that ends with a change of one
+// server, including the stand-in's response head, and the cost to parse the latter.
 func BenchmarkDiscoveryWatch(b *testing.B) {
 	l, err := standin.NewList(standin.NewCommon(seen.NewLog(), 1, nil), standin.ListOptions{Addr: "127.0.0.1:0", Nodes: 1}, testServer(7, world.Serving))
 	if err != nil {
--- a/internal/registry/watch_test.go
+++ b/internal/registry/watch_test.go
@@ -14,16 +14,17 @@
 	"lapisshelf/policy"
 )
 
-// Watches on discovery that break at each of their moments, by a list service that says what each call is told to.
+// The tests in this file let discovery calls fail at each of their stages, with a list service whose answers are scripted.
 
-// scriptedList is a list service: what it answers to the n-th call, from 1; "" is nothing, ever, on that connection.
+// scriptedList is a list service. reply returns the answer to the n-th call, counted from 1, and whether the connection is then
+// reset. An empty text without a reset leaves the call without an answer.
 type scriptedList struct {
 	t          *testing.T
 	ln         net.Listener
 	reply      func(n int, target string) (text string, closes bool)
-	beforeByte func(n int, before string) // before each byte of an answer; nil: all of it comes at once
+	beforeByte func(n int, before string) // called before each byte of an answer; nil sends the answer at once
 	mu         sync.Mutex
-	calls      []string
+	calls      []string // targets of the requests
 }
 
 func (s *scriptedList) serve() {
@@ -78,19 +79,20 @@
 	return append([]string(nil), s.calls...)
 }
 
-// listAnswer is an answer of discovery, with one server in a phase.
+// listAnswer returns an answer of discovery with one server in a phase.
 func listAnswer(revision int, phase string) string {
 	body := fmt.Sprintf(`{"revision":%d,"complete":false,"members":[{"id":"s-1","host_port":"10.0.0.1:1","locality":"a","flavor":"m2","cell":0,"phase":%q,"size":1.0,"up_since_ms":0}]}`, revision, phase)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
+// emptyAnswer is an answer of discovery without changes, at revision 7.
 const emptyAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 45\r\n\r\n{\"revision\":7,\"complete\":false,\"members\":[]}\n"
 
 func TestWatchesThatBreakAtAnyMoment(t *testing.T) {
 	fullAnswer := listAnswer(8, "DRAINING")
 	for name, reply := range map[string]func(n int, target string) (string, bool){
-		// Guards against a new process whose very first call is never answered.
-		"silent from the first moment": func(n int, _ string) (string, bool) {
+		// A new process whose very first call is never answered.
+		"silent from the first call on": func(n int, _ string) (string, bool) {
 			return map[int]string{2: fullAnswer}[n], false
 		},
 		"silent after an answer": func(n int, _ string) (string, bool) {
@@ -132,8 +134,8 @@
 	}
 }
 
-// Guards against holding a watch for all of its wait (here 100 s) whose answer has begun, and stops in its midst or trickles for
-// ever: what it was to tell was there when it began.
+// A watch whose answer has started, but stops midway or trickles endlessly, must not last for its whole wait (here 100 s): the change
+// that it reports was there when the answer started.
 func TestAnAnswerThatStopsInItsMidstIsAskedForAgain(t *testing.T) {
 	fullAnswer, head := listAnswer(8, "DRAINING"), "HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\n"
 	for name, answer := range map[string]string{
@@ -165,8 +167,8 @@
 	}
 }
 
-// Guards against giving up a watch whose head comes at once, also in pieces, and whose body when there is something to tell: all
-// nodes would ask anew all the time.
+// A watch whose head is sent at once, even in pieces, and whose body follows with the change must not be given up: all nodes would
+// repeat their calls all the time.
 func TestAWatchWhoseHeadComesFirstIsLeftToWait(t *testing.T) {
 	fullAnswer := listAnswer(8, "DRAINING")
 	change := make(chan struct{})
@@ -187,11 +189,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.entries["s-1"].State != policy.Draining {
-		t.Errorf("asked %q, told %v", s.targets(), r.entries)
+		t.Errorf("calls %q, entries %v", s.targets(), r.entries)
 	}
 }
 
-// startLongWatchClient runs a client whose watches wait for 100 s before a script with a pace, with a list from before at revision 7.
+// startLongWatchClient runs a client whose watches wait for 100 s, with a saved list at revision 7, against a scripted list service.
 func startLongWatchClient(t *testing.T, reply func(n int, target string) (string, bool), pace func(n int, before string)) (*testClient, *scriptedList) {
 	t.Helper()
 	s := servePaced(t, reply, pace)
@@ -200,21 +202,21 @@
 	return runClient(t, cfg, 7, []roster.Entry{{Server: policy.Server{ID: "s-1", Weight: 1}, Addr: "10.0.0.1:1"}}), s
 }
 
-// However a call fails, the next ones tell at once what there is, also where the first of them hangs: guards against a watch
-// begun in an outage, which would be held for all of its wait (here 100 s) once the registry is back.
+// However a call fails, the following calls return at once with whatever is newer, even if the first of them hangs. A regular watch
+// started during an outage would wait for its whole time (here 100 s) once the registry is back.
 func TestAfterAFailureWhatThereIsIsAskedFor(t *testing.T) {
 	fullAnswer := listAnswer(8, "DRAINING")
 	for name, failure := range map[string]struct {
 		text   string
 		closes bool
 	}{
-		"turned away":               {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false},
-		"reset":                     {"", true},
-		"reset in a body":           {fullAnswer[:len(fullAnswer)-40], true},
-		"closed after half a head":  {fullAnswer[:12], true},
-		"an answer of nonsense":     {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]", false},
-		"an answer in no protocol":  {"nothing of the kind\r\n\r\n", false},
-		"a revision that cannot be": {strings.Replace(emptyAnswer, `"revision":7`, `"revision":-`, 1), false},
+		"refused":                        {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false},
+		"reset":                          {"", true},
+		"reset in a body":                {fullAnswer[:len(fullAnswer)-40], true},
+		"closed after half a head":       {fullAnswer[:12], true},
+		"an answer of another JSON type": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]", false},
+		"an answer that is not HTTP":     {"nothing of the kind\r\n\r\n", false},
+		"an invalid revision":            {strings.Replace(emptyAnswer, `"revision":7`, `"revision":-`, 1), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -241,7 +243,7 @@
 			})
 			eventually(t, "the next watch is out", func() bool { return len(s.targets()) >= 5 })
 			for i, target := range s.targets() {
-				if look := strings.HasSuffix(target, "timeout_ms=1"); look != (i != 1 && i != 4) {
+				if immediate := strings.HasSuffix(target, "timeout_ms=1"); immediate != (i != 1 && i != 4) {
 					t.Errorf("call %d: %s", i+1, target)
 				}
 			}
@@ -249,15 +251,15 @@
 	}
 }
 
-// An answer to a call already given up is nobody's, nor one that is older than the list held: what it would bring back may
-// have drained since.
+// An answer to a call that was given up does not count, nor does one that is older than the current list: a server that it reports as
+// serving may have drained since.
 func TestLateAndOldAnswersDoNotCount(t *testing.T) {
 	release := make(chan struct{})
 	r, _ := startFollowing(t, func(n int, _ string) (string, bool) {
 		switch n {
 		case 1:
 			return emptyAnswer, false
-		case 2: // given up; it says its piece long after the drain is known
+		case 2: // given up; answered long after the drain is known
 			<-release
 			return listAnswer(8, "SERVING"), false
 		case 3:
@@ -276,12 +278,12 @@
 	close(release)
 	eventually(t, "the old answer came", func() bool { return r.counts().OlderAnswers > 0 })
 	if state() != policy.Draining {
-		t.Error("an old answer brought the server back")
+		t.Error("an old answer ended the drain")
 	}
 }
 
-// SIGHUP moves discovery while a call is out at the old one: that call's answer does not count any more, and the list held
-// stays until the new one has told its own, whose revision may be lower.
+// The registry changes (on SIGHUP) while a call to the old one is outstanding: the answer to that call does not count, and the
+// current list stays in effect until the new registry has sent its own, whose revision may be lower.
 func TestAMoveWhileACallIsOut(t *testing.T) {
 	old := make(chan struct{})
 	r, _ := startFollowing(t, func(n int, _ string) (string, bool) {
@@ -304,14 +306,14 @@
 		r.client.ChangeRegistry(cfg)
 	})
 	close(old)
-	eventually(t, "the new list counts", func() bool {
+	eventually(t, "the new list is applied", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		return r.entries["s-1"].State == policy.Draining
 	})
 	r.onLoop(func() {
 		if rev, _, _ := r.client.ListStatus(); rev != 3 {
-			t.Errorf("holds revision %d", rev)
+			t.Errorf("the list has revision %d", rev)
 		}
 	})
 }
@@ -333,7 +335,7 @@
 	return s
 }
 
-// startFollowing runs a client before a script, with a list from before at revision 7.
+// startFollowing runs a client with a saved list at revision 7 against a scripted list service.
 func startFollowing(t *testing.T, reply func(n int, target string) (string, bool)) (*testClient, *scriptedList) {
 	t.Helper()
 	s := serveScripted(t, reply)
@@ -341,7 +343,7 @@
 		Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: 200 * ms, CallTimeout: 300 * ms, ImmediateFirstWatch: true}}
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("asked %q", s.targets())
+			t.Logf("calls: %q", s.targets())
 		}
 	})
 	return runClient(t, cfg, 7, []roster.Entry{{Server: policy.Server{ID: "s-1", Weight: 1}, Addr: "10.0.0.1:1"}}), s
