--- a/internal/handover/order.go
+++ b/internal/handover/order.go
@@ -24,11 +24,11 @@
 
 // register takes an order above all others and locks the own lock file. Others see the process once Publish has written its state.
 func (m *Member) register() error {
-	entry, err := m.lockRegistration()
+	registrationLock, err := m.lockRegistration()
 	if err != nil {
 		return err
 	}
-	defer entry.Close()
+	defer registrationLock.Close()
 	files, err := m.listFiles()
 	if err != nil {
 		return err
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -31,9 +31,10 @@
 }
 
 // Equal reports whether two configurations reach the same registry in the same way and follow it with the same settings.
-func (c *Config) Equal(o *Config) bool {
-	return c.Kind == o.Kind && slices.Equal(c.Endpoints, o.Endpoints) && c.Prefix == o.Prefix && c.Token == o.Token &&
-		(c.TLS == nil) == (o.TLS == nil) && c.TLSFingerprint == o.TLSFingerprint && c.Roster == o.Roster
+// MaxBodyBytes is not compared.
+func (c *Config) Equal(other *Config) bool {
+	return c.Kind == other.Kind && slices.Equal(c.Endpoints, other.Endpoints) && c.Prefix == other.Prefix && c.Token == other.Token &&
+		(c.TLS == nil) == (other.TLS == nil) && c.TLSFingerprint == other.TLSFingerprint && c.Roster == other.Roster
 }
 
 // newProtocol returns the protocol of c.Kind.
