--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,6 @@
-// Package control is the operators' second address: HTTP/1.1, one call to a connection, on the node's loop. It knows who
-// may call what and how; what a call does is its owner's.
+// Package control implements the control address, on which operators and their tools send requests to a process: HTTP/1.1 with one
+// request per connection, on the process's event loop. It matches requests to routes and limits connections; the handlers of
+// the routes belong to the caller.
 package control
 
 import (
@@ -16,56 +17,60 @@
 )
 
 const (
-	// Most is how many connections of callers are held at once, and Descriptors what the address takes in all.
-	Most        = 12
-	Descriptors = Most + 1
-	mostHead    = 4 << 10         // bytes of a call's head
-	callWithin  = 5 * time.Second // from connecting to a whole call
-	lingerFor   = 500 * time.Millisecond
+	// MaxConns is the maximum number of open client connections. MaxDescriptors includes the listener.
+	MaxConns       = 12
+	MaxDescriptors = MaxConns + 1
+	maxHeadBytes   = 4 << 10         // size of a request's head
+	requestTimeout = 5 * time.Second // from accepting a connection to its complete request
+	lingerTimeout  = 500 * time.Millisecond
 )
 
-// Reply is what a call is answered: 2xx is yes, 4xx and 5xx no.
+// Reply is the response to a request. 2xx means success, 4xx and 5xx failure.
 type Reply struct {
 	Status int
-	Type   string // of the body; empty: plain text
+	Type   string // Content-Type; empty selects plain text
 	Body   []byte
 }
 
-// Say is a reply of one plain line.
-func Say(status int, line string) Reply { return Reply{Status: status, Body: []byte(line + "\n")} }
+// TextReply returns a reply with one line of plain text.
+func TextReply(status int, line string) Reply {
+	return Reply{Status: status, Body: []byte(line + "\n")}
+}
 
-// Route is one call. A path that ends in a slash takes one more segment, which Do is given, unescaped.
+// Route maps a method and path to a handler. A path that ends in a slash matches one further segment, which is unescaped and
+// passed to Handler.
 type Route struct {
 	Method, Path string
-	Do           func(arg string) Reply
+	Handler      func(arg string) Reply
 }
 
-// Server owns the listener and the connections of callers.
+// Server owns the listener and the client connections.
 type Server struct {
 	loop     *loop.Loop
 	listener *loop.Listener
 	routes   []Route
-	conns    *list.List // all that hold a descriptor, oldest first
+	conns    *list.List // *clientConn that hold a descriptor, oldest first
 	closed   bool
 
-	// Calls counts answers by status; Shed the connections that made room for others or brought no call in time.
-	Calls map[int]int64
-	Shed  int64
+	// RepliesByStatus counts replies by status code. Shed counts connections closed to make room for others or because no
+	// complete request arrived in time.
+	RepliesByStatus map[int]int64
+	Shed            int64
 }
 
-// caller is one connection. It leaves the list when its descriptor is given back.
-type caller struct {
-	server   *Server
-	conn     *loop.Conn
-	place    *list.Element
-	input    []byte
-	answered bool
-	timer    *loop.Timer
+// clientConn is one connection. It is removed from Server.conns when its descriptor is closed.
+type clientConn struct {
+	server  *Server
+	conn    *loop.Conn
+	element *list.Element
+	input   []byte
+	replied bool
+	timer   *loop.Timer
 }
 
-// Listen opens the address, and nothing but it.
+// Listen opens the address and serves routes on it.
 func Listen(l *loop.Loop, addr netip.AddrPort, routes []Route) (*Server, error) {
-	s := &Server{loop: l, routes: routes, conns: list.New(), Calls: map[int]int64{}}
+	s := &Server{loop: l, routes: routes, conns: list.New(), RepliesByStatus: map[int]int64{}}
 	var err error
 	if s.listener, err = l.Listen(addr, s.accept); err != nil {
 		return nil, err
@@ -74,83 +79,83 @@
 	return s, nil
 }
 
-// Open is how many descriptors are held; a nil Server holds none.
-func (s *Server) Open() int {
+// OpenDescriptors returns the number of open descriptors. It is 0 for a nil Server.
+func (s *Server) OpenDescriptors() int {
 	if s == nil || s.closed {
 		return 0
 	}
 	return s.conns.Len() + 1
 }
 
-// Share is how many descriptors are kept for the address; a nil Server needs none.
-func (s *Server) Share() int {
+// ReservedDescriptors returns the number of descriptors reserved for the address. It is 0 for a nil Server.
+func (s *Server) ReservedDescriptors() int {
 	if s == nil {
 		return 0
 	}
-	return Descriptors
+	return MaxDescriptors
 }
 
-// accept takes a caller. With no place left the oldest that has finished no call makes room, then the oldest that only
-// waits for the other end to close: callers that never finish must cost only themselves.
+// accept adds a connection. At the limit it closes the oldest connection without a complete request, or else the oldest one that
+// only waits for its peer to close: clients that never finish a request must not block others.
 func (s *Server) accept(fd int) {
-	c := &caller{server: s}
+	c := &clientConn{server: s}
 	conn, err := s.loop.Accept(fd, c)
 	if err != nil {
 		return
 	}
-	for s.conns.Len() >= Most {
-		oldest := s.conns.Front()
-		for e := oldest; e != nil; e = e.Next() {
-			if !e.Value.(*caller).answered {
-				oldest = e
+	for s.conns.Len() >= MaxConns {
+		victim := s.conns.Front()
+		for e := victim; e != nil; e = e.Next() {
+			if !e.Value.(*clientConn).replied {
+				victim = e
 				break
 			}
 		}
 		s.Shed++
-		oldest.Value.(*caller).conn.Close()
+		victim.Value.(*clientConn).conn.Close()
 	}
 	c.conn = conn
-	c.place = s.conns.PushBack(c)
+	c.element = s.conns.PushBack(c)
 	conn.Prioritize()
 	conn.OnRelease(func() {
 		c.timer.Stop()
-		s.conns.Remove(c.place)
+		s.conns.Remove(c.element)
 	})
-	c.timer = s.loop.After(callWithin, func() {
+	c.timer = s.loop.After(requestTimeout, func() {
 		s.Shed++
 		conn.Close()
 	})
 }
 
 // Connected implements loop.Handler.
-func (c *caller) Connected() {}
+func (c *clientConn) Connected() {}
 
 // Flushed implements loop.Handler.
-func (c *caller) Flushed() {}
+func (c *clientConn) Flushed() {}
 
 // End implements loop.Handler.
-func (c *caller) End(error) {}
+func (c *clientConn) End(error) {}
 
 // Data implements loop.Handler.
-func (c *caller) Data(data []byte) {
-	if c.answered {
+func (c *clientConn) Data(data []byte) {
+	if c.replied {
 		return
 	}
 	c.input = append(c.input, data...)
-	r, used, err := httpc.ParseRequest(c.input, mostHead)
+	r, consumed, err := httpc.ParseRequest(c.input, maxHeadBytes)
 	switch {
 	case errors.Is(err, httpc.ErrLarge):
-		c.answer(Say(431, "the head is too long"), "")
+		c.reply(TextReply(431, "the head is too long"), "")
 	case err != nil:
-		c.answer(Say(400, "no HTTP/1.1 request"), "")
-	case used > 0:
-		reply, allow := c.server.call(string(r.Method), string(r.Path))
-		c.answer(reply, allow)
+		c.reply(TextReply(400, "no HTTP/1.1 request"), "")
+	case consumed > 0:
+		reply, allow := c.server.dispatch(string(r.Method), string(r.Path))
+		c.reply(reply, allow)
 	}
 }
 
-// call finds and makes a call; allow tells the methods that its path has.
-func (s *Server) call(method, path string) (reply Reply, allow string) {
+// dispatch runs the handler for a request. If the path exists only with other methods, allow lists them.
+func (s *Server) dispatch(method, path string) (reply Reply, allow string) {
 	var methods []string
 	for _, r := range s.routes {
 		arg, ok := match(r.Path, path)
@@ -158,17 +163,17 @@
 			continue
 		}
 		if r.Method == method {
-			return r.Do(arg), ""
+			return r.Handler(arg), ""
 		}
 		methods = append(methods, r.Method)
 	}
 	if len(methods) > 0 {
-		return Say(405, "not with this method"), strings.Join(slices.Compact(methods), ", ")
+		return TextReply(405, "not with this method"), strings.Join(slices.Compact(methods), ", ")
 	}
-	return Say(404, "no such call"), ""
+	return TextReply(404, "no such call"), ""
 }
 
-// match reports whether a path is a route's and gives its argument.
+// match reports whether a path matches a route's path, and returns the route's argument.
 func match(route, path string) (arg string, ok bool) {
 	if !strings.HasSuffix(route, "/") {
 		return "", path == route
@@ -181,10 +186,10 @@
 	return arg, err == nil
 }
 
-// answer ends the call.
-func (c *caller) answer(r Reply, allow string) {
-	c.answered, c.input = true, nil
-	c.server.Calls[r.Status]++
+// reply sends the response and closes the connection.
+func (c *clientConn) reply(r Reply, allow string) {
+	c.replied, c.input = true, nil
+	c.server.RepliesByStatus[r.Status]++
 	headers := []httpc.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}, {Name: "Cache-Control", Value: "no-store"}}
 	if r.Type != "" {
 		headers[0].Value = r.Type
@@ -193,10 +198,10 @@
 		headers = append(headers, httpc.Header{Name: "Allow", Value: allow})
 	}
 	c.conn.Write(httpc.AppendResponse(nil, r.Status, headers, r.Body))
-	c.conn.CloseGracefully(lingerFor)
+	c.conn.CloseGracefully(lingerTimeout)
 }
 
-// Close gives the address back; calls that were answered reach their callers.
+// Close closes the listener and all connections without a reply. Replies already sent are still delivered.
 func (s *Server) Close() {
 	if s == nil || s.closed {
 		return
@@ -205,7 +210,7 @@
 	s.listener.Close()
 	for e := s.conns.Front(); e != nil; {
 		next := e.Next()
-		if c := e.Value.(*caller); !c.answered {
+		if c := e.Value.(*clientConn); !c.replied {
 			c.conn.Close()
 		}
 		e = next
--- a/internal/handover/faults_test.go
+++ b/internal/handover/faults_test.go
@@ -11,8 +11,8 @@
 	"lapisshelf/policy"
 )
 
-// failing has all calls of some kinds fail until it is ended.
-func failing(t *testing.T, errno unix.Errno, calls ...system.Call) (end func()) {
+// failCalls makes system calls of the given kinds fail until stop is called.
+func failCalls(t *testing.T, errno unix.Errno, calls ...system.Call) (stop func()) {
 	t.Helper()
 	system.InjectFailures(func(c system.Call) error {
 		for _, x := range calls {
@@ -26,85 +26,85 @@
 	return func() { system.InjectFailures(nil) }
 }
 
-// While nothing can be opened or read, a process that lives is known as it was, and its file stays.
+// While files cannot be opened or read, the last known state of a live process stays in use and its files are kept.
 func TestALivingProcessIsNotTakenForOneThatHasEnded(t *testing.T) {
 	for _, calls := range [][]system.Call{{system.CallOpen}, {system.CallRead}, {system.CallOpen, system.CallRead}} {
 		for _, errno := range []unix.Errno{unix.ENFILE, unix.EMFILE, unix.EIO, unix.ENOMEM} {
 			l, dir := newLoop(t), t.TempDir()
 			old, fresh := join(t, l, dir, "n1"), join(t, l, dir, "n1")
-			old.say(t, func(s *State) { s.Process.FDLimit = 100 })
-			fresh.say(t, func(*State) {})
-			fresh.Look()
-			end := failing(t, errno, calls...)
+			old.publish(t, func(s *State) { s.Process.FDLimit = 100 })
+			fresh.publish(t, func(*State) {})
+			fresh.Refresh()
+			stop := failCalls(t, errno, calls...)
 			for range 3 {
-				fresh.Look()
-				if len(fresh.Peers()) != 1 || len(fresh.Left()) != 0 {
-					t.Errorf("%v, %v: beside %d, left by %d", calls, errno, len(fresh.Peers()), len(fresh.Left()))
+				fresh.Refresh()
+				if len(fresh.Peers()) != 1 || len(fresh.Ended()) != 0 {
+					t.Errorf("%v, %v: %d peers, %d ended", calls, errno, len(fresh.Peers()), len(fresh.Ended()))
 				}
 			}
-			end()
-			fresh.say(t, func(s *State) { s.Process.FDLimit = 1 })
-			old.die()
-			until(t, l, "its end is heard once that can be read", func() bool { return len(fresh.Left()) == 1 })
+			stop()
+			fresh.publish(t, func(s *State) { s.Process.FDLimit = 1 })
+			old.exit()
+			runUntil(t, l, "the end is noticed once files can be read", func() bool { return len(fresh.Ended()) == 1 })
 		}
 	}
 }
 
-// A process that comes while the directory can't be written, or read, enters it later, and hears then what was said before.
+// A process that starts while the directory cannot be written or read registers later, and then sees the states published before.
 func TestEnteringIsTriedAgain(t *testing.T) {
 	for _, calls := range [][]system.Call{{system.CallOpen}, {system.CallRead}} {
 		l, dir := newLoop(t), t.TempDir()
 		old := join(t, l, dir, "n1")
-		old.say(t, func(s *State) { s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5}} })
-		old.die()
-		end := failing(t, unix.ENOSPC, calls...)
+		old.publish(t, func(s *State) { s.Overrides = []policy.Override{{ID: "s-1", Banned: true, At: 5}} })
+		old.exit()
+		stop := failCalls(t, unix.ENOSPC, calls...)
 		fresh := join(t, l, dir, "n1")
-		if err := fresh.Publish(fresh.Self()); err == nil || fresh.Owed() == nil {
-			t.Errorf("%v: made known with %v", calls, err)
+		if err := fresh.Publish(fresh.Self()); err == nil || fresh.PublishErr() == nil {
+			t.Errorf("%v: published with %v", calls, err)
 		}
-		end()
-		until(t, l, "it enters and hears", func() bool {
-			return fresh.lock != nil && len(fresh.Left()) == 1 && fresh.Self().Process.Order > old.Self().Process.Order
+		stop()
+		runUntil(t, l, "it registers and reads the state", func() bool {
+			return fresh.ownLock != nil && len(fresh.Ended()) == 1 && fresh.Self().Process.Order > old.Self().Process.Order
 		})
-		fresh.say(t, func(s *State) { s.Hands = fresh.Left()[0].Hands })
-		if next := join(t, l, dir, "n1"); len(next.Peers()) != 1 || len(next.Peers()[0].Hands) != 1 {
-			t.Errorf("%v: what was said is lost: %+v", calls, next.Peers())
+		fresh.publish(t, func(s *State) { s.Overrides = fresh.Ended()[0].Overrides })
+		if next := join(t, l, dir, "n1"); len(next.Peers()) != 1 || len(next.Peers()[0].Overrides) != 1 {
+			t.Errorf("%v: the overrides are lost: %+v", calls, next.Peers())
 		}
 	}
 }
 
-// Whatever of a write fails, what was written before stands, it is owed, and what a process that has ended left is kept until
-// it is written.
+// If any step of a write fails, the file written before stays valid, the failure is reported by Publish and PublishErr, and the
+// state of an ended process is kept until a write succeeds.
 func TestAFailedWriteIsOwed(t *testing.T) {
 	for _, call := range []system.Call{system.CallOpen, system.CallWrite, system.CallSync, system.CallRename} {
 		for _, errno := range []unix.Errno{unix.ENOSPC, unix.EIO} {
 			l, dir := newLoop(t), t.TempDir()
 			old := join(t, l, dir, "n1")
-			old.say(t, func(s *State) { s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5}} })
-			old.die()
+			old.publish(t, func(s *State) { s.Overrides = []policy.Override{{ID: "s-1", Banned: true, At: 5}} })
+			old.exit()
 			fresh := join(t, l, dir, "n1")
-			if len(fresh.Left()) != 1 {
-				t.Fatal("nothing is left by the one before")
+			if len(fresh.Ended()) != 1 {
+				t.Fatal("the state of the ended process is not read")
 			}
 			s := fresh.Self()
-			s.Hands = []policy.Override{{ID: "s-1", Banned: true, At: 5}, {ID: "s-2", Banned: true, At: 6}}
-			end := failing(t, errno, call)
+			s.Overrides = []policy.Override{{ID: "s-1", Banned: true, At: 5}, {ID: "s-2", Banned: true, At: 6}}
+			stop := failCalls(t, errno, call)
 			for range 2 {
-				if err := fresh.Publish(s); err == nil || fresh.Owed() == nil || len(fresh.Left()) != 1 {
-					t.Errorf("%s, %v: %v, owed %v, left by %d", call, errno, err, fresh.Owed(), len(fresh.Left()))
+				if err := fresh.Publish(s); err == nil || fresh.PublishErr() == nil || len(fresh.Ended()) != 1 {
+					t.Errorf("%s, %v: error %v, PublishErr %v, %d ended", call, errno, err, fresh.PublishErr(), len(fresh.Ended()))
 				}
 			}
-			end()
-			if killed := join(t, l, dir, "n1"); len(killed.Left()) != 1 || len(killed.Left()[0].Hands) != 1 {
-				t.Errorf("%s, %v: killed here, the next one hears %+v", call, errno, killed.Left())
+			stop()
+			if restarted := join(t, l, dir, "n1"); len(restarted.Ended()) != 1 || len(restarted.Ended()[0].Overrides) != 1 {
+				t.Errorf("%s, %v: after a kill here, the next process reads %+v", call, errno, restarted.Ended())
 			} else {
-				killed.die()
+				restarted.exit()
 			}
-			if err := fresh.Publish(s); err != nil || fresh.Owed() != nil {
-				t.Errorf("%s, %v: then %v", call, errno, err)
+			if err := fresh.Publish(s); err != nil || fresh.PublishErr() != nil {
+				t.Errorf("%s, %v: retry: %v", call, errno, err)
 			}
-			if next := join(t, l, dir, "n1"); len(next.Peers()) != 1 || len(next.Peers()[0].Hands) != 2 || len(next.Left()) != 0 {
-				t.Errorf("%s, %v: in the end %+v, left %+v", call, errno, next.Peers(), next.Left())
+			if next := join(t, l, dir, "n1"); len(next.Peers()) != 1 || len(next.Peers()[0].Overrides) != 2 || len(next.Ended()) != 0 {
+				t.Errorf("%s, %v: at the end: peers %+v, ended %+v", call, errno, next.Peers(), next.Ended())
 			}
 		}
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,9 +1,11 @@
-// Package handover is how the processes of one node know of each other: by files in a directory that they share. Each
-// process has one that it alone writes, whole and by rename, and a lock beside it that it holds as long as it lives. All
-// of it runs on the node's loop; the files are small and lie in memory where the directory does.
+// Package handover lets the processes of one node exchange state during an upgrade, through files in a shared directory. Each
+// process has a state file that it alone writes, replaced atomically by rename, and a lock file beside it that it keeps locked as
+// long as it lives. Everything runs on the node's event loop; the files are small, and in memory if the directory is on a
+// memory file system.
 //
-// No wall clock decides anything between processes: their order is a counter kept by the names in the directory (order.go).
-// What can't be read for a moment says nothing of its process, and what can't be written is owed (Publish).
+// Nothing between processes depends on the wall clock: their start order is a counter, kept in the names of the files (order.go).
+// A file that cannot be read for the moment says nothing about its process. A state that cannot be written is reported by
+// Publish, and the caller retries.
 package handover
 
 import (
@@ -25,102 +27,102 @@
 )
 
 const (
-	version   = 1
-	mostBytes = 1 << 20                // of a file
-	mostPeers = 8                      // processes that are looked at
-	lookEvery = 200 * time.Millisecond // besides what the system tells
-	pollEvery = 50 * time.Millisecond  // where it tells nothing
-	mostPause = time.Second            // between tries to enter the directory
+	stateVersion         = 1
+	maxStateBytes        = 1 << 20                // size of a state file
+	maxPeers             = 8                      // processes whose state is read
+	notifiedPollInterval = 200 * time.Millisecond // if the system notifies of changes
+	pollInterval         = 50 * time.Millisecond  // if it does not
+	maxRetryBackoff      = time.Second            // between attempts to register in the directory
 )
 
-// State is what a process makes known.
+// State is what a process publishes. It is stored as JSON.
 type State struct {
-	Version int               `json:"version"`
-	Name    string            `json:"name"`
-	Listen  string            `json:"listen"`
-	PID     int               `json:"pid"`
-	Process decide.Process    `json:"process"`
-	Hands   []policy.Override `json:"hands,omitempty"` // what was said of servers by hand
-	Lame    Lame              `json:"lame"`
-	List    List              `json:"list"`
+	Version   int               `json:"version"`
+	Name      string            `json:"name"`
+	Listen    string            `json:"listen"`
+	PID       int               `json:"pid"`
+	Process   decide.Process    `json:"process"`
+	Overrides []policy.Override `json:"hands,omitempty"` // decisions of operators about servers
+	LameDuck  LameDuck          `json:"lame"`
+	List      ServerList        `json:"list"`
 }
 
-// Lame is the last word on whether the node is drained.
-type Lame struct {
-	On bool          `json:"on"`
-	At time.Duration `json:"at"` // its version: higher than that of the word before it, whoever took that
+// LameDuck is the latest decision whether the node is drained.
+type LameDuck struct {
+	On      bool          `json:"on"`
+	Version time.Duration `json:"at"` // higher than that of the previous decision, whichever process took it
 }
 
-// List is what a process's list says of servers that get nothing new.
-type List struct {
-	Source   string   `json:"source,omitempty"` // the registry: revisions of two compare with nothing
+// ServerList is the part of a process's server list that other processes need: the servers that get no new requests.
+type ServerList struct {
+	Source   string   `json:"source,omitempty"` // the registry; revisions of different registries are not comparable
 	Revision int64    `json:"revision"`
-	Leaving  []string `json:"leaving,omitempty"` // draining, or gone lately
-	Listed   []string `json:"listed,omitempty"`  // ids that were ever listed
+	Leaving  []string `json:"leaving,omitempty"` // ids of servers that are draining or were removed recently
+	Listed   []string `json:"listed,omitempty"`  // ids of servers that were ever listed
 }
 
-// Options are what a process is told.
+// Options configure a member. Name and Listen identify the node in the shared directory Dir.
 type Options struct {
 	Dir, Name, Listen string
-	Note              func(event, why string) // a line for the log
-	Changed           func()                  // the others, or what they make known, have changed
+	Note              func(event, why string) // writes a log line
+	OnChange          func()                  // called when the other processes or their states have changed
 }
 
-// Member is this process among the others.
+// Member is this process's view of the node's processes.
 type Member struct {
-	opt    Options
-	loop   *loop.Loop
-	prefix string   // of the files of all of the node's processes
-	own    string   // path of the own file, without its ending
-	lock   *os.File // nil: the process could not be made known yet
-	watch  *loop.File
-	timer  *loop.Timer
-	pause  time.Duration // before the next try to be made known
-	retry  time.Duration // when that is due
-	self   State
-	said   []byte            // as written last; nil: nothing, or it has gone
-	words  []policy.Override // as synced last
-	owed   error             // why self is not written; nil: it is
-	early  map[int]bool      // ids of processes that were there before this one
-	known  map[string]State
-	peers  []State
-	left   []ended
-	unread bool            // something could not be read, which is to be tried again
-	bad    map[string]bool // files that were told of as bad
+	opt             Options
+	loop            *loop.Loop
+	prefix          string   // of the names of all files of the node
+	ownBase         string   // path of the own files without the suffix
+	ownLock         *os.File // nil until the process is registered
+	inotify         *loop.File
+	pollTimer       *loop.Timer
+	retryBackoff    time.Duration // before the next attempt to register
+	retryAt         time.Duration // time of that attempt
+	self            State
+	published       []byte            // state file as written last; nil if there is none
+	syncedOverrides []policy.Override // overrides in the state file as synced last
+	publishErr      error             // why self is not written; nil if it is
+	earlierPIDs     map[int]bool      // processes that registered before this one
+	lastRead        map[string]State  // states of the live processes by path without the suffix
+	peers           []State
+	ended           []endedProcess
+	rereadNeeded    bool            // something could not be read or written and is to be retried
+	reportedFiles   map[string]bool // invalid files that were logged
 }
 
-// ended is what a process that has ended made known, and the path of its files, without their ending.
-type ended struct {
+// endedProcess is the last state of a process that has ended, and the path of its files without the suffix.
+type endedProcess struct {
 	State
 	base string
 }
 
-// errUnknown is why nothing is written as long as the process could not be made known.
-var errUnknown = errors.New("the process could not enter the state directory yet")
+// errNotRegistered is the result of Publish as long as the process could not register in the directory.
+var errNotRegistered = errors.New("the process is not registered in the state directory yet")
 
-// Join makes the process known, as coming and as the youngest, and reads what the others have made known. Where the directory
-// can't be written for now, that is tried again with growing pauses, and what can be read counts meanwhile. It fails where there
-// is no such directory.
+// Join registers this process as the youngest of its node and reads the states of the others. If the directory cannot be written
+// for the moment, registration is retried with exponential backoff and the states that can be read are used meanwhile. Join
+// fails if the directory does not exist.
 func Join(l *loop.Loop, opt Options) (*Member, error) {
 	if info, err := os.Stat(opt.Dir); errors.Is(err, fs.ErrNotExist) || err == nil && !info.IsDir() {
-		return nil, fmt.Errorf("%s is no directory", opt.Dir)
+		return nil, fmt.Errorf("%s is not a directory", opt.Dir)
 	}
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s\x00%s", opt.Name, opt.Listen)
-	m := &Member{opt: opt, loop: l, prefix: fmt.Sprintf("lapisshelf-%016x-", h.Sum64()), bad: map[string]bool{}, owed: errUnknown, pause: pollEvery}
-	m.self = State{Version: version, Name: opt.Name, Listen: opt.Listen, PID: os.Getpid()}
-	if err := m.enter(); err != nil {
+	m := &Member{opt: opt, loop: l, prefix: fmt.Sprintf("lapisshelf-%016x-", h.Sum64()), reportedFiles: map[string]bool{}, publishErr: errNotRegistered, retryBackoff: pollInterval}
+	m.self = State{Version: stateVersion, Name: opt.Name, Listen: opt.Listen, PID: os.Getpid()}
+	if err := m.register(); err != nil {
 		opt.Note("handover_waits_for_directory", fmt.Sprintf("why=%q", err))
 	}
-	if err := m.notify(); err != nil {
+	if err := m.watchDir(); err != nil {
 		opt.Note("handover_polls", fmt.Sprintf("why=%q", err))
 	}
-	m.read()
+	m.readAll()
 	return m, nil
 }
 
-// notify has the system tell of changes: of files renamed into place, and of locks closed as their holders end.
-func (m *Member) notify() error {
+// watchDir asks the system to notify of changes: files renamed into place, and lock files closed when their holders end.
+func (m *Member) watchDir() error {
 	fd, err := unix.InotifyInit1(unix.IN_NONBLOCK | unix.IN_CLOEXEC)
 	if err != nil {
 		return err
@@ -129,106 +131,107 @@
 		unix.Close(fd)
 		return err
 	}
-	m.watch, err = m.loop.Watch(fd, func() {
+	m.inotify, err = m.loop.Watch(fd, func() {
 		var buf [4096]byte
-		for { // which file it is does not matter
+		for { // discards the events: all files are read again anyway
 			if n, err := unix.Read(fd, buf[:]); err != nil && !errors.Is(err, unix.EINTR) || n == 0 {
 				break
 			}
 		}
-		m.Look()
+		m.Refresh()
 	})
 	return err
 }
 
-// Start begins to tell of changes, by Changed.
-func (m *Member) Start() { m.poll() }
+// Start begins to poll for changes, which are reported through OnChange.
+func (m *Member) Start() { m.schedulePoll() }
 
-func (m *Member) poll() {
-	every := pollEvery
-	if m.watch != nil && m.lock != nil {
-		every = lookEvery
+// schedulePoll sets the timer of the next poll. Polling also finds changes that the system does not notify of.
+func (m *Member) schedulePoll() {
+	interval := pollInterval
+	if m.inotify != nil && m.ownLock != nil {
+		interval = notifiedPollInterval
 	}
-	m.timer = m.loop.After(every, func() {
-		m.reenter()
-		if m.watch == nil || len(m.peers) > 0 || m.unread {
-			m.Look()
+	m.pollTimer = m.loop.After(interval, func() {
+		m.retryRegister()
+		if m.inotify == nil || len(m.peers) > 0 || m.rereadNeeded {
+			m.Refresh()
 		}
-		m.poll()
+		m.schedulePoll()
 	})
 }
 
-// reenter makes the process known that could not be so far.
-func (m *Member) reenter() {
+// retryRegister registers the process if that has failed so far and the backoff is over.
+func (m *Member) retryRegister() {
 	now := m.loop.Now()
-	if m.lock != nil || now < m.retry {
+	if m.ownLock != nil || now < m.retryAt {
 		return
 	}
-	if err := m.enter(); err != nil {
-		m.pause = min(2*m.pause, mostPause)
-		m.retry = now + m.pause
+	if err := m.register(); err != nil {
+		m.retryBackoff = min(2*m.retryBackoff, maxRetryBackoff)
+		m.retryAt = now + m.retryBackoff
 		return
 	}
-	m.opt.Changed()
+	m.opt.OnChange()
 }
 
-// Look reads what the others say now, and tells of changes.
-func (m *Member) Look() {
-	before, gone, owed := m.peers, len(m.left), m.owed
-	m.read()
+// Refresh reads the states of the other processes and reports changes through OnChange.
+func (m *Member) Refresh() {
+	peersBefore, endedBefore, errBefore := m.peers, len(m.ended), m.publishErr
+	m.readAll()
 	same := func(a, b State) bool {
 		x, _ := json.Marshal(a)
 		y, _ := json.Marshal(b)
 		return string(x) == string(y)
 	}
-	if gone != len(m.left) || owed == nil && m.owed != nil || !slices.EqualFunc(before, m.peers, same) {
-		m.opt.Changed()
+	if endedBefore != len(m.ended) || errBefore == nil && m.publishErr != nil || !slices.EqualFunc(peersBefore, m.peers, same) {
+		m.opt.OnChange()
 	}
 }
 
-// Self is what this process has made known last, or owes.
+// Self returns the state last passed to Publish, whether it is written or not.
 func (m *Member) Self() State { return m.self }
 
-// Owed says why what Publish was told last is not safe yet; nil: it is.
-func (m *Member) Owed() error { return m.owed }
+// PublishErr returns why the state last passed to Publish is not written yet, or nil if it is.
+func (m *Member) PublishErr() error { return m.publishErr }
 
-// Peers are the others that live, as they made themselves known last, the latest first.
+// Peers returns the latest states of the other live processes, youngest first.
 func (m *Member) Peers() []State { return m.peers }
 
-// Left is what processes that have ended made known, the latest first. It counts until Publish has made known what it
-// came to.
-func (m *Member) Left() (states []State) {
-	for _, e := range m.left {
+// Ended returns the last states of processes that have ended, youngest first. They are kept until Publish has written a state,
+// which must include what is still valid of them.
+func (m *Member) Ended() (states []State) {
+	for _, e := range m.ended {
 		states = append(states, e.State)
 	}
 	return states
 }
 
-// Publish makes the own state known; it is in force for all who look when it returns nil, and outlasts the process. With an
-// error it is owed: the caller is to try again. What operators said is synced before that; other figures are only renamed into
-// place, since no other process needs them after a crash of the machine.
+// Publish writes the state of this process. If it returns nil, all other processes see the state, and it outlasts this process.
+// After an error the caller must retry. The file is synced to disk if the overrides of operators have changed; for other changes
+// it is only renamed into place, since no process needs them after a crash of the machine.
 func (m *Member) Publish(s State) error {
 	m.self = s
 	text, err := json.Marshal(m.self)
 	if err != nil {
 		return err
 	}
-	if m.lock == nil {
-		m.owed = errUnknown
-		return m.owed
+	if m.ownLock == nil {
+		m.publishErr = errNotRegistered
+		return m.publishErr
 	}
-	if m.said == nil || string(text) != string(m.said) {
-		sync := !slices.Equal(s.Hands, m.words)
-		if m.owed = system.WriteFileAtomic(m.own+fileEnding, m.own+newEnding, text, fileMode, sync); m.owed != nil {
-			return m.owed
+	if m.published == nil || string(text) != string(m.published) {
+		sync := !slices.Equal(s.Overrides, m.syncedOverrides)
+		if m.publishErr = system.WriteFileAtomic(m.ownBase+stateSuffix, m.ownBase+tempSuffix, text, fileMode, sync); m.publishErr != nil {
+			return m.publishErr
 		}
-		m.said = text
-		m.words = slices.Clone(s.Hands)
+		m.published = text
+		m.syncedOverrides = slices.Clone(s.Overrides)
 	}
-	m.owed = nil
-	for _, e := range m.left { // what it said by hand stands in the own file now
-		remove(e.base)
+	m.publishErr = nil
+	for _, e := range m.ended { // its overrides are in the own state file now
+		removeFiles(e.base)
 	}
-	m.left = nil
+	m.ended = nil
 	return nil
 }
--- a/internal/registry/protocol.go
+++ b/internal/registry/protocol.go
@@ -17,29 +17,29 @@
 	"lapisshelf/policy"
 )
 
-// protocol is how a kind of registry is spoken to. It does no I/O.
+// protocol encodes the calls and parses the answers of a kind of registry. It does no I/O.
 type protocol interface {
-	// request is what a call says.
+	// request returns the request of a call.
 	request(c roster.Call) (method, target string, headers []httpc.Header, body []byte)
-	// streams reports whether the answer to a call comes piece by piece, for good.
+	// streams reports whether the answer to a call is an endless stream of objects.
 	streams(c roster.Call) bool
-	// answer reads a whole answer.
-	answer(c roster.Call, head *httpc.Response, body []byte) (roster.Answer, error)
-	// object reads one object of a stream.
-	object(text []byte) (roster.Answer, error)
+	// parseAnswer parses a complete answer.
+	parseAnswer(c roster.Call, head *httpc.Response, body []byte) (roster.Answer, error)
+	// parseObject parses one object of a stream.
+	parseObject(text []byte) (roster.Answer, error)
 }
 
-// Kind names a protocol.
+// Kind is the kind of a registry, which determines the protocol.
 type Kind string
 
-// The protocols.
+// The kinds of registries.
 const (
-	Discovery Kind = "discovery" // the platform's own
+	Discovery Kind = "discovery" // the platform's list service
 	Etcd      Kind = "etcd"      // the JSON gateway of etcd v3
-	Consul    Kind = "consul"    // blocking reads of a key-value store, as Consul has them
+	Consul    Kind = "consul"    // blocking queries of Consul's key-value store
 )
 
-// statusError is an answer that is none.
+// statusError returns the error for an answer with an unexpected status, with the message of its JSON body if there is one.
 func statusError(head *httpc.Response, body []byte) error {
 	var in struct{ Error, Message string }
 	json.Unmarshal(body, &in)
@@ -49,7 +49,7 @@
 	return fmt.Errorf("status %d", head.Status)
 }
 
-// discovery is the platform's list service.
+// discovery is the protocol of the platform's list service: long polls that return the changes since a revision.
 type discovery struct{}
 
 func (discovery) streams(roster.Call) bool { return false }
@@ -62,16 +62,16 @@
 	return "GET", target, nil, nil
 }
 
-func (discovery) answer(c roster.Call, head *httpc.Response, body []byte) (roster.Answer, error) {
+func (discovery) parseAnswer(c roster.Call, head *httpc.Response, body []byte) (roster.Answer, error) {
 	if head.Status != 200 {
 		return roster.Answer{}, statusError(head, nil)
 	}
-	revision, whole, entries, err := ParseList(body)
+	revision, complete, entries, err := ParseList(body)
 	if err != nil {
 		return roster.Answer{}, err
 	}
 	a := roster.Answer{Kind: roster.Changes, Revision: revision, Final: true}
-	if whole {
+	if complete {
 		a.Kind = roster.List
 	}
 	for _, e := range entries {
@@ -80,35 +80,36 @@
 	return a, nil
 }
 
-func (discovery) object([]byte) (roster.Answer, error) {
-	return roster.Answer{}, errors.New("no stream")
+func (discovery) parseObject([]byte) (roster.Answer, error) {
+	return roster.Answer{}, errors.New("discovery has no streams")
 }
 
-// etcd speaks the JSON gateway of etcd v3: protobuf messages as JSON, 64-bit numbers as text, bytes as base64.
+// etcd is the protocol of the JSON gateway of etcd v3: protobuf messages as JSON, with 64-bit numbers as strings and bytes as
+// base64.
 type etcd struct {
 	prefix string
 	token  string
 }
 
-// number is a 64-bit number, which the gateway writes as text.
-type number int64
+// jsonInt64 is a 64-bit number, which the gateway writes as a string.
+type jsonInt64 int64
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (n *number) UnmarshalJSON(text []byte) error {
+func (n *jsonInt64) UnmarshalJSON(text []byte) error {
 	v, err := strconv.ParseInt(strings.Trim(string(text), `"`), 10, 64)
-	*n = number(v)
+	*n = jsonInt64(v)
 	return err
 }
 
 type etcdHeader struct {
-	Cluster  string `json:"cluster_id"`
-	Revision number `json:"revision"`
+	Cluster  string    `json:"cluster_id"`
+	Revision jsonInt64 `json:"revision"`
 }
 
 type etcdKV struct {
-	Key    []byte `json:"key"`
-	Value  []byte `json:"value"`
-	ModRev number `json:"mod_revision"`
+	Key         []byte    `json:"key"`
+	Value       []byte    `json:"value"`
+	ModRevision jsonInt64 `json:"mod_revision"`
 }
 
 type etcdRange struct {
@@ -119,12 +120,12 @@
 
 type etcdWatch struct {
 	Result *struct {
-		Header  etcdHeader `json:"header"`
-		Created bool       `json:"created"`
-		Cancel  bool       `json:"canceled"`
-		Compact number     `json:"compact_revision"`
-		Reason  string     `json:"cancel_reason"`
-		Events  []struct {
+		Header          etcdHeader `json:"header"`
+		Created         bool       `json:"created"`
+		Canceled        bool       `json:"canceled"`
+		CompactRevision jsonInt64  `json:"compact_revision"`
+		CancelReason    string     `json:"cancel_reason"`
+		Events          []struct {
 			Type string `json:"type"`
 			KV   etcdKV `json:"kv"`
 		} `json:"events"`
@@ -134,14 +135,15 @@
 	} `json:"error"`
 }
 
-// codeOutOfRange is the gRPC code of a revision that is compacted, or to come.
-const codeOutOfRange = 11
+// grpcOutOfRange is the gRPC status code OUT_OF_RANGE, for a revision that is compacted or in the future.
+const grpcOutOfRange = 11
 
 func (etcd) streams(c roster.Call) bool { return !c.ReadList }
 
-// after is the smallest key behind one, and rangeEnd the smallest behind all that begin with a prefix.
-func after(key string) []byte { return append([]byte(key), 0) }
+// keyAfter returns the smallest key greater than key.
+func keyAfter(key string) []byte { return append([]byte(key), 0) }
 
+// rangeEnd returns the smallest key greater than all keys that begin with prefix.
 func rangeEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -150,16 +152,16 @@
 			return end[:i+1]
 		}
 	}
-	return []byte{0} // to the end of all keys
+	return []byte{0} // in etcd: up to the last key
 }
 
 func (p etcd) request(c roster.Call) (method, target string, headers []httpc.Header, body []byte) {
 	b64 := base64.StdEncoding.EncodeToString
-	var in any
+	var message any
 	if c.ReadList {
 		from := []byte(p.prefix)
 		if c.After != "" {
-			from = after(c.After)
+			from = keyAfter(c.After)
 		}
 		read := map[string]any{"key": b64(from), "range_end": b64(rangeEnd(p.prefix)), "sort_order": "ASCEND", "sort_target": "KEY"}
 		if c.PageSize > 0 {
@@ -168,12 +170,12 @@
 		if c.Revision > 0 {
 			read["revision"] = strconv.FormatInt(c.Revision, 10)
 		}
-		target, in = "/v3/kv/range", read
+		target, message = "/v3/kv/range", read
 	} else {
-		target, in = "/v3/watch", map[string]any{"create_request": map[string]any{"key": b64([]byte(p.prefix)), "range_end": b64(rangeEnd(p.prefix)),
+		target, message = "/v3/watch", map[string]any{"create_request": map[string]any{"key": b64([]byte(p.prefix)), "range_end": b64(rangeEnd(p.prefix)),
 			"start_revision": strconv.FormatInt(c.Revision+1, 10), "progress_notify": true}}
 	}
-	body, _ = json.Marshal(in) // text and numbers alone: it cannot fail
+	body, _ = json.Marshal(message) // cannot fail: only strings, booleans and maps
 	return "POST", target, p.headers(), body
 }
 
@@ -185,20 +187,20 @@
 	return headers
 }
 
-// change reads one key's value.
-func (p etcd) change(kv etcdKV, gone bool) roster.Change {
-	c := roster.Change{Key: string(kv.Key), Revision: int64(kv.ModRev), Deleted: gone}
-	if !gone {
+// parseChange returns the change of one key.
+func (p etcd) parseChange(kv etcdKV, deleted bool) roster.Change {
+	c := roster.Change{Key: string(kv.Key), Revision: int64(kv.ModRevision), Deleted: deleted}
+	if !deleted {
 		e, err := ParseEntry(c.Key, kv.Value)
 		c.Entry, c.Malformed = e, err != nil
 	}
 	return c
 }
 
-func (p etcd) answer(c roster.Call, head *httpc.Response, body []byte) (roster.Answer, error) {
+func (p etcd) parseAnswer(c roster.Call, head *httpc.Response, body []byte) (roster.Answer, error) {
 	if head.Status != 200 {
 		var in struct{ Code int }
-		if json.Unmarshal(body, &in) == nil && in.Code == codeOutOfRange && c.ReadList && bytes.Contains(body, []byte("compacted")) {
+		if json.Unmarshal(body, &in) == nil && in.Code == grpcOutOfRange && c.ReadList && bytes.Contains(body, []byte("compacted")) {
 			return roster.Answer{Kind: roster.Compacted, Final: true}, nil
 		}
 		return roster.Answer{}, statusError(head, body)
@@ -209,13 +211,13 @@
 	}
 	a := roster.Answer{Kind: roster.List, Revision: int64(in.Header.Revision), Epoch: in.Header.Cluster, Final: true}
 	if a.Revision <= 0 {
-		return a, errors.New("no revision")
+		return a, errors.New("no valid revision")
 	}
 	for _, kv := range in.KVs {
-		if !strings.HasPrefix(string(kv.Key), p.prefix) || c.After != "" && string(kv.Key) <= c.After || kv.ModRev <= 0 {
-			return a, errors.New("a key that was not asked for")
+		if !strings.HasPrefix(string(kv.Key), p.prefix) || c.After != "" && string(kv.Key) <= c.After || kv.ModRevision <= 0 {
+			return a, errors.New("key outside the requested range")
 		}
-		a.Changes = append(a.Changes, p.change(kv, false))
+		a.Changes = append(a.Changes, p.parseChange(kv, false))
 	}
 	if in.More && len(in.KVs) > 0 {
 		a.NextPageAfter = string(in.KVs[len(in.KVs)-1].Key)
@@ -223,22 +225,22 @@
 	return a, nil
 }
 
-func (p etcd) object(text []byte) (roster.Answer, error) {
+func (p etcd) parseObject(text []byte) (roster.Answer, error) {
 	var in etcdWatch
 	if err := json.Unmarshal(text, &in); err != nil {
 		return roster.Answer{}, err
 	}
 	switch r := in.Result; {
 	case in.Error != nil:
-		return roster.Answer{}, errors.New("the watch has ended: " + in.Error.Message)
+		return roster.Answer{}, errors.New("the watch failed: " + in.Error.Message)
 	case r == nil:
-		return roster.Answer{}, errors.New("an object of another kind")
-	case r.Compact > 0:
+		return roster.Answer{}, errors.New("object with neither result nor error")
+	case r.CompactRevision > 0:
 		return roster.Answer{Kind: roster.Compacted, Revision: int64(r.Header.Revision), Epoch: r.Header.Cluster}, nil
-	case r.Cancel:
-		return roster.Answer{}, errors.New("the watch is cancelled: " + r.Reason)
+	case r.Canceled:
+		return roster.Answer{}, errors.New("the watch was canceled: " + r.CancelReason)
 	case r.Header.Revision <= 0:
-		return roster.Answer{}, errors.New("no revision")
+		return roster.Answer{}, errors.New("no valid revision")
 	default:
 		a := roster.Answer{Kind: roster.Progress, Revision: int64(r.Header.Revision), Epoch: r.Header.Cluster}
 		switch {
@@ -248,37 +250,37 @@
 			a.Kind = roster.Heartbeat
 		}
 		for _, e := range r.Events {
-			if !strings.HasPrefix(string(e.KV.Key), p.prefix) || e.KV.ModRev <= 0 || e.Type != "" && e.Type != "PUT" && e.Type != "DELETE" {
-				return a, errors.New("an event that was not asked for")
+			if !strings.HasPrefix(string(e.KV.Key), p.prefix) || e.KV.ModRevision <= 0 || e.Type != "" && e.Type != "PUT" && e.Type != "DELETE" {
+				return a, errors.New("invalid event, or event outside the requested prefix")
 			}
-			a.Changes = append(a.Changes, p.change(e.KV, e.Type == "DELETE"))
+			a.Changes = append(a.Changes, p.parseChange(e.KV, e.Type == "DELETE"))
 		}
 		return a, nil
 	}
 }
 
-// consul speaks Consul's key-value store by blocking reads: each answer is the whole list, at an index.
+// consul is the protocol of Consul's key-value store with blocking queries: each answer is the whole list at an index.
 type consul struct {
 	prefix string
 	token  string
 }
 
-// mostBlock is the longest that a blocking read may wait there, leastBlock the shortest that is worth a blocking one.
+// maxBlockingWait is the longest wait that Consul allows for a blocking query. Below minBlockingWait a plain read is used instead.
 const (
-	mostBlock  = 10 * time.Minute
-	leastBlock = 10 * time.Millisecond
+	maxBlockingWait = 10 * time.Minute
+	minBlockingWait = 10 * time.Millisecond
 )
 
 func (consul) streams(roster.Call) bool { return false }
 
 func (p consul) request(c roster.Call) (method, target string, headers []httpc.Header, body []byte) {
 	target = "/v1/kv/" + (&url.URL{Path: p.prefix}).EscapedPath() + "?recurse=true"
-	// Guards against a look, which is to be answered at once, that blocks: a wait of 0 ms is taken for none there, which is
-	// 5 minutes. Without an index a read is answered at once.
-	if !c.ReadList && c.Wait >= leastBlock {
-		// Consul adds up to a sixteenth to the wait told, and an index below 1 would not block (its documentation, "Blocking
-		// Queries"). An answer that comes after the follower's own wait would be taken for a silent watch.
-		wait := min(c.Wait, mostBlock) * 16 / 17
+	// A watch with a very short wait must be answered at once. A wait of 0 ms would not do so: Consul takes it for no wait and
+	// uses its default of 5 minutes. A read without an index is answered at once.
+	if !c.ReadList && c.Wait >= minBlockingWait {
+		// Consul adds up to a sixteenth to the requested wait, and a query with an index below 1 does not block (its documentation,
+		// "Blocking Queries"). An answer later than the follower's own wait would count as a watch that does not answer.
+		wait := min(c.Wait, maxBlockingWait) * 16 / 17
 		target += "&index=" + strconv.FormatInt(max(1, c.Revision), 10) + "&wait=" + strconv.FormatInt(wait.Milliseconds(), 10) + "ms"
 	}
 	return "GET", target, p.headers(), nil
@@ -291,22 +293,22 @@
 	return headers
 }
 
-func (p consul) answer(c roster.Call, head *httpc.Response, body []byte) (roster.Answer, error) {
+func (p consul) parseAnswer(c roster.Call, head *httpc.Response, body []byte) (roster.Answer, error) {
 	index, err := strconv.ParseInt(string(head.Header("X-Consul-Index")), 10, 64)
-	if head.Status != 200 && head.Status != 404 { // 404: there is no such key, which is an answer
+	if head.Status != 200 && head.Status != 404 { // 404: no key has the prefix, so the list is empty
 		return roster.Answer{}, statusError(head, body)
 	}
 	if err != nil || index < 0 {
-		return roster.Answer{}, errors.New("no index")
+		return roster.Answer{}, errors.New("no valid X-Consul-Index header")
 	}
 	a := roster.Answer{Kind: roster.List, Revision: index, Final: true}
 	if head.Status == 404 {
 		return a, nil
 	}
 	var in []struct {
-		Key    string
-		Value  []byte
-		Modify int64 `json:"ModifyIndex"`
+		Key         string
+		Value       []byte
+		ModifyIndex int64 `json:"ModifyIndex"`
 	}
 	if err := json.Unmarshal(body, &in); err != nil {
 		return roster.Answer{}, err
@@ -314,16 +316,18 @@
 	seen := map[string]bool{}
 	for _, kv := range in {
 		if !strings.HasPrefix(kv.Key, p.prefix) || seen[kv.Key] {
-			return roster.Answer{}, errors.New("a key that was not asked for, or twice")
+			return roster.Answer{}, errors.New("key outside the requested prefix, or duplicate key")
 		}
 		seen[kv.Key] = true
 		if strings.HasSuffix(kv.Key, "/") && len(kv.Value) == 0 {
-			continue // a folder
+			continue // a folder, which is no server
 		}
 		e, err := ParseEntry(kv.Key, kv.Value)
-		a.Changes = append(a.Changes, roster.Change{Key: kv.Key, Revision: kv.Modify, Entry: e, Malformed: err != nil})
+		a.Changes = append(a.Changes, roster.Change{Key: kv.Key, Revision: kv.ModifyIndex, Entry: e, Malformed: err != nil})
 	}
 	return a, nil
 }
 
-func (consul) object([]byte) (roster.Answer, error) { return roster.Answer{}, errors.New("no stream") }
+func (consul) parseObject([]byte) (roster.Answer, error) {
+	return roster.Answer{}, errors.New("consul has no streams")
+}
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -14,15 +14,15 @@
 	"lapisshelf/lab/world"
 )
 
-// BenchmarkListBySize tells how many bytes a whole list is on the wire, the stand-in's head included, in each form, and what it
-// costs to parse, as the list grows. docs/CAPACITY.md multiplies the figures; bytes are the same in each run.
+// BenchmarkListBySize measures, for each kind of registry and several list lengths, the size of a whole list on the wire, including
+// the stand-in's response head, and the cost to parse it. docs/CAPACITY.md multiplies the figures; the sizes are the same in each run.
 func BenchmarkListBySize(b *testing.B) {
 	for _, kind := range []Kind{Discovery, Etcd, Consul} {
 		for _, entries := range []int{80, 105, 210, 420} {
 			b.Run(fmt.Sprintf("%s/%d", kind, entries), func(b *testing.B) {
 				var members []world.Member
 				for i := range entries {
-					m := server(i, world.Serving)
+					m := testServer(i, world.Serving)
 					m.Started = -time.Duration(i) * time.Hour
 					members = append(members, m)
 				}
@@ -52,7 +52,7 @@
 					}
 				}
 				call := roster.Call{ReadList: true}
-				answer := fetch(b, proto, call, addr)
+				answer := readAnswer(b, proto, call, addr)
 				a, used, err := httpc.ParseResponse(answer, 16<<20, true)
 				if err != nil || used != len(answer) {
 					b.Fatal(err, used, len(answer))
@@ -60,7 +60,7 @@
 				b.ReportAllocs()
 				b.ResetTimer()
 				for range b.N {
-					if got, err := proto.answer(call, &a, a.Body); err != nil || len(got.Changes) != entries {
+					if got, err := proto.parseAnswer(call, &a, a.Body); err != nil || len(got.Changes) != entries {
 						b.Fatal(err, len(got.Changes))
 					}
 				}
@@ -70,12 +70,13 @@
 	}
 }
 
-// fetch makes a call on a connection of its own and gives all that comes.
-func fetch(b *testing.B, p protocol, call roster.Call, addr string) []byte {
+// readAnswer makes a call on a connection of its own and returns everything received.
+func readAnswer(b *testing.B, p protocol, call roster.Call, addr string) []byte {
 	_, answer := exchange(b, p, call, addr)
 	return answer
 }
 
+// exchange makes a call on a connection of its own and returns the request, as a client sends it, and everything received.
 func exchange(b *testing.B, p protocol, call roster.Call, addr string) (request, answer []byte) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -85,25 +86,25 @@
 	method, target, headers, body := p.request(call)
 	request = httpc.AppendRequest(nil, method, target, addr, headers, body)
 	conn.Write(httpc.AppendRequest(nil, method, target, addr, append(headers, httpc.Header{Name: "Connection", Value: "close"}), body))
-	conn.SetReadDeadline(time.Now().Add(patience))
+	conn.SetReadDeadline(time.Now().Add(eventuallyTimeout))
 	if answer, err = io.ReadAll(conn); err != nil {
 		b.Fatal(err)
 	}
 	return request, answer
 }
 
-// BenchmarkDiscoveryWatch tells how many bytes a watch at discovery is, its request and the stand-in's head included, that ends with
-// nothing and with a change of one server, and what the latter costs to parse.
+// BenchmarkDiscoveryWatch measures the size of a discovery watch that ends without a change and of one that ends with a change of one
+// server, including the stand-in's response head, and the cost to parse the latter.
 func BenchmarkDiscoveryWatch(b *testing.B) {
-	l, err := standin.NewList(standin.NewCommon(seen.NewLog(), 1, nil), standin.ListOptions{Addr: "127.0.0.1:0", Nodes: 1}, server(7, world.Serving))
+	l, err := standin.NewList(standin.NewCommon(seen.NewLog(), 1, nil), standin.ListOptions{Addr: "127.0.0.1:0", Nodes: 1}, testServer(7, world.Serving))
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer l.Close()
 	old, _ := l.Members()
-	l.Set(server(7, world.Draining))
+	l.Set(testServer(7, world.Draining))
 	now, _ := l.Members()
-	asked, quiet := exchange(b, discovery{}, roster.Call{Revision: now, Wait: time.Millisecond}, l.Addr(0))
+	request, noChange := exchange(b, discovery{}, roster.Call{Revision: now, Wait: time.Millisecond}, l.Addr(0))
 	_, change := exchange(b, discovery{}, roster.Call{Revision: old, Wait: time.Second}, l.Addr(0))
 	a, used, err := httpc.ParseResponse(change, 1<<20, true)
 	if err != nil || used != len(change) {
@@ -111,11 +112,11 @@
 	}
 	b.ResetTimer()
 	for range b.N {
-		if _, whole, list, err := ParseList(a.Body); err != nil || whole || len(list) != 1 {
-			b.Fatal(err, whole, len(list))
+		if _, complete, entries, err := ParseList(a.Body); err != nil || complete || len(entries) != 1 {
+			b.Fatal(err, complete, len(entries))
 		}
 	}
-	b.ReportMetric(float64(len(asked)), "bytes/request")
-	b.ReportMetric(float64(len(quiet)), "bytes/nothing")
+	b.ReportMetric(float64(len(request)), "bytes/request")
+	b.ReportMetric(float64(len(noChange)), "bytes/nothing")
 	b.ReportMetric(float64(len(change)), "bytes/change")
 }
--- a/internal/registry/watch_test.go
+++ b/internal/registry/watch_test.go
@@ -14,19 +14,20 @@
 	"lapisshelf/policy"
 )
 
-// Watches on discovery that break at each of their moments, by a list service that says what each call is told to.
+// The tests in this file let discovery calls fail at each of their stages, with a list service whose answers are scripted.
 
-// script is a list service: what it answers to the n-th call, from 1; "" is nothing, ever, on that connection.
-type script struct {
-	t     *testing.T
-	ln    net.Listener
-	reply func(n int, target string) (text string, ends bool)
-	pace  func(n int, before string) // before each byte of an answer; nil: all of it comes at once
-	mu    sync.Mutex
-	calls []string
+// scriptedList is a list service. reply returns the answer to the n-th call, counted from 1, and whether the connection is then
+// reset. An empty text without a reset leaves the call without an answer.
+type scriptedList struct {
+	t          *testing.T
+	ln         net.Listener
+	reply      func(n int, target string) (text string, closes bool)
+	beforeByte func(n int, before string) // called before each byte of an answer; nil sends the answer at once
+	mu         sync.Mutex
+	calls      []string // targets of the requests
 }
 
-func (s *script) serve() {
+func (s *scriptedList) serve() {
 	for {
 		conn, err := s.ln.Accept()
 		if err != nil {
@@ -53,8 +54,8 @@
 				n := len(s.calls)
 				s.mu.Unlock()
 				text, ends := s.reply(n, target)
-				for i := 0; s.pace != nil && i < len(text); i++ {
-					s.pace(n, text[:i])
+				for i := 0; s.beforeByte != nil && i < len(text); i++ {
+					s.beforeByte(n, text[:i])
 					if _, err := conn.Write([]byte{text[i]}); err != nil {
 						return
 					}
@@ -72,41 +73,42 @@
 	}
 }
 
-func (s *script) asked() []string {
+func (s *scriptedList) targets() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.calls...)
 }
 
-// told is an answer of discovery, with one server in a phase.
-func told(revision int, phase string) string {
+// listAnswer returns an answer of discovery with one server in a phase.
+func listAnswer(revision int, phase string) string {
 	body := fmt.Sprintf(`{"revision":%d,"complete":false,"members":[{"id":"s-1","host_port":"10.0.0.1:1","locality":"a","flavor":"m2","cell":0,"phase":%q,"size":1.0,"up_since_ms":0}]}`, revision, phase)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-const nothing = "HTTP/1.1 200 OK\r\nContent-Length: 45\r\n\r\n{\"revision\":7,\"complete\":false,\"members\":[]}\n"
+// emptyAnswer is an answer of discovery without changes, at revision 7.
+const emptyAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 45\r\n\r\n{\"revision\":7,\"complete\":false,\"members\":[]}\n"
 
 func TestWatchesThatBreakAtAnyMoment(t *testing.T) {
-	wholly := told(8, "DRAINING")
+	fullAnswer := listAnswer(8, "DRAINING")
 	for name, reply := range map[string]func(n int, target string) (string, bool){
-		// Guards against a new process whose very first call is never answered.
-		"silent from the first moment": func(n int, _ string) (string, bool) {
-			return map[int]string{2: wholly}[n], false
+		// A new process whose very first call is never answered.
+		"silent from the first call on": func(n int, _ string) (string, bool) {
+			return map[int]string{2: fullAnswer}[n], false
 		},
 		"silent after an answer": func(n int, _ string) (string, bool) {
-			return map[int]string{1: nothing, 2: "", 3: wholly}[n], false
+			return map[int]string{1: emptyAnswer, 2: "", 3: fullAnswer}[n], false
 		},
 		"silent in the middle of a body": func(n int, _ string) (string, bool) {
-			return map[int]string{1: nothing, 2: wholly[:len(wholly)-40], 3: wholly}[n], false
+			return map[int]string{1: emptyAnswer, 2: fullAnswer[:len(fullAnswer)-40], 3: fullAnswer}[n], false
 		},
 		"silent in the middle of the head": func(n int, _ string) (string, bool) {
-			return map[int]string{1: nothing, 2: wholly[:12], 3: wholly}[n], false
+			return map[int]string{1: emptyAnswer, 2: fullAnswer[:12], 3: fullAnswer}[n], false
 		},
 		"reset in the middle of a body": func(n int, _ string) (string, bool) {
-			return map[int]string{1: nothing, 2: wholly[:len(wholly)-40], 3: wholly}[n], n == 2
+			return map[int]string{1: emptyAnswer, 2: fullAnswer[:len(fullAnswer)-40], 3: fullAnswer}[n], n == 2
 		},
 		"reset between an answer and the next call": func(n int, _ string) (string, bool) {
-			return map[int]string{1: nothing, 2: wholly}[n], n == 1
+			return map[int]string{1: emptyAnswer, 2: fullAnswer}[n], n == 1
 		},
 		"indented": func(n int, _ string) (string, bool) {
 			if n > 1 {
@@ -119,27 +121,27 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r, s := follow(t, reply)
+			r, s := startFollowing(t, reply)
 			eventually(t, "the drain is known", func() bool {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				return r.told["s-1"].State == policy.Draining
+				return r.entries["s-1"].State == policy.Draining
 			})
-			if calls := s.asked(); len(calls) > 5 {
+			if calls := s.targets(); len(calls) > 5 {
 				t.Errorf("%q", calls)
 			}
 		})
 	}
 }
 
-// Guards against holding a watch for all of its wait (here 100 s) whose answer has begun, and stops in its midst or trickles for
-// ever: what it was to tell was there when it began.
+// A watch whose answer has started, but stops midway or trickles endlessly, must not last for its whole wait (here 100 s): the change
+// that it reports was there when the answer started.
 func TestAnAnswerThatStopsInItsMidstIsAskedForAgain(t *testing.T) {
-	wholly, head := told(8, "DRAINING"), "HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\n"
+	fullAnswer, head := listAnswer(8, "DRAINING"), "HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\n"
 	for name, answer := range map[string]string{
-		"in the head":             wholly[:12],
-		"behind the first byte":   wholly[:1],
-		"in the body":             wholly[:len(wholly)-40],
+		"in the head":             fullAnswer[:12],
+		"behind the first byte":   fullAnswer[:1],
+		"in the body":             fullAnswer[:len(fullAnswer)-40],
 		"trickles in the head":    "HTTP/1.1 200 OK\r\nServer: " + strings.Repeat("x", 8000),
 		"trickles in the body":    head + `{"revision":8,"members":[` + strings.Repeat(" ", 8000),
 		"trickles, indented":      head + "\n  {\n    \"revision\": 8,\n" + strings.Repeat("    ", 2000),
@@ -148,8 +150,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r, s := held(t, func(n int, _ string) (string, bool) {
-				return map[int]string{1: nothing, 2: answer, 3: wholly}[n], false
+			r, s := startLongWatchClient(t, func(n int, _ string) (string, bool) {
+				return map[int]string{1: emptyAnswer, 2: answer, 3: fullAnswer}[n], false
 			}, func(n int, before string) {
 				if n == 2 && len(before) > len(answer)/2 {
 					time.Sleep(20 * ms)
@@ -158,20 +160,20 @@
 			eventually(t, "the drain is known", func() bool {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				return r.told["s-1"].State == policy.Draining
+				return r.entries["s-1"].State == policy.Draining
 			})
-			eventually(t, "the next watch is out", func() bool { return len(s.asked()) == 4 })
+			eventually(t, "the next watch is out", func() bool { return len(s.targets()) == 4 })
 		})
 	}
 }
 
-// Guards against giving up a watch whose head comes at once, also in pieces, and whose body when there is something to tell: all
-// nodes would ask anew all the time.
+// A watch whose head is sent at once, even in pieces, and whose body follows with the change must not be given up: all nodes would
+// repeat their calls all the time.
 func TestAWatchWhoseHeadComesFirstIsLeftToWait(t *testing.T) {
-	wholly := told(8, "DRAINING")
+	fullAnswer := listAnswer(8, "DRAINING")
 	change := make(chan struct{})
-	r, s := held(t, func(n int, _ string) (string, bool) {
-		return map[int]string{1: nothing, 2: wholly}[n], false
+	r, s := startLongWatchClient(t, func(n int, _ string) (string, bool) {
+		return map[int]string{1: emptyAnswer, 2: fullAnswer}[n], false
 	}, func(n int, before string) {
 		switch {
 		case n == 2 && before == "HTTP":
@@ -180,68 +182,68 @@
 			<-change
 		}
 	})
-	eventually(t, "the watch is out", func() bool { return len(s.asked()) == 2 })
+	eventually(t, "the watch is out", func() bool { return len(s.targets()) == 2 })
 	time.Sleep(3 * r.client.cfg.Roster.CallTimeout)
 	close(change)
-	eventually(t, "the next watch is out", func() bool { return len(s.asked()) == 3 })
+	eventually(t, "the next watch is out", func() bool { return len(s.targets()) == 3 })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.told["s-1"].State != policy.Draining {
-		t.Errorf("asked %q, told %v", s.asked(), r.told)
+	if r.entries["s-1"].State != policy.Draining {
+		t.Errorf("calls %q, entries %v", s.targets(), r.entries)
 	}
 }
 
-// held runs a client whose watches wait for 100 s before a script with a pace, with a list from before at revision 7.
-func held(t *testing.T, reply func(n int, target string) (string, bool), pace func(n int, before string)) (*rig, *script) {
+// startLongWatchClient runs a client whose watches wait for 100 s, with a saved list at revision 7, against a scripted list service.
+func startLongWatchClient(t *testing.T, reply func(n int, target string) (string, bool), pace func(n int, before string)) (*testClient, *scriptedList) {
 	t.Helper()
 	s := servePaced(t, reply, pace)
-	cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MostBody: 1 << 20,
+	cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MaxBodyBytes: 1 << 20,
 		Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: 100 * time.Second, CallTimeout: 300 * ms, ImmediateFirstWatch: true}}
-	return run(t, cfg, 7, []roster.Entry{{Server: policy.Server{ID: "s-1", Weight: 1}, Addr: "10.0.0.1:1"}}), s
+	return runClient(t, cfg, 7, []roster.Entry{{Server: policy.Server{ID: "s-1", Weight: 1}, Addr: "10.0.0.1:1"}}), s
 }
 
-// However a call fails, the next ones tell at once what there is, also where the first of them hangs: guards against a watch
-// begun in an outage, which would be held for all of its wait (here 100 s) once the registry is back.
+// However a call fails, the following calls return at once with whatever is newer, even if the first of them hangs. A regular watch
+// started during an outage would wait for its whole time (here 100 s) once the registry is back.
 func TestAfterAFailureWhatThereIsIsAskedFor(t *testing.T) {
-	whole := told(8, "DRAINING")
-	for name, fails := range map[string]struct {
-		text string
-		ends bool
+	fullAnswer := listAnswer(8, "DRAINING")
+	for name, failure := range map[string]struct {
+		text   string
+		closes bool
 	}{
-		"turned away":               {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false},
-		"reset":                     {"", true},
-		"reset in a body":           {whole[:len(whole)-40], true},
-		"closed after half a head":  {whole[:12], true},
-		"an answer of nonsense":     {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]", false},
-		"an answer in no protocol":  {"nothing of the kind\r\n\r\n", false},
-		"a revision that cannot be": {strings.Replace(nothing, `"revision":7`, `"revision":-`, 1), false},
+		"refused":                        {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false},
+		"reset":                          {"", true},
+		"reset in a body":                {fullAnswer[:len(fullAnswer)-40], true},
+		"closed after half a head":       {fullAnswer[:12], true},
+		"an answer of another JSON type": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]", false},
+		"an answer that is not HTTP":     {"nothing of the kind\r\n\r\n", false},
+		"an invalid revision":            {strings.Replace(emptyAnswer, `"revision":7`, `"revision":-`, 1), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := serveScript(t, func(n int, _ string) (string, bool) {
+			s := serveScripted(t, func(n int, _ string) (string, bool) {
 				switch n {
 				case 1: // the first call of a process, for what is newer than its list
-					return nothing, false
+					return emptyAnswer, false
 				case 2: // its watch
-					return fails.text, fails.ends
+					return failure.text, failure.closes
 				case 3: // hangs
 					return "", false
 				case 4:
-					return whole, false
+					return fullAnswer, false
 				}
 				return "", false
 			})
-			cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MostBody: 1 << 20,
+			cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MaxBodyBytes: 1 << 20,
 				Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: 100 * time.Second, CallTimeout: 300 * ms, ImmediateFirstWatch: true}}
-			r := run(t, cfg, 7, []roster.Entry{{Server: policy.Server{ID: "s-1", Weight: 1}, Addr: "10.0.0.1:1"}})
+			r := runClient(t, cfg, 7, []roster.Entry{{Server: policy.Server{ID: "s-1", Weight: 1}, Addr: "10.0.0.1:1"}})
 			eventually(t, "the drain is known", func() bool {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				return r.told["s-1"].State == policy.Draining
+				return r.entries["s-1"].State == policy.Draining
 			})
-			eventually(t, "the next watch is out", func() bool { return len(s.asked()) >= 5 })
-			for i, target := range s.asked() {
-				if look := strings.HasSuffix(target, "timeout_ms=1"); look != (i != 1 && i != 4) {
+			eventually(t, "the next watch is out", func() bool { return len(s.targets()) >= 5 })
+			for i, target := range s.targets() {
+				if immediate := strings.HasSuffix(target, "timeout_ms=1"); immediate != (i != 1 && i != 4) {
 					t.Errorf("call %d: %s", i+1, target)
 				}
 			}
@@ -249,100 +251,100 @@
 	}
 }
 
-// An answer to a call already given up is nobody's, nor one that is older than the list held: what it would bring back may
-// have drained since.
+// An answer to a call that was given up does not count, nor does one that is older than the current list: a server that it reports as
+// serving may have drained since.
 func TestLateAndOldAnswersDoNotCount(t *testing.T) {
 	release := make(chan struct{})
-	r, _ := follow(t, func(n int, _ string) (string, bool) {
+	r, _ := startFollowing(t, func(n int, _ string) (string, bool) {
 		switch n {
 		case 1:
-			return nothing, false
-		case 2: // given up; it says its piece long after the drain is known
+			return emptyAnswer, false
+		case 2: // given up; answered long after the drain is known
 			<-release
-			return told(8, "SERVING"), false
+			return listAnswer(8, "SERVING"), false
 		case 3:
-			return told(9, "DRAINING"), false
+			return listAnswer(9, "DRAINING"), false
 		case 4: // from an old copy of the list
-			return told(7, "SERVING"), false
+			return listAnswer(7, "SERVING"), false
 		}
-		return strings.Replace(nothing, `"revision":7`, `"revision":9`, 1), false
+		return strings.Replace(emptyAnswer, `"revision":7`, `"revision":9`, 1), false
 	})
 	state := func() policy.State {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.told["s-1"].State
+		return r.entries["s-1"].State
 	}
 	eventually(t, "the drain is known", func() bool { return state() == policy.Draining })
 	close(release)
 	eventually(t, "the old answer came", func() bool { return r.counts().OlderAnswers > 0 })
 	if state() != policy.Draining {
-		t.Error("an old answer brought the server back")
+		t.Error("an old answer ended the drain")
 	}
 }
 
-// SIGHUP moves discovery while a call is out at the old one: that call's answer does not count any more, and the list held
-// stays until the new one has told its own, whose revision may be lower.
+// The registry changes (on SIGHUP) while a call to the old one is outstanding: the answer to that call does not count, and the
+// current list stays in effect until the new registry has sent its own, whose revision may be lower.
 func TestAMoveWhileACallIsOut(t *testing.T) {
 	old := make(chan struct{})
-	r, _ := follow(t, func(n int, _ string) (string, bool) {
+	r, _ := startFollowing(t, func(n int, _ string) (string, bool) {
 		if n == 1 {
-			return nothing, false
+			return emptyAnswer, false
 		}
 		<-old
-		return told(900, "SERVING"), false
+		return listAnswer(900, "SERVING"), false
 	})
-	other := serveScript(t, func(n int, target string) (string, bool) {
+	other := serveScripted(t, func(n int, target string) (string, bool) {
 		if !strings.Contains(target, "since") {
-			return strings.Replace(told(3, "DRAINING"), "false", "true ", 1), false // the whole list
+			return strings.Replace(listAnswer(3, "DRAINING"), "false", "true ", 1), false // the whole list
 		}
 		return "", false
 	})
 	eventually(t, "the watch is out", func() bool { return r.counts().Calls == 2 })
-	r.on(func() {
+	r.onLoop(func() {
 		cfg := r.client.cfg
 		cfg.Endpoints = []netip.AddrPort{netip.MustParseAddrPort(other.ln.Addr().String())}
-		r.client.Move(cfg)
+		r.client.ChangeRegistry(cfg)
 	})
 	close(old)
-	eventually(t, "the new list counts", func() bool {
+	eventually(t, "the new list is applied", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.told["s-1"].State == policy.Draining
+		return r.entries["s-1"].State == policy.Draining
 	})
-	r.on(func() {
-		if rev, _, _ := r.client.Held(); rev != 3 {
-			t.Errorf("holds revision %d", rev)
+	r.onLoop(func() {
+		if rev, _, _ := r.client.ListStatus(); rev != 3 {
+			t.Errorf("the list has revision %d", rev)
 		}
 	})
 }
 
-func serveScript(t *testing.T, reply func(n int, target string) (string, bool)) *script {
+func serveScripted(t *testing.T, reply func(n int, target string) (string, bool)) *scriptedList {
 	t.Helper()
 	return servePaced(t, reply, nil)
 }
 
-func servePaced(t *testing.T, reply func(n int, target string) (string, bool), pace func(n int, before string)) *script {
+func servePaced(t *testing.T, reply func(n int, target string) (string, bool), pace func(n int, before string)) *scriptedList {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{t: t, ln: ln, reply: reply, pace: pace}
+	s := &scriptedList{t: t, ln: ln, reply: reply, beforeByte: pace}
 	t.Cleanup(func() { ln.Close() })
 	go s.serve()
 	return s
 }
 
-// follow runs a client before a script, with a list from before at revision 7.
-func follow(t *testing.T, reply func(n int, target string) (string, bool)) (*rig, *script) {
+// startFollowing runs a client with a saved list at revision 7 against a scripted list service.
+func startFollowing(t *testing.T, reply func(n int, target string) (string, bool)) (*testClient, *scriptedList) {
 	t.Helper()
-	s := serveScript(t, reply)
-	cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MostBody: 1 << 20,
+	s := serveScripted(t, reply)
+	cfg := Config{Kind: Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(s.ln.Addr().String())}, MaxBodyBytes: 1 << 20,
 		Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: 200 * ms, CallTimeout: 300 * ms, ImmediateFirstWatch: true}}
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("asked %q", s.asked())
+			t.Logf("calls: %q", s.targets())
 		}
 	})
-	return run(t, cfg, 7, []roster.Entry{{Server: policy.Server{ID: "s-1", Weight: 1}, Addr: "10.0.0.1:1"}}), s
+	return runClient(t, cfg, 7, []roster.Entry{{Server: policy.Server{ID: "s-1", Weight: 1}, Addr: "10.0.0.1:1"}}), s
 }
