--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -156,7 +156,7 @@
 				f.follower.DigestSent(now, d.Seq)
 			}
 			var err error
-			if frame, err = planwire.Append(nil, planwire.Message{Digest: d, Hold: k.told(), Next: k.next}); err != nil {
+			if frame, err = planwire.Append(nil, planwire.Message{Digest: d, Hold: k.told(), NextChange: k.next}); err != nil {
 				continue // a digest too large to tell
 			}
 			frames[k] = frame
@@ -372,7 +372,7 @@
 	}
 	k, d := l.kind(), l.f.gather.Hello()
 	l.f.follower.DigestSent(now, d.Seq)
-	if frame, err := planwire.Append(nil, planwire.Message{Digest: d, Hold: k.told(), Next: k.next}); err == nil {
+	if frame, err := planwire.Append(nil, planwire.Message{Digest: d, Hold: k.told(), NextChange: k.next}); err == nil {
 		l.send(k, frame)
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -297,7 +297,7 @@
 		err = fmt.Errorf("%q says it is another", c.name)
 	default:
 		if m.Hold != nil {
-			err = c.holds(p.loop.Now(), *m.Hold, m.Next)
+			err = c.holds(p.loop.Now(), *m.Hold, m.NextChange)
 		} else if c.speech == unheard {
 			c.speech = older
 		}
--- a/internal/planner/talk_test.go
+++ b/internal/planner/talk_test.go
@@ -297,7 +297,7 @@
 					r.t.Error("a digest without a hold")
 				} else {
 					s.last = m.Digest.Seq
-					s.holds, s.brief, s.nexts = append(s.holds, *m.Hold), append(s.brief, m.Digest.Brief), append(s.nexts, m.Next)
+					s.holds, s.brief, s.nexts = append(s.holds, *m.Hold), append(s.brief, m.Digest.Brief), append(s.nexts, m.NextChange)
 				}
 				s.mu.Unlock()
 			}
@@ -598,7 +598,7 @@
 	conn.Write(frameOf(t, planwire.Message{Digest: digest(), Hold: &plan.Hold{}}))
 	p.eventually("it is heard", func() bool { return p.plan.ForwarderCount() == 2 })
 	// Frames that cannot be read.
-	for i, frame := range [][]byte{binary.BigEndian.AppendUint32(nil, 1<<30), {0, 0, 0, 1, 0xff}, append(binary.BigEndian.AppendUint32(nil, planwire.MostFrame+1), 1)} {
+	for i, frame := range [][]byte{binary.BigEndian.AppendUint32(nil, 1<<30), {0, 0, 0, 1, 0xff}, append(binary.BigEndian.AppendUint32(nil, planwire.MaxMessageBytes+1), 1)} {
 		conn := r.dial("worse", p.Addr().String())
 		conn.Write(frame)
 		p.eventually("it is hung up on", func() bool { return p.broken == int64(i+1) })
--- a/internal/planwire/planwire.go
+++ b/internal/planwire/planwire.go
@@ -18,16 +18,16 @@
 // Version is the one that is written. A reader takes it and its neighbours: from one to the next, fields are only added.
 const Version = 1
 
-// MostFrame is how many bytes a message holds at most, without the four of its length.
-const MostFrame = 512 << 10
+// MaxMessageBytes is how many bytes a message holds at most, without the four of its length.
+const MaxMessageBytes = 512 << 10
 
 // Message is a digest, a view or a change.
 type Message struct {
-	Digest *plan.Digest
-	Hold   *plan.Hold // beside a digest: who sends it takes changes, and holds that; nil: it takes views
-	Next   uint64     // beside a hold: the change expected next on this connection, the first is 1; 0: it is not told, as before
-	View   *plan.View
-	Change *plan.Change
+	Digest     *plan.Digest
+	Hold       *plan.Hold // beside a digest: who sends it takes changes, and holds that; nil: it takes views
+	NextChange uint64     // beside a hold: the change expected next on this connection, the first is 1; 0: it is not told, as before
+	View       *plan.View
+	Change     *plan.Change
 }
 
 type (
@@ -168,7 +168,7 @@
 		out.Digest = x
 	}
 	if h := m.Hold; h != nil {
-		out.Hold = &hold{h.History, h.Revision, h.Follows, m.Next}
+		out.Hold = &hold{h.History, h.Revision, h.Follows, m.NextChange}
 	}
 	if v := m.View; v != nil {
 		x := &view{Epoch: v.Epoch, Planner: v.Planner, Made: int64(v.Made), Valid: int64(v.Valid), Admit: v.Admit}
@@ -240,7 +240,7 @@
 	if err != nil {
 		return buf, err
 	}
-	if len(body) > MostFrame {
+	if len(body) > MaxMessageBytes {
 		return buf, fmt.Errorf("a message of %d bytes", len(body))
 	}
 	return append(binary.BigEndian.AppendUint32(buf, uint32(len(body))), body...), nil
@@ -253,7 +253,7 @@
 		return m, 0, nil
 	}
 	size := binary.BigEndian.Uint32(data)
-	if size == 0 || size > MostFrame {
+	if size == 0 || size > MaxMessageBytes {
 		return m, 0, fmt.Errorf("a message of %d bytes", size)
 	}
 	if used = 4 + int(size); len(data) < used {
@@ -302,7 +302,7 @@
 		d.Past = x.Past
 		if in.Hold != nil {
 			m.Hold = &plan.Hold{History: in.Hold.History, Revision: in.Hold.Revision, Follows: in.Hold.Follows}
-			m.Next = in.Hold.Next
+			m.NextChange = in.Hold.Next
 		}
 		m.Digest = d
 		return m, used, nil
--- a/internal/planwire/planwire_test.go
+++ b/internal/planwire/planwire_test.go
@@ -24,7 +24,7 @@
 			Hot: []policy.HotKey{{Key: 8, Load: 1.5}}, Tenants: []policy.TenantDemand{{Name: "a", Asked: 20}}}}},
 		{View: &plan.View{Planner: "p", Valid: time.Second, View: policy.View{Servers: []policy.ServerView{{ID: "c1", Factor: math.Inf(1)}}}}},
 		{Digest: &plan.Digest{From: "f", Start: 5, Seq: 8, Span: time.Second, Asked: 9, Brief: true, Rest: plan.Load{Sends: 5, Timely: 5, Times: []int{5}}, Bad: []plan.Load{{ID: "c2", Sends: 24, Late: 1}}, Past: 310},
-			Hold: &plan.Hold{History: 1 << 63, Revision: 4, Follows: true}, Next: 1 << 40},
+			Hold: &plan.Hold{History: 1 << 63, Revision: 4, Follows: true}, NextChange: 1 << 40},
 		{Digest: &plan.Digest{From: "f", Start: 5, Seq: 9, Span: time.Second}, Hold: &plan.Hold{}},
 		{Change: &plan.Change{Epoch: 3, Planner: "p", Made: 9 * time.Second, Valid: time.Second, History: 1 << 63, Base: 4, Revision: 6, Count: 20, Servers: []policy.ServerView{{ID: "c1", Factor: 0.537}, {ID: "c2", Factor: 1}},
 			Admit: 0.8, Hot: []policy.HotKey{{Key: 8, Load: 1.5}}, HotSet: true, TenantsSet: true, Sum: 77, Grants: []plan.Grant{{ID: "c3", Rate: 0.25}}, Answers: 8, After: time.Second}},
@@ -83,7 +83,7 @@
 		"nothing held": {Message{Digest: &plan.Digest{From: "f", Start: 1, Seq: 2, Span: 3}, Hold: &plan.Hold{}},
 			"00000012" + "a3" + "0001" + "01a5" + "016166" + "0201" + "0302" + "0403" + "08a0" + "03a0"},
 		// {0: 1, 3: {4: 3}} beside the digest: the third change is expected, what the first two brought is not held
-		"a change expected": {Message{Digest: &plan.Digest{From: "f", Start: 1, Seq: 2, Span: 3}, Hold: &plan.Hold{}, Next: 3},
+		"a change expected": {Message{Digest: &plan.Digest{From: "f", Start: 1, Seq: 2, Span: 3}, Hold: &plan.Hold{}, NextChange: 3},
 			"00000014" + "a3" + "0001" + "01a5" + "016166" + "0201" + "0302" + "0403" + "08a0" + "03a10403"},
 		// {0: 1, 4: {2: "p", 3: 9, 4: 10, 5: 7, 6: 5, 7: 6, 8: 4, 9: [{1: "c", 2: 500}], 10: 800, 15: 1}, 5: [{1: "d", 2: 0.5}], 6: {1: 9, 2: 2}}
 		"change": {Message{Change: &plan.Change{Planner: "p", Made: 9, Valid: 10, History: 7, Base: 5, Revision: 6, Count: 4, Servers: []policy.ServerView{{ID: "c", Factor: 0.5}}, Admit: 0.8, Sum: 1,
@@ -246,7 +246,7 @@
 			if err := d.Check(); err != nil {
 				t.Fatal(err)
 			}
-			frame, err := Append(nil, Message{Digest: d, Hold: &plan.Hold{History: math.MaxUint64, Revision: 1e6, Follows: true}, Next: 1e6})
+			frame, err := Append(nil, Message{Digest: d, Hold: &plan.Hold{History: math.MaxUint64, Revision: 1e6, Follows: true}, NextChange: 1e6})
 			if err != nil {
 				t.Fatal(err)
 			}
