--- a/cmd/lapisshelf/planners_test.go
+++ b/cmd/lapisshelf/planners_test.go
@@ -28,11 +28,11 @@
 func certified(t *testing.T, holders map[string]keys.Role) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "keys")
-	if err := keys.MakeAuthority(dir, time.Now(), 24*time.Hour); err != nil {
+	if err := keys.CreateAuthority(dir, time.Now(), 24*time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	for name, role := range holders {
-		if err := keys.Make(dir, name, role, time.Now(), time.Hour, false); err != nil {
+		if err := keys.Issue(dir, name, role, time.Now(), time.Hour, false); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -211,7 +211,7 @@
 func TestWrongCertificates(t *testing.T) {
 	d := startDiscovery(t, serving("s-1", startCache(t, holding("a")).Addr(), "m2"))
 	dir := certified(t, map[string]keys.Role{"p1": keys.Planner, "p2": keys.Planner, "good": keys.Forwarder})
-	if err := keys.Make(dir, "old", keys.Forwarder, time.Now().Add(-2*time.Hour), time.Hour, false); err != nil {
+	if err := keys.Issue(dir, "old", keys.Forwarder, time.Now().Add(-2*time.Hour), time.Hour, false); err != nil {
 		t.Fatal(err)
 	}
 	p, addr, _ := startPlanner(t, d, dir, "p1", "")
@@ -230,7 +230,7 @@
 		}
 	}
 	// Renewed, and reread without a restart.
-	if err := keys.Make(dir, "old", keys.Forwarder, time.Now(), time.Hour, true); err != nil {
+	if err := keys.Issue(dir, "old", keys.Forwarder, time.Now(), time.Hour, true); err != nil {
 		t.Fatal(err)
 	}
 	n, _ := startForwarder(t, d, dir, "old", "old", addr)
@@ -269,7 +269,7 @@
 			t.Fatal(err)
 		}
 		clients.Go(func() {
-			conn, err := tls.Dial("tcp", addr, pair.Client(keys.Planner))
+			conn, err := tls.Dial("tcp", addr, pair.ClientConfig(keys.Planner))
 			if err != nil {
 				t.Errorf("%s: %v", name, err)
 				return
--- a/cmd/lapisshelf/planning.go
+++ b/cmd/lapisshelf/planning.go
@@ -83,7 +83,7 @@
 			if err != nil {
 				return err
 			}
-			return keys.Make(args[0], args[2], keys.Role(args[1]), time.Now(), d, renew)
+			return keys.Issue(args[0], args[2], keys.Role(args[1]), time.Now(), d, renew)
 		}
 	}
 	root := &cobra.Command{Use: "keys", Short: "Make, renew and show the certificates of forwarders and planners", Args: exactly(0, "authority, make, renew or show")}
@@ -96,7 +96,7 @@
 			if err != nil {
 				return err
 			}
-			return keys.MakeAuthority(args[0], time.Now(), d)
+			return keys.CreateAuthority(args[0], time.Now(), d)
 		}}
 	authority.Flags().Int("days", 3650, "how long it stands")
 	for _, c := range []*cobra.Command{
@@ -108,14 +108,14 @@
 	}
 	root.AddCommand(authority, &cobra.Command{Use: "show DIR", Short: "Say whose certificates are there, and until when they stand", Args: exactly(1, "a directory"),
 		RunE: func(c *cobra.Command, args []string) error {
-			list, err := keys.Show(args[0])
+			list, err := keys.List(args[0])
 			if err != nil {
 				return err
 			}
 			for _, h := range list {
-				state := "until " + h.Until.UTC().Format(time.RFC3339)
-				if time.Now().After(h.Until) {
-					state = "EXPIRED " + h.Until.UTC().Format(time.RFC3339)
+				state := "until " + h.NotAfter.UTC().Format(time.RFC3339)
+				if time.Now().After(h.NotAfter) {
+					state = "EXPIRED " + h.NotAfter.UTC().Format(time.RFC3339)
 				}
 				role := string(h.Role)
 				if role == "" {
--- a/internal/keys/handshake_test.go
+++ b/internal/keys/handshake_test.go
@@ -13,11 +13,11 @@
 func BenchmarkHandshake(b *testing.B) {
 	dir := b.TempDir()
 	now := time.Now()
-	if err := MakeAuthority(dir, now, time.Hour); err != nil {
+	if err := CreateAuthority(dir, now, time.Hour); err != nil {
 		b.Fatal(err)
 	}
 	pair := func(name string, role Role) *Pair {
-		if err := Make(dir, name, role, now, time.Minute, false); err != nil {
+		if err := Issue(dir, name, role, now, time.Minute, false); err != nil {
 			b.Fatal(err)
 		}
 		p, err := Load(filepath.Join(dir, caFile), filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key"))
@@ -26,7 +26,7 @@
 		}
 		return p
 	}
-	server, client := pair("p1", Planner).Server(Forwarder), pair("n1", Forwarder).Client(Planner)
+	server, client := pair("p1", Planner).ServerConfig(Forwarder), pair("n1", Forwarder).ClientConfig(Planner)
 	var in, out int
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -82,13 +82,13 @@
 	return text, err
 }
 
-// Client is the configuration of who connects to a holder of that role.
-func (p *Pair) Client(to Role) *tls.Config {
+// ClientConfig is the configuration of who connects to a holder of that role.
+func (p *Pair) ClientConfig(to Role) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{p.cert}, RootCAs: p.pool, ServerName: to.host()}
 }
 
-// Server is the configuration of who is connected to by holders of that role.
-func (p *Pair) Server(from Role) *tls.Config {
+// ServerConfig is the configuration of who is connected to by holders of that role.
+func (p *Pair) ServerConfig(from Role) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{p.cert}, ClientCAs: p.pool, ClientAuth: tls.RequireAndVerifyClientCert,
 		VerifyConnection: func(s tls.ConnectionState) error {
 			if c := s.PeerCertificates[0]; !slices.Contains(c.DNSNames, from.host()) {
@@ -98,16 +98,16 @@
 		}}
 }
 
-// Name is who the other end of a connection is, by its certificate.
-func Name(c *tls.Conn) string {
+// PeerName is who the other end of a connection is, by its certificate.
+func PeerName(c *tls.Conn) string {
 	if list := c.ConnectionState().PeerCertificates; len(list) > 0 {
 		return list[0].Subject.CommonName
 	}
 	return ""
 }
 
-// Gossip reads the secret that planners share among themselves.
-func Gossip(path string) ([]byte, error) {
+// LoadGossipKey reads the secret that planners share among themselves.
+func LoadGossipKey(path string) ([]byte, error) {
 	text, err := read(path)
 	if err != nil {
 		return nil, err
@@ -165,8 +165,8 @@
 	return write(filepath.Join(dir, name+".pem"), 0o644, over, block("CERTIFICATE", der))
 }
 
-// MakeAuthority makes an authority in a directory, which stands for so long, and the secret that planners share.
-func MakeAuthority(dir string, now time.Time, lasts time.Duration) error {
+// CreateAuthority makes an authority in a directory, which stands for so long, and the secret that planners share.
+func CreateAuthority(dir string, now time.Time, lasts time.Duration) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -180,9 +180,9 @@
 	return write(filepath.Join(dir, gossip), 0o600, false, []byte(hex.EncodeToString(secret)+"\n"))
 }
 
-// Make makes the certificate of one holder, NAME.pem and NAME.key, signed by the directory's authority. With renew it
+// Issue makes the certificate of one holder, NAME.pem and NAME.key, signed by the directory's authority. With renew it
 // takes the place of an older one.
-func Make(dir, name string, role Role, now time.Time, lasts time.Duration, renew bool) error {
+func Issue(dir, name string, role Role, now time.Time, lasts time.Duration, renew bool) error {
 	if name == "" || name == "ca" || strings.ContainsAny(name, "/\\ \x00\r\n") {
 		return fmt.Errorf("%q can't be a holder's name", name)
 	}
@@ -208,15 +208,15 @@
 		DNSNames: []string{role.host()}, IPAddresses: []net.IP{}, KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: use}, pair.Leaf, with)
 }
 
-// Held is what a directory's certificate says.
-type Held struct {
+// Certificate is what a directory's certificate says.
+type Certificate struct {
 	File, Name string
 	Role       Role // empty: the authority
-	Until      time.Time
+	NotAfter   time.Time
 }
 
-// Show lists a directory's certificates, by file.
-func Show(dir string) (list []Held, err error) {
+// List lists a directory's certificates, by file.
+func List(dir string) (list []Certificate, err error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.pem"))
 	if err != nil {
 		return nil, err
@@ -234,7 +234,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		h := Held{File: filepath.Base(name), Name: c.Subject.CommonName, Until: c.NotAfter}
+		h := Certificate{File: filepath.Base(name), Name: c.Subject.CommonName, NotAfter: c.NotAfter}
 		if len(c.DNSNames) > 0 {
 			h.Role = Role(strings.TrimSuffix(c.DNSNames[0], domain))
 		}
--- a/internal/operator/planners.go
+++ b/internal/operator/planners.go
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, f.file.Errorf(tomlfile.At("planners", "cert_file"), "%v", err)
 	}
-	c.TLS = pair.Client(keys.Planner)
+	c.TLS = pair.ClientConfig(keys.Planner)
 	return c, nil
 }
 
@@ -161,7 +161,7 @@
 	}
 	if p.Gossip != "" {
 		c.Gossip = netip.MustParseAddrPort(p.Gossip)
-		secret, err := keys.Gossip(f.beside(p.GossipKey))
+		secret, err := keys.LoadGossipKey(f.beside(p.GossipKey))
 		if err != nil {
 			return c, f.file.Errorf(tomlfile.At("planner", "gossip_key_file"), "%v", err)
 		}
@@ -187,7 +187,7 @@
 		if err != nil {
 			return nil, f.file.Errorf(tomlfile.At("planner", "cert_file"), "%v", err)
 		}
-		return pair.Server(keys.Forwarder), nil
+		return pair.ServerConfig(keys.Forwarder), nil
 	}
 	c.Certificates = load
 	_, err = load()
--- a/internal/planner/old_test.go
+++ b/internal/planner/old_test.go
@@ -102,7 +102,7 @@
 // dial connects as a forwarder.
 func (r *rig) dial(name, addr string) *tls.Conn {
 	r.t.Helper()
-	conn, err := tls.Dial("tcp", addr, r.pair(name, keys.Forwarder).Client(keys.Planner))
+	conn, err := tls.Dial("tcp", addr, r.pair(name, keys.Forwarder).ClientConfig(keys.Planner))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 	if listen == "" {
 		listen = "127.0.0.1:0"
 	}
-	ln, err := tls.Listen("tcp", listen, r.pair(id, keys.Planner).Server(keys.Forwarder))
+	ln, err := tls.Listen("tcp", listen, r.pair(id, keys.Planner).ServerConfig(keys.Forwarder))
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -233,7 +233,7 @@
 		p.loop.Post(func() { p.note("refused", fmt.Sprintf("from=%s why=%q", raw.RemoteAddr(), err)) })
 		return
 	}
-	c.name = keys.Name(c.tls)
+	c.name = keys.PeerName(c.tls)
 	p.loop.Post(func() { p.conns[c] = true })
 	go func() {
 		for frame := range c.out {
--- a/internal/planner/rig_test.go
+++ b/internal/planner/rig_test.go
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.list.Close)
-	if err := keys.MakeAuthority(r.dir, time.Now(), 24*time.Hour); err != nil {
+	if err := keys.CreateAuthority(r.dir, time.Now(), 24*time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -95,7 +95,7 @@
 func (r *rig) pair(name string, role keys.Role) *keys.Pair {
 	r.t.Helper()
 	cert := filepath.Join(r.dir, name)
-	keys.Make(r.dir, name, role, time.Now(), time.Hour, false) // it may be there already
+	keys.Issue(r.dir, name, role, time.Now(), time.Hour, false) // it may be there already
 	p, err := keys.Load(filepath.Join(r.dir, "ca.pem"), cert+".pem", cert+".key")
 	if err != nil {
 		r.t.Fatal(err)
@@ -119,7 +119,7 @@
 	}
 	pair := r.pair(id, keys.Planner)
 	cfg := Config{Listen: netip.MustParseAddrPort(listen), Every: 50 * ms, Note: r.note(id),
-		Certificates: func() (*tls.Config, error) { return pair.Server(keys.Forwarder), nil },
+		Certificates: func() (*tls.Config, error) { return pair.ServerConfig(keys.Forwarder), nil },
 		Registry:     registry.Config{Kind: registry.Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(r.list.Addr(0))}},
 		Plan:         plan.Config{ID: id, Forwarders: 4096, Move: 1, Valid: 3 * time.Second, FallMultiple: 3, WarmUp: time.Minute, ColdFrom: 0.1}}
 	if change != nil {
@@ -233,7 +233,7 @@
 // join starts a forwarder.
 func (c *crowd) join(name string, change func(*forwarder.Config), planners ...netip.AddrPort) *node {
 	c.r.t.Helper()
-	cfg := forwarder.Config{Planners: planners, Name: name, TLS: c.r.pair(name, keys.Forwarder).Client(keys.Planner), Every: 100 * ms}
+	cfg := forwarder.Config{Planners: planners, Name: name, TLS: c.r.pair(name, keys.Forwarder).ClientConfig(keys.Planner), Every: 100 * ms}
 	if change != nil {
 		change(&cfg)
 	}
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -124,7 +124,7 @@
 		if err != nil {
 			return nil, err
 		}
-		n := &hollowNode{h: h, name: name, tls: pair.Client(keys.Planner), rng: stream(cfg.Load.Seed, name)}
+		n := &hollowNode{h: h, name: name, tls: pair.ClientConfig(keys.Planner), rng: stream(cfg.Load.Seed, name)}
 		n.tls.VerifyConnection = func(s tls.ConnectionState) error {
 			if _, is := h.cut.Load(s.PeerCertificates[0].Subject.CommonName); is {
 				return errors.New("cut off")
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -68,7 +68,7 @@
 
 // makeKeys makes one authority, and a certificate for each node and planner.
 func makeKeys(dir string, nodes, planners int) error {
-	if err := keys.MakeAuthority(dir, time.Now(), 2*keysFor); err != nil {
+	if err := keys.CreateAuthority(dir, time.Now(), 2*keysFor); err != nil {
 		return err
 	}
 	var wait sync.WaitGroup
@@ -77,13 +77,13 @@
 	for hand := range hands {
 		wait.Go(func() {
 			for i := hand; i < nodes && errs[hand] == nil; i += hands {
-				errs[hand] = keys.Make(dir, nodeName(i), keys.Forwarder, time.Now(), keysFor, false)
+				errs[hand] = keys.Issue(dir, nodeName(i), keys.Forwarder, time.Now(), keysFor, false)
 			}
 		})
 	}
 	wait.Wait()
 	for i := range planners {
-		if err := keys.Make(dir, plannerID(i), keys.Planner, time.Now(), keysFor, false); err != nil {
+		if err := keys.Issue(dir, plannerID(i), keys.Planner, time.Now(), keysFor, false); err != nil {
 			return err
 		}
 	}
--- a/lab/stage/planners.go
+++ b/lab/stage/planners.go
@@ -33,11 +33,11 @@
 		return nil
 	}
 	dir := s.keys()
-	if err := keys.MakeAuthority(dir, time.Now(), 2*keysFor); err != nil {
+	if err := keys.CreateAuthority(dir, time.Now(), 2*keysFor); err != nil {
 		return err
 	}
 	for i := range x.Nodes.Count {
-		if err := keys.Make(dir, fmt.Sprintf("n%d", i+1), keys.Forwarder, time.Now(), keysFor, false); err != nil {
+		if err := keys.Issue(dir, fmt.Sprintf("n%d", i+1), keys.Forwarder, time.Now(), keysFor, false); err != nil {
 			return err
 		}
 	}
@@ -45,7 +45,7 @@
 	for i := range x.Planners.Count {
 		p := &planner{id: fmt.Sprintf("p%d", i+1), command: s.opt.Command, log: filepath.Join(s.opt.Dir, fmt.Sprintf("planner%d.log", i+1)),
 			file: filepath.Join(s.opt.Dir, fmt.Sprintf("planner%d.toml", i+1))}
-		if err := keys.Make(dir, p.id, keys.Planner, time.Now(), keysFor, false); err != nil {
+		if err := keys.Issue(dir, p.id, keys.Planner, time.Now(), keysFor, false); err != nil {
 			return err
 		}
 		var talk string
