--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -36,9 +36,9 @@
 	Planners []netip.AddrPort
 	Name     string        // the node's
 	TLS      *tls.Config   // with the node's certificate
-	Every    time.Duration // between digests, give or take a fifth; 1 s
+	Interval time.Duration // between digests, give or take a fifth; 1 s
 	Fade     time.Duration // of views that are no longer valid; 10 s
-	Whole    bool          // it speaks as one of before there were changes: whole digests, views alone
+	Legacy   bool          // it speaks as one of before there were changes: whole digests, views alone
 }
 
 // Forwarder is one node's. It is made by New and used from the loop alone.
@@ -60,7 +60,7 @@
 	dialer   *loop.Timer
 	// Digests are how many went, Wholes how many of these named all servers; Views are how many views and changes came;
 	// Errors, connections that ended.
-	Digests, Wholes, Views, Errors int64
+	DigestsSent, FullDigests, ViewsReceived, ClosedConns int64
 	// BytesIn and BytesOut are what has come and gone over the sockets, TLS included, as of the last message or Status.
 	BytesIn, BytesOut int64
 }
@@ -96,7 +96,7 @@
 // New begins to talk to the planners. Ready tells which servers serve by the node's list, apply is given the view in
 // force whenever that changes, an empty one where there is none.
 func New(l *loop.Loop, cfg Config, ready func() []follow.Server, apply func(policy.View), note func(event, why string)) *Forwarder {
-	cfg.Every = cmp.Or(cfg.Every, time.Second)
+	cfg.Interval = cmp.Or(cfg.Interval, time.Second)
 	f := &Forwarder{loop: l, cfg: cfg, ready: ready, apply: apply, note: note, follower: follow.New(follow.Config{Fade: cfg.Fade}),
 		gather: plan.NewCollector(l.Now(), cfg.Name)}
 	for i, addr := range cfg.Planners {
@@ -164,7 +164,7 @@
 		l.send(k, frame)
 	}
 	// Guards against a fleet whose digests all come at one moment.
-	f.timers[0] = f.loop.After(f.cfg.Every*4/5+time.Duration(rand.Int64N(int64(f.cfg.Every)*2/5)), f.tell)
+	f.timers[0] = f.loop.After(f.cfg.Interval*4/5+time.Duration(rand.Int64N(int64(f.cfg.Interval)*2/5)), f.tell)
 }
 
 // kind is how a digest is told to a planner.
@@ -185,7 +185,7 @@
 
 // kind is what a planner is to be told now.
 func (l *link) kind() kind {
-	if l.f.cfg.Whole {
+	if l.f.cfg.Legacy {
 		return kind{mute: true}
 	}
 	// Guards against a fleet that tells whole digests, much longer ones, to a planner that has come back.
@@ -195,12 +195,12 @@
 }
 
 func (l *link) send(k kind, frame []byte) {
-	l.f.Digests++
+	l.f.DigestsSent++
 	switch {
 	case k.hello:
 		l.hellos++
 	case !k.brief:
-		l.f.Wholes++
+		l.f.FullDigests++
 	}
 	l.conn.Write(frame)
 }
@@ -230,7 +230,7 @@
 // take has a view or a change judged, and puts in force what it makes another.
 func (f *Forwarder) take(l *link, m planwire.Message) {
 	now := f.loop.Now()
-	f.Views++
+	f.ViewsReceived++
 	if l.talk == unknown {
 		f.dials.FirstMessage(now, l.number)
 		f.dial()
@@ -332,7 +332,7 @@
 		fmt.Fprintf(&b, "views %s %d\n", r, f.follower.Counts[r])
 	}
 	fmt.Fprintf(&b, "grants too late %d\n", f.follower.StaleGrants)
-	fmt.Fprintf(&b, "digests %d, %d of them whole; bytes in %d, out %d\n", f.Digests, f.Wholes, f.BytesIn, f.BytesOut)
+	fmt.Fprintf(&b, "digests %d, %d of them whole; bytes in %d, out %d\n", f.DigestsSent, f.FullDigests, f.BytesIn, f.BytesOut)
 	return b.String()
 }
 
@@ -367,7 +367,7 @@
 	now := l.f.loop.Now()
 	l.up, l.wait, l.heard, l.hellos, l.changes, l.talk = true, redialMin, now, 0, 0, unknown
 	l.f.note("planner_up", "addr="+l.addr.String())
-	if l.f.cfg.Whole {
+	if l.f.cfg.Legacy {
 		return
 	}
 	k, d := l.kind(), l.f.gather.Hello()
@@ -392,7 +392,7 @@
 		case err != nil:
 		case m.Digest != nil:
 			err = errors.New("a digest from a planner")
-		case m.Change != nil && l.f.cfg.Whole:
+		case m.Change != nil && l.f.cfg.Legacy:
 			err = errors.New("neither a digest nor a view")
 		}
 		if err != nil {
@@ -413,7 +413,7 @@
 
 // End implements loop.Handler: it is dialled again, after a growing while.
 func (l *link) End(err error) {
-	l.f.Errors++
+	l.f.ClosedConns++
 	if l.conn != nil {
 		l.count()
 	}
--- a/internal/operator/planners.go
+++ b/internal/operator/planners.go
@@ -126,7 +126,7 @@
 	if p == nil {
 		return nil, nil
 	}
-	c := &forwarder.Config{Every: p.Every.D(), Fade: p.Fade.D()}
+	c := &forwarder.Config{Interval: p.Every.D(), Fade: p.Fade.D()}
 	for _, a := range p.Addresses {
 		c.Planners = append(c.Planners, netip.MustParseAddrPort(a)) // checked with the file
 	}
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -34,7 +34,7 @@
 				}
 			}
 			for i := range forwarders {
-				crowd.join(fmt.Sprintf("f%d", i), func(cfg *forwarder.Config) { cfg.Every, cfg.Whole = time.Second, whole }, p.Addr())
+				crowd.join(fmt.Sprintf("f%d", i), func(cfg *forwarder.Config) { cfg.Interval, cfg.Legacy = time.Second, whole }, p.Addr())
 			}
 			p.eventually("all are heard", func() bool { return p.plan.ForwarderCount() == forwarders })
 			time.Sleep(5 * time.Second)
--- a/internal/planner/rig_test.go
+++ b/internal/planner/rig_test.go
@@ -233,7 +233,7 @@
 // join starts a forwarder.
 func (c *crowd) join(name string, change func(*forwarder.Config), planners ...netip.AddrPort) *node {
 	c.r.t.Helper()
-	cfg := forwarder.Config{Planners: planners, Name: name, TLS: c.r.pair(name, keys.Forwarder).ClientConfig(keys.Planner), Every: 100 * ms}
+	cfg := forwarder.Config{Planners: planners, Name: name, TLS: c.r.pair(name, keys.Forwarder).ClientConfig(keys.Planner), Interval: 100 * ms}
 	if change != nil {
 		change(&cfg)
 	}
@@ -245,7 +245,7 @@
 			}
 		}, c.r.note(name))
 		c.list = append(c.list, n)
-		c.every(cfg.Every, n)
+		c.every(cfg.Interval, n)
 	})
 	return n
 }
--- a/internal/planner/talk_test.go
+++ b/internal/planner/talk_test.go
@@ -68,7 +68,7 @@
 	bad.Store(r.ids[0], true)
 	c := r.crowd()
 	c.load = r.reads(&bad)
-	fresh, whole := c.join("new", nil, p.Addr()), c.join("whole", func(cfg *forwarder.Config) { cfg.Whole = true }, p.Addr())
+	fresh, whole := c.join("new", nil, p.Addr()), c.join("whole", func(cfg *forwarder.Config) { cfg.Legacy = true }, p.Addr())
 	conn := r.dial("frozen", p.Addr().String())
 	go func() {
 		for seq := uint64(1); ; seq++ {
@@ -104,14 +104,14 @@
 		}
 	}()
 	wholes := int64(0) // to a planner that was slow to say what it speaks
-	c.eventually("it takes changes", func() bool { wholes = fresh.Wholes; return strings.Contains(fresh.Status(), "tells changes") })
+	c.eventually("it takes changes", func() bool { wholes = fresh.FullDigests; return strings.Contains(fresh.Status(), "tells changes") })
 	c.eventually("all act on the bad cache", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return fresh.factor(r.ids[0]) < 0.2 && whole.factor(r.ids[0]) < 0.2 && least < 0.2
 	})
 	c.on(func() {
-		if fresh.Wholes != wholes || whole.Wholes != whole.Digests || fresh.Errors+whole.Errors > 0 || !strings.Contains(fresh.Status(), "tells changes") || !strings.Contains(whole.Status(), "tells views") {
+		if fresh.FullDigests != wholes || whole.FullDigests != whole.DigestsSent || fresh.ClosedConns+whole.ClosedConns > 0 || !strings.Contains(fresh.Status(), "tells changes") || !strings.Contains(whole.Status(), "tells views") {
 			t.Errorf("new: %s, old: %s", fresh.Status(), whole.Status())
 		}
 	})
@@ -130,7 +130,7 @@
 	go conn.Close()
 	c.eventually("the cache gets weight back", func() bool { return fresh.factor(r.ids[0]) > 0.3 && whole.factor(r.ids[0]) > 0.3 })
 	c.on(func() {
-		if fresh.Errors+whole.Errors > 0 {
+		if fresh.ClosedConns+whole.ClosedConns > 0 {
 			t.Error("a connection ended")
 		}
 	})
@@ -171,7 +171,7 @@
 	}
 	mu.Unlock()
 	c.on(func() {
-		if n.Errors > 0 || !strings.Contains(n.Status(), "tells views") {
+		if n.ClosedConns > 0 || !strings.Contains(n.Status(), "tells views") {
 			t.Error(n.Status())
 		}
 	})
@@ -547,8 +547,8 @@
 		eventually(t, "another connection", func() bool { return s.came() == i+2 })
 	}
 	c.on(func() {
-		if n.Errors != 4 {
-			t.Errorf("%d connections ended", n.Errors)
+		if n.ClosedConns != 4 {
+			t.Errorf("%d connections ended", n.ClosedConns)
 		}
 	})
 }
@@ -609,9 +609,9 @@
 	if !r.noted("digest_refused", `from="worse"`, "bytes") {
 		t.Error("no reason said")
 	}
-	c.eventually("the other one is served", func() bool { return n.Views > 0 })
+	c.eventually("the other one is served", func() bool { return n.ViewsReceived > 0 })
 	c.on(func() {
-		if n.Errors > 0 {
+		if n.ClosedConns > 0 {
 			t.Error(n.Status())
 		}
 	})
@@ -658,7 +658,7 @@
 				conn.tls.NetConn().Close()
 			}
 		})
-		c.eventually("the connection broke", func() bool { return n.Errors == i+1 })
+		c.eventually("the connection broke", func() bool { return n.ClosedConns == i+1 })
 		briefs := int64(0)
 		p.on(func() { briefs = p.briefs })
 		p.eventually("brief digests", func() bool { return p.briefs > briefs+2 })
@@ -719,7 +719,7 @@
 	p.eventually("a whole state", func() bool { return p.out.states > states })
 	c.eventually("the bad cache is avoided", func() bool { return n.factor(r.ids[0]) < 0.3 })
 	c.on(func() {
-		if n.Errors > 0 || !strings.Contains(n.Status(), "views doubt ") || strings.Contains(n.Status(), "views doubt 0") {
+		if n.ClosedConns > 0 || !strings.Contains(n.Status(), "views doubt ") || strings.Contains(n.Status(), "views doubt 0") {
 			t.Error(n.Status())
 		}
 	})
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -236,7 +236,7 @@
 
 // forward begins to talk to planners.
 func (n *hollowNode) forward() {
-	c := forwarder.Config{Name: n.name, TLS: n.tls, Every: n.h.cfg.Every, Fade: n.h.cfg.Fade}
+	c := forwarder.Config{Name: n.name, TLS: n.tls, Interval: n.h.cfg.Every, Fade: n.h.cfg.Fade}
 	speak(&c, n.h.cfg.Talk)
 	for _, a := range n.h.cfg.Planners {
 		c.Planners = append(c.Planners, netip.MustParseAddrPort(a))
@@ -293,7 +293,7 @@
 func (n *hollowNode) counters() counters {
 	c := n.lived
 	if f := n.forwarder; f != nil {
-		c.in, c.out, c.digests, c.views, c.errors = c.in+f.BytesIn, c.out+f.BytesOut, c.digests+f.Digests, c.views+f.Views, c.errors+f.Errors
+		c.in, c.out, c.digests, c.views, c.errors = c.in+f.BytesIn, c.out+f.BytesOut, c.digests+f.DigestsSent, c.views+f.ViewsReceived, c.errors+f.ClosedConns
 	}
 	if r := n.registry; r != nil {
 		c.listBytes, c.listCalls = c.listBytes+r.Bytes, c.listCalls+r.Counts().Calls
