--- a/cmd/lapisshelf/planning.go
+++ b/cmd/lapisshelf/planning.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	cfg.Note = func(event, why string) { log.Printf("event=%s %s", event, why) }
+	cfg.LogEvent = func(event, why string) { log.Printf("event=%s %s", event, why) }
 	hups := make(chan os.Signal, 1)
 	signal.Notify(hups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/internal/operator/planners.go
+++ b/internal/operator/planners.go
@@ -152,8 +152,8 @@
 	if f.Node.Control != "" {
 		control = netip.MustParseAddrPort(f.Node.Control) // checked with the file
 	}
-	c := planner.Config{Listen: netip.MustParseAddrPort(p.Listen), Control: control, Join: p.Join, Every: p.Every.D(), Snapshot: f.beside(p.Snapshot),
-		SnapshotAge: p.SnapshotAge.D(), Plan: plan.Config{ID: p.ID, Valid: p.Valid.D(), Silent: p.Silent.D(), Move: p.Move, Forwarders: p.Forwarders,
+	c := planner.Config{Listen: netip.MustParseAddrPort(p.Listen), Control: control, Join: p.Join, Interval: p.Every.D(), Snapshot: f.beside(p.Snapshot),
+		MaxSnapshotAge: p.SnapshotAge.D(), Plan: plan.Config{ID: p.ID, Valid: p.Valid.D(), Silent: p.Silent.D(), Move: p.Move, Forwarders: p.Forwarders,
 			Mode: set.Mode, OriginKind: set.OriginKind, Weighted: set.Weighted, ColdFrom: set.ColdFrom, WarmUp: set.WarmUp,
 			FallMultiple: set.FallMultiple, FallWindow: set.FallWindow}}
 	if !set.OriginFalls {
@@ -180,7 +180,7 @@
 	}
 	c.Registry = *list
 	if c.Registry.Kind != registry.Discovery { // which keeps no leases
-		c.Lease, c.TTL = p.Lease, p.TTL.D()
+		c.LeasePrefix, c.LeaseTTL = p.Lease, p.TTL.D()
 	}
 	load := func() (*tls.Config, error) {
 		pair, err := keys.Load(f.beside(p.CAFile), f.beside(p.CertFile), f.beside(p.KeyFile))
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -19,7 +19,7 @@
 	for name, whole := range map[string]bool{"whole": true, "changes": false} {
 		b.Run(fmt.Sprintf("%s/%dx%d", name, forwarders, caches), func(b *testing.B) {
 			r := newRig(b, caches)
-			p := r.plans("p1", "", func(cfg *Config) { cfg.Every = 500 * ms })
+			p := r.plans("p1", "", func(cfg *Config) { cfg.Interval = 500 * ms })
 			rng := rand.New(rand.NewPCG(1, 1))
 			crowd := r.crowd()
 			before := memory()
--- a/internal/planner/grants_test.go
+++ b/internal/planner/grants_test.go
@@ -45,7 +45,7 @@
 	var again func()
 	again = func() {
 		b.look(p, id)
-		p.loop.After(p.cfg.Every/5, again)
+		p.loop.After(p.cfg.Interval/5, again)
 	}
 	p.on(again)
 }
--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -24,9 +24,9 @@
 // keepLease begins to keep an entry, and to follow those of others.
 func (p *Planner) keepLease(c registry.Config) *lease {
 	l := &lease{p: p, all: map[string]plan.Candidate{}}
-	l.announcer = registry.NewAnnouncer(p.loop, c, p.cfg.Lease+p.cfg.Plan.ID, l.entry(), p.cfg.TTL, uint64(p.loop.Now()), p.note)
+	l.announcer = registry.NewAnnouncer(p.loop, c, p.cfg.LeasePrefix+p.cfg.Plan.ID, l.entry(), p.cfg.LeaseTTL, uint64(p.loop.Now()), p.note)
 	l.announcer.Start()
-	c.Prefix = p.cfg.Lease
+	c.Prefix = p.cfg.LeasePrefix
 	c.Roster.HoldTime = 0 // an entry that is gone is gone
 	l.others = registry.New(p.loop, c, uint64(p.loop.Now())+1, l.told, p.note)
 	l.others.Start(0, nil)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -47,20 +47,20 @@
 
 // Config is what a planner is told. Note takes a line for the log.
 type Config struct {
-	Plan         plan.Config
-	Listen       netip.AddrPort
-	Control      netip.AddrPort // for operators; none if it is not valid
-	Certificates func() (*tls.Config, error)
-	Registry     registry.Config
-	Every        time.Duration // between views
-	Snapshot     string        // a file; empty: none is kept
-	SnapshotAge  time.Duration // an older one is ignored
-	Gossip       netip.AddrPort
-	GossipKey    []byte
-	Join         []string
-	Lease        string        // what the keys of planners begin with, in a registry; empty: there are no leases
-	TTL          time.Duration // of the lease
-	Note         func(event, why string)
+	Plan           plan.Config
+	Listen         netip.AddrPort
+	Control        netip.AddrPort // for operators; none if it is not valid
+	Certificates   func() (*tls.Config, error)
+	Registry       registry.Config
+	Interval       time.Duration // between views
+	Snapshot       string        // a file; empty: none is kept
+	MaxSnapshotAge time.Duration // an older one is ignored
+	Gossip         netip.AddrPort
+	GossipKey      []byte
+	Join           []string
+	LeasePrefix    string        // what the keys of planners begin with, in a registry; empty: there are no leases
+	LeaseTTL       time.Duration // of the lease
+	LogEvent       func(event, why string)
 }
 
 // Planner is one process's. Its fields belong to the loop but for those that say otherwise.
@@ -145,8 +145,8 @@
 }
 
 func (p *Planner) note(event, why string) {
-	if p.cfg.Note != nil {
-		p.cfg.Note(event, why)
+	if p.cfg.LogEvent != nil {
+		p.cfg.LogEvent(event, why)
 	}
 }
 
@@ -163,7 +163,7 @@
 	c.MostBody = mostListBody
 	p.registry = registry.New(p.loop, c, uint64(time.Now().UnixNano()), p.told, p.note)
 	p.registry.Start(0, nil)
-	if p.cfg.Lease != "" {
+	if p.cfg.LeasePrefix != "" {
 		p.lease = p.keepLease(c)
 	}
 	go p.accept()
@@ -364,7 +364,7 @@
 	now := p.loop.Now()
 	p.plan.Update(now)
 	p.send(now)
-	p.loop.After(p.cfg.Every, p.tick)
+	p.loop.After(p.cfg.Interval, p.tick)
 }
 
 var bucket, place = []byte("planner"), []byte("snapshot")
@@ -411,7 +411,7 @@
 		return nil
 	})
 	if s.Clock > 0 {
-		p.note("snapshot", fmt.Sprintf("taken=%t age=%.1fs", p.plan.Restore(p.loop.Now(), p.cfg.SnapshotAge, s), (p.loop.Now()-s.Clock).Seconds()))
+		p.note("snapshot", fmt.Sprintf("taken=%t age=%.1fs", p.plan.Restore(p.loop.Now(), p.cfg.MaxSnapshotAge, s), (p.loop.Now()-s.Clock).Seconds()))
 	}
 }
 
--- a/internal/planner/rig_test.go
+++ b/internal/planner/rig_test.go
@@ -118,7 +118,7 @@
 		listen = "127.0.0.1:0"
 	}
 	pair := r.pair(id, keys.Planner)
-	cfg := Config{Listen: netip.MustParseAddrPort(listen), Every: 50 * ms, Note: r.note(id),
+	cfg := Config{Listen: netip.MustParseAddrPort(listen), Interval: 50 * ms, LogEvent: r.note(id),
 		Certificates: func() (*tls.Config, error) { return pair.ServerConfig(keys.Forwarder), nil },
 		Registry:     registry.Config{Kind: registry.Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(r.list.Addr(0))}},
 		Plan:         plan.Config{ID: id, Forwarders: 4096, Move: 1, Valid: 3 * time.Second, FallMultiple: 3, WarmUp: time.Minute, ColdFrom: 0.1}}
--- a/internal/planner/send_test.go
+++ b/internal/planner/send_test.go
@@ -26,7 +26,7 @@
 
 func newStill(t *testing.T, caches int, off float64) *still {
 	t.Helper()
-	p, err := New(Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Every: 500 * ms, Certificates: func() (*tls.Config, error) { return &tls.Config{}, nil },
+	p, err := New(Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Interval: 500 * ms, Certificates: func() (*tls.Config, error) { return &tls.Config{}, nil },
 		Plan: plan.Config{ID: "p", Forwarders: 4096, Valid: 3 * time.Second, FallMultiple: 3, WarmUp: time.Minute, ColdFrom: 0.1}})
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 
 // tick moves the clock by as much as lies between two sendings, and sends.
 func (s *still) tick() {
-	s.now += s.cfg.Every
+	s.now += s.cfg.Interval
 	s.make()
 	s.send(s.now)
 }
@@ -338,7 +338,7 @@
 			if c.seq == 0 && len(m.Grants) > 0 {
 				t.Errorf("%s: grants that answer no digest", c.name)
 			}
-			if g := m.Grants; len(g) == 1 && g[0].ID == s.ids[0] && m.Answers == seq && m.After == s.cfg.Every {
+			if g := m.Grants; len(g) == 1 && g[0].ID == s.ids[0] && m.Answers == seq && m.After == s.cfg.Interval {
 				rates = append(rates, g[0].Rate)
 			}
 		}
--- a/internal/planner/talk.go
+++ b/internal/planner/talk.go
@@ -115,7 +115,7 @@
 			c.waits = true
 			o.waiting = append(o.waiting, c)
 		// What it has not acknowledged may still be on its way: the heartbeat tells it again.
-		case cold || max(c.hold.Revision, c.sent) < revision || now+p.cfg.Every/2-c.last >= beat:
+		case cold || max(c.hold.Revision, c.sent) < revision || now+p.cfg.Interval/2-c.last >= beat:
 			if frame := p.changeTo(now, c, cold); frame != nil {
 				c.out <- frame
 				o.changes++
