--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	fadeStep   = 500 * time.Millisecond
-	redialMin  = 500 * time.Millisecond
-	redialMost = 5 * time.Second
-	silentFor  = 10 * time.Second // a planner that says nothing for so long is dialled anew
-	mostHellos = 5                // digests without counts to a planner that has not said what it speaks; then they are whole
-	keepInput  = 16 << 10         // bytes of room for what comes that a connection keeps
-	noteEvery  = 10 * time.Second // of refused views
+	fadeInterval   = 500 * time.Millisecond
+	minRedialDelay = 500 * time.Millisecond
+	maxRedialDelay = 5 * time.Second
+	idleTimeout    = 10 * time.Second // a planner that says nothing for so long is dialled anew
+	maxHellos      = 5                // digests without counts to a planner that has not said what it speaks; then they are whole
+	maxKeptBuffer  = 16 << 10         // bytes of room for what comes that a connection keeps
+	logInterval    = 10 * time.Second // of refused views
 )
 
 // Config says which planners there are. Zero times take the defaults told with them.
@@ -43,21 +43,21 @@
 
 // Forwarder is one node's. It is made by New and used from the loop alone.
 type Forwarder struct {
-	loop     *loop.Loop
-	cfg      Config
-	ready    func() []follow.Server
-	apply    func(policy.View)
-	note     func(event, why string)
-	follower *follow.Follower
-	links    []*link
-	gather   *plan.Collector
-	trust    float64 // in force
-	turns    uint64  // of the follower, at that time
-	noted    time.Duration
-	closed   bool
-	timers   []*loop.Timer
-	dials    *follow.Dialer
-	dialer   *loop.Timer
+	loop       *loop.Loop
+	cfg        Config
+	ready      func() []follow.Server
+	apply      func(policy.View)
+	logEvent   func(event, why string)
+	follower   *follow.Follower
+	links      []*link
+	collector  *plan.Collector
+	trust      float64 // in force
+	version    uint64  // of the follower, at that time
+	lastLogged time.Duration
+	closed     bool
+	timers     []*loop.Timer
+	dialer     *follow.Dialer
+	dialTimer  *loop.Timer
 	// Digests are how many went, Wholes how many of these named all servers; Views are how many views and changes came;
 	// Errors, connections that ended.
 	DigestsSent, FullDigests, ViewsReceived, ClosedConns int64
@@ -65,208 +65,208 @@
 	BytesIn, BytesOut int64
 }
 
-// talk is what a planner speaks, by what it has said since its connection came up.
-type talk uint8
+// protocol is what a planner speaks, by what it has said since its connection came up.
+type protocol uint8
 
 const (
-	unknown talk = iota
-	views        // whole ones alone: it is of before there were changes
-	changes
+	protocolUnknown protocol = iota
+	protocolViews            // whole ones alone: it is of before there were changes
+	protocolChanges
 )
 
 // link is the connection to one planner.
 type link struct {
-	f       *Forwarder
-	number  int // of the planner, for follow.Dialer
-	addr    netip.AddrPort
-	conn    *loop.TLSConn
-	up      bool
-	input   []byte
-	heard   time.Duration
-	wait    time.Duration // before the next try
-	retry   *loop.Timer
-	why     string // it ended last
-	planner string // its id, also while it is away: what is held of it is told as soon as it is back
-	talk    talk
-	hellos  int    // since the connection came up
-	changes uint64 // that came since then
-	in, out int64  // bytes counted so far
+	f                     *Forwarder
+	index                 int // of the planner, for follow.Dialer
+	addr                  netip.AddrPort
+	conn                  *loop.TLSConn
+	up                    bool
+	input                 []byte
+	lastReceived          time.Duration
+	redialDelay           time.Duration // before the next try
+	redialTimer           *loop.Timer
+	closeReason           string // it ended last
+	plannerID             string // its id, also while it is away: what is held of it is told as soon as it is back
+	protocol              protocol
+	hellosSent            int    // since the connection came up
+	changesReceived       uint64 // that came since then
+	countedIn, countedOut int64  // bytes counted so far
 }
 
 // New begins to talk to the planners. Ready tells which servers serve by the node's list, apply is given the view in
 // force whenever that changes, an empty one where there is none.
-func New(l *loop.Loop, cfg Config, ready func() []follow.Server, apply func(policy.View), note func(event, why string)) *Forwarder {
+func New(l *loop.Loop, cfg Config, ready func() []follow.Server, apply func(policy.View), logEvent func(event, why string)) *Forwarder {
 	cfg.Interval = cmp.Or(cfg.Interval, time.Second)
-	f := &Forwarder{loop: l, cfg: cfg, ready: ready, apply: apply, note: note, follower: follow.New(follow.Config{Fade: cfg.Fade}),
-		gather: plan.NewCollector(l.Now(), cfg.Name)}
+	f := &Forwarder{loop: l, cfg: cfg, ready: ready, apply: apply, logEvent: logEvent, follower: follow.New(follow.Config{Fade: cfg.Fade}),
+		collector: plan.NewCollector(l.Now(), cfg.Name)}
 	for i, addr := range cfg.Planners {
-		f.links = append(f.links, &link{f: f, number: i, addr: addr, wait: redialMin})
+		f.links = append(f.links, &link{f: f, index: i, addr: addr, redialDelay: minRedialDelay})
 	}
-	f.dials = follow.NewDialer(l.Now(), len(f.links), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	f.dial()
+	f.dialer = follow.NewDialer(l.Now(), len(f.links), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	f.dialDue()
 	f.timers = []*loop.Timer{nil, nil}
-	f.tell()
-	f.fade()
+	f.sendDigests()
+	f.updateFade()
 	return f
 }
 
 // Request counts a request that was taken.
 func (f *Forwarder) Request(key, tenant string) {
 	if f != nil {
-		f.gather.Request(key, tenant)
+		f.collector.Request(key, tenant)
 	}
 }
 
 // Attempt counts the end of an attempt, see plan.Collector.
 func (f *Forwarder) Attempt(server string, origin bool, o policy.Outcome, took time.Duration, timely, own bool) {
 	if f != nil {
-		f.gather.Attempt(server, origin, o, took, timely, own)
+		f.collector.Attempt(server, origin, o, took, timely, own)
 	}
 }
 
-// tell sends a digest to all planners that are there, and comes back.
-func (f *Forwarder) tell() {
+// sendDigests sends a digest to all planners that are there, and comes back.
+func (f *Forwarder) sendDigests() {
 	if f.closed {
 		return
 	}
 	now := f.loop.Now()
-	whole := f.gather.Digest(now)
-	f.follower.DigestSent(now, whole.Seq)
-	brief := f.gather.Brief(whole)
-	frames := map[kind][]byte{} // planners that are alike get the same
+	full := f.collector.Digest(now)
+	f.follower.DigestSent(now, full.Seq)
+	brief := f.collector.Brief(full)
+	frames := map[digestForm][]byte{} // planners that are alike get the same
 	for _, l := range f.links {
 		if !l.up {
 			continue
 		}
-		l.count()
-		if now-l.heard > silentFor {
+		l.countBytes()
+		if now-l.lastReceived > idleTimeout {
 			l.conn.Close()
 			l.End(errors.New("it says nothing"))
 			continue
 		}
-		k := l.kind()
-		frame, made := frames[k]
-		if !made {
-			d := whole
-			if k.brief {
+		form := l.digestForm()
+		frame, ok := frames[form]
+		if !ok {
+			d := full
+			if form.brief {
 				d = brief
 			}
-			if k.hello {
-				d = f.gather.Hello()
+			if form.hello {
+				d = f.collector.Hello()
 				f.follower.DigestSent(now, d.Seq)
 			}
 			var err error
-			if frame, err = planwire.Append(nil, planwire.Message{Digest: d, Hold: k.told(), NextChange: k.next}); err != nil {
+			if frame, err = planwire.Append(nil, planwire.Message{Digest: d, Hold: form.sentHold(), NextChange: form.nextChange}); err != nil {
 				continue // a digest too large to tell
 			}
-			frames[k] = frame
+			frames[form] = frame
 		}
-		l.send(k, frame)
+		l.sendDigest(form, frame)
 	}
 	// Guards against a fleet whose digests all come at one moment.
-	f.timers[0] = f.loop.After(f.cfg.Interval*4/5+time.Duration(rand.Int64N(int64(f.cfg.Interval)*2/5)), f.tell)
+	f.timers[0] = f.loop.After(f.cfg.Interval*4/5+time.Duration(rand.Int64N(int64(f.cfg.Interval)*2/5)), f.sendDigests)
 }
 
-// kind is how a digest is told to a planner.
-type kind struct {
-	hello bool // no counts
-	brief bool
-	mute  bool // no hold: as before there were changes
-	hold  plan.Hold
-	next  uint64 // change that is expected
+// digestForm is how a digest is told to a planner.
+type digestForm struct {
+	hello      bool // no counts
+	brief      bool
+	noHold     bool // no hold: as before there were changes
+	hold       plan.Hold
+	nextChange uint64 // change that is expected
 }
 
-func (k *kind) told() *plan.Hold {
-	if k.mute {
+func (form *digestForm) sentHold() *plan.Hold {
+	if form.noHold {
 		return nil
 	}
-	return &k.hold
+	return &form.hold
 }
 
-// kind is what a planner is to be told now.
-func (l *link) kind() kind {
+// digestForm is what a planner is to be told now.
+func (l *link) digestForm() digestForm {
 	if l.f.cfg.Legacy {
-		return kind{mute: true}
+		return digestForm{noHold: true}
 	}
 	// Guards against a fleet that tells whole digests, much longer ones, to a planner that has come back.
-	hello := l.talk == unknown && l.hellos < mostHellos
+	hello := l.protocol == protocolUnknown && l.hellosSent < maxHellos
 	// Guards against brief digests at a planner that would take them for whole ones: only changes prove it a new one.
-	return kind{hello: hello, brief: l.talk == changes, hold: l.f.follower.Hold(l.planner), next: l.changes + 1}
+	return digestForm{hello: hello, brief: l.protocol == protocolChanges, hold: l.f.follower.Hold(l.plannerID), nextChange: l.changesReceived + 1}
 }
 
-func (l *link) send(k kind, frame []byte) {
+func (l *link) sendDigest(form digestForm, frame []byte) {
 	l.f.DigestsSent++
 	switch {
-	case k.hello:
-		l.hellos++
-	case !k.brief:
+	case form.hello:
+		l.hellosSent++
+	case !form.brief:
 		l.f.FullDigests++
 	}
 	l.conn.Write(frame)
 }
 
-// count notes what has come and gone over the socket.
-func (l *link) count() {
+// countBytes notes what has come and gone over the socket.
+func (l *link) countBytes() {
 	in, out := l.conn.Bytes()
-	l.f.BytesIn, l.f.BytesOut = l.f.BytesIn+in-l.in, l.f.BytesOut+out-l.out
-	l.in, l.out = in, out
+	l.f.BytesIn, l.f.BytesOut = l.f.BytesIn+in-l.countedIn, l.f.BytesOut+out-l.countedOut
+	l.countedIn, l.countedOut = in, out
 }
 
-// fade puts in force what is left of a view that ages.
-func (f *Forwarder) fade() {
+// updateFade puts in force what is left of a view that ages.
+func (f *Forwarder) updateFade() {
 	if f.closed {
 		return
 	}
 	if v, trust := f.follower.Now(f.loop.Now()); trust != f.trust {
 		if trust == 0 || trust < 1 && f.trust == 1 {
-			f.note("view_fades", fmt.Sprintf("trust=%.2f", trust))
+			f.logEvent("view_fades", fmt.Sprintf("trust=%.2f", trust))
 		}
-		f.trust, f.turns = trust, f.follower.Version()
+		f.trust, f.version = trust, f.follower.Version()
 		f.apply(v)
 	}
-	f.timers[1] = f.loop.After(fadeStep, f.fade)
+	f.timers[1] = f.loop.After(fadeInterval, f.updateFade)
 }
 
-// take has a view or a change judged, and puts in force what it makes another.
-func (f *Forwarder) take(l *link, m planwire.Message) {
+// handleMessage has a view or a change judged, and puts in force what it makes another.
+func (f *Forwarder) handleMessage(l *link, m planwire.Message) {
 	now := f.loop.Now()
 	f.ViewsReceived++
-	if l.talk == unknown {
-		f.dials.FirstMessage(now, l.number)
-		f.dial()
+	if l.protocol == protocolUnknown {
+		f.dialer.FirstMessage(now, l.index)
+		f.dialDue()
 	}
-	f.follower.SetAwaited(f.dials.Awaited(now))
+	f.follower.SetAwaited(f.dialer.Awaited(now))
 	held, _ := f.follower.Held()
-	var why follow.Outcome
+	var outcome follow.Outcome
 	var err error
 	if c := m.Change; c != nil {
-		l.changes++
-		l.talk, l.planner = changes, c.Planner
-		why, err = f.follower.TakeChange(now, *c, f.ready())
+		l.changesReceived++
+		l.protocol, l.plannerID = protocolChanges, c.Planner
+		outcome, err = f.follower.TakeChange(now, *c, f.ready())
 	} else {
-		if l.planner = m.View.Planner; l.talk == unknown {
-			l.talk = views
+		if l.plannerID = m.View.Planner; l.protocol == protocolUnknown {
+			l.protocol = protocolViews
 		}
-		why, err = f.follower.TakeView(now, *m.View, f.ready())
+		outcome, err = f.follower.TakeView(now, *m.View, f.ready())
 	}
 	v, _ := f.follower.Held()
-	turns := f.follower.Version()
-	news := turns != f.turns // also by what a planner grants that is not followed
-	if why == follow.Accepted && f.trust != 1 {
-		f.trust, news = 1, true
+	version := f.follower.Version()
+	changed := version != f.version // also by what a planner grants that is not followed
+	if outcome == follow.Accepted && f.trust != 1 {
+		f.trust, changed = 1, true
 	}
-	if f.turns = turns; news {
+	if f.version = version; changed {
 		f.apply(v.View)
 	}
-	if why != follow.Accepted {
-		if why != follow.OtherPlanner && (f.noted == 0 || now-f.noted > noteEvery) {
-			f.noted = now
-			f.note("view_refused", fmt.Sprintf("planner=%q addr=%s reason=%s why=%q", l.planner, l.addr, why, err))
+	if outcome != follow.Accepted {
+		if outcome != follow.OtherPlanner && (f.lastLogged == 0 || now-f.lastLogged > logInterval) {
+			f.lastLogged = now
+			f.logEvent("view_refused", fmt.Sprintf("planner=%q addr=%s reason=%s why=%q", l.plannerID, l.addr, outcome, err))
 		}
 		return
 	}
 	if held == nil || held.Planner != v.Planner || held.Epoch != v.Epoch {
-		f.note("follows", fmt.Sprintf("planner=%q epoch=%d", v.Planner, v.Epoch))
+		f.logEvent("follows", fmt.Sprintf("planner=%q epoch=%d", v.Planner, v.Epoch))
 	}
 }
 
@@ -283,11 +283,11 @@
 		return
 	}
 	f.closed = true
-	for _, t := range append(f.timers, f.dialer) {
+	for _, t := range append(f.timers, f.dialTimer) {
 		t.Stop()
 	}
 	for _, l := range f.links {
-		l.retry.Stop()
+		l.redialTimer.Stop()
 		if l.conn != nil {
 			l.conn.Close()
 		}
@@ -302,19 +302,19 @@
 	var b strings.Builder
 	now := f.loop.Now()
 	v, trust := f.follower.Now(now)
-	if held, came := f.follower.Held(); held != nil {
-		fmt.Fprintf(&b, "view of %s, epoch %d, came %.1f s ago, trusted %.2f\n", held.Planner, held.Epoch, (now - came).Seconds(), trust)
+	if held, arrived := f.follower.Held(); held != nil {
+		fmt.Fprintf(&b, "view of %s, epoch %d, came %.1f s ago, trusted %.2f\n", held.Planner, held.Epoch, (now - arrived).Seconds(), trust)
 	} else {
 		b.WriteString("no view\n")
 	}
 	for _, l := range f.links {
 		if l.up {
-			l.count()
-			h := f.follower.Hold(l.planner)
-			fmt.Fprintf(&b, "planner %s up %s, heard %.1f s ago, tells %s, revision %d of %016x is held\n", l.addr, l.planner, (now - l.heard).Seconds(),
-				[]string{unknown: "nothing", views: "views", changes: "changes"}[l.talk], h.Revision, h.History)
+			l.countBytes()
+			h := f.follower.Hold(l.plannerID)
+			fmt.Fprintf(&b, "planner %s up %s, heard %.1f s ago, tells %s, revision %d of %016x is held\n", l.addr, l.plannerID, (now - l.lastReceived).Seconds(),
+				[]string{protocolUnknown: "nothing", protocolViews: "views", protocolChanges: "changes"}[l.protocol], h.Revision, h.History)
 		} else {
-			fmt.Fprintf(&b, "planner %s down: %s\n", l.addr, cmp.Or(l.why, "not tried yet"))
+			fmt.Fprintf(&b, "planner %s down: %s\n", l.addr, cmp.Or(l.closeReason, "not tried yet"))
 		}
 	}
 	for _, s := range v.Servers {
@@ -328,52 +328,52 @@
 	for _, h := range v.Hot {
 		fmt.Fprintf(&b, "hot key %08x load %.1f\n", h.Key, h.Load)
 	}
-	for _, r := range []follow.Outcome{follow.Accepted, follow.Invalid, follow.Epoch, follow.OutOfOrder, follow.OtherPlanner, follow.Mismatch} {
-		fmt.Fprintf(&b, "views %s %d\n", r, f.follower.Counts[r])
+	for _, outcome := range []follow.Outcome{follow.Accepted, follow.Invalid, follow.Epoch, follow.OutOfOrder, follow.OtherPlanner, follow.Mismatch} {
+		fmt.Fprintf(&b, "views %s %d\n", outcome, f.follower.Counts[outcome])
 	}
 	fmt.Fprintf(&b, "grants too late %d\n", f.follower.StaleGrants)
 	fmt.Fprintf(&b, "digests %d, %d of them whole; bytes in %d, out %d\n", f.DigestsSent, f.FullDigests, f.BytesIn, f.BytesOut)
 	return b.String()
 }
 
-// dial opens connections that are due, and comes back when another may be.
-func (f *Forwarder) dial() {
+// dialDue opens connections that are due, and comes back when another may be.
+func (f *Forwarder) dialDue() {
 	if f.closed {
 		return
 	}
 	now := f.loop.Now()
-	f.dialer.Stop()
-	i, wait := f.dials.Next(now)
-	for ; i >= 0; i, wait = f.dials.Next(now) {
+	f.dialTimer.Stop()
+	i, wait := f.dialer.Next(now)
+	for ; i >= 0; i, wait = f.dialer.Next(now) {
 		l := f.links[i]
-		l.heard = now
+		l.lastReceived = now
 		l.conn = f.loop.DialTLS(l.addr, f.cfg.TLS, l)
 	}
 	if wait >= 0 {
-		f.dialer = f.loop.After(wait, f.dial)
+		f.dialTimer = f.loop.After(wait, f.dialDue)
 	}
 }
 
-func (l *link) again(after time.Duration) {
-	l.retry = l.f.loop.After(after, func() {
+func (l *link) scheduleRedial(after time.Duration) {
+	l.redialTimer = l.f.loop.After(after, func() {
 		held, _ := l.f.follower.Held()
-		l.f.dials.Enqueue(l.f.loop.Now(), l.number, held != nil && held.Planner == l.planner)
-		l.f.dial()
+		l.f.dialer.Enqueue(l.f.loop.Now(), l.index, held != nil && held.Planner == l.plannerID)
+		l.f.dialDue()
 	})
 }
 
 // Connected implements loop.Handler.
 func (l *link) Connected() {
 	now := l.f.loop.Now()
-	l.up, l.wait, l.heard, l.hellos, l.changes, l.talk = true, redialMin, now, 0, 0, unknown
-	l.f.note("planner_up", "addr="+l.addr.String())
+	l.up, l.redialDelay, l.lastReceived, l.hellosSent, l.changesReceived, l.protocol = true, minRedialDelay, now, 0, 0, protocolUnknown
+	l.f.logEvent("planner_up", "addr="+l.addr.String())
 	if l.f.cfg.Legacy {
 		return
 	}
-	k, d := l.kind(), l.f.gather.Hello()
+	form, d := l.digestForm(), l.f.collector.Hello()
 	l.f.follower.DigestSent(now, d.Seq)
-	if frame, err := planwire.Append(nil, planwire.Message{Digest: d, Hold: k.told(), NextChange: k.next}); err == nil {
-		l.send(k, frame)
+	if frame, err := planwire.Append(nil, planwire.Message{Digest: d, Hold: form.sentHold(), NextChange: form.nextChange}); err == nil {
+		l.sendDigest(form, frame)
 	}
 }
 
@@ -382,12 +382,12 @@
 
 // Data implements loop.Handler.
 func (l *link) Data(data []byte) {
-	l.heard = l.f.loop.Now()
-	l.count()
+	l.lastReceived = l.f.loop.Now()
+	l.countBytes()
 	l.input = append(l.input, data...)
-	read := 0
+	consumed := 0
 	for !l.f.closed {
-		m, used, err := planwire.Next(l.input[read:])
+		m, used, err := planwire.Next(l.input[consumed:])
 		switch {
 		case err != nil:
 		case m.Digest != nil:
@@ -403,10 +403,10 @@
 		if used == 0 {
 			break
 		}
-		read += used
-		l.f.take(l, m)
+		consumed += used
+		l.f.handleMessage(l, m)
 	}
-	if l.input = append(l.input[:0], l.input[read:]...); len(l.input) == 0 && cap(l.input) > keepInput {
+	if l.input = append(l.input[:0], l.input[consumed:]...); len(l.input) == 0 && cap(l.input) > maxKeptBuffer {
 		l.input = nil
 	}
 }
@@ -415,15 +415,15 @@
 func (l *link) End(err error) {
 	l.f.ClosedConns++
 	if l.conn != nil {
-		l.count()
+		l.countBytes()
 	}
-	why := fmt.Sprint(err)
-	if l.up || why != l.why { // once for each cause
-		l.f.note("planner_down", fmt.Sprintf("addr=%s why=%q", l.addr, why))
+	reason := fmt.Sprint(err)
+	if l.up || reason != l.closeReason { // once for each cause
+		l.f.logEvent("planner_down", fmt.Sprintf("addr=%s why=%q", l.addr, reason))
 	}
-	l.up, l.why, l.input, l.conn, l.in, l.out = false, why, nil, nil, 0, 0
-	l.f.dials.Failed(l.f.loop.Now(), l.number)
-	l.f.dial()
-	l.wait = min(2*l.wait, redialMost)
-	l.again(l.wait/2 + time.Duration(rand.Int64N(int64(l.wait))/2))
+	l.up, l.closeReason, l.input, l.conn, l.countedIn, l.countedOut = false, reason, nil, nil, 0, 0
+	l.f.dialer.Failed(l.f.loop.Now(), l.index)
+	l.f.dialDue()
+	l.redialDelay = min(2*l.redialDelay, maxRedialDelay)
+	l.scheduleRedial(l.redialDelay/2 + time.Duration(rand.Int64N(int64(l.redialDelay))/2))
 }
--- a/internal/keys/handshake_test.go
+++ b/internal/keys/handshake_test.go
@@ -32,7 +32,7 @@
 	b.ResetTimer()
 	for range b.N {
 		x, y := net.Pipe()
-		counted := &counting{Conn: x}
+		counted := &countingConn{Conn: x}
 		done := make(chan error, 1)
 		go func() {
 			s := tls.Server(y, server)
@@ -56,18 +56,18 @@
 	b.ReportMetric(float64(in)/float64(b.N), "bytes-to-forwarder")
 }
 
-type counting struct {
+type countingConn struct {
 	net.Conn
 	in, out int
 }
 
-func (c *counting) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.in += n
 	return n, err
 }
 
-func (c *counting) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.out += n
 	return n, err
--- a/internal/planner/grants_test.go
+++ b/internal/planner/grants_test.go
@@ -13,48 +13,48 @@
 	"lapisshelf/policy"
 )
 
-// starts has the list tell that a cache starts now.
-func (r *rig) starts(id string) {
+// restartCache has the list tell that a cache starts now.
+func (r *testEnv) restartCache(id string) {
 	r.list.Set(world.Member{ID: id, Addr: "127.0.0.1:999", Zone: "a", Kind: "m2", Weight: 1, Started: r.list.Log.Now()})
 }
 
-// budgets are what planners had for a cache, with each look that they took.
-type budgets struct {
-	mu   sync.Mutex
-	list []spell
+// budgetLog are what planners had for a cache, with each look that they took.
+type budgetLog struct {
+	mu      sync.Mutex
+	samples []budgetSample
 }
 
-type spell struct {
+type budgetSample struct {
 	at     time.Time
 	budget float64
 }
 
-// look notes a planner's budget for a cache; on its loop.
-func (b *budgets) look(p *running, id string) {
+// record notes a planner's budget for a cache; on its loop.
+func (b *budgetLog) record(p *testPlanner, id string) {
 	for _, x := range p.plan.Explain() {
 		if x.ID == id && x.Allow > 0 {
 			b.mu.Lock()
-			b.list = append(b.list, spell{time.Now(), x.Allow})
+			b.samples = append(b.samples, budgetSample{time.Now(), x.Allow})
 			b.mu.Unlock()
 		}
 	}
 }
 
-// watch looks again and again. Its timer comes between any two of the planner's ticks: both are set anew after each.
-func (b *budgets) watch(p *running, id string) {
+// recordPeriodically looks again and again. Its timer comes between any two of the planner's ticks: both are set anew after each.
+func (b *budgetLog) recordPeriodically(p *testPlanner, id string) {
 	var again func()
 	again = func() {
-		b.look(p, id)
+		b.record(p, id)
 		p.loop.After(p.cfg.Interval/5, again)
 	}
-	p.on(again)
+	p.onLoop(again)
 }
 
-// most is the largest that any planner had in that time.
-func (b *budgets) most(since time.Time) (most float64) {
+// largest is the largest that any planner had in that time.
+func (b *budgetLog) largest(since time.Time) (most float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, s := range b.list {
+	for _, s := range b.samples {
 		if !s.at.Before(since) {
 			most = max(most, s.budget)
 		}
@@ -66,21 +66,21 @@
 // one and back, and some start anew. What all of them may send to it, by the views that are valid there, is never over the
 // largest budget that a planner had while these were.
 func TestGrantsWhilePlannersDie(t *testing.T) {
-	r := newRig(t, 10)
+	r := newTestEnv(t, 10)
 	const valid = time.Second
-	start := func(id, at string) *running {
-		return r.plans(id, at, func(cfg *Config) { cfg.Plan.Valid = valid })
+	start := func(id, at string) *testPlanner {
+		return r.startPlanner(id, at, func(cfg *Config) { cfg.Plan.Valid = valid })
 	}
-	planners := []*running{start("p1", ""), start("p2", "")}
+	planners := []*testPlanner{start("p1", ""), start("p2", "")}
 	addrs := []string{planners[0].Addr().String(), planners[1].Addr().String()}
-	var b budgets
-	b.watch(planners[0], r.ids[0])
-	b.watch(planners[1], r.ids[0])
-	c := r.crowd()
+	var b budgetLog
+	b.recordPeriodically(planners[0], r.cacheIDs[0])
+	b.recordPeriodically(planners[1], r.cacheIDs[0])
+	c := r.newForwarderGroup()
 	c.load = func(n *node) {
 		var number int
 		fmt.Sscanf(n.name, "n%d", &number)
-		for _, id := range r.ids {
+		for _, id := range r.cacheIDs {
 			for range 2 + 3*number {
 				n.Request("k", "t")
 				n.Attempt(id, false, policy.OK, 5*ms, true, false)
@@ -89,17 +89,17 @@
 	}
 	const nodes = 12
 	for i := range nodes {
-		c.join(fmt.Sprintf("n%d", i), func(cfg *forwarder.Config) { cfg.Fade = time.Second }, planners[i%2].Addr(), planners[1-i%2].Addr())
+		c.add(fmt.Sprintf("n%d", i), func(cfg *forwarder.Config) { cfg.Fade = time.Second }, planners[i%2].Addr(), planners[1-i%2].Addr())
 	}
 	// sum is what all may send, and how many are limited.
 	sum := func() (sum float64, limited int) {
-		c.on(func() {
-			for _, n := range c.list {
-				if n.gone || !strings.Contains(n.Status(), "trusted 1.00") {
+		c.onLoop(func() {
+			for _, n := range c.nodes {
+				if n.closed || !strings.Contains(n.Status(), "trusted 1.00") {
 					continue
 				}
 				for _, s := range n.view.Servers {
-					if s.ID == r.ids[0] && s.Allow > 0 {
+					if s.ID == r.cacheIDs[0] && s.Allow > 0 {
 						sum += s.Allow
 						limited++
 					}
@@ -109,59 +109,59 @@
 		return sum, limited
 	}
 	worst := 0.0
-	var dead *running
-	until := func(what string, is func(limited int) bool) {
+	var dead *testPlanner
+	await := func(what string, cond func(limited int) bool) {
 		t.Helper()
 		eventually(t, what, func() bool {
 			s, limited := sum()
 			for _, p := range planners { // what was granted before that has a budget noted
 				if p != dead {
-					p.on(func() { b.look(p, r.ids[0]) })
+					p.onLoop(func() { b.record(p, r.cacheIDs[0]) })
 				}
 			}
-			most := b.most(time.Now().Add(-valid - 2*time.Second))
-			if s > 0 && most > 0 {
-				worst = max(worst, s/most)
+			budget := b.largest(time.Now().Add(-valid - 2*time.Second))
+			if s > 0 && budget > 0 {
+				worst = max(worst, s/budget)
 			}
-			return is(limited)
+			return cond(limited)
 		})
 	}
-	until("all are heard", func(int) bool {
+	await("all are heard", func(int) bool {
 		heard := 0
 		for _, p := range planners {
-			p.on(func() { heard += p.plan.ForwarderCount() })
+			p.onLoop(func() { heard += p.plan.ForwarderCount() })
 		}
 		return heard == 2*nodes
 	})
-	r.starts(r.ids[0])
-	until("all are limited", func(limited int) bool { return limited == nodes })
+	r.restartCache(r.cacheIDs[0])
+	await("all are limited", func(limited int) bool { return limited == nodes })
 	for round := range 4 {
 		i := round % 2
-		planners[i].on(func() { // no more is granted from here on
-			b.look(planners[i], r.ids[0])
+		planners[i].onLoop(func() { // no more is granted from here on
+			b.record(planners[i], r.cacheIDs[0])
 			clear(planners[i].entries)
 		})
 		dead = planners[i]
-		dead.end()
-		until("all are limited by the other", func(limited int) bool {
+		dead.shutdown()
+		await("all are limited by the other", func(limited int) bool {
 			yes := limited == nodes
-			c.on(func() {
-				for _, n := range c.list {
+			c.onLoop(func() {
+				for _, n := range c.nodes {
 					yes = yes && strings.Contains(n.Status(), "view of "+planners[1-i].cfg.Plan.ID)
 				}
 			})
 			return yes
 		})
 		planners[i] = start([]string{"p1", "p2"}[i], addrs[i])
-		b.watch(planners[i], r.ids[0])
+		b.recordPeriodically(planners[i], r.cacheIDs[0])
 		// One forwarder starts anew.
-		old := c.list[round]
-		c.on(func() { old.Close(); old.gone = true })
-		fresh := c.join(old.name, func(cfg *forwarder.Config) { cfg.Fade = time.Second }, planners[0].Addr(), planners[1].Addr())
-		c.on(func() { c.list = append(append(c.list[:round:round], fresh), c.list[round+1:nodes]...) })
-		until("all are heard again", func(limited int) bool {
+		old := c.nodes[round]
+		c.onLoop(func() { old.Close(); old.closed = true })
+		fresh := c.add(old.name, func(cfg *forwarder.Config) { cfg.Fade = time.Second }, planners[0].Addr(), planners[1].Addr())
+		c.onLoop(func() { c.nodes = append(append(c.nodes[:round:round], fresh), c.nodes[round+1:nodes]...) })
+		await("all are heard again", func(limited int) bool {
 			heard := 0
-			planners[i].on(func() { heard = planners[i].plan.ForwarderCount() })
+			planners[i].onLoop(func() { heard = planners[i].plan.ForwarderCount() })
 			return heard == nodes && limited == nodes
 		})
 	}
@@ -170,20 +170,20 @@
 	worst = 0
 	for range 3 {
 		fresh := make([]*node, nodes)
-		c.on(func() {
-			for _, n := range c.list {
+		c.onLoop(func() {
+			for _, n := range c.nodes {
 				n.Close()
-				n.gone = true
+				n.closed = true
 			}
 		})
 		for i := range fresh {
-			fresh[i] = c.join(fmt.Sprintf("n%d", i), func(cfg *forwarder.Config) { cfg.Fade = time.Second }, planners[i%2].Addr(), planners[1-i%2].Addr())
+			fresh[i] = c.add(fmt.Sprintf("n%d", i), func(cfg *forwarder.Config) { cfg.Fade = time.Second }, planners[i%2].Addr(), planners[1-i%2].Addr())
 		}
-		c.on(func() { c.list = fresh })
-		until("all are limited again", func(limited int) bool {
+		c.onLoop(func() { c.nodes = fresh })
+		await("all are limited again", func(limited int) bool {
 			up := 0
-			c.on(func() {
-				for _, n := range c.list {
+			c.onLoop(func() {
+				for _, n := range c.nodes {
 					up += strings.Count(n.Status(), " up ")
 				}
 			})
@@ -203,19 +203,19 @@
 
 // What a planner grants that is not followed counts at once, if it is less.
 func TestTheOtherPlannersGrants(t *testing.T) {
-	r := newRig(t, 8)
-	a, b := r.told("a"), r.told("b")
-	c := r.crowd()
-	n := c.join("n", nil, addrOf(a.scripted), addrOf(b.scripted))
-	a.acknowledges(1)
-	b.acknowledges(1)
-	allow := func(s *told, rate, want float64) func() bool {
+	r := newTestEnv(t, 8)
+	a, b := r.startFakePlanner("a"), r.startFakePlanner("b")
+	c := r.newForwarderGroup()
+	n := c.add("n", nil, addrOf(a.fakeServer), addrOf(b.fakeServer))
+	a.awaitHolds(1)
+	b.awaitHolds(1)
+	allow := func(s *fakePlanner, rate, want float64) func() bool {
 		return func() (is bool) {
-			change := s.change(0)
-			change.Valid, change.Grants, change.Answers = 90*time.Second, []plan.Grant{{ID: r.ids[0], Rate: rate}}, s.lastDigest()
+			change := s.changeFrom(0)
+			change.Valid, change.Grants, change.Answers = 90*time.Second, []plan.Grant{{ID: r.cacheIDs[0], Rate: rate}}, s.lastDigest()
 			s.send(change)
-			s.acknowledges(1)
-			c.on(func() {
+			s.awaitHolds(1)
+			c.onLoop(func() {
 				is = len(n.view.Servers) == 1 && n.view.Servers[0].Allow == want && strings.Contains(n.Status(), "view of a")
 			})
 			return is
--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -12,25 +12,25 @@
 
 // lease is the planner's own entry among the planners in the registry, and who else has one.
 type lease struct {
-	p         *Planner
-	announcer *registry.Announcer
-	others    *registry.Client
-	held      bool
-	all       map[string]plan.Candidate
+	p          *Planner
+	announcer  *registry.Announcer
+	watcher    *registry.Client
+	held       bool
+	candidates map[string]plan.Candidate
 }
 
-const leaseLook = 200 * time.Millisecond
+const leaseCheckInterval = 200 * time.Millisecond
 
-// keepLease begins to keep an entry, and to follow those of others.
-func (p *Planner) keepLease(c registry.Config) *lease {
-	l := &lease{p: p, all: map[string]plan.Candidate{}}
-	l.announcer = registry.NewAnnouncer(p.loop, c, p.cfg.LeasePrefix+p.cfg.Plan.ID, l.entry(), p.cfg.LeaseTTL, uint64(p.loop.Now()), p.note)
+// startLease begins to keep an entry, and to follow those of others.
+func (p *Planner) startLease(c registry.Config) *lease {
+	l := &lease{p: p, candidates: map[string]plan.Candidate{}}
+	l.announcer = registry.NewAnnouncer(p.loop, c, p.cfg.LeasePrefix+p.cfg.Plan.ID, l.entry(), p.cfg.LeaseTTL, uint64(p.loop.Now()), p.logEvent)
 	l.announcer.Start()
 	c.Prefix = p.cfg.LeasePrefix
 	c.Roster.HoldTime = 0 // an entry that is gone is gone
-	l.others = registry.New(p.loop, c, uint64(p.loop.Now())+1, l.told, p.note)
-	l.others.Start(0, nil)
-	l.look()
+	l.watcher = registry.New(p.loop, c, uint64(p.loop.Now())+1, l.updateCandidates, p.logEvent)
+	l.watcher.Start(0, nil)
+	l.checkHeld()
 	return l
 }
 
@@ -39,42 +39,42 @@
 	return registry.FormatEntry(roster.Entry{Addr: l.p.Addr().String(), Server: policy.Server{ID: l.p.cfg.Plan.ID, Kind: "planner", Weight: -1, Started: l.p.loop.Now()}})
 }
 
-// look notices a lost lease: the next one is a later one.
-func (l *lease) look() {
+// checkHeld notices a lost lease: the next one is a later one.
+func (l *lease) checkHeld() {
 	held := l.announcer.Held()
 	if l.held && !held {
-		l.p.note("lease_lost", "id="+l.p.cfg.Plan.ID)
+		l.p.logEvent("lease_lost", "id="+l.p.cfg.Plan.ID)
 		l.announcer.Change(l.entry())
 	}
 	l.held = held
-	l.p.loop.After(leaseLook, l.look)
+	l.p.loop.After(leaseCheckInterval, l.checkHeld)
 }
 
-// told takes news of who holds a lease.
-func (l *lease) told(u roster.Update) {
-	if u.Complete {
-		clear(l.all)
+// updateCandidates takes news of who holds a lease.
+func (l *lease) updateCandidates(update roster.Update) {
+	if update.Complete {
+		clear(l.candidates)
 	}
-	for _, e := range u.Entries {
+	for _, e := range update.Entries {
 		if e.State == policy.Gone {
-			delete(l.all, e.ID)
+			delete(l.candidates, e.ID)
 		} else {
-			l.all[e.ID] = plan.Candidate{ID: e.ID, LeaseStart: e.Started}
+			l.candidates[e.ID] = plan.Candidate{ID: e.ID, LeaseStart: e.Started}
 		}
 	}
 	var list []plan.Candidate
-	for _, c := range l.all {
+	for _, c := range l.candidates {
 		list = append(list, c)
 	}
-	was := l.p.plan.ElectLeader(nil)
-	if now := l.p.plan.ElectLeader(list); now != was {
-		l.p.note("leads", fmt.Sprintf("planner=%q epoch=%d", now, l.p.plan.Epoch()))
+	previous := l.p.plan.ElectLeader(nil)
+	if leader := l.p.plan.ElectLeader(list); leader != previous {
+		l.p.logEvent("leads", fmt.Sprintf("planner=%q epoch=%d", leader, l.p.plan.Epoch()))
 	}
 }
 
 func (l *lease) close() {
 	if l != nil {
-		l.others.Close()
+		l.watcher.Close()
 		l.announcer.Abandon()
 	}
 }
--- a/internal/planner/old_test.go
+++ b/internal/planner/old_test.go
@@ -19,12 +19,12 @@
 // cannot change both ends at once.
 
 type (
-	oldMessage struct {
-		Version uint8      `cbor:"0,keyasint"`
-		Digest  *oldDigest `cbor:"1,keyasint,omitempty"`
-		View    *oldView   `cbor:"2,keyasint,omitempty"`
+	legacyMessage struct {
+		Version uint8         `cbor:"0,keyasint"`
+		Digest  *legacyDigest `cbor:"1,keyasint,omitempty"`
+		View    *legacyView   `cbor:"2,keyasint,omitempty"`
 	}
-	oldLoad struct {
+	legacyLoad struct {
 		ID     string `cbor:"1,keyasint,omitempty"`
 		Sends  int    `cbor:"2,keyasint,omitempty"`
 		Timely int    `cbor:"3,keyasint,omitempty"`
@@ -33,76 +33,76 @@
 		Failed int    `cbor:"6,keyasint,omitempty"`
 		Times  []int  `cbor:"7,keyasint,omitempty"`
 	}
-	oldDigest struct {
-		From     string    `cbor:"1,keyasint"`
-		Start    int64     `cbor:"2,keyasint"`
-		Seq      uint64    `cbor:"3,keyasint"`
-		Span     int64     `cbor:"4,keyasint"`
-		Asked    int       `cbor:"5,keyasint,omitempty"`
-		Answered int       `cbor:"6,keyasint,omitempty"`
-		Servers  []oldLoad `cbor:"7,keyasint,omitempty"`
-		Origin   oldLoad   `cbor:"8,keyasint"`
+	legacyDigest struct {
+		From     string       `cbor:"1,keyasint"`
+		Start    int64        `cbor:"2,keyasint"`
+		Seq      uint64       `cbor:"3,keyasint"`
+		Span     int64        `cbor:"4,keyasint"`
+		Asked    int          `cbor:"5,keyasint,omitempty"`
+		Answered int          `cbor:"6,keyasint,omitempty"`
+		Servers  []legacyLoad `cbor:"7,keyasint,omitempty"`
+		Origin   legacyLoad   `cbor:"8,keyasint"`
 	}
-	oldShare struct {
+	legacyShare struct {
 		ID     string  `cbor:"1,keyasint"`
 		Factor float64 `cbor:"2,keyasint"`
 		Allow  float64 `cbor:"3,keyasint,omitempty"`
 	}
-	oldView struct {
-		Epoch   uint64     `cbor:"1,keyasint,omitempty"`
-		Planner string     `cbor:"2,keyasint"`
-		Made    int64      `cbor:"3,keyasint"`
-		Valid   int64      `cbor:"4,keyasint"`
-		Servers []oldShare `cbor:"5,keyasint,omitempty"`
-		Admit   float64    `cbor:"6,keyasint,omitempty"`
+	legacyView struct {
+		Epoch   uint64        `cbor:"1,keyasint,omitempty"`
+		Planner string        `cbor:"2,keyasint"`
+		Made    int64         `cbor:"3,keyasint"`
+		Valid   int64         `cbor:"4,keyasint"`
+		Servers []legacyShare `cbor:"5,keyasint,omitempty"`
+		Admit   float64       `cbor:"6,keyasint,omitempty"`
 	}
 )
 
-const oldMost = 512 << 10
+const legacyMaxMessageBytes = 512 << 10
 
 var (
-	oldEncoder, _ = cbor.CanonicalEncOptions().EncMode()
-	oldDecoder, _ = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 8192, MaxMapPairs: 32,
+	legacyEncoder, _ = cbor.CanonicalEncOptions().EncMode()
+	legacyDecoder, _ = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 8192, MaxMapPairs: 32,
 		MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 )
 
-func oldFrame(t testing.TB, m oldMessage) []byte {
+func encodeLegacy(t testing.TB, m legacyMessage) []byte {
 	t.Helper()
 	m.Version = 1
-	body, err := oldEncoder.Marshal(m)
+	body, err := legacyEncoder.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
 }
 
-// oldRead reads one frame; raw is what it holds by number, also what was not known then.
-func oldRead(conn net.Conn) (m oldMessage, raw map[int]cbor.RawMessage, err error) {
+// readLegacy reads one frame; raw is what it holds by number, also what was not known then.
+func readLegacy(conn net.Conn) (m legacyMessage, raw map[int]cbor.RawMessage, err error) {
 	var head [4]byte
 	if _, err = io.ReadFull(conn, head[:]); err != nil {
 		return m, nil, err
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size == 0 || size > oldMost {
+	if size == 0 || size > legacyMaxMessageBytes {
 		return m, nil, errors.New("a message of absurd size")
 	}
 	body := make([]byte, size)
 	if _, err = io.ReadFull(conn, body); err != nil {
 		return m, nil, err
 	}
-	if err = oldDecoder.Unmarshal(body, &m); err != nil {
+	if err = legacyDecoder.Unmarshal(body, &m); err != nil {
 		return m, nil, err
 	}
 	if m.Version != 1 || (m.Digest == nil) == (m.View == nil) {
 		return m, nil, errors.New("neither a digest nor a view")
 	}
-	return m, raw, oldDecoder.Unmarshal(body, &raw)
+	return m, raw, legacyDecoder.Unmarshal(body, &raw)
 }
 
 // dial connects as a forwarder.
-func (r *rig) dial(name, addr string) *tls.Conn {
+func (r *testEnv) dial(name, addr string) *tls.Conn {
 	r.t.Helper()
-	conn, err := tls.Dial("tcp", addr, r.pair(name, keys.Forwarder).ClientConfig(keys.Planner))
+	conn, err := tls.Dial("tcp", addr, r.certificate(name, keys.Forwarder).ClientConfig(keys.Planner))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -110,27 +110,27 @@
 	return conn
 }
 
-// scripted is a planner that a test plays.
-type scripted struct {
-	r        *rig
+// fakeServer is a planner that a test plays.
+type fakeServer struct {
+	r        *testEnv
 	listener net.Listener
 	serve    func(conn net.Conn)
 	mu       sync.Mutex
 	conns    []net.Conn
-	count    int // connections that came up
+	accepted int // connections that came up
 }
 
-// script listens and has each connection served in a goroutine of its own until the test ends.
-func (r *rig) script(id, listen string, serve func(conn net.Conn)) *scripted {
+// startFakeServer listens and has each connection served in a goroutine of its own until the test ends.
+func (r *testEnv) startFakeServer(id, listen string, serve func(conn net.Conn)) *fakeServer {
 	r.t.Helper()
 	if listen == "" {
 		listen = "127.0.0.1:0"
 	}
-	ln, err := tls.Listen("tcp", listen, r.pair(id, keys.Planner).ServerConfig(keys.Forwarder))
+	ln, err := tls.Listen("tcp", listen, r.certificate(id, keys.Planner).ServerConfig(keys.Forwarder))
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	s := &scripted{r: r, listener: ln, serve: serve}
+	s := &fakeServer{r: r, listener: ln, serve: serve}
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -138,16 +138,16 @@
 				return
 			}
 			s.mu.Lock()
-			s.conns, s.count = append(s.conns, conn), s.count+1
+			s.conns, s.accepted = append(s.conns, conn), s.accepted+1
 			s.mu.Unlock()
 			go serve(conn)
 		}
 	}()
-	r.t.Cleanup(s.end)
+	r.t.Cleanup(s.close)
 	return s
 }
 
-func (s *scripted) end() {
+func (s *fakeServer) close() {
 	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,29 +156,29 @@
 	}
 }
 
-func (s *scripted) came() int {
+func (s *fakeServer) acceptedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.count
+	return s.accepted
 }
 
-// oldPlanner is a planner of before there were changes: it tells whole views of all caches every so often, from the start of
+// startLegacyPlanner is a planner of before there were changes: it tells whole views of all caches every so often, from the start of
 // each connection, and is given each digest with what the frame holds by number.
-func (r *rig) oldPlanner(id, listen string, factor float64, took func(d oldDigest, raw map[int]cbor.RawMessage)) *scripted {
+func (r *testEnv) startLegacyPlanner(id, listen string, factor float64, took func(d legacyDigest, raw map[int]cbor.RawMessage)) *fakeServer {
 	r.t.Helper()
-	return r.script(id, listen, func(conn net.Conn) {
+	return r.startFakeServer(id, listen, func(conn net.Conn) {
 		done := make(chan struct{})
 		go func() {
 			for made := time.Now().UnixNano(); ; made++ {
-				v := &oldView{Planner: id, Made: made, Valid: int64(3 * time.Second)}
-				for i, cache := range r.ids {
-					x := oldShare{ID: cache, Factor: 1}
+				v := &legacyView{Planner: id, Made: made, Valid: int64(3 * time.Second)}
+				for i, cache := range r.cacheIDs {
+					x := legacyShare{ID: cache, Factor: 1}
 					if i == 0 {
 						x.Factor = factor
 					}
 					v.Servers = append(v.Servers, x)
 				}
-				conn.Write(oldFrame(r.t, oldMessage{View: v}))
+				conn.Write(encodeLegacy(r.t, legacyMessage{View: v}))
 				select {
 				case <-done:
 					return
@@ -189,7 +189,7 @@
 		defer close(done)
 		defer conn.Close()
 		for {
-			m, raw, err := oldRead(conn)
+			m, raw, err := readLegacy(conn)
 			if err != nil {
 				return
 			}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -34,15 +34,15 @@
 )
 
 const (
-	shakeWithin  = 5 * time.Second  // a connection's handshake
-	silentFor    = 30 * time.Second // a forwarder that says nothing for so long is hung up on
-	writeWithin  = 5 * time.Second
-	readLeast    = 1 << 10 // room for what comes, of each connection; digests in brief fit
-	readKeep     = 8 << 10 // of it that a connection keeps
-	snapEvery    = 5 * time.Second
-	listWatch    = 5 * time.Second
-	listCall     = 1500 * time.Millisecond
-	mostListBody = 16 << 20
+	handshakeTimeout = 5 * time.Second  // a connection's handshake
+	idleTimeout      = 30 * time.Second // a forwarder that says nothing for so long is hung up on
+	writeTimeout     = 5 * time.Second
+	minReadBuffer    = 1 << 10 // room for what comes, of each connection; digests in brief fit
+	maxKeptBuffer    = 8 << 10 // of it that a connection keeps
+	snapshotInterval = 5 * time.Second
+	listWatchTimeout = 5 * time.Second
+	listCallTimeout  = 1500 * time.Millisecond
+	maxListBody      = 16 << 20
 )
 
 // Config is what a planner is told. Note takes a line for the log.
@@ -65,27 +65,27 @@
 
 // Planner is one process's. Its fields belong to the loop but for those that say otherwise.
 type Planner struct {
-	cfg       Config
-	loop      *loop.Loop
-	plan      *plan.Planner
-	listener  net.Listener
-	tls       atomic.Pointer[tls.Config] // any goroutine's
-	conns     map[*conn]bool
-	held      atomic.Int64 // connections, those in their handshake included
-	entries   map[string]roster.Entry
-	registry  *registry.Client
-	control   *control.Server
-	store     *bbolt.DB
-	members   *members
-	lease     *lease
-	restored  bool
-	refused   map[string]int64 // messages that count for nothing, by who sent them
-	forgotten int64            // those of before the table was cleared
-	broken    int64            // connections ended for what came there
-	digests   int64
-	briefs    int64
-	out       outbox
-	in, sent  atomic.Int64 // bytes over sockets, TLS included
+	cfg               Config
+	loop              *loop.Loop
+	plan              *plan.Planner
+	listener          net.Listener
+	tls               atomic.Pointer[tls.Config] // any goroutine's
+	conns             map[*conn]bool
+	connCount         atomic.Int64 // connections, those in their handshake included
+	entries           map[string]roster.Entry
+	registry          *registry.Client
+	control           *control.Server
+	store             *bbolt.DB
+	members           *membership
+	lease             *lease
+	restored          bool
+	refusedBy         map[string]int64 // messages that count for nothing, by who sent them
+	refusedBefore     int64            // those of before the table was cleared
+	malformed         int64            // connections ended for what came there
+	digests           int64
+	briefDigests      int64
+	sender            sender
+	bytesIn, bytesOut atomic.Int64 // bytes over sockets, TLS included
 }
 
 // conn is a forwarder's connection.
@@ -95,21 +95,21 @@
 	name string
 	out  chan []byte
 	// What follows belongs to the loop.
-	speech speech
-	hold   plan.Hold     // what it holds, as it last told; after a whole state: that
-	waits  bool          // for a whole state
-	last   time.Duration // it was sent a change
-	sent   uint64        // the revision of that
-	count  uint64        // changes that went out here, whole states among them
-	state  state         // the last whole one
-	seq    uint64        // of the last digest taken
-	heard  time.Duration // it came
+	protocol      protocol
+	hold          plan.Hold     // what it holds, as it last told; after a whole state: that
+	awaitsState   bool          // for a whole state
+	lastSent      time.Duration // it was sent a change
+	sentRevision  uint64        // the revision of that
+	changesSent   uint64        // changes that went out here, whole states among them
+	lastState     sentState     // the last whole one
+	lastDigestSeq uint64        // of the last digest taken
+	lastDigestAt  time.Duration // it came
 }
 
 // New makes a planner that listens; Run runs it.
 func New(cfg Config) (*Planner, error) {
 	cfg.Plan.History = rand.Uint64() | 1 // no other life of this or another planner has the same
-	p := &Planner{cfg: cfg, plan: plan.New(cfg.Plan), out: outbox{rate: statesASecond}, conns: map[*conn]bool{}, entries: map[string]roster.Entry{}, refused: map[string]int64{}}
+	p := &Planner{cfg: cfg, plan: plan.New(cfg.Plan), sender: sender{rate: stateBytesPerSecond}, conns: map[*conn]bool{}, entries: map[string]roster.Entry{}, refusedBy: map[string]int64{}}
 	certs, err := cfg.Certificates()
 	if err != nil {
 		return nil, err
@@ -125,7 +125,7 @@
 		p.control, err = control.Listen(p.loop, cfg.Control, []control.Route{
 			{Method: "GET", Path: "/_ready", Do: func(string) control.Reply { return p.ready() }},
 			{Method: "GET", Path: "/_view", Do: func(string) control.Reply { return control.Reply{Status: 200, Body: []byte(p.Status())} }},
-			{Method: "GET", Path: "/_vars", Do: func(string) control.Reply { return p.vars() }},
+			{Method: "GET", Path: "/_vars", Do: func(string) control.Reply { return p.metrics() }},
 		})
 		if err != nil {
 			return nil, err
@@ -137,14 +137,14 @@
 		}
 	}
 	if cfg.Gossip.IsValid() {
-		if p.members, err = join(cfg, p.note); err != nil {
+		if p.members, err = joinGossip(cfg, p.logEvent); err != nil {
 			return nil, err
 		}
 	}
 	return p, nil
 }
 
-func (p *Planner) note(event, why string) {
+func (p *Planner) logEvent(event, why string) {
 	if p.cfg.LogEvent != nil {
 		p.cfg.LogEvent(event, why)
 	}
@@ -156,19 +156,19 @@
 // Run serves until the context ends.
 func (p *Planner) Run(ctx context.Context) error {
 	c := p.cfg.Registry
-	c.Roster.Nodes, c.Roster.AskWithin, c.Roster.CallTimeout = 1, 4*time.Second, listCall
+	c.Roster.Nodes, c.Roster.AskWithin, c.Roster.CallTimeout = 1, 4*time.Second, listCallTimeout
 	if c.Roster.WatchTimeout == 0 {
-		c.Roster.WatchTimeout = listWatch
+		c.Roster.WatchTimeout = listWatchTimeout
 	}
-	c.MostBody = mostListBody
-	p.registry = registry.New(p.loop, c, uint64(time.Now().UnixNano()), p.told, p.note)
+	c.MostBody = maxListBody
+	p.registry = registry.New(p.loop, c, uint64(time.Now().UnixNano()), p.updateServers, p.logEvent)
 	p.registry.Start(0, nil)
 	if p.cfg.LeasePrefix != "" {
-		p.lease = p.keepLease(c)
+		p.lease = p.startLease(c)
 	}
 	go p.accept()
-	p.tick()
-	p.snapshot()
+	p.update()
+	p.scheduleSnapshot()
 	stop := context.AfterFunc(ctx, func() { p.loop.Post(p.loop.Stop) })
 	defer stop()
 	err := p.loop.Run()
@@ -184,7 +184,7 @@
 		go c.tls.Close() // it may wait to say so to the other end
 	}
 	if p.store != nil {
-		p.save()
+		p.saveSnapshot()
 		p.store.Close()
 	}
 	p.members.leave()
@@ -194,11 +194,11 @@
 func (p *Planner) Reload() {
 	certs, err := p.cfg.Certificates()
 	if err != nil {
-		p.note("reload_failed", fmt.Sprintf("why=%q", err))
+		p.logEvent("reload_failed", fmt.Sprintf("why=%q", err))
 		return
 	}
 	p.tls.Store(certs)
-	p.note("reload", "certificates=true")
+	p.logEvent("reload", "certificates=true")
 }
 
 // accept takes connections. It is a goroutine of its own.
@@ -212,8 +212,8 @@
 			return
 		}
 		// Guards against callers that take all descriptors.
-		if p.held.Add(1) > int64(p.cfg.Plan.Forwarders)+64 {
-			p.held.Add(-1)
+		if p.connCount.Add(1) > int64(p.cfg.Plan.Forwarders)+64 {
+			p.connCount.Add(-1)
 			raw.Close()
 			continue
 		}
@@ -223,31 +223,31 @@
 
 // serve speaks with one forwarder, in two goroutines.
 func (p *Planner) serve(raw net.Conn) {
-	defer p.held.Add(-1)
-	c := &conn{p: p, tls: tls.Server(loop.CountBytes(raw, &p.in, &p.sent), p.tls.Load()), out: make(chan []byte, 2)}
+	defer p.connCount.Add(-1)
+	c := &conn{p: p, tls: tls.Server(loop.CountBytes(raw, &p.bytesIn, &p.bytesOut), p.tls.Load()), out: make(chan []byte, 2)}
 	defer c.tls.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), shakeWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	err := c.tls.HandshakeContext(ctx)
 	cancel()
 	if err != nil {
-		p.loop.Post(func() { p.note("refused", fmt.Sprintf("from=%s why=%q", raw.RemoteAddr(), err)) })
+		p.loop.Post(func() { p.logEvent("refused", fmt.Sprintf("from=%s why=%q", raw.RemoteAddr(), err)) })
 		return
 	}
 	c.name = keys.PeerName(c.tls)
 	p.loop.Post(func() { p.conns[c] = true })
 	go func() {
 		for frame := range c.out {
-			c.tls.SetWriteDeadline(time.Now().Add(writeWithin))
+			c.tls.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err := c.tls.Write(frame); err != nil {
 				c.tls.Close()
 			}
 		}
 	}()
-	bad := c.read()
+	malformed := c.read()
 	p.loop.Post(func() {
-		if bad != nil {
-			p.broken++
-			p.refuse(c, bad)
+		if malformed != nil {
+			p.malformed++
+			p.refuse(c, malformed)
 		}
 		if p.conns[c] {
 			delete(p.conns, c)
@@ -260,34 +260,34 @@
 func (c *conn) read() error {
 	var input []byte
 	for {
-		if len(input) == 0 && cap(input) > readKeep {
+		if len(input) == 0 && cap(input) > maxKeptBuffer {
 			input = nil
 		}
-		input = slices.Grow(input, readLeast)
-		c.tls.SetReadDeadline(time.Now().Add(silentFor))
+		input = slices.Grow(input, minReadBuffer)
+		c.tls.SetReadDeadline(time.Now().Add(idleTimeout))
 		n, err := c.tls.Read(input[len(input):cap(input)])
 		input = input[:len(input)+n]
-		read := 0
+		consumed := 0
 		for {
-			m, used, bad := planwire.Next(input[read:])
-			if bad != nil {
-				return bad
+			m, used, malformed := planwire.Next(input[consumed:])
+			if malformed != nil {
+				return malformed
 			}
 			if used == 0 {
 				break
 			}
-			read += used
-			c.p.loop.Post(func() { c.p.take(c, m) })
+			consumed += used
+			c.p.loop.Post(func() { c.p.handleMessage(c, m) })
 		}
-		input = append(input[:0], input[read:]...)
+		input = append(input[:0], input[consumed:]...)
 		if err != nil {
 			return nil
 		}
 	}
 }
 
-// take takes a message of a forwarder.
-func (p *Planner) take(c *conn, m planwire.Message) {
+// handleMessage takes a message of a forwarder.
+func (p *Planner) handleMessage(c *conn, m planwire.Message) {
 	p.digests++
 	var err error
 	switch d := m.Digest; {
@@ -297,18 +297,18 @@
 		err = fmt.Errorf("%q says it is another", c.name)
 	default:
 		if m.Hold != nil {
-			err = c.holds(p.loop.Now(), *m.Hold, m.NextChange)
-		} else if c.speech == unheard {
-			c.speech = older
+			err = c.updateHold(p.loop.Now(), *m.Hold, m.NextChange)
+		} else if c.protocol == protocolUnknown {
+			c.protocol = protocolViews
 		}
 		if err == nil {
 			now := p.loop.Now()
 			if err = p.plan.Digest(now, *d); err == nil {
-				c.seq, c.heard = d.Seq, now
+				c.lastDigestSeq, c.lastDigestAt = d.Seq, now
 			}
 		}
 		if d.Brief {
-			p.briefs++
+			p.briefDigests++
 		}
 	}
 	if err != nil {
@@ -317,31 +317,31 @@
 }
 
 // refuse counts a message that counts for nothing, and tells of the first, second, fourth and so on of a forwarder.
-func (p *Planner) refuse(c *conn, why error) {
-	n := p.refused[c.name] + 1
-	if p.refused[c.name] = n; len(p.refused) > 1024 {
-		p.forgotten += p.refusals()
-		clear(p.refused)
+func (p *Planner) refuse(c *conn, reason error) {
+	n := p.refusedBy[c.name] + 1
+	if p.refusedBy[c.name] = n; len(p.refusedBy) > 1024 {
+		p.refusedBefore += p.refusalCount()
+		clear(p.refusedBy)
 	}
 	if bits.OnesCount64(uint64(n)) == 1 {
-		p.note("digest_refused", fmt.Sprintf("from=%q count=%d why=%q", c.name, n, why))
+		p.logEvent("digest_refused", fmt.Sprintf("from=%q count=%d why=%q", c.name, n, reason))
 	}
 }
 
-// refusals is how many messages of those now in the table counted for nothing.
-func (p *Planner) refusals() (sum int64) {
-	for _, n := range p.refused {
+// refusalCount is how many messages of those now in the table counted for nothing.
+func (p *Planner) refusalCount() (sum int64) {
+	for _, n := range p.refusedBy {
 		sum += n
 	}
 	return sum
 }
 
-// told takes list news.
-func (p *Planner) told(u roster.Update) {
-	if u.Complete {
+// updateServers takes list news.
+func (p *Planner) updateServers(update roster.Update) {
+	if update.Complete {
 		clear(p.entries)
 	}
-	for _, e := range u.Entries {
+	for _, e := range update.Entries {
 		if e.State == policy.Gone {
 			delete(p.entries, e.ID)
 		} else {
@@ -355,63 +355,63 @@
 	p.plan.SetServers(p.loop.Now(), list)
 	if !p.restored && len(list) > 0 {
 		p.restored = true
-		p.restore()
+		p.restoreSnapshot()
 	}
 }
 
-// tick makes what is told, and tells it.
-func (p *Planner) tick() {
+// update makes what is told, and tells it.
+func (p *Planner) update() {
 	now := p.loop.Now()
 	p.plan.Update(now)
-	p.send(now)
-	p.loop.After(p.cfg.Interval, p.tick)
+	p.sendUpdates(now)
+	p.loop.After(p.cfg.Interval, p.update)
 }
 
-var bucket, place = []byte("planner"), []byte("snapshot")
+var snapshotBucket, snapshotKey = []byte("planner"), []byte("snapshot")
 
-// snapshot keeps what was learned, every so often.
-func (p *Planner) snapshot() {
+// scheduleSnapshot keeps what was learned, every so often.
+func (p *Planner) scheduleSnapshot() {
 	if p.store == nil {
 		return
 	}
-	p.loop.After(snapEvery, func() {
-		p.save()
-		p.snapshot()
+	p.loop.After(snapshotInterval, func() {
+		p.saveSnapshot()
+		p.scheduleSnapshot()
 	})
 }
 
-func (p *Planner) save() {
+func (p *Planner) saveSnapshot() {
 	if !p.restored {
 		return // nothing was learned
 	}
 	text, err := json.Marshal(p.plan.Snapshot(p.loop.Now()))
 	if err == nil {
 		err = p.store.Update(func(tx *bbolt.Tx) error {
-			b, err := tx.CreateBucketIfNotExists(bucket)
+			b, err := tx.CreateBucketIfNotExists(snapshotBucket)
 			if err != nil {
 				return err
 			}
-			return b.Put(place, text)
+			return b.Put(snapshotKey, text)
 		})
 	}
 	if err != nil {
-		p.note("snapshot_failed", fmt.Sprintf("why=%q", err))
+		p.logEvent("snapshot_failed", fmt.Sprintf("why=%q", err))
 	}
 }
 
-func (p *Planner) restore() {
+func (p *Planner) restoreSnapshot() {
 	if p.store == nil {
 		return
 	}
 	var s plan.Snapshot
 	p.store.View(func(tx *bbolt.Tx) error {
-		if b := tx.Bucket(bucket); b != nil {
-			return json.Unmarshal(b.Get(place), &s)
+		if b := tx.Bucket(snapshotBucket); b != nil {
+			return json.Unmarshal(b.Get(snapshotKey), &s)
 		}
 		return nil
 	})
 	if s.Clock > 0 {
-		p.note("snapshot", fmt.Sprintf("taken=%t age=%.1fs", p.plan.Restore(p.loop.Now(), p.cfg.MaxSnapshotAge, s), (p.loop.Now()-s.Clock).Seconds()))
+		p.logEvent("snapshot", fmt.Sprintf("taken=%t age=%.1fs", p.plan.Restore(p.loop.Now(), p.cfg.MaxSnapshotAge, s), (p.loop.Now()-s.Clock).Seconds()))
 	}
 }
 
@@ -429,7 +429,7 @@
 	if p.plan.Epoch() > 0 {
 		fmt.Fprintf(&b, "epoch %d, %s leads\n", p.plan.Epoch(), p.plan.ElectLeader(nil))
 	}
-	for _, m := range p.members.list() {
+	for _, m := range p.members.ids() {
 		fmt.Fprintf(&b, "planners %s\n", m)
 	}
 	for _, r := range p.plan.Explain() {
@@ -443,31 +443,31 @@
 	return b.String()
 }
 
-func (p *Planner) vars() control.Reply {
+func (p *Planner) metrics() control.Reply {
 	var b strings.Builder
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u) // fails for no process of its own
-	o := &p.out
+	s := &p.sender
 	for _, x := range []struct {
 		name, kind string
 		value      float64
 	}{{"app_planner_forwarders", "gauge", float64(p.plan.ForwarderCount())}, {"app_planner_connections", "gauge", float64(len(p.conns))},
-		{"app_planner_digests_total", "counter", float64(p.digests)}, {"app_planner_digests_brief_total", "counter", float64(p.briefs)},
-		{"app_planner_digests_refused_total", "counter", float64(p.forgotten + p.refusals())}, {"app_planner_connections_broken_total", "counter", float64(p.broken)},
-		{"app_planner_views_total", "counter", float64(o.views)}, {"app_planner_changes_total", "counter", float64(o.changes)},
-		{"app_planner_states_total", "counter", float64(o.states)}, {"app_planner_states_waiting", "gauge", float64(len(o.waiting))},
-		{"app_planner_states_paced_total", "counter", float64(o.paced)}, {"app_planner_doubts_total", "counter", float64(o.doubts)},
-		{"app_planner_changes_encoded_total", "counter", float64(o.encoded)}, {"app_planner_revision", "gauge", float64(p.plan.Revision())},
-		{"app_planner_bytes_in_total", "counter", float64(p.in.Load())}, {"app_planner_bytes_out_total", "counter", float64(p.sent.Load())},
+		{"app_planner_digests_total", "counter", float64(p.digests)}, {"app_planner_digests_brief_total", "counter", float64(p.briefDigests)},
+		{"app_planner_digests_refused_total", "counter", float64(p.refusedBefore + p.refusalCount())}, {"app_planner_connections_broken_total", "counter", float64(p.malformed)},
+		{"app_planner_views_total", "counter", float64(s.viewsSent)}, {"app_planner_changes_total", "counter", float64(s.changesSent)},
+		{"app_planner_states_total", "counter", float64(s.statesSent)}, {"app_planner_states_waiting", "gauge", float64(len(s.awaitingState))},
+		{"app_planner_states_paced_total", "counter", float64(s.statesPaced)}, {"app_planner_doubts_total", "counter", float64(s.lostStates)},
+		{"app_planner_changes_encoded_total", "counter", float64(s.changesEncoded)}, {"app_planner_revision", "gauge", float64(p.plan.Revision())},
+		{"app_planner_bytes_in_total", "counter", float64(p.bytesIn.Load())}, {"app_planner_bytes_out_total", "counter", float64(p.bytesOut.Load())},
 		{"app_planner_cache_servers_known", "gauge", float64(len(p.plan.Explain()))},
-		{"process_cpu_seconds_total", "counter", time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()}, {"process_resident_memory_bytes", "gauge", resident()}} {
+		{"process_cpu_seconds_total", "counter", time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()}, {"process_resident_memory_bytes", "gauge", residentBytes()}} {
 		fmt.Fprintf(&b, "# TYPE %s %s\n%s %s\n", x.name, x.kind, x.name, strconv.FormatFloat(x.value, 'f', -1, 64))
 	}
 	return control.Reply{Status: 200, Type: "text/plain; version=0.0.4; charset=utf-8", Body: []byte(b.String())}
 }
 
-// resident is how many bytes of memory the process has; 0: the system does not say.
-func resident() float64 {
+// residentBytes is how many bytes of memory the process has; 0: the system does not say.
+func residentBytes() float64 {
 	text, _ := os.ReadFile("/proc/self/statm")
 	if words := strings.Fields(string(text)); len(words) > 1 {
 		pages, _ := strconv.Atoi(words[1])
--- a/internal/planner/rig_test.go
+++ b/internal/planner/rig_test.go
@@ -25,29 +25,29 @@
 )
 
 const (
-	ms       = time.Millisecond
-	patience = 60 * time.Second // until a test gives up on something that must come
+	ms          = time.Millisecond
+	waitTimeout = 60 * time.Second // until a test gives up on something that must come
 )
 
-// rig is a list service and an authority, before which planners and forwarders start.
-type rig struct {
-	t     testing.TB
-	list  *standin.List
-	dir   string
-	ids   []string // of the caches
-	notes struct {
+// testEnv is a list service and an authority, before which planners and forwarders start.
+type testEnv struct {
+	t        testing.TB
+	list     *standin.List
+	dir      string
+	cacheIDs []string // of the caches
+	log      struct {
 		sync.Mutex
 		lines []string
 	}
 }
 
-func newRig(t testing.TB, caches int) *rig {
+func newTestEnv(t testing.TB, caches int) *testEnv {
 	t.Helper()
-	r := &rig{t: t, dir: filepath.Join(t.TempDir(), "keys")}
+	r := &testEnv{t: t, dir: filepath.Join(t.TempDir(), "keys")}
 	var members []world.Member
 	for i := range caches {
-		r.ids = append(r.ids, fmt.Sprintf("s-%03d", i))
-		members = append(members, world.Member{ID: r.ids[i], Addr: fmt.Sprintf("127.0.0.1:%d", 1000+i), Zone: "a", Kind: "m2", Weight: 1})
+		r.cacheIDs = append(r.cacheIDs, fmt.Sprintf("s-%03d", i))
+		members = append(members, world.Member{ID: r.cacheIDs[i], Addr: fmt.Sprintf("127.0.0.1:%d", 1000+i), Zone: "a", Kind: "m2", Weight: 1})
 	}
 	var err error
 	if r.list, err = standin.NewList(standin.NewCommon(seen.NewLog(), 1, nil), standin.ListOptions{Addr: "127.0.0.1:0", Nodes: 1, Whole: true}, members...); err != nil {
@@ -59,27 +59,27 @@
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			r.notes.Lock()
-			defer r.notes.Unlock()
-			t.Logf("%s", strings.Join(r.notes.lines[:min(len(r.notes.lines), 200)], "\n"))
+			r.log.Lock()
+			defer r.log.Unlock()
+			t.Logf("%s", strings.Join(r.log.lines[:min(len(r.log.lines), 200)], "\n"))
 		}
 	})
 	return r
 }
 
-func (r *rig) note(who string) func(event, why string) {
+func (r *testEnv) logFunc(who string) func(event, why string) {
 	return func(event, why string) {
-		r.notes.Lock()
-		defer r.notes.Unlock()
-		r.notes.lines = append(r.notes.lines, who+" "+event+" "+why)
+		r.log.Lock()
+		defer r.log.Unlock()
+		r.log.lines = append(r.log.lines, who+" "+event+" "+why)
 	}
 }
 
-// noted reports whether a line of the log holds all words.
-func (r *rig) noted(words ...string) bool {
-	r.notes.Lock()
-	defer r.notes.Unlock()
-	for _, line := range r.notes.lines {
+// logged reports whether a line of the log holds all words.
+func (r *testEnv) logged(words ...string) bool {
+	r.log.Lock()
+	defer r.log.Unlock()
+	for _, line := range r.log.lines {
 		all := true
 		for _, w := range words {
 			all = all && strings.Contains(line, w)
@@ -91,8 +91,8 @@
 	return false
 }
 
-// pair is a holder's certificate, made when it is first asked for.
-func (r *rig) pair(name string, role keys.Role) *keys.Pair {
+// certificate is a holder's certificate, made when it is first asked for.
+func (r *testEnv) certificate(name string, role keys.Role) *keys.Pair {
 	r.t.Helper()
 	cert := filepath.Join(r.dir, name)
 	keys.Issue(r.dir, name, role, time.Now(), time.Hour, false) // it may be there already
@@ -103,22 +103,22 @@
 	return p
 }
 
-// running is a planner that runs.
-type running struct {
+// testPlanner is a planner that runs.
+type testPlanner struct {
 	*Planner
-	r    *rig
-	stop context.CancelFunc
-	done chan error
+	r      *testEnv
+	cancel context.CancelFunc
+	done   chan error
 }
 
-// plans starts a planner; one that listens at "" takes any port.
-func (r *rig) plans(id, listen string, change func(*Config)) *running {
+// startPlanner starts a planner; one that listens at "" takes any port.
+func (r *testEnv) startPlanner(id, listen string, change func(*Config)) *testPlanner {
 	r.t.Helper()
 	if listen == "" {
 		listen = "127.0.0.1:0"
 	}
-	pair := r.pair(id, keys.Planner)
-	cfg := Config{Listen: netip.MustParseAddrPort(listen), Interval: 50 * ms, LogEvent: r.note(id),
+	pair := r.certificate(id, keys.Planner)
+	cfg := Config{Listen: netip.MustParseAddrPort(listen), Interval: 50 * ms, LogEvent: r.logFunc(id),
 		Certificates: func() (*tls.Config, error) { return pair.ServerConfig(keys.Forwarder), nil },
 		Registry:     registry.Config{Kind: registry.Discovery, Endpoints: []netip.AddrPort{netip.MustParseAddrPort(r.list.Addr(0))}},
 		Plan:         plan.Config{ID: id, Forwarders: 4096, Move: 1, Valid: 3 * time.Second, FallMultiple: 3, WarmUp: time.Minute, ColdFrom: 0.1}}
@@ -130,16 +130,16 @@
 		r.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	run := &running{Planner: p, r: r, stop: stop, done: make(chan error, 1)}
+	run := &testPlanner{Planner: p, r: r, cancel: stop, done: make(chan error, 1)}
 	go func() { run.done <- p.Run(ctx) }()
-	r.t.Cleanup(run.end)
-	run.eventually("it has the list", func() bool { return len(p.entries) == len(r.ids) })
+	r.t.Cleanup(run.shutdown)
+	run.eventually("it has the list", func() bool { return len(p.entries) == len(r.cacheIDs) })
 	return run
 }
 
-// end ends a planner, once.
-func (p *running) end() {
-	p.stop()
+// shutdown ends a planner, once.
+func (p *testPlanner) shutdown() {
+	p.cancel()
 	if err, first := <-p.done; first {
 		if close(p.done); err != nil {
 			p.r.t.Error(err)
@@ -147,51 +147,51 @@
 	}
 }
 
-// on does something on the planner's loop and waits for it.
-func (p *running) on(f func()) {
+// onLoop does something on the planner's loop and waits for it.
+func (p *testPlanner) onLoop(f func()) {
 	done := make(chan struct{})
 	p.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
 // eventually waits until something is true on the planner's loop.
-func (p *running) eventually(what string, is func() bool) {
+func (p *testPlanner) eventually(what string, is func() bool) {
 	p.r.t.Helper()
-	eventually(p.r.t, what, func() (yes bool) { p.on(func() { yes = is() }); return yes })
+	eventually(p.r.t, what, func() (yes bool) { p.onLoop(func() { yes = is() }); return yes })
 }
 
 func eventually(t testing.TB, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(2 * ms) {
+	for end := time.Now().Add(waitTimeout); !is(); time.Sleep(2 * ms) {
 		if time.Now().After(end) {
-			t.Fatalf("not in %v: %s", patience, what)
+			t.Fatalf("not in %v: %s", waitTimeout, what)
 		}
 	}
 }
 
-// crowd is forwarders on one loop.
-type crowd struct {
-	r    *rig
-	loop *loop.Loop
-	list []*node
+// forwarderGroup is forwarders on one loop.
+type forwarderGroup struct {
+	r     *testEnv
+	loop  *loop.Loop
+	nodes []*node
 	// load draws what a node saw since its last digest; it runs on the loop.
 	load func(n *node)
 	// took is called as a view is put in force; it runs on the loop.
-	took func(n *node)
+	onView func(n *node)
 }
 
 // node is a forwarder and the view that it acts on.
 type node struct {
 	*forwarder.Forwarder
-	name  string
-	view  policy.View
-	count int // views put in force
-	gone  bool
+	name      string
+	view      policy.View
+	viewCount int // views put in force
+	closed    bool
 }
 
-func (r *rig) crowd() *crowd {
+func (r *testEnv) newForwarderGroup() *forwarderGroup {
 	r.t.Helper()
-	c := &crowd{r: r}
+	c := &forwarderGroup{r: r}
 	var err error
 	if c.loop, err = loop.New(); err != nil {
 		r.t.Fatal(err)
@@ -199,8 +199,8 @@
 	done := make(chan error, 1)
 	go func() { done <- c.loop.Run() }()
 	r.t.Cleanup(func() {
-		c.on(func() {
-			for _, n := range c.list {
+		c.onLoop(func() {
+			for _, n := range c.nodes {
 				n.Close()
 			}
 			c.loop.Stop()
@@ -212,56 +212,56 @@
 	return c
 }
 
-func (c *crowd) on(f func()) {
+func (c *forwarderGroup) onLoop(f func()) {
 	done := make(chan struct{})
 	c.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-func (c *crowd) eventually(what string, is func() bool) {
+func (c *forwarderGroup) eventually(what string, is func() bool) {
 	c.r.t.Helper()
-	eventually(c.r.t, what, func() (yes bool) { c.on(func() { yes = is() }); return yes })
+	eventually(c.r.t, what, func() (yes bool) { c.onLoop(func() { yes = is() }); return yes })
 }
 
-func (c *crowd) ready() (list []follow.Server) {
-	for _, id := range c.r.ids {
+func (c *forwarderGroup) ready() (list []follow.Server) {
+	for _, id := range c.r.cacheIDs {
 		list = append(list, follow.Server{ID: id, Weight: 1})
 	}
 	return list
 }
 
-// join starts a forwarder.
-func (c *crowd) join(name string, change func(*forwarder.Config), planners ...netip.AddrPort) *node {
+// add starts a forwarder.
+func (c *forwarderGroup) add(name string, change func(*forwarder.Config), planners ...netip.AddrPort) *node {
 	c.r.t.Helper()
-	cfg := forwarder.Config{Planners: planners, Name: name, TLS: c.r.pair(name, keys.Forwarder).ClientConfig(keys.Planner), Interval: 100 * ms}
+	cfg := forwarder.Config{Planners: planners, Name: name, TLS: c.r.certificate(name, keys.Forwarder).ClientConfig(keys.Planner), Interval: 100 * ms}
 	if change != nil {
 		change(&cfg)
 	}
 	n := &node{name: name}
-	c.on(func() {
+	c.onLoop(func() {
 		n.Forwarder = forwarder.New(c.loop, cfg, c.ready, func(v policy.View) {
-			if n.view, n.count = v, n.count+1; c.took != nil {
-				c.took(n)
+			if n.view, n.viewCount = v, n.viewCount+1; c.onView != nil {
+				c.onView(n)
 			}
-		}, c.r.note(name))
-		c.list = append(c.list, n)
-		c.every(cfg.Interval, n)
+		}, c.r.logFunc(name))
+		c.nodes = append(c.nodes, n)
+		c.generateLoad(cfg.Interval, n)
 	})
 	return n
 }
 
-// every has a node see its load.
-func (c *crowd) every(d time.Duration, n *node) {
-	if n.gone {
+// generateLoad has a node see its load.
+func (c *forwarderGroup) generateLoad(d time.Duration, n *node) {
+	if n.closed {
 		return
 	}
 	if c.load != nil {
 		c.load(n)
 	}
-	c.loop.After(d, func() { c.every(d, n) })
+	c.loop.After(d, func() { c.generateLoad(d, n) })
 }
 
-func used() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
--- a/internal/planner/talk_test.go
+++ b/internal/planner/talk_test.go
@@ -21,10 +21,10 @@
 	"lapisshelf/policy"
 )
 
-// reads has each node's digests tell reads of all caches, of which those of the bad ones come to nothing.
-func (r *rig) reads(bad *sync.Map) func(n *node) {
+// readLoad has each node's digests tell reads of all caches, of which those of the bad ones come to nothing.
+func (r *testEnv) readLoad(bad *sync.Map) func(n *node) {
 	return func(n *node) {
-		for _, id := range r.ids {
+		for _, id := range r.cacheIDs {
 			_, is := bad.Load(id)
 			for range 20 {
 				n.Request("k", "t")
@@ -57,30 +57,30 @@
 	return frame
 }
 
-func addrOf(s *scripted) netip.AddrPort { return netip.MustParseAddrPort(s.listener.Addr().String()) }
+func addrOf(s *fakeServer) netip.AddrPort { return netip.MustParseAddrPort(s.listener.Addr().String()) }
 
 // Forwarders of before there were changes, among new ones at one planner: they get whole views on the connection that
 // stands, and all act alike. Both a new forwarder told to speak as then, and frames as they were then.
 func TestOldForwardersAtANewPlanner(t *testing.T) {
-	r := newRig(t, 8)
-	p := r.plans("p1", "", nil)
+	r := newTestEnv(t, 8)
+	p := r.startPlanner("p1", "", nil)
 	var bad sync.Map
-	bad.Store(r.ids[0], true)
-	c := r.crowd()
-	c.load = r.reads(&bad)
-	fresh, whole := c.join("new", nil, p.Addr()), c.join("whole", func(cfg *forwarder.Config) { cfg.Legacy = true }, p.Addr())
+	bad.Store(r.cacheIDs[0], true)
+	c := r.newForwarderGroup()
+	c.load = r.readLoad(&bad)
+	fresh, whole := c.add("new", nil, p.Addr()), c.add("whole", func(cfg *forwarder.Config) { cfg.Legacy = true }, p.Addr())
 	conn := r.dial("frozen", p.Addr().String())
 	go func() {
 		for seq := uint64(1); ; seq++ {
-			d := &oldDigest{From: "frozen", Start: 1, Seq: seq, Span: int64(100 * ms), Asked: 160, Answered: 140}
-			for i, id := range r.ids {
-				l := oldLoad{ID: id, Sends: 20, Timely: 20}
+			d := &legacyDigest{From: "frozen", Start: 1, Seq: seq, Span: int64(100 * ms), Asked: 160, Answered: 140}
+			for i, id := range r.cacheIDs {
+				l := legacyLoad{ID: id, Sends: 20, Timely: 20}
 				if i == 0 {
-					l = oldLoad{ID: id, Sends: 20, Late: 20}
+					l = legacyLoad{ID: id, Sends: 20, Late: 20}
 				}
 				d.Servers = append(d.Servers, l)
 			}
-			if _, err := conn.Write(oldFrame(t, oldMessage{Digest: d})); err != nil {
+			if _, err := conn.Write(encodeLegacy(t, legacyMessage{Digest: d})); err != nil {
 				return
 			}
 			time.Sleep(100 * ms)
@@ -90,12 +90,12 @@
 	least, views, wrong := 1.0, 0, 0
 	go func() {
 		for {
-			m, _, err := oldRead(conn)
+			m, _, err := readLegacy(conn)
 			if err != nil {
 				return
 			}
 			mu.Lock()
-			if views++; m.View == nil || len(m.View.Servers) != len(r.ids) {
+			if views++; m.View == nil || len(m.View.Servers) != len(r.cacheIDs) {
 				wrong++
 			} else {
 				least = min(least, m.View.Servers[0].Factor)
@@ -108,9 +108,9 @@
 	c.eventually("all act on the bad cache", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return fresh.factor(r.ids[0]) < 0.2 && whole.factor(r.ids[0]) < 0.2 && least < 0.2
+		return fresh.factor(r.cacheIDs[0]) < 0.2 && whole.factor(r.cacheIDs[0]) < 0.2 && least < 0.2
 	})
-	c.on(func() {
+	c.onLoop(func() {
 		if fresh.FullDigests != wholes || whole.FullDigests != whole.DigestsSent || fresh.ClosedConns+whole.ClosedConns > 0 || !strings.Contains(fresh.Status(), "tells changes") || !strings.Contains(whole.Status(), "tells views") {
 			t.Errorf("new: %s, old: %s", fresh.Status(), whole.Status())
 		}
@@ -120,16 +120,16 @@
 		t.Errorf("%d of %d views are not whole", wrong, views)
 	}
 	mu.Unlock()
-	p.on(func() {
-		if len(p.conns) != 3 || p.plan.ForwarderCount() != 3 || p.broken > 0 || p.refusals() > 0 || p.out.views == 0 || p.out.changes == 0 {
-			t.Errorf("%d connections, %d heard, %d broken, %v refused, %+v", len(p.conns), p.plan.ForwarderCount(), p.broken, p.refused, p.out)
+	p.onLoop(func() {
+		if len(p.conns) != 3 || p.plan.ForwarderCount() != 3 || p.malformed > 0 || p.refusalCount() > 0 || p.sender.viewsSent == 0 || p.sender.changesSent == 0 {
+			t.Errorf("%d connections, %d heard, %d broken, %v refused, %+v", len(p.conns), p.plan.ForwarderCount(), p.malformed, p.refusedBy, p.sender)
 		}
 	})
 	bad.Clear()
 	// And back, with the connections that stand.
 	go conn.Close()
-	c.eventually("the cache gets weight back", func() bool { return fresh.factor(r.ids[0]) > 0.3 && whole.factor(r.ids[0]) > 0.3 })
-	c.on(func() {
+	c.eventually("the cache gets weight back", func() bool { return fresh.factor(r.cacheIDs[0]) > 0.3 && whole.factor(r.cacheIDs[0]) > 0.3 })
+	c.onLoop(func() {
 		if fresh.ClosedConns+whole.ClosedConns > 0 {
 			t.Error("a connection ended")
 		}
@@ -139,38 +139,38 @@
 // A planner of before there were changes: a new forwarder acts on its whole views, and tells it whole digests alone, on the
 // connection that stands.
 func TestANewForwarderAtAnOldPlanner(t *testing.T) {
-	r := newRig(t, 8)
+	r := newTestEnv(t, 8)
 	var mu sync.Mutex
 	hellos, wholes := 0, 0
-	old := r.oldPlanner("p1", "", 0.4, func(d oldDigest, raw map[int]cbor.RawMessage) {
+	old := r.startLegacyPlanner("p1", "", 0.4, func(d legacyDigest, raw map[int]cbor.RawMessage) {
 		mu.Lock()
 		defer mu.Unlock()
 		var fields map[int]cbor.RawMessage
-		if oldDecoder.Unmarshal(raw[1], &fields); fields[11] != nil || fields[12] != nil || fields[13] != nil {
+		if legacyDecoder.Unmarshal(raw[1], &fields); fields[11] != nil || fields[12] != nil || fields[13] != nil {
 			t.Error("a brief digest at a planner that would take it for a whole one")
 		}
 		switch {
 		case d.Asked == 0 && len(d.Servers) == 0:
 			hellos++
-		case len(d.Servers) == len(r.ids):
+		case len(d.Servers) == len(r.cacheIDs):
 			wholes++
 		default:
 			t.Errorf("a digest of %d servers", len(d.Servers))
 		}
 	})
-	c := r.crowd()
-	c.load = r.reads(&sync.Map{})
-	n := c.join("new", nil, addrOf(old))
+	c := r.newForwarderGroup()
+	c.load = r.readLoad(&sync.Map{})
+	n := c.add("new", nil, addrOf(old))
 	c.eventually("whole digests", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return wholes >= 5 && n.factor(r.ids[0]) == 0.4
+		return wholes >= 5 && n.factor(r.cacheIDs[0]) == 0.4
 	})
-	if mu.Lock(); old.came() != 1 || hellos == 0 || hellos > 5 {
-		t.Errorf("%d connections, %d hellos", old.came(), hellos)
+	if mu.Lock(); old.acceptedCount() != 1 || hellos == 0 || hellos > 5 {
+		t.Errorf("%d connections, %d hellos", old.acceptedCount(), hellos)
 	}
 	mu.Unlock()
-	c.on(func() {
+	c.onLoop(func() {
 		if n.ClosedConns > 0 || !strings.Contains(n.Status(), "tells views") {
 			t.Error(n.Status())
 		}
@@ -181,65 +181,65 @@
 // anew on each connection.
 // Guards against brief digests that an older planner would take for whole ones.
 func TestAPlannerOfAnotherVersionAtTheSameAddress(t *testing.T) {
-	r := newRig(t, 8)
-	p := r.plans("p1", "", nil)
+	r := newTestEnv(t, 8)
+	p := r.startPlanner("p1", "", nil)
 	at := p.Addr()
-	c := r.crowd()
-	c.load = r.reads(&sync.Map{})
-	n := c.join("new", nil, at)
-	p.eventually("brief digests", func() bool { return p.briefs > 3 })
-	p.end()
+	c := r.newForwarderGroup()
+	c.load = r.readLoad(&sync.Map{})
+	n := c.add("new", nil, at)
+	p.eventually("brief digests", func() bool { return p.briefDigests > 3 })
+	p.shutdown()
 	var mu sync.Mutex
 	wholes := 0
-	old := r.oldPlanner("p1", at.String(), 0.4, func(d oldDigest, raw map[int]cbor.RawMessage) {
+	old := r.startLegacyPlanner("p1", at.String(), 0.4, func(d legacyDigest, raw map[int]cbor.RawMessage) {
 		mu.Lock()
 		defer mu.Unlock()
 		var fields map[int]cbor.RawMessage
-		if oldDecoder.Unmarshal(raw[1], &fields); fields[11] != nil {
+		if legacyDecoder.Unmarshal(raw[1], &fields); fields[11] != nil {
 			t.Error("a brief digest at a planner that would take it for a whole one")
 		}
-		if len(d.Servers) == len(r.ids) {
+		if len(d.Servers) == len(r.cacheIDs) {
 			wholes++
 		}
 	})
 	c.eventually("whole digests", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return wholes > 3 && n.factor(r.ids[0]) == 0.4
+		return wholes > 3 && n.factor(r.cacheIDs[0]) == 0.4
 	})
-	old.end()
-	p = r.plans("p1", at.String(), nil)
-	p.eventually("brief digests again", func() bool { return p.briefs > 3 })
-	c.eventually("its state", func() bool { return n.factor(r.ids[0]) == 1 })
+	old.close()
+	p = r.startPlanner("p1", at.String(), nil)
+	p.eventually("brief digests again", func() bool { return p.briefDigests > 3 })
+	c.eventually("its state", func() bool { return n.factor(r.cacheIDs[0]) == 1 })
 }
 
 // A planner that says nothing gets no counts at first, then whole digests: it may be one that has no list yet.
 func TestAPlannerThatSaysNothing(t *testing.T) {
-	r := newRig(t, 8)
+	r := newTestEnv(t, 8)
 	var mu sync.Mutex
 	var kinds []int
-	s := r.script("p1", "", func(conn net.Conn) {
+	s := r.startFakeServer("p1", "", func(conn net.Conn) {
 		for {
-			m, raw, err := oldRead(conn)
+			m, raw, err := readLegacy(conn)
 			if err != nil {
 				return
 			}
 			mu.Lock()
 			kinds = append(kinds, len(m.Digest.Servers))
 			var fields map[int]cbor.RawMessage
-			if oldDecoder.Unmarshal(raw[1], &fields); fields[11] != nil {
+			if legacyDecoder.Unmarshal(raw[1], &fields); fields[11] != nil {
 				t.Error("a brief digest")
 			}
 			mu.Unlock()
 		}
 	})
-	c := r.crowd()
-	c.load = r.reads(&sync.Map{})
-	c.join("new", nil, addrOf(s))
+	c := r.newForwarderGroup()
+	c.load = r.readLoad(&sync.Map{})
+	c.add("new", nil, addrOf(s))
 	c.eventually("whole digests", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return len(kinds) > 5 && kinds[len(kinds)-1] == len(r.ids)
+		return len(kinds) > 5 && kinds[len(kinds)-1] == len(r.cacheIDs)
 	})
 	mu.Lock()
 	defer mu.Unlock()
@@ -250,31 +250,31 @@
 	}
 }
 
-// told is a planner whose states a test makes and sends as it likes.
-type told struct {
-	*scripted
-	mu    sync.Mutex
-	conn  net.Conn
-	holds []plan.Hold
-	brief []bool
-	nexts []uint64
-	sent  uint64 // changes
-	plan  *plan.Planner
-	now   time.Duration
-	bad   map[string]bool
-	seq   uint64
-	last  uint64 // digest that came
+// fakePlanner is a planner whose states a test makes and sends as it likes.
+type fakePlanner struct {
+	*fakeServer
+	mu            sync.Mutex
+	conn          net.Conn
+	receivedHolds []plan.Hold
+	receivedBrief []bool
+	receivedNext  []uint64
+	changesSent   uint64 // changes
+	plan          *plan.Planner
+	now           time.Duration
+	bad           map[string]bool
+	seq           uint64
+	lastSeq       uint64 // digest that came
 }
 
-func (r *rig) told(id string) *told {
-	s := &told{now: time.Duration(time.Now().UnixNano()), bad: map[string]bool{}}
+func (r *testEnv) startFakePlanner(id string) *fakePlanner {
+	s := &fakePlanner{now: time.Duration(time.Now().UnixNano()), bad: map[string]bool{}}
 	s.plan = plan.New(plan.Config{ID: id, History: 77, Move: 1})
 	var list []policy.Server
-	for _, id := range r.ids {
+	for _, id := range r.cacheIDs {
 		list = append(list, policy.Server{ID: id, Kind: "m2", Weight: 1, State: policy.Ready})
 	}
 	s.plan.SetServers(s.now, list)
-	s.scripted = r.script(id, "", func(conn net.Conn) {
+	s.fakeServer = r.startFakeServer(id, "", func(conn net.Conn) {
 		s.mu.Lock()
 		s.conn = conn
 		s.mu.Unlock()
@@ -296,8 +296,8 @@
 				if m.Hold == nil {
 					r.t.Error("a digest without a hold")
 				} else {
-					s.last = m.Digest.Seq
-					s.holds, s.brief, s.nexts = append(s.holds, *m.Hold), append(s.brief, m.Digest.Brief), append(s.nexts, m.NextChange)
+					s.lastSeq = m.Digest.Seq
+					s.receivedHolds, s.receivedBrief, s.receivedNext = append(s.receivedHolds, *m.Hold), append(s.receivedBrief, m.Digest.Brief), append(s.receivedNext, m.NextChange)
 				}
 				s.mu.Unlock()
 			}
@@ -306,12 +306,12 @@
 			}
 		}
 	})
-	s.next()
+	s.nextState()
 	return s
 }
 
-// next makes another state, in which more caches are bad.
-func (s *told) next(bad ...string) {
+// nextState makes another state, in which more caches are bad.
+func (s *fakePlanner) nextState(bad ...string) {
 	for _, id := range bad {
 		s.bad[id] = true
 	}
@@ -336,68 +336,68 @@
 	}
 }
 
-// change is what leads from a revision to the present state.
-func (s *told) change(from uint64) plan.Change {
+// changeFrom is what leads from a revision to the present state.
+func (s *fakePlanner) changeFrom(from uint64) plan.Change {
 	c, _ := s.plan.Change(s.now, plan.Hold{History: 77, Revision: from})
 	return c
 }
 
 // lastDigest is the number of the last digest that came.
-func (s *told) lastDigest() uint64 {
+func (s *fakePlanner) lastDigest() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.last
+	return s.lastSeq
 }
 
-func (s *told) send(c plan.Change) {
+func (s *fakePlanner) send(c plan.Change) {
 	s.r.t.Helper()
 	frame, err := planwire.Append(nil, planwire.Message{Change: &c})
 	if err != nil {
 		s.r.t.Fatal(err)
 	}
-	s.sent++
-	s.raw(frame)
+	s.changesSent++
+	s.sendRaw(frame)
 }
 
-func (s *told) raw(frame []byte) {
+func (s *fakePlanner) sendRaw(frame []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conn.Write(frame)
 }
 
-// acknowledges waits until so many digests from now on have told a hold, and gives the last.
-func (s *told) acknowledges(n int) plan.Hold {
+// awaitHolds waits until so many digests from now on have told a hold, and gives the last.
+func (s *fakePlanner) awaitHolds(n int) plan.Hold {
 	s.r.t.Helper()
 	s.mu.Lock()
-	from := len(s.holds)
+	from := len(s.receivedHolds)
 	s.mu.Unlock()
 	eventually(s.r.t, "digests", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return len(s.holds) >= from+n
+		return len(s.receivedHolds) >= from+n
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.holds[len(s.holds)-1]
+	return s.receivedHolds[len(s.receivedHolds)-1]
 }
 
 // Changes that are lost, doubled, late or of another history, as they come over a connection: what is in force is the
 // planner's state or, where that can't be, the forwarder says so with its next digest and gets all.
 func TestLostDoubledAndLateChanges(t *testing.T) {
-	r := newRig(t, 24)
-	s := r.told("p1")
-	c := r.crowd()
-	c.load = r.reads(&sync.Map{})
-	n := c.join("n", nil, addrOf(s.scripted))
-	if h := s.acknowledges(1); h != (plan.Hold{}) {
+	r := newTestEnv(t, 24)
+	s := r.startFakePlanner("p1")
+	c := r.newForwarderGroup()
+	c.load = r.readLoad(&sync.Map{})
+	n := c.add("n", nil, addrOf(s.fakeServer))
+	if h := s.awaitHolds(1); h != (plan.Hold{}) {
 		t.Fatalf("it holds %+v", h)
 	}
 	is := func(what string, rev uint64, bad ...string) {
 		t.Helper()
 		want := plan.Hold{History: 77, Revision: rev, Follows: true}
-		eventually(t, what, func() bool { return s.acknowledges(1) == want })
-		c.on(func() {
-			for _, id := range r.ids {
+		eventually(t, what, func() bool { return s.awaitHolds(1) == want })
+		c.onLoop(func() {
+			for _, id := range r.cacheIDs {
 				if f, want := n.factor(id), s.bad[id]; (f < 1) != want {
 					t.Errorf("%s: %s counts for %.2f", what, id, f)
 				}
@@ -405,7 +405,7 @@
 		})
 	}
 	counts := func(reason string) (k int) {
-		c.on(func() {
+		c.onLoop(func() {
 			_, after, _ := strings.Cut(n.Status(), "views "+reason+" ")
 			for _, d := range after {
 				if d < '0' || d > '9' {
@@ -416,105 +416,105 @@
 		})
 		return k
 	}
-	s.send(s.change(0))
+	s.send(s.changeFrom(0))
 	is("a whole state", s.plan.Revision())
 	first := s.plan.Revision()
-	s.next(r.ids[0])
-	one := s.change(first)
+	s.nextState(r.cacheIDs[0])
+	one := s.changeFrom(first)
 	s.send(one)
 	is("a change", s.plan.Revision())
 	s.send(one) // doubled
-	s.next(r.ids[1])
-	lost := s.change(one.Revision) // never sent
-	s.next(r.ids[2])
-	s.send(s.change(one.Revision)) // all since what was acknowledged
+	s.nextState(r.cacheIDs[1])
+	lost := s.changeFrom(one.Revision) // never sent
+	s.nextState(r.cacheIDs[2])
+	s.send(s.changeFrom(one.Revision)) // all since what was acknowledged
 	is("what was lost comes with the next", s.plan.Revision())
 	if got := counts("late"); got != 1 {
 		t.Errorf("%d were late, want the doubled one", got)
 	}
 	s.send(lost) // late
-	s.acknowledges(2)
+	s.awaitHolds(2)
 	is("a late one changes nothing", s.plan.Revision())
 	if got := counts("late"); got != 2 {
 		t.Errorf("%d were late", got)
 	}
 	// One is lost, and the planner wrongly counts from it.
-	s.next(r.ids[3])
+	s.nextState(r.cacheIDs[3])
 	missed := s.plan.Revision()
-	s.next(r.ids[4])
-	s.send(s.change(missed))
-	nothing := func() bool { h := s.acknowledges(1); return h.History == 0 && h.Revision == 0 }
+	s.nextState(r.cacheIDs[4])
+	s.send(s.changeFrom(missed))
+	nothing := func() bool { h := s.awaitHolds(1); return h.History == 0 && h.Revision == 0 }
 	eventually(t, "it wants all", nothing)
 	if got := counts("doubt"); got != 1 {
 		t.Errorf("%d doubts", got)
 	}
-	s.send(s.change(0))
+	s.send(s.changeFrom(0))
 	is("all anew", s.plan.Revision())
 	// What is rebuilt is not what the planner has.
 	from := s.plan.Revision()
-	s.next(r.ids[5])
-	wrong := s.change(from)
+	s.nextState(r.cacheIDs[5])
+	wrong := s.changeFrom(from)
 	wrong.Sum++
 	s.send(wrong)
 	eventually(t, "it wants all", nothing)
 	if got := counts("doubt"); got != 2 {
 		t.Errorf("%d doubts", got)
 	}
-	s.send(s.change(0))
+	s.send(s.changeFrom(0))
 	is("all anew", s.plan.Revision())
 	// Another history, counted from nothing that is held.
-	other := s.change(s.plan.Revision())
+	other := s.changeFrom(s.plan.Revision())
 	other.History++
 	s.send(other)
 	eventually(t, "it wants all", nothing)
-	s.send(s.change(0))
+	s.send(s.changeFrom(0))
 	is("all anew", s.plan.Revision())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.brief[0] || !s.brief[len(s.brief)-1] {
-		t.Errorf("brief: %v", s.brief)
+	if s.receivedBrief[0] || !s.receivedBrief[len(s.receivedBrief)-1] {
+		t.Errorf("brief: %v", s.receivedBrief)
 	}
 	// Each digest tells the change that is expected, whatever became of those before: the first is 1.
-	if first, last := s.nexts[0], s.nexts[len(s.nexts)-1]; first != 1 || last != s.sent+1 || !slices.IsSorted(s.nexts) {
-		t.Errorf("%d changes went out, expected were %v", s.sent, s.nexts)
+	if first, last := s.receivedNext[0], s.receivedNext[len(s.receivedNext)-1]; first != 1 || last != s.changesSent+1 || !slices.IsSorted(s.receivedNext) {
+		t.Errorf("%d changes went out, expected were %v", s.changesSent, s.receivedNext)
 	}
 }
 
 // Absurd, forged and old messages of a planner: refused with a reason and counted, the connection and what is in force
 // stand; what cannot be read ends the connection, which is made anew.
-func TestAbsurdChanges(t *testing.T) {
-	r := newRig(t, 8)
-	s := r.told("p1")
-	c := r.crowd()
-	n := c.join("n", nil, addrOf(s.scripted))
-	s.acknowledges(1)
-	s.next(r.ids[0])
-	s.send(s.change(0))
-	eventually(t, "it holds the state", func() bool { return s.acknowledges(1).Revision == s.plan.Revision() })
+func TestInvalidChanges(t *testing.T) {
+	r := newTestEnv(t, 8)
+	s := r.startFakePlanner("p1")
+	c := r.newForwarderGroup()
+	n := c.add("n", nil, addrOf(s.fakeServer))
+	s.awaitHolds(1)
+	s.nextState(r.cacheIDs[0])
+	s.send(s.changeFrom(0))
+	eventually(t, "it holds the state", func() bool { return s.awaitHolds(1).Revision == s.plan.Revision() })
 	status := func() (text string) {
-		c.on(func() { text = n.Status() })
+		c.onLoop(func() { text = n.Status() })
 		return text
 	}
 	factor := func() (f float64) {
-		c.on(func() { f = n.factor(r.ids[0]) })
+		c.onLoop(func() { f = n.factor(r.cacheIDs[0]) })
 		return f
 	}
 	stands := factor()
 	held := s.plan.Revision()
 	for i, spoil := range []func(c *plan.Change){
-		func(c *plan.Change) { c.Grants = []plan.Grant{{ID: r.ids[1], Rate: -1}} },
-		func(c *plan.Change) { c.Grants = []plan.Grant{{ID: r.ids[1], Rate: math.NaN()}} },
-		func(c *plan.Change) { c.Grants = []plan.Grant{{ID: r.ids[1], Rate: 1e300}} },
-		func(c *plan.Change) { c.Grants, c.Answers = []plan.Grant{{ID: r.ids[1], Rate: 1}}, 0 },
-		func(c *plan.Change) { c.Servers = []policy.ServerView{{ID: r.ids[1], Factor: 7}} },
-		func(c *plan.Change) { c.Servers = []policy.ServerView{{ID: r.ids[1], Factor: -1}} },
+		func(c *plan.Change) { c.Grants = []plan.Grant{{ID: r.cacheIDs[1], Rate: -1}} },
+		func(c *plan.Change) { c.Grants = []plan.Grant{{ID: r.cacheIDs[1], Rate: math.NaN()}} },
+		func(c *plan.Change) { c.Grants = []plan.Grant{{ID: r.cacheIDs[1], Rate: 1e300}} },
+		func(c *plan.Change) { c.Grants, c.Answers = []plan.Grant{{ID: r.cacheIDs[1], Rate: 1}}, 0 },
+		func(c *plan.Change) { c.Servers = []policy.ServerView{{ID: r.cacheIDs[1], Factor: 7}} },
+		func(c *plan.Change) { c.Servers = []policy.ServerView{{ID: r.cacheIDs[1], Factor: -1}} },
 		func(c *plan.Change) { c.History = 0 },
 		func(c *plan.Change) { c.Base = c.Revision + 1 },
 		func(c *plan.Change) { c.Valid = -1 },
 		func(c *plan.Change) { c.Planner = "" },
 		func(c *plan.Change) { c.Count = 1 }, // of eight
 	} {
-		change := s.change(held)
+		change := s.changeFrom(held)
 		change.Answers = s.lastDigest()
 		spoil(&change)
 		s.send(change)
@@ -523,30 +523,30 @@
 		if f := factor(); f != stands {
 			t.Errorf("%d: the factor is %.3f", i, f)
 		}
-		if s.acknowledges(1); s.came() != 1 {
+		if s.awaitHolds(1); s.acceptedCount() != 1 {
 			t.Fatalf("%d: the connection ended", i)
 		}
 	}
-	if !r.noted("n view_refused", "reason=absurd") {
+	if !r.logged("n view_refused", "reason=absurd") {
 		t.Error("nothing said")
 	}
 	// Grants for servers that the list does not have count for nothing, and hurt nothing.
-	s.send(s.change(0))
-	change := s.change(held)
+	s.send(s.changeFrom(0))
+	change := s.changeFrom(held)
 	change.Grants, change.Answers = []plan.Grant{{ID: "nobody", Rate: 3}}, s.lastDigest()
 	s.send(change)
 	eventually(t, "taken", func() bool {
-		h := s.acknowledges(1)
+		h := s.awaitHolds(1)
 		return h.Revision == held && strings.Contains(status(), "nobody")
 	})
 	// What cannot be read.
 	for i, frame := range [][]byte{{0xff, 0xff, 0xff, 0xff}, {0, 0, 0, 1, 0xff}, {0, 0, 0, 0}, frameOf(t, planwire.Message{Digest: &plan.Digest{From: "p1", Start: 1, Seq: 1, Span: 1}})} {
-		eventually(t, "a connection", func() bool { return s.came() == i+1 })
-		s.acknowledges(1)
-		s.raw(frame)
-		eventually(t, "another connection", func() bool { return s.came() == i+2 })
+		eventually(t, "a connection", func() bool { return s.acceptedCount() == i+1 })
+		s.awaitHolds(1)
+		s.sendRaw(frame)
+		eventually(t, "another connection", func() bool { return s.acceptedCount() == i+2 })
 	}
-	c.on(func() {
+	c.onLoop(func() {
 		if n.ClosedConns != 4 {
 			t.Errorf("%d connections ended", n.ClosedConns)
 		}
@@ -555,16 +555,16 @@
 
 // What a forwarder should not send: counted and told with a reason under the name in its certificate; the connection stands
 // while frames can be read, and others are not touched.
-func TestAbsurdDigests(t *testing.T) {
-	r := newRig(t, 8)
-	p := r.plans("p1", "", nil)
-	c := r.crowd()
-	c.load = r.reads(&sync.Map{})
-	n := c.join("good", nil, p.Addr())
-	p.eventually("it is heard", func() bool { return p.plan.ForwarderCount() == 1 && p.out.states == 1 })
+func TestInvalidDigests(t *testing.T) {
+	r := newTestEnv(t, 8)
+	p := r.startPlanner("p1", "", nil)
+	c := r.newForwarderGroup()
+	c.load = r.readLoad(&sync.Map{})
+	n := c.add("good", nil, p.Addr())
+	p.eventually("it is heard", func() bool { return p.plan.ForwarderCount() == 1 && p.sender.statesSent == 1 })
 	conn := r.dial("evil", p.Addr().String())
 	own := func() (h plan.Hold) {
-		p.on(func() { h = plan.Hold{History: p.cfg.Plan.History, Revision: p.plan.Revision()} })
+		p.onLoop(func() { h = plan.Hold{History: p.cfg.Plan.History, Revision: p.plan.Revision()} })
 		return h
 	}
 	digest := func() *plan.Digest { return &plan.Digest{From: "evil", Start: 5, Seq: 1, Span: time.Second} }
@@ -581,17 +581,17 @@
 		{Digest: &plan.Digest{From: "evil", Start: 5, Seq: 1, Span: time.Second, Asked: -1}},
 		{Digest: &plan.Digest{From: "evil", Start: 5, Seq: 1, Span: -1}},
 		{Digest: &plan.Digest{From: "evil", Start: 5, Seq: 1, Span: time.Second, Brief: true, Rest: plan.Load{Timely: 1 << 40}}},
-		{Digest: &plan.Digest{From: "evil", Start: 5, Seq: 1, Span: time.Second, Bad: []plan.Load{{ID: r.ids[0], Late: 1}}}},
+		{Digest: &plan.Digest{From: "evil", Start: 5, Seq: 1, Span: time.Second, Bad: []plan.Load{{ID: r.cacheIDs[0], Late: 1}}}},
 	} {
 		conn.Write(frameOf(t, m))
-		p.eventually("it is refused", func() bool { return p.refused["evil"] == int64(i+1) })
+		p.eventually("it is refused", func() bool { return p.refusedBy["evil"] == int64(i+1) })
 	}
-	p.on(func() {
-		if p.plan.ForwarderCount() != 1 || p.refused["good"] > 0 || p.broken > 0 || len(p.conns) != 2 {
-			t.Errorf("%d heard, %v refused, %d broken, %d connections", p.plan.ForwarderCount(), p.refused, p.broken, len(p.conns))
+	p.onLoop(func() {
+		if p.plan.ForwarderCount() != 1 || p.refusedBy["good"] > 0 || p.malformed > 0 || len(p.conns) != 2 {
+			t.Errorf("%d heard, %v refused, %d broken, %d connections", p.plan.ForwarderCount(), p.refusedBy, p.malformed, len(p.conns))
 		}
 	})
-	if !r.noted("digest_refused", `from="evil" count=1 `, "what planners tell") || !r.noted("digest_refused", `from="evil" count=4 `, "holds revision 0 of history 3") {
+	if !r.logged("digest_refused", `from="evil" count=1 `, "what planners tell") || !r.logged("digest_refused", `from="evil" count=4 `, "holds revision 0 of history 3") {
 		t.Error("no reason said")
 	}
 	// It can still speak.
@@ -601,16 +601,16 @@
 	for i, frame := range [][]byte{binary.BigEndian.AppendUint32(nil, 1<<30), {0, 0, 0, 1, 0xff}, append(binary.BigEndian.AppendUint32(nil, planwire.MaxMessageBytes+1), 1)} {
 		conn := r.dial("worse", p.Addr().String())
 		conn.Write(frame)
-		p.eventually("it is hung up on", func() bool { return p.broken == int64(i+1) })
+		p.eventually("it is hung up on", func() bool { return p.malformed == int64(i+1) })
 		if _, err := conn.Read(make([]byte, 1)); err == nil {
 			t.Error("the connection stands")
 		}
 	}
-	if !r.noted("digest_refused", `from="worse"`, "bytes") {
+	if !r.logged("digest_refused", `from="worse"`, "bytes") {
 		t.Error("no reason said")
 	}
 	c.eventually("the other one is served", func() bool { return n.ViewsReceived > 0 })
-	c.on(func() {
+	c.onLoop(func() {
 		if n.ClosedConns > 0 {
 			t.Error(n.Status())
 		}
@@ -619,106 +619,106 @@
 
 // A planner that starts anew at its address counts in another history: what was held of the one before is replaced as a
 // whole, and no factor of it stays.
-func TestAPlannerStartsAnew(t *testing.T) {
-	r := newRig(t, 8)
-	p := r.plans("p1", "", nil)
+func TestPlannerRestart(t *testing.T) {
+	r := newTestEnv(t, 8)
+	p := r.startPlanner("p1", "", nil)
 	at := p.Addr()
 	var bad sync.Map
-	bad.Store(r.ids[0], true)
-	c := r.crowd()
-	c.load = r.reads(&bad)
-	n := c.join("n", nil, at)
-	c.eventually("the bad cache is avoided", func() bool { return n.factor(r.ids[0]) < 0.3 })
-	p.end()
+	bad.Store(r.cacheIDs[0], true)
+	c := r.newForwarderGroup()
+	c.load = r.readLoad(&bad)
+	n := c.add("n", nil, at)
+	c.eventually("the bad cache is avoided", func() bool { return n.factor(r.cacheIDs[0]) < 0.3 })
+	p.shutdown()
 	bad.Clear()
-	bad.Store(r.ids[5], true)
-	p = r.plans("p1", at.String(), nil)
-	c.eventually("the other one is avoided, and it alone", func() bool { return n.factor(r.ids[5]) < 0.3 && n.factor(r.ids[0]) == 1 })
-	p.on(func() {
-		if p.out.states == 0 {
+	bad.Store(r.cacheIDs[5], true)
+	p = r.startPlanner("p1", at.String(), nil)
+	c.eventually("the other one is avoided, and it alone", func() bool { return n.factor(r.cacheIDs[5]) < 0.3 && n.factor(r.cacheIDs[0]) == 1 })
+	p.onLoop(func() {
+		if p.sender.statesSent == 0 {
 			t.Error("no whole state")
 		}
 	})
 }
 
 // A connection that breaks and comes up again costs no whole state: the forwarder says what it holds.
-func TestAConnectionComesBack(t *testing.T) {
-	r := newRig(t, 8)
-	p := r.plans("p1", "", nil)
-	c := r.crowd()
-	c.load = r.reads(&sync.Map{})
-	n := c.join("n", nil, p.Addr())
+func TestReconnectNeedsNoFullState(t *testing.T) {
+	r := newTestEnv(t, 8)
+	p := r.startPlanner("p1", "", nil)
+	c := r.newForwarderGroup()
+	c.load = r.readLoad(&sync.Map{})
+	n := c.add("n", nil, p.Addr())
 	// What was on its way when the first state went out asked for another.
-	p.eventually("brief digests", func() bool { return p.briefs > 3 && len(p.out.waiting) == 0 })
+	p.eventually("brief digests", func() bool { return p.briefDigests > 3 && len(p.sender.awaitingState) == 0 })
 	states, doubts := int64(0), int64(0)
-	p.on(func() { states, doubts = p.out.states, p.out.doubts })
+	p.onLoop(func() { states, doubts = p.sender.statesSent, p.sender.lostStates })
 	for i := range int64(3) {
-		p.on(func() {
+		p.onLoop(func() {
 			for conn := range p.conns {
 				conn.tls.NetConn().Close()
 			}
 		})
 		c.eventually("the connection broke", func() bool { return n.ClosedConns == i+1 })
 		briefs := int64(0)
-		p.on(func() { briefs = p.briefs })
-		p.eventually("brief digests", func() bool { return p.briefs > briefs+2 })
+		p.onLoop(func() { briefs = p.briefDigests })
+		p.eventually("brief digests", func() bool { return p.briefDigests > briefs+2 })
 	}
-	p.on(func() {
-		if p.out.states != states || p.out.doubts != doubts {
-			t.Errorf("%d whole states, %d doubts", p.out.states, p.out.doubts)
+	p.onLoop(func() {
+		if p.sender.statesSent != states || p.sender.lostStates != doubts {
+			t.Errorf("%d whole states, %d doubts", p.sender.statesSent, p.sender.lostStates)
 		}
 	})
 }
 
 // A forwarder that starts anew under its name holds nothing, and gets all.
-func TestAForwarderStartsAnew(t *testing.T) {
-	r := newRig(t, 8)
-	p := r.plans("p1", "", nil)
+func TestForwarderRestart(t *testing.T) {
+	r := newTestEnv(t, 8)
+	p := r.startPlanner("p1", "", nil)
 	var bad sync.Map
-	bad.Store(r.ids[0], true)
-	c := r.crowd()
-	c.load = r.reads(&bad)
-	n := c.join("n", nil, p.Addr())
-	c.eventually("the bad cache is avoided", func() bool { return n.factor(r.ids[0]) < 0.3 })
-	c.on(func() { n.Close() })
-	again := c.join("n", nil, p.Addr())
-	c.eventually("the bad cache is avoided", func() bool { return again.factor(r.ids[0]) < 0.3 })
-	p.on(func() {
-		if p.out.states < 2 || p.refusals() > 0 {
-			t.Errorf("%d whole states, %v refused", p.out.states, p.refused)
+	bad.Store(r.cacheIDs[0], true)
+	c := r.newForwarderGroup()
+	c.load = r.readLoad(&bad)
+	n := c.add("n", nil, p.Addr())
+	c.eventually("the bad cache is avoided", func() bool { return n.factor(r.cacheIDs[0]) < 0.3 })
+	c.onLoop(func() { n.Close() })
+	again := c.add("n", nil, p.Addr())
+	c.eventually("the bad cache is avoided", func() bool { return again.factor(r.cacheIDs[0]) < 0.3 })
+	p.onLoop(func() {
+		if p.sender.statesSent < 2 || p.refusalCount() > 0 {
+			t.Errorf("%d whole states, %v refused", p.sender.statesSent, p.refusedBy)
 		}
 	})
 }
 
 // A forwarder has lost what the planner takes it to hold: it says so with its next digest, and gets the whole state. That this
 // goes out with the planner's next look, see TestChangesAreToldFromWhatIsHeld.
-func TestDoubt(t *testing.T) {
-	r := newRig(t, 8)
-	p := r.plans("p1", "", nil)
+func TestForwarderLostItsState(t *testing.T) {
+	r := newTestEnv(t, 8)
+	p := r.startPlanner("p1", "", nil)
 	var bad sync.Map
-	c := r.crowd()
-	c.load = r.reads(&bad)
-	n := c.join("n", nil, p.Addr())
-	c.eventually("it holds the state", func() bool { return strings.Contains(n.Status(), "tells changes") && n.count > 0 })
+	c := r.newForwarderGroup()
+	c.load = r.readLoad(&bad)
+	n := c.add("n", nil, p.Addr())
+	c.eventually("it holds the state", func() bool { return strings.Contains(n.Status(), "tells changes") && n.viewCount > 0 })
 	// A digest that was on its way as the first state went out holds nothing and counts as doubt too. Guards against taking that
 	// for the doubt that is looked for: a brief digest comes after all of those, and the counts go from there.
-	p.eventually("it says what it holds", func() bool { return p.briefs > 0 && len(p.out.waiting) == 0 })
+	p.eventually("it says what it holds", func() bool { return p.briefDigests > 0 && len(p.sender.awaitingState) == 0 })
 	states, doubts := int64(0), int64(0)
-	p.on(func() { states, doubts = p.out.states, p.out.doubts })
-	bad.Store(r.ids[0], true)
+	p.onLoop(func() { states, doubts = p.sender.statesSent, p.sender.lostStates })
+	bad.Store(r.cacheIDs[0], true)
 	// The planner takes it to hold revisions that never went out.
 	p.eventually("doubt", func() bool {
 		was := p.plan.Revision()
-		if p.plan.Update(p.loop.Now()); p.out.doubts == doubts && p.plan.Revision() > was {
+		if p.plan.Update(p.loop.Now()); p.sender.lostStates == doubts && p.plan.Revision() > was {
 			for conn := range p.conns {
-				conn.hold.Revision, conn.sent = p.plan.Revision(), p.plan.Revision()
+				conn.hold.Revision, conn.sentRevision = p.plan.Revision(), p.plan.Revision()
 			}
 		}
-		return p.out.doubts > doubts
+		return p.sender.lostStates > doubts
 	})
-	p.eventually("a whole state", func() bool { return p.out.states > states })
-	c.eventually("the bad cache is avoided", func() bool { return n.factor(r.ids[0]) < 0.3 })
-	c.on(func() {
+	p.eventually("a whole state", func() bool { return p.sender.statesSent > states })
+	c.eventually("the bad cache is avoided", func() bool { return n.factor(r.cacheIDs[0]) < 0.3 })
+	c.onLoop(func() {
 		if n.ClosedConns > 0 || !strings.Contains(n.Status(), "views doubt ") || strings.Contains(n.Status(), "views doubt 0") {
 			t.Error(n.Status())
 		}
@@ -729,15 +729,15 @@
 // has not heard of it. Where the first address takes no connections, the second is dialled in its place. All stand in the end.
 // Guards against two handshakes of 4 KB, and two whole states, in one second of a node.
 func TestOneConnectionAfterTheOther(t *testing.T) {
-	r := newRig(t, 8)
-	a, b := r.plans("a", "", nil), r.plans("b", "", nil)
-	c := r.crowd()
-	c.load = r.reads(&sync.Map{})
+	r := newTestEnv(t, 8)
+	a, b := r.startPlanner("a", "", nil), r.startPlanner("b", "", nil)
+	c := r.newForwarderGroup()
+	c.load = r.readLoad(&sync.Map{})
 	var nodes []*node
 	alone, began := 0, map[string]time.Time{}
-	c.took = func(n *node) {
+	c.onView = func(n *node) {
 		// One of which nothing is heard for three seconds keeps the other waiting no longer.
-		if at, is := began[n.name]; !is || n.count > 1 || time.Since(at) >= 3*time.Second {
+		if at, is := began[n.name]; !is || n.viewCount > 1 || time.Since(at) >= 3*time.Second {
 			return
 		}
 		alone++
@@ -747,25 +747,25 @@
 	}
 	for i := range 40 {
 		name := fmt.Sprintf("n%02d", i)
-		c.on(func() { began[name] = time.Now() })
-		nodes = append(nodes, c.join(name, nil, a.Addr(), b.Addr()))
+		c.onLoop(func() { began[name] = time.Now() })
+		nodes = append(nodes, c.add(name, nil, a.Addr(), b.Addr()))
 	}
-	for _, p := range []*running{a, b} {
+	for _, p := range []*testPlanner{a, b} {
 		p.eventually("all are heard", func() bool { return p.plan.ForwarderCount() == len(nodes) })
 	}
-	c.on(func() {
+	c.onLoop(func() {
 		if alone == 0 {
 			t.Error("no node was heard in time: that is no test")
 		}
 		for _, n := range nodes {
-			if n.count == 0 {
+			if n.viewCount == 0 {
 				t.Errorf("%s acts on no view: %s", n.name, n.Status())
 			}
 		}
 	})
 	at := a.Addr()
-	a.end()
-	n := c.join("late", nil, at, b.Addr())
+	a.shutdown()
+	n := c.add("late", nil, at, b.Addr())
 	b.eventually("it is heard though the other is gone", func() bool { return b.plan.ForwarderCount() == len(nodes)+1 })
-	c.eventually("and acts on a view", func() bool { return n.count > 0 })
+	c.eventually("and acts on a view", func() bool { return n.viewCount > 0 })
 }
--- a/internal/planwire/planwire.go
+++ b/internal/planwire/planwire.go
@@ -128,7 +128,7 @@
 	}
 )
 
-const thousand = 1000
+const thousandths = 1000
 
 var (
 	encoder = must(cbor.CanonicalEncOptions().EncMode())
@@ -197,9 +197,9 @@
 // hold the same revision.
 func EncodeChange(c plan.Change) (cbor.RawMessage, error) {
 	x := change{Epoch: c.Epoch, Planner: c.Planner, Made: int64(c.Made), Valid: int64(c.Valid), History: c.History, Base: c.Base, Revision: c.Revision, Count: c.Count,
-		Admit: steps(c.Admit), HotSet: c.HotSet, TenantsSet: c.TenantsSet, Sum: c.Sum}
+		Admit: toThousandths(c.Admit), HotSet: c.HotSet, TenantsSet: c.TenantsSet, Sum: c.Sum}
 	for _, s := range c.Servers {
-		x.Servers = append(x.Servers, factor{s.ID, steps(s.Factor)})
+		x.Servers = append(x.Servers, factor{s.ID, toThousandths(s.Factor)})
 	}
 	for _, h := range c.Hot {
 		x.Hot = append(x.Hot, heat{Key: h.Key, Load: h.Load})
@@ -210,12 +210,12 @@
 	return encoder.Marshal(x)
 }
 
-// steps is a part in thousandths; what is no part becomes one that no reader takes.
-func steps(part float64) uint16 {
+// toThousandths is a part in thousandths; what is no part becomes one that no reader takes.
+func toThousandths(part float64) uint16 {
 	if !(part >= 0 && part <= 1) {
 		return math.MaxUint16
 	}
-	return uint16(math.Round(part * thousand))
+	return uint16(math.Round(part * thousandths))
 }
 
 // AppendChange writes a message with a change behind buf.
@@ -266,17 +266,17 @@
 	if in.Version < Version-1 || in.Version > Version+1 || in.Version == 0 {
 		return m, 0, fmt.Errorf("version %d, not %d", in.Version, Version)
 	}
-	parts := 0
-	for _, is := range []bool{in.Digest != nil, in.View != nil, in.Change != nil} {
-		if is {
-			parts++
+	kinds := 0
+	for _, present := range []bool{in.Digest != nil, in.View != nil, in.Change != nil} {
+		if present {
+			kinds++
 		}
 	}
-	if parts != 1 {
+	if kinds != 1 {
 		return m, 0, errors.New("neither a digest nor a view nor a change")
 	}
 	if in.Change != nil {
-		c, err := readChange(in.Change, in.Grants)
+		c, err := decodeChange(in.Change, in.Grants)
 		if a := in.Answers; err == nil && a != nil {
 			c.Answers, c.After = a.Seq, time.Duration(a.After)
 		}
@@ -321,15 +321,15 @@
 	return Message{View: v}, used, nil
 }
 
-func readChange(raw cbor.RawMessage, grants []grant) (*plan.Change, error) {
+func decodeChange(raw cbor.RawMessage, grants []grant) (*plan.Change, error) {
 	var x change
 	if err := decoder.Unmarshal(raw, &x); err != nil {
 		return nil, err
 	}
 	c := &plan.Change{Epoch: x.Epoch, Planner: x.Planner, Made: time.Duration(x.Made), Valid: time.Duration(x.Valid), History: x.History, Base: x.Base, Revision: x.Revision, Count: x.Count,
-		Admit: float64(x.Admit) / thousand, HotSet: x.HotSet, TenantsSet: x.TenantsSet, Sum: x.Sum}
+		Admit: float64(x.Admit) / thousandths, HotSet: x.HotSet, TenantsSet: x.TenantsSet, Sum: x.Sum}
 	for _, s := range x.Servers {
-		c.Servers = append(c.Servers, policy.ServerView{ID: s.ID, Factor: float64(s.Factor) / thousand})
+		c.Servers = append(c.Servers, policy.ServerView{ID: s.ID, Factor: float64(s.Factor) / thousandths})
 	}
 	for _, h := range x.Hot {
 		c.Hot = append(c.Hot, policy.HotKey{Key: h.Key, Load: h.Load})
--- a/internal/planwire/planwire_test.go
+++ b/internal/planwire/planwire_test.go
@@ -33,7 +33,7 @@
 }
 
 // What is written is read, piece by piece, one message after the other.
-func TestThereAndBack(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	var all []byte
 	for _, m := range samples() {
 		var err error
@@ -61,7 +61,7 @@
 }
 
 // The form on the wire is the documented one, by hand.
-func TestTheForm(t *testing.T) {
+func TestViewEncoding(t *testing.T) {
 	got, err := Append(nil, Message{View: &plan.View{Epoch: 3, Planner: "p", Made: 9, Valid: 10, View: policy.View{Servers: []policy.ServerView{{ID: "c", Factor: 0.5}}}}})
 	// length 24; {0: 1, 2: {1: 3, 2: "p", 3: 9, 4: 10, 5: [{1: "c", 2: 0.5}]}}
 	if want := "00000018" + "a2" + "0001" + "02a5" + "0103" + "026170" + "0309" + "040a" + "0581a2016163" + "02f93800"; err != nil || hex.EncodeToString(got) != want {
@@ -70,7 +70,7 @@
 }
 
 // And so are those of a digest in brief with what is held, and of a change with grants.
-func TestTheFormOfChanges(t *testing.T) {
+func TestDigestAndChangeEncoding(t *testing.T) {
 	for name, c := range map[string]struct {
 		m    Message
 		want string
@@ -98,7 +98,7 @@
 }
 
 // A change that is written once serves all that hold the same: what each is granted goes beside it.
-func TestOneChangeForMany(t *testing.T) {
+func TestSharedChangeEncoding(t *testing.T) {
 	c := *samples()[6].Change
 	raw, err := EncodeChange(c)
 	if err != nil {
@@ -118,12 +118,12 @@
 
 // What stood before there were changes, as it was: the wire's forms of version 1 at the time.
 type (
-	oldMessage struct {
-		Version uint8      `cbor:"0,keyasint"`
-		Digest  *oldDigest `cbor:"1,keyasint,omitempty"`
-		View    *oldView   `cbor:"2,keyasint,omitempty"`
+	legacyMessage struct {
+		Version uint8         `cbor:"0,keyasint"`
+		Digest  *legacyDigest `cbor:"1,keyasint,omitempty"`
+		View    *legacyView   `cbor:"2,keyasint,omitempty"`
 	}
-	oldLoad struct {
+	legacyLoad struct {
 		ID     string `cbor:"1,keyasint,omitempty"`
 		Sends  int    `cbor:"2,keyasint,omitempty"`
 		Timely int    `cbor:"3,keyasint,omitempty"`
@@ -132,56 +132,56 @@
 		Failed int    `cbor:"6,keyasint,omitempty"`
 		Times  []int  `cbor:"7,keyasint,omitempty"`
 	}
-	oldHeat struct {
+	legacyHeat struct {
 		Key   uint32  `cbor:"1,keyasint"`
 		Asked int     `cbor:"2,keyasint,omitempty"`
 		Load  float64 `cbor:"3,keyasint,omitempty"`
 	}
-	oldUse struct {
+	legacyUse struct {
 		Tenant string  `cbor:"1,keyasint"`
 		Asked  int     `cbor:"2,keyasint,omitempty"`
 		Rate   float64 `cbor:"3,keyasint,omitempty"`
 	}
-	oldDigest struct {
-		From     string    `cbor:"1,keyasint"`
-		Start    int64     `cbor:"2,keyasint"`
-		Seq      uint64    `cbor:"3,keyasint"`
-		Span     int64     `cbor:"4,keyasint"`
-		Asked    int       `cbor:"5,keyasint,omitempty"`
-		Answered int       `cbor:"6,keyasint,omitempty"`
-		Servers  []oldLoad `cbor:"7,keyasint,omitempty"`
-		Origin   oldLoad   `cbor:"8,keyasint"`
-		Hot      []oldHeat `cbor:"9,keyasint,omitempty"`
-		Tenants  []oldUse  `cbor:"10,keyasint,omitempty"`
+	legacyDigest struct {
+		From     string       `cbor:"1,keyasint"`
+		Start    int64        `cbor:"2,keyasint"`
+		Seq      uint64       `cbor:"3,keyasint"`
+		Span     int64        `cbor:"4,keyasint"`
+		Asked    int          `cbor:"5,keyasint,omitempty"`
+		Answered int          `cbor:"6,keyasint,omitempty"`
+		Servers  []legacyLoad `cbor:"7,keyasint,omitempty"`
+		Origin   legacyLoad   `cbor:"8,keyasint"`
+		Hot      []legacyHeat `cbor:"9,keyasint,omitempty"`
+		Tenants  []legacyUse  `cbor:"10,keyasint,omitempty"`
 	}
-	oldShare struct {
+	legacyShare struct {
 		ID     string  `cbor:"1,keyasint"`
 		Factor float64 `cbor:"2,keyasint"`
 		Allow  float64 `cbor:"3,keyasint,omitempty"`
 	}
-	oldView struct {
-		Epoch   uint64     `cbor:"1,keyasint,omitempty"`
-		Planner string     `cbor:"2,keyasint"`
-		Made    int64      `cbor:"3,keyasint"`
-		Valid   int64      `cbor:"4,keyasint"`
-		Servers []oldShare `cbor:"5,keyasint,omitempty"`
-		Admit   float64    `cbor:"6,keyasint,omitempty"`
-		Hot     []oldHeat  `cbor:"7,keyasint,omitempty"`
-		Tenants []oldUse   `cbor:"8,keyasint,omitempty"`
+	legacyView struct {
+		Epoch   uint64        `cbor:"1,keyasint,omitempty"`
+		Planner string        `cbor:"2,keyasint"`
+		Made    int64         `cbor:"3,keyasint"`
+		Valid   int64         `cbor:"4,keyasint"`
+		Servers []legacyShare `cbor:"5,keyasint,omitempty"`
+		Admit   float64       `cbor:"6,keyasint,omitempty"`
+		Hot     []legacyHeat  `cbor:"7,keyasint,omitempty"`
+		Tenants []legacyUse   `cbor:"8,keyasint,omitempty"`
 	}
 )
 
 // An old planner takes a new forwarder's whole digest, with what is held beside it; an old forwarder takes a new planner's
 // view; and what either writes is taken as one that knows no changes.
-func TestOldAndNew(t *testing.T) {
+func TestPeersWithoutChanges(t *testing.T) {
 	decode := must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 2 * plan.MaxServers, MaxMapPairs: 32,
 		MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode())
 	encode := must(cbor.CanonicalEncOptions().EncMode())
-	old := []oldMessage{
-		{Version: 1, Digest: &oldDigest{From: "f", Start: 5, Seq: 7, Span: 1e9, Asked: 3, Answered: 2, Servers: []oldLoad{{ID: "c1", Sends: 3, Timely: 1, Late: 1, Failed: 1, Times: []int{0, 1, 0, 1}}},
-			Origin: oldLoad{Sends: 1, Timely: 1}, Hot: []oldHeat{{Key: 8, Asked: 3}}, Tenants: []oldUse{{Tenant: "a", Asked: 3}}}},
-		{Version: 1, View: &oldView{Epoch: 3, Planner: "p", Made: 9e9, Valid: 1e9, Servers: []oldShare{{ID: "c1", Factor: 0.3, Allow: 4}}, Admit: 0.5, Hot: []oldHeat{{Key: 8, Load: 1.5}},
-			Tenants: []oldUse{{Tenant: "a", Rate: 20}}}},
+	old := []legacyMessage{
+		{Version: 1, Digest: &legacyDigest{From: "f", Start: 5, Seq: 7, Span: 1e9, Asked: 3, Answered: 2, Servers: []legacyLoad{{ID: "c1", Sends: 3, Timely: 1, Late: 1, Failed: 1, Times: []int{0, 1, 0, 1}}},
+			Origin: legacyLoad{Sends: 1, Timely: 1}, Hot: []legacyHeat{{Key: 8, Asked: 3}}, Tenants: []legacyUse{{Tenant: "a", Asked: 3}}}},
+		{Version: 1, View: &legacyView{Epoch: 3, Planner: "p", Made: 9e9, Valid: 1e9, Servers: []legacyShare{{ID: "c1", Factor: 0.3, Allow: 4}}, Admit: 0.5, Hot: []legacyHeat{{Key: 8, Load: 1.5}},
+			Tenants: []legacyUse{{Tenant: "a", Rate: 20}}}},
 	}
 	now := samples()[:2]
 	for i, m := range now {
@@ -192,7 +192,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var got oldMessage
+		var got legacyMessage
 		if err := decode.Unmarshal(frame[4:], &got); err != nil {
 			t.Fatalf("an old one reads it as %v", err)
 		}
@@ -213,15 +213,15 @@
 	}
 	// One in brief reads, to an old planner, as a digest that leaves most out: it goes to those that have sent a change.
 	frame, _ := Append(nil, samples()[3])
-	var got oldMessage
+	var got legacyMessage
 	if err := decode.Unmarshal(frame[4:], &got); err != nil || got.Digest == nil || len(got.Digest.Servers) > 0 {
 		t.Errorf("%+v, %v", got.Digest, err)
 	}
 }
 
 // A calm second's digest in brief, and what a planner tells in the calm, take as many bytes whatever the number of servers.
-func TestBytesInTheCalm(t *testing.T) {
-	const node, most = "forwarder-site-079-0024", 700
+func TestIdleMessageSizes(t *testing.T) {
+	const node, maxBytes = "forwarder-site-079-0024", 700
 	sizes := map[int]int{}
 	for _, servers := range []int{100, 420, 2000} {
 		rng := rand.New(rand.NewPCG(1, uint64(servers)))
@@ -230,19 +230,19 @@
 		worst := 0
 		for range 20 {
 			for range 842 {
-				took, timely := time.Duration(1+rng.IntN(40))*time.Millisecond, rng.IntN(100) > 0
+				latency, timely := time.Duration(1+rng.IntN(40))*time.Millisecond, rng.IntN(100) > 0
 				if !timely {
-					took = time.Second
+					latency = time.Second
 				}
 				g.Request(fmt.Sprint("k", rng.IntN(1e7)), "")
-				g.Attempt(fmt.Sprintf("cache-zone-%02d-%04d", servers%59, rng.IntN(servers)), false, policy.OK, took, timely, false)
+				g.Attempt(fmt.Sprintf("cache-zone-%02d-%04d", servers%59, rng.IntN(servers)), false, policy.OK, latency, timely, false)
 				if rng.IntN(20) == 0 {
-					g.Attempt("origin", true, policy.OK, took, timely, false)
+					g.Attempt("origin", true, policy.OK, latency, timely, false)
 				}
 			}
 			now += time.Second
-			whole := g.Digest(now)
-			d := g.Brief(whole)
+			full := g.Digest(now)
+			d := g.Brief(full)
 			if err := d.Check(); err != nil {
 				t.Fatal(err)
 			}
@@ -251,12 +251,12 @@
 				t.Fatal(err)
 			}
 			worst = max(worst, len(frame))
-			if all, _ := Append(nil, Message{Digest: whole}); len(all) < 3*len(frame) {
+			if all, _ := Append(nil, Message{Digest: full}); len(all) < 3*len(frame) {
 				t.Errorf("%d servers: %d bytes in brief, %d whole", servers, len(frame), len(all))
 			}
 		}
 		sizes[servers] = worst
-		if worst > most {
+		if worst > maxBytes {
 			t.Errorf("%d servers: up to %d bytes", servers, worst)
 		}
 		p := plan.New(plan.Config{ID: "planner-1", History: math.MaxUint64})
@@ -267,10 +267,10 @@
 		p.SetServers(now, list)
 		p.Update(now)
 		for _, base := range []plan.Hold{{}, {History: math.MaxUint64, Revision: 1}} {
-			c, whole := p.Change(1764000000*time.Second, base)
+			c, full := p.Change(1764000000*time.Second, base)
 			frame, err := Append(nil, Message{Change: &c})
 			if err != nil || len(frame) > 80 {
-				t.Errorf("%d servers, whole %v: a change of %d bytes, %v", servers, whole, len(frame), err)
+				t.Errorf("%d servers, whole %v: a change of %d bytes, %v", servers, full, len(frame), err)
 			}
 		}
 	}
@@ -281,8 +281,8 @@
 }
 
 // Neighbouring versions are read, with fields that this one does not know; others are not, nor is what is no message.
-func TestVersionsAndNoise(t *testing.T) {
-	for text, good := range map[string]bool{
+func TestVersionsAndMalformedFrames(t *testing.T) {
+	for frame, valid := range map[string]bool{
 		"0000000a" + "a3000202a2026170" + "0401" + "0901":                             false, // shorter than its length says: not whole
 		"00000010" + "a3" + "0002" + "02a3026170" + "0401" + "186301" + "1863" + "01": true,  // version 2, unknown fields
 		"0000000c" + "a2" + "0003" + "02a2026170" + "0401" + "00":                     false, // version 3, and bytes behind
@@ -297,10 +297,10 @@
 		"00000001ff":              false,
 		"00000005" + "a200010001": false, // a key twice
 	} {
-		data, _ := hex.DecodeString(text)
+		data, _ := hex.DecodeString(frame)
 		m, used, err := Next(data)
-		if (used > 0 && err == nil) != good {
-			t.Errorf("%s: %+v, %d, %v", text, m, used, err)
+		if (used > 0 && err == nil) != valid {
+			t.Errorf("%s: %+v, %d, %v", frame, m, used, err)
 		}
 	}
 }
