--- a/cmd/lapisshelf/planners_test.go
+++ b/cmd/lapisshelf/planners_test.go
@@ -216,9 +216,9 @@
 	}
 	p, addr, _ := startPlanner(t, d, dir, "p1", "")
 	for _, c := range []struct{ name, cert, planner, node string }{
-		{"n1", "p2", `is no forwarder`, ""},               // the part of another
-		{"n2", "old", `certificate has expired`, ""},      // its time over
-		{"n3", "good", `\"good\" says it is another`, ""}, // another's name
+		{"n1", "p2", `does not have the role forwarder`, ""},            // the part of another
+		{"n2", "old", `certificate has expired`, ""},                    // its time over
+		{"n3", "good", `\"good\" sent a digest under another name`, ""}, // another's name
 	} {
 		n, _ := startForwarder(t, d, dir, c.name, c.cert, addr)
 		eventually(t, c.planner, func() bool { return strings.Contains(p.log(), c.planner) })
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -1,7 +1,8 @@
-// Package forwarder is a node's side of the planners: it counts what the node sees, tells planners of it in digests, and has
-// the changes that come back judged by decide/follow and put in force. With each digest it tells what it holds of that
-// planner's states. A planner that has told views alone since the connection came up is an older one: it gets whole digests. All of it runs on the node's loop but for TLS, which
-// has goroutines of its own; nothing of it is in a request's way. A nil Forwarder counts nothing.
+// Package forwarder is a node's client of the planners. It counts what the node sees, reports the counts to all planners in
+// digests, passes the changes that come back to decide/follow, and puts the resulting view in force. Each digest says which
+// state of that planner the forwarder holds. A planner that has sent only views since the connection was opened is an older
+// one, and gets full digests. Everything runs on the node's event loop except TLS, which has goroutines of its own, and no
+// request waits for any of it. A nil Forwarder counts nothing.
 package forwarder
 
 import (
@@ -25,23 +26,23 @@
 	fadeInterval   = 500 * time.Millisecond
 	minRedialDelay = 500 * time.Millisecond
 	maxRedialDelay = 5 * time.Second
-	idleTimeout    = 10 * time.Second // a planner that says nothing for so long is dialled anew
-	maxHellos      = 5                // digests without counts to a planner that has not said what it speaks; then they are whole
-	maxKeptBuffer  = 16 << 10         // bytes of room for what comes that a connection keeps
-	logInterval    = 10 * time.Second // of refused views
+	idleTimeout    = 10 * time.Second // a connection on which nothing has arrived for this long is closed and redialed
+	maxHellos      = 5                // digests without counts sent while the planner's protocol is unknown; full digests follow
+	maxKeptBuffer  = 16 << 10         // bytes; a larger read buffer is freed once it is empty
+	logInterval    = 10 * time.Second // min time between log lines about rejected views
 )
 
-// Config says which planners there are. Zero times take the defaults told with them.
+// Config configures a Forwarder. A zero duration takes the stated default.
 type Config struct {
 	Planners []netip.AddrPort
-	Name     string        // the node's
-	TLS      *tls.Config   // with the node's certificate
-	Interval time.Duration // between digests, give or take a fifth; 1 s
-	Fade     time.Duration // of views that are no longer valid; 10 s
-	Legacy   bool          // it speaks as one of before there were changes: whole digests, views alone
+	Name     string        // of the node
+	TLS      *tls.Config   // includes the node's certificate
+	Interval time.Duration // between digests, with a jitter of a fifth; 1 s
+	Fade     time.Duration // time in which a view that is no longer valid loses its effect; 10 s
+	Legacy   bool          // use the protocol without changes: send full digests, accept only views
 }
 
-// Forwarder is one node's. It is made by New and used from the loop alone.
+// Forwarder is a node's connections to its planners and the view in force. It is created by New and used only from the loop.
 type Forwarder struct {
 	loop       *loop.Loop
 	cfg        Config
@@ -51,50 +52,50 @@
 	follower   *follow.Follower
 	links      []*link
 	collector  *plan.Collector
-	trust      float64 // in force
-	version    uint64  // of the follower, at that time
+	trust      float64 // in the view in force
+	version    uint64  // the follower's, when the view was last applied
 	lastLogged time.Duration
 	closed     bool
 	timers     []*loop.Timer
 	dialer     *follow.Dialer
 	dialTimer  *loop.Timer
-	// Digests are how many went, Wholes how many of these named all servers; Views are how many views and changes came;
-	// Errors, connections that ended.
+	// DigestsSent counts digests, FullDigests those of them that name all servers, ViewsReceived views and changes, and
+	// ClosedConns connections that ended or failed.
 	DigestsSent, FullDigests, ViewsReceived, ClosedConns int64
-	// BytesIn and BytesOut are what has come and gone over the sockets, TLS included, as of the last message or Status.
+	// BytesIn and BytesOut count bytes on the sockets, including TLS. They are updated with each message and by Status.
 	BytesIn, BytesOut int64
 }
 
-// protocol is what a planner speaks, by what it has said since its connection came up.
+// protocol is the form in which a planner sends its state, detected anew on each connection from its messages.
 type protocol uint8
 
 const (
 	protocolUnknown protocol = iota
-	protocolViews            // whole ones alone: it is of before there were changes
+	protocolViews            // full views only: the planner is older than changes
 	protocolChanges
 )
 
 // link is the connection to one planner.
 type link struct {
 	f                     *Forwarder
-	index                 int // of the planner, for follow.Dialer
+	index                 int // of the planner in Config.Planners, for follow.Dialer
 	addr                  netip.AddrPort
 	conn                  *loop.TLSConn
 	up                    bool
 	input                 []byte
 	lastReceived          time.Duration
-	redialDelay           time.Duration // before the next try
+	redialDelay           time.Duration // backoff before the next attempt
 	redialTimer           *loop.Timer
-	closeReason           string // it ended last
-	plannerID             string // its id, also while it is away: what is held of it is told as soon as it is back
+	closeReason           string // why the connection last ended
+	plannerID             string // kept while disconnected, so that the first digest after a reconnect says what is held of its state
 	protocol              protocol
-	hellosSent            int    // since the connection came up
-	changesReceived       uint64 // that came since then
-	countedIn, countedOut int64  // bytes counted so far
+	hellosSent            int    // on this connection
+	changesReceived       uint64 // on this connection
+	countedIn, countedOut int64  // bytes of this connection already added to BytesIn and BytesOut
 }
 
-// New begins to talk to the planners. Ready tells which servers serve by the node's list, apply is given the view in
-// force whenever that changes, an empty one where there is none.
+// New returns a Forwarder that starts connecting to the planners. ready returns the ready servers of the node's list. apply
+// is called whenever the view in force changes, with an empty view if there is none.
 func New(l *loop.Loop, cfg Config, ready func() []follow.Server, apply func(policy.View), logEvent func(event, why string)) *Forwarder {
 	cfg.Interval = cmp.Or(cfg.Interval, time.Second)
 	f := &Forwarder{loop: l, cfg: cfg, ready: ready, apply: apply, logEvent: logEvent, follower: follow.New(follow.Config{Fade: cfg.Fade}),
@@ -117,14 +118,14 @@
 	}
 }
 
-// Attempt counts the end of an attempt, see plan.Collector.
+// Attempt counts the end of an attempt, see plan.Collector.Attempt.
 func (f *Forwarder) Attempt(server string, origin bool, o policy.Outcome, took time.Duration, timely, own bool) {
 	if f != nil {
 		f.collector.Attempt(server, origin, o, took, timely, own)
 	}
 }
 
-// sendDigests sends a digest to all planners that are there, and comes back.
+// sendDigests sends a digest to each connected planner, and schedules the next one.
 func (f *Forwarder) sendDigests() {
 	if f.closed {
 		return
@@ -133,7 +134,7 @@
 	full := f.collector.Digest(now)
 	f.follower.DigestSent(now, full.Seq)
 	brief := f.collector.Brief(full)
-	frames := map[digestForm][]byte{} // planners that are alike get the same
+	frames := map[digestForm][]byte{} // encoded once for all planners that get the same form
 	for _, l := range f.links {
 		if !l.up {
 			continue
@@ -141,7 +142,7 @@
 		l.countBytes()
 		if now-l.lastReceived > idleTimeout {
 			l.conn.Close()
-			l.End(errors.New("it says nothing"))
+			l.End(errors.New("idle timeout"))
 			continue
 		}
 		form := l.digestForm()
@@ -157,23 +158,23 @@
 			}
 			var err error
 			if frame, err = planwire.Append(nil, planwire.Message{Digest: d, Hold: form.sentHold(), NextChange: form.nextChange}); err != nil {
-				continue // a digest too large to tell
+				continue // the digest exceeds the maximum message size
 			}
 			frames[form] = frame
 		}
 		l.sendDigest(form, frame)
 	}
-	// Guards against a fleet whose digests all come at one moment.
+	// The jitter keeps the digests of a fleet from arriving all at the same moment.
 	f.timers[0] = f.loop.After(f.cfg.Interval*4/5+time.Duration(rand.Int64N(int64(f.cfg.Interval)*2/5)), f.sendDigests)
 }
 
-// digestForm is how a digest is told to a planner.
+// digestForm selects the form of a digest and what is sent with it.
 type digestForm struct {
 	hello      bool // no counts
 	brief      bool
-	noHold     bool // no hold: as before there were changes
+	noHold     bool // omit the hold, as forwarders did before there were changes
 	hold       plan.Hold
-	nextChange uint64 // change that is expected
+	nextChange uint64 // number of the next change expected on the connection
 }
 
 func (form *digestForm) sentHold() *plan.Hold {
@@ -183,14 +184,14 @@
 	return &form.hold
 }
 
-// digestForm is what a planner is to be told now.
+// digestForm returns the form of the next digest on this connection.
 func (l *link) digestForm() digestForm {
 	if l.f.cfg.Legacy {
 		return digestForm{noHold: true}
 	}
-	// Guards against a fleet that tells whole digests, much longer ones, to a planner that has come back.
+	// Short digests first keep a whole fleet from sending full ones, which are much longer, to a planner that has restarted.
 	hello := l.protocol == protocolUnknown && l.hellosSent < maxHellos
-	// Guards against brief digests at a planner that would take them for whole ones: only changes prove it a new one.
+	// A planner older than changes would take a brief digest for a full one. Only a change proves that the planner is newer.
 	return digestForm{hello: hello, brief: l.protocol == protocolChanges, hold: l.f.follower.Hold(l.plannerID), nextChange: l.changesReceived + 1}
 }
 
@@ -205,14 +206,14 @@
 	l.conn.Write(frame)
 }
 
-// countBytes notes what has come and gone over the socket.
+// countBytes adds the bytes read and written on the socket since the last call to the totals.
 func (l *link) countBytes() {
 	in, out := l.conn.Bytes()
 	l.f.BytesIn, l.f.BytesOut = l.f.BytesIn+in-l.countedIn, l.f.BytesOut+out-l.countedOut
 	l.countedIn, l.countedOut = in, out
 }
 
-// updateFade puts in force what is left of a view that ages.
+// updateFade applies the fading of a view that is no longer valid, and schedules the next check.
 func (f *Forwarder) updateFade() {
 	if f.closed {
 		return
@@ -227,7 +228,7 @@
 	f.timers[1] = f.loop.After(fadeInterval, f.updateFade)
 }
 
-// handleMessage has a view or a change judged, and puts in force what it makes another.
+// handleMessage passes a view or change to the follower, and applies the view in force if it has changed.
 func (f *Forwarder) handleMessage(l *link, m planwire.Message) {
 	now := f.loop.Now()
 	f.ViewsReceived++
@@ -251,7 +252,7 @@
 	}
 	v, _ := f.follower.Held()
 	version := f.follower.Version()
-	changed := version != f.version // also by what a planner grants that is not followed
+	changed := version != f.version // grants of a planner that is not followed can change it too
 	if outcome == follow.Accepted && f.trust != 1 {
 		f.trust, changed = 1, true
 	}
@@ -270,14 +271,14 @@
 	}
 }
 
-// Reload has connections that are made from now on use other certificates.
+// Reload sets the TLS configuration for new connections.
 func (f *Forwarder) Reload(cfg *tls.Config) {
 	if f != nil {
 		f.cfg.TLS = cfg
 	}
 }
 
-// Close ends all connections. A node that ends goes on by the view that it holds.
+// Close closes all connections and stops all timers. The view last applied stays in force.
 func (f *Forwarder) Close() {
 	if f == nil || f.closed {
 		return
@@ -294,7 +295,7 @@
 	}
 }
 
-// Status is what a forwarder acts on, in plain lines.
+// Status describes the view in force and the connections, as text for operators.
 func (f *Forwarder) Status() string {
 	if f == nil {
 		return "no planners\n"
@@ -336,7 +337,7 @@
 	return b.String()
 }
 
-// dialDue opens connections that are due, and comes back when another may be.
+// dialDue opens the connections that are due, and schedules a call for when the next one may be.
 func (f *Forwarder) dialDue() {
 	if f.closed {
 		return
@@ -354,6 +355,7 @@
 	}
 }
 
+// scheduleRedial queues a new connection after a delay; the followed planner's goes to the front of the queue.
 func (l *link) scheduleRedial(after time.Duration) {
 	l.redialTimer = l.f.loop.After(after, func() {
 		held, _ := l.f.follower.Held()
@@ -391,9 +393,9 @@
 		switch {
 		case err != nil:
 		case m.Digest != nil:
-			err = errors.New("a digest from a planner")
+			err = errors.New("received a digest from a planner")
 		case m.Change != nil && l.f.cfg.Legacy:
-			err = errors.New("neither a digest nor a view")
+			err = errors.New("received a change, which the legacy protocol does not have")
 		}
 		if err != nil {
 			l.conn.Close()
@@ -411,14 +413,14 @@
 	}
 }
 
-// End implements loop.Handler: it is dialled again, after a growing while.
+// End implements loop.Handler. The planner is redialed after an exponential backoff with jitter.
 func (l *link) End(err error) {
 	l.f.ClosedConns++
 	if l.conn != nil {
 		l.countBytes()
 	}
 	reason := fmt.Sprint(err)
-	if l.up || reason != l.closeReason { // once for each cause
+	if l.up || reason != l.closeReason { // not again for each failed redial with the same error
 		l.f.logEvent("planner_down", fmt.Sprintf("addr=%s why=%q", l.addr, reason))
 	}
 	l.up, l.closeReason, l.input, l.conn, l.countedIn, l.countedOut = false, reason, nil, nil, 0, 0
--- a/internal/keys/handshake_test.go
+++ b/internal/keys/handshake_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// BenchmarkHandshake tells what both ends of a forwarder's connection to a planner spend on its handshake, and how many bytes go
-// each way. docs/CAPACITY.md multiplies it by the fleet that comes back at once.
+// BenchmarkHandshake measures the time that both ends of a forwarder's connection to a planner spend on the TLS handshake,
+// and the bytes sent each way. docs/CAPACITY.md multiplies the results by the size of a fleet that reconnects at once.
 func BenchmarkHandshake(b *testing.B) {
 	dir := b.TempDir()
 	now := time.Now()
@@ -56,6 +56,7 @@
 	b.ReportMetric(float64(in)/float64(b.N), "bytes-to-forwarder")
 }
 
+// countingConn counts the bytes that are read and written.
 type countingConn struct {
 	net.Conn
 	in, out int
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,5 +1,6 @@
-// Package keys makes and reads the certificates with which forwarders and planners prove who they are. A certificate names
-// its holder and the one part that it may play; an authority of the installation's own signs all of them.
+// Package keys issues and loads the certificates with which forwarders and planners authenticate each other over TLS. A
+// certificate names its holder and the holder's one role. All of them are signed by the installation's own certificate
+// authority.
 package keys
 
 import (
@@ -23,17 +24,16 @@
 	"time"
 )
 
-// Role is the part that a certificate's holder plays.
+// Role is the role of a certificate's holder.
 type Role string
 
-// The roles.
 const (
 	Forwarder Role = "forwarder"
 	Planner   Role = "planner"
 )
 
 const (
-	roleDomain    = ".lapisshelf" // of the names that stand for roles
+	roleDomain    = ".lapisshelf" // suffix of the DNS names that stand for roles
 	clockSkew     = 5 * time.Minute
 	caFile        = "ca.pem"
 	caKeyFile     = "ca.key"
@@ -41,16 +41,16 @@
 	maxFileSize   = 64 << 10
 )
 
-// dnsName is the name that stands for a role in a certificate.
+// dnsName returns the DNS name that stands for the role in a certificate.
 func (r Role) dnsName() string { return string(r) + roleDomain }
 
-// Pair is a certificate with its key, and who vouches for others.
+// Pair is a certificate with its private key, and the authorities that peers' certificates are verified against.
 type Pair struct {
 	cert tls.Certificate
 	pool *x509.CertPool
 }
 
-// Load reads a pair. The error says which file is wrong, and how.
+// Load reads a pair from the files of the authority, the certificate and the key. The error names the file that is wrong.
 func Load(caPath, certPath, keyPath string) (*Pair, error) {
 	caPEM, err := readFile(caPath)
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	p := &Pair{pool: x509.NewCertPool()}
 	if !p.pool.AppendCertsFromPEM(caPEM) {
-		return nil, fmt.Errorf("%s holds no certificate", caPath)
+		return nil, fmt.Errorf("%s contains no certificate", caPath)
 	}
 	certPEM, err := readFile(certPath)
 	if err != nil {
@@ -77,28 +77,28 @@
 func readFile(path string) ([]byte, error) {
 	data, err := os.ReadFile(path)
 	if err == nil && len(data) > maxFileSize {
-		err = fmt.Errorf("%s holds over 64 KiB", path)
+		err = fmt.Errorf("%s is larger than 64 KiB", path)
 	}
 	return data, err
 }
 
-// ClientConfig is the configuration of who connects to a holder of that role.
+// ClientConfig returns the TLS configuration for connecting to a holder of the given role.
 func (p *Pair) ClientConfig(peer Role) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{p.cert}, RootCAs: p.pool, ServerName: peer.dnsName()}
 }
 
-// ServerConfig is the configuration of who is connected to by holders of that role.
+// ServerConfig returns the TLS configuration for accepting connections from holders of the given role.
 func (p *Pair) ServerConfig(peer Role) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{p.cert}, ClientCAs: p.pool, ClientAuth: tls.RequireAndVerifyClientCert,
 		VerifyConnection: func(s tls.ConnectionState) error {
 			if c := s.PeerCertificates[0]; !slices.Contains(c.DNSNames, peer.dnsName()) {
-				return fmt.Errorf("%q is no %s", c.Subject.CommonName, peer)
+				return fmt.Errorf("certificate of %q does not have the role %s", c.Subject.CommonName, peer)
 			}
 			return nil
 		}}
 }
 
-// PeerName is who the other end of a connection is, by its certificate.
+// PeerName returns the holder named in the peer's certificate, or "" if the peer has sent none.
 func PeerName(c *tls.Conn) string {
 	if list := c.ConnectionState().PeerCertificates; len(list) > 0 {
 		return list[0].Subject.CommonName
@@ -106,7 +106,7 @@
 	return ""
 }
 
-// LoadGossipKey reads the secret that planners share among themselves.
+// LoadGossipKey reads the secret that encrypts the gossip between planners.
 func LoadGossipKey(path string) ([]byte, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -114,15 +114,15 @@
 	}
 	key, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil || len(key) != sha256.Size {
-		return nil, fmt.Errorf("%s does not hold 64 hexadecimal digits", path)
+		return nil, fmt.Errorf("%s does not contain 64 hexadecimal digits", path)
 	}
 	return key, nil
 }
 
-// writeFile puts a file in place whole; one that is there already stands unless over.
+// writeFile writes a file by renaming a complete one into place. It fails if the file exists, unless overwrite is set.
 func writeFile(path string, mode os.FileMode, overwrite bool, data []byte) error {
 	if _, err := os.Lstat(path); err == nil && !overwrite {
-		return fmt.Errorf("%s is there already", path)
+		return fmt.Errorf("%s already exists", path)
 	}
 	if err := os.WriteFile(path+".new", data, mode); err != nil {
 		return err
@@ -137,12 +137,13 @@
 func newSerial() *big.Int {
 	n, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	if err != nil {
-		panic(err) // the system has no randomness
+		panic(err) // the system's random source failed
 	}
 	return n
 }
 
-// createCertificate makes a key and a certificate of it, and writes both.
+// createCertificate generates a key and its certificate, and writes both to NAME.key and NAME.pem. Without a parent the
+// certificate is self-signed.
 func createCertificate(dir, name string, overwrite bool, template *x509.Certificate, parent *x509.Certificate, signer *ecdsa.PrivateKey) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -165,7 +166,8 @@
 	return writeFile(filepath.Join(dir, name+".pem"), 0o644, overwrite, encodePEM("CERTIFICATE", der))
 }
 
-// CreateAuthority makes an authority in a directory, which stands for so long, and the secret that planners share.
+// CreateAuthority creates a certificate authority, valid for the given time, and the planners' gossip key in a directory.
+// Existing files are kept, with an error.
 func CreateAuthority(dir string, now time.Time, validity time.Duration) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -180,25 +182,25 @@
 	return writeFile(filepath.Join(dir, gossipKeyFile), 0o600, false, []byte(hex.EncodeToString(secret)+"\n"))
 }
 
-// Issue makes the certificate of one holder, NAME.pem and NAME.key, signed by the directory's authority. With renew it
-// takes the place of an older one.
+// Issue creates the key and certificate of one holder, NAME.key and NAME.pem, signed by the directory's authority. With
+// renew set it replaces existing ones.
 func Issue(dir, name string, role Role, now time.Time, validity time.Duration, renew bool) error {
 	if name == "" || name == "ca" || strings.ContainsAny(name, "/\\ \x00\r\n") {
-		return fmt.Errorf("%q can't be a holder's name", name)
+		return fmt.Errorf("%q is not a valid holder name", name)
 	}
 	if role != Forwarder && role != Planner {
-		return fmt.Errorf("%q is no role: there are forwarder and planner", role)
+		return fmt.Errorf("unknown role %q: the roles are forwarder and planner", role)
 	}
 	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, caFile), filepath.Join(dir, caKeyFile))
 	if err != nil {
-		return fmt.Errorf("the authority: %w", err)
+		return fmt.Errorf("cannot load the authority: %w", err)
 	}
 	signer, ok := pair.PrivateKey.(*ecdsa.PrivateKey)
 	if !ok {
-		return errors.New("the authority's key is of another kind")
+		return errors.New("the authority's key is not an ECDSA key")
 	}
 	if now.Add(validity).After(pair.Leaf.NotAfter) {
-		return fmt.Errorf("the authority itself stands until %s only", pair.Leaf.NotAfter.Format(time.RFC3339))
+		return fmt.Errorf("the certificate would outlive the authority, which expires at %s", pair.Leaf.NotAfter.Format(time.RFC3339))
 	}
 	usage := []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
 	if role == Planner {
@@ -208,14 +210,14 @@
 		DNSNames: []string{role.dnsName()}, IPAddresses: []net.IP{}, KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: usage}, pair.Leaf, signer)
 }
 
-// Certificate is what a directory's certificate says.
+// Certificate describes a certificate file.
 type Certificate struct {
 	File, Name string
-	Role       Role // empty: the authority
+	Role       Role // empty for the authority
 	NotAfter   time.Time
 }
 
-// List lists a directory's certificates, by file.
+// List returns the certificates in a directory, sorted by file name.
 func List(dir string) (list []Certificate, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.pem"))
 	if err != nil {
@@ -228,7 +230,7 @@
 		}
 		b, _ := pem.Decode(text)
 		if b == nil {
-			return nil, fmt.Errorf("%s holds no certificate", path)
+			return nil, fmt.Errorf("%s contains no certificate", path)
 		}
 		c, err := x509.ParseCertificate(b.Bytes)
 		if err != nil {
--- a/internal/planwire/planwire.go
+++ b/internal/planwire/planwire.go
@@ -1,5 +1,5 @@
-// Package planwire writes and reads what forwarders and planners say to each other: frames of a length and a message in
-// canonical CBOR. It does no I/O. docs/planners.md tells the form.
+// Package planwire encodes and decodes the messages between forwarders and planners. A frame is a length of four bytes and
+// a message in canonical CBOR. The package does no I/O. docs/planners.md specifies the format.
 package planwire
 
 import (
@@ -15,17 +15,18 @@
 	"lapisshelf/policy"
 )
 
-// Version is the one that is written. A reader takes it and its neighbours: from one to the next, fields are only added.
+// Version is the protocol version that is written. A reader accepts it, the one before and the one after: from one version to
+// the next, fields are only added.
 const Version = 1
 
-// MaxMessageBytes is how many bytes a message holds at most, without the four of its length.
+// MaxMessageBytes is the maximum size of a message, without the four bytes of its length.
 const MaxMessageBytes = 512 << 10
 
-// Message is a digest, a view or a change.
+// Message is a digest, a view or a change. Exactly one of Digest, View and Change is set.
 type Message struct {
 	Digest     *plan.Digest
-	Hold       *plan.Hold // beside a digest: who sends it takes changes, and holds that; nil: it takes views
-	NextChange uint64     // beside a hold: the change expected next on this connection, the first is 1; 0: it is not told, as before
+	Hold       *plan.Hold // with a digest: the state that the sender holds; nil: the sender does not support changes, only views
+	NextChange uint64     // with a hold: number of the next change expected on this connection, from 1; 0: sent by an older forwarder, which does not number them
 	View       *plan.View
 	Change     *plan.Change
 }
@@ -37,8 +38,8 @@
 		View    *view           `cbor:"2,keyasint,omitempty"`
 		Hold    *hold           `cbor:"3,keyasint,omitempty"`
 		Change  cbor.RawMessage `cbor:"4,keyasint,omitempty"`
-		Grants  []grant         `cbor:"5,keyasint,omitempty"` // beside a change
-		Answers *answers        `cbor:"6,keyasint,omitempty"` // beside grants
+		Grants  []grant         `cbor:"5,keyasint,omitempty"` // with a change
+		Answers *answers        `cbor:"6,keyasint,omitempty"` // with grants
 	}
 	answers struct {
 		Seq   uint64 `cbor:"1,keyasint"`
@@ -104,7 +105,7 @@
 		Hot     []heat  `cbor:"7,keyasint,omitempty"`
 		Tenants []use   `cbor:"8,keyasint,omitempty"`
 	}
-	// factor is a part in thousandths.
+	// factor is a server's factor, in thousandths.
 	factor struct {
 		ID     string `cbor:"1,keyasint"`
 		Factor uint16 `cbor:"2,keyasint"`
@@ -138,12 +139,12 @@
 
 func must[T any](mode T, err error) T {
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // impossible: the options are constants
 	}
 	return mode
 }
 
-// Append writes a message behind buf.
+// Append appends a message's frame to buf.
 func Append(buf []byte, m Message) ([]byte, error) {
 	out := message{Version: Version}
 	if d := m.Digest; d != nil {
@@ -193,8 +194,8 @@
 	return appendMessage(buf, out)
 }
 
-// EncodeChange writes what a change tells all alike, its grants left out, for AppendChange: once for all forwarders that
-// hold the same revision.
+// EncodeChange encodes a change without its grants, for AppendChange and AppendGrants. The result is the same for all
+// forwarders that hold the same revision.
 func EncodeChange(c plan.Change) (cbor.RawMessage, error) {
 	x := change{Epoch: c.Epoch, Planner: c.Planner, Made: int64(c.Made), Valid: int64(c.Valid), History: c.History, Base: c.Base, Revision: c.Revision, Count: c.Count,
 		Admit: toThousandths(c.Admit), HotSet: c.HotSet, TenantsSet: c.TenantsSet, Sum: c.Sum}
@@ -210,7 +211,7 @@
 	return encoder.Marshal(x)
 }
 
-// toThousandths is a part in thousandths; what is no part becomes one that no reader takes.
+// toThousandths converts a number from 0 to 1 to thousandths. Any other number becomes math.MaxUint16, which readers reject.
 func toThousandths(part float64) uint16 {
 	if !(part >= 0 && part <= 1) {
 		return math.MaxUint16
@@ -218,12 +219,13 @@
 	return uint16(math.Round(part * thousandths))
 }
 
-// AppendChange writes a message with a change behind buf.
+// AppendChange appends the frame of an encoded change to buf.
 func AppendChange(buf []byte, raw cbor.RawMessage) ([]byte, error) {
 	return appendMessage(buf, message{Version: Version, Change: raw})
 }
 
-// AppendGrants writes one with a forwarder's grants beside it, which answer its digest of that number so long after it came.
+// AppendGrants appends the frame of an encoded change with one forwarder's grants to buf. seq is the number of the latest
+// digest received from that forwarder, after the time since it arrived.
 func AppendGrants(buf []byte, raw cbor.RawMessage, grants []plan.Grant, seq uint64, after time.Duration) ([]byte, error) {
 	out := message{Version: Version, Change: raw}
 	for _, g := range grants {
@@ -241,20 +243,21 @@
 		return buf, err
 	}
 	if len(body) > MaxMessageBytes {
-		return buf, fmt.Errorf("a message of %d bytes", len(body))
+		return buf, fmt.Errorf("message of %d bytes is too large", len(body))
 	}
 	return append(binary.BigEndian.AppendUint32(buf, uint32(len(body))), body...), nil
 }
 
-// Next reads the message that data begins with, and how many bytes it took: 0, it is not whole yet. An error means that
-// nothing behind it can be read either. What the message says is not checked, see plan.Digest and plan.View.
+// Next decodes the message at the start of data, and returns the number of bytes that its frame takes; 0 means that the
+// frame is incomplete. After an error nothing that follows can be decoded either. The content of the message is not checked:
+// see the Check methods of plan.Digest, plan.View and plan.Change.
 func Next(data []byte) (m Message, used int, err error) {
 	if len(data) < 4 {
 		return m, 0, nil
 	}
 	size := binary.BigEndian.Uint32(data)
 	if size == 0 || size > MaxMessageBytes {
-		return m, 0, fmt.Errorf("a message of %d bytes", size)
+		return m, 0, fmt.Errorf("invalid message length of %d bytes", size)
 	}
 	if used = 4 + int(size); len(data) < used {
 		return m, 0, nil
@@ -264,7 +267,7 @@
 		return m, 0, err
 	}
 	if in.Version < Version-1 || in.Version > Version+1 || in.Version == 0 {
-		return m, 0, fmt.Errorf("version %d, not %d", in.Version, Version)
+		return m, 0, fmt.Errorf("unsupported version %d, expected %d", in.Version, Version)
 	}
 	kinds := 0
 	for _, present := range []bool{in.Digest != nil, in.View != nil, in.Change != nil} {
@@ -273,7 +276,7 @@
 		}
 	}
 	if kinds != 1 {
-		return m, 0, errors.New("neither a digest nor a view nor a change")
+		return m, 0, errors.New("message does not contain exactly one of digest, view and change")
 	}
 	if in.Change != nil {
 		c, err := decodeChange(in.Change, in.Grants)
