--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -10,7 +10,8 @@
 	"lapisshelf/policy"
 )
 
-// lease is the planner's own entry among the planners in the registry, and who else has one.
+// lease keeps the planner's own entry in the registry, under a lease, and follows the entries of the other planners. The
+// planners elect their leader from these entries.
 type lease struct {
 	p          *Planner
 	announcer  *registry.Announcer
@@ -21,25 +22,25 @@
 
 const leaseCheckInterval = 200 * time.Millisecond
 
-// startLease begins to keep an entry, and to follow those of others.
+// startLease starts to announce the planner's entry and to watch those of the others.
 func (p *Planner) startLease(c registry.Config) *lease {
 	l := &lease{p: p, candidates: map[string]plan.Candidate{}}
 	l.announcer = registry.NewAnnouncer(p.loop, c, p.cfg.LeasePrefix+p.cfg.Plan.ID, l.entry(), p.cfg.LeaseTTL, uint64(p.loop.Now()), p.logEvent)
 	l.announcer.Start()
 	c.Prefix = p.cfg.LeasePrefix
-	c.Roster.HoldTime = 0 // an entry that is gone is gone
+	c.Roster.HoldTime = 0 // a removed entry takes effect at once
 	l.watcher = registry.New(p.loop, c, uint64(p.loop.Now())+1, l.updateCandidates, p.logEvent)
 	l.watcher.Start(0, nil)
 	l.checkHeld()
 	return l
 }
 
-// entry tells that this planner takes its lease now.
+// entry returns the planner's entry, with the current time as the start of its lease.
 func (l *lease) entry() []byte {
 	return registry.FormatEntry(roster.Entry{Addr: l.p.Addr().String(), Server: policy.Server{ID: l.p.cfg.Plan.ID, Kind: "planner", Weight: -1, Started: l.p.loop.Now()}})
 }
 
-// checkHeld notices a lost lease: the next one is a later one.
+// checkHeld replaces the entry after a lost lease, so that the next lease counts from a later start.
 func (l *lease) checkHeld() {
 	held := l.announcer.Held()
 	if l.held && !held {
@@ -50,7 +51,7 @@
 	l.p.loop.After(leaseCheckInterval, l.checkHeld)
 }
 
-// updateCandidates takes news of who holds a lease.
+// updateCandidates applies an update of the planners' entries, and elects the leader again.
 func (l *lease) updateCandidates(update roster.Update) {
 	if update.Complete {
 		clear(l.candidates)
--- a/internal/planner/members.go
+++ b/internal/planner/members.go
@@ -9,10 +9,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// membership are the planners that hear of each other. The one of the lowest id leads; forwarders don't depend on it.
+// membership is the group of planners that know each other through gossip. The one with the lowest id leads; forwarders do
+// not depend on it.
 type membership struct{ gossip *memberlist.Memberlist }
 
-// joinGossip begins to gossip. Planners that are not there yet join later.
+// joinGossip starts the gossip. Planners that are not up yet join later.
 func joinGossip(cfg Config, logEvent func(event, why string)) (*membership, error) {
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.BindAddr, c.BindPort = cfg.Plan.ID, cfg.Gossip.Addr().String(), int(cfg.Gossip.Port())
@@ -35,13 +36,14 @@
 	return m, nil
 }
 
+// eventLogger logs planners that join or leave the gossip.
 type eventLogger struct{ logEvent func(event, why string) }
 
 func (e eventLogger) NotifyJoin(n *memberlist.Node)   { e.logEvent("planner_joined", "id="+n.Name) }
 func (e eventLogger) NotifyLeave(n *memberlist.Node)  { e.logEvent("planner_left", "id="+n.Name) }
 func (e eventLogger) NotifyUpdate(n *memberlist.Node) {}
 
-// ids gives the ids of those that are healthy, the leader first.
+// ids returns the ids of the healthy planners, sorted: the leader is first.
 func (m *membership) ids() (ids []string) {
 	if m == nil {
 		return nil
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,6 +1,7 @@
-// Package planner is a planner as a process: it follows the server list, takes forwarders' digests and sends them changes of
-// its state, which decide/plan makes, or whole views if they are of before there were changes. The decisions run on one loop; each connection has a reader and a writer of its own, which may wait
-// without anything waiting for them.
+// Package planner implements the planner process. It follows the server list, receives digests from forwarders, and sends
+// them the changes of its state that decide/plan computes, or full views if they do not support changes. The decisions run on
+// one event loop. Each connection has a reader and a writer goroutine of its own; these may block, but the loop never waits
+// for them.
 package planner
 
 import (
@@ -34,44 +35,44 @@
 )
 
 const (
-	handshakeTimeout = 5 * time.Second  // a connection's handshake
-	idleTimeout      = 30 * time.Second // a forwarder that says nothing for so long is hung up on
+	handshakeTimeout = 5 * time.Second  // of a TLS handshake
+	idleTimeout      = 30 * time.Second // a connection on which nothing has arrived for this long is closed
 	writeTimeout     = 5 * time.Second
-	minReadBuffer    = 1 << 10 // room for what comes, of each connection; digests in brief fit
-	maxKeptBuffer    = 8 << 10 // of it that a connection keeps
+	minReadBuffer    = 1 << 10 // bytes of free space in each connection's read buffer; a brief digest fits
+	maxKeptBuffer    = 8 << 10 // bytes; a larger read buffer is freed once it is empty
 	snapshotInterval = 5 * time.Second
-	listWatchTimeout = 5 * time.Second
+	listWatchTimeout = 5 * time.Second // of the server list, unless the registry's configuration sets another
 	listCallTimeout  = 1500 * time.Millisecond
 	maxListBody      = 16 << 20
 )
 
-// Config is what a planner is told. Note takes a line for the log.
+// Config configures a planner.
 type Config struct {
 	Plan           plan.Config
 	Listen         netip.AddrPort
-	Control        netip.AddrPort // for operators; none if it is not valid
+	Control        netip.AddrPort // the operators' HTTP address; invalid: none
 	Certificates   func() (*tls.Config, error)
 	Registry       registry.Config
-	Interval       time.Duration // between views
-	Snapshot       string        // a file; empty: none is kept
-	MaxSnapshotAge time.Duration // an older one is ignored
-	Gossip         netip.AddrPort
+	Interval       time.Duration  // between updates of the plan, each followed by sends to the forwarders
+	Snapshot       string         // path of the snapshot file; empty: none is kept
+	MaxSnapshotAge time.Duration  // an older snapshot is ignored
+	Gossip         netip.AddrPort // of the gossip between planners; invalid: none
 	GossipKey      []byte
-	Join           []string
-	LeasePrefix    string        // what the keys of planners begin with, in a registry; empty: there are no leases
-	LeaseTTL       time.Duration // of the lease
-	LogEvent       func(event, why string)
+	Join           []string                // gossip addresses of other planners
+	LeasePrefix    string                  // key prefix of the planners' entries in the registry; empty: no leases
+	LeaseTTL       time.Duration           // of the planner's entry
+	LogEvent       func(event, why string) // writes a log line; may be nil
 }
 
-// Planner is one process's. Its fields belong to the loop but for those that say otherwise.
+// Planner is a planner process. Its fields are used only on the loop, unless marked otherwise.
 type Planner struct {
 	cfg               Config
 	loop              *loop.Loop
 	plan              *plan.Planner
 	listener          net.Listener
-	tls               atomic.Pointer[tls.Config] // any goroutine's
+	tls               atomic.Pointer[tls.Config] // used by any goroutine
 	conns             map[*conn]bool
-	connCount         atomic.Int64 // connections, those in their handshake included
+	connCount         atomic.Int64 // open connections, including those in the TLS handshake
 	entries           map[string]roster.Entry
 	registry          *registry.Client
 	control           *control.Server
@@ -79,36 +80,36 @@
 	members           *membership
 	lease             *lease
 	restored          bool
-	refusedBy         map[string]int64 // messages that count for nothing, by who sent them
-	refusedBefore     int64            // those of before the table was cleared
-	malformed         int64            // connections ended for what came there
+	refusedBy         map[string]int64 // rejected messages by sender; cleared when it grows too large
+	refusedBefore     int64            // rejected messages no longer in refusedBy
+	malformed         int64            // connections closed because a frame could not be decoded
 	digests           int64
 	briefDigests      int64
 	sender            sender
-	bytesIn, bytesOut atomic.Int64 // bytes over sockets, TLS included
+	bytesIn, bytesOut atomic.Int64 // on the sockets, including TLS
 }
 
-// conn is a forwarder's connection.
+// conn is a connection from a forwarder.
 type conn struct {
 	p    *Planner
 	tls  *tls.Conn
 	name string
 	out  chan []byte
-	// What follows belongs to the loop.
+	// The following fields are used only on the loop.
 	protocol      protocol
-	hold          plan.Hold     // what it holds, as it last told; after a whole state: that
-	awaitsState   bool          // for a whole state
-	lastSent      time.Duration // it was sent a change
-	sentRevision  uint64        // the revision of that
-	changesSent   uint64        // changes that went out here, whole states among them
-	lastState     sentState     // the last whole one
-	lastDigestSeq uint64        // of the last digest taken
-	lastDigestAt  time.Duration // it came
+	hold          plan.Hold     // the state that the forwarder reported as held, or a full state sent since
+	awaitsState   bool          // in sender.awaitingState
+	lastSent      time.Duration // when a change was last sent
+	sentRevision  uint64        // revision of that change
+	changesSent   uint64        // on this connection, including full states
+	lastState     sentState     // the last full state sent
+	lastDigestSeq uint64        // number of the last accepted digest
+	lastDigestAt  time.Duration // when it arrived
 }
 
-// New makes a planner that listens; Run runs it.
+// New returns a planner that listens for connections. Run must be called to serve them.
 func New(cfg Config) (*Planner, error) {
-	cfg.Plan.History = rand.Uint64() | 1 // no other life of this or another planner has the same
+	cfg.Plan.History = rand.Uint64() | 1 // unique to this run of this planner, and never 0
 	p := &Planner{cfg: cfg, plan: plan.New(cfg.Plan), sender: sender{rate: stateBytesPerSecond}, conns: map[*conn]bool{}, entries: map[string]roster.Entry{}, refusedBy: map[string]int64{}}
 	certs, err := cfg.Certificates()
 	if err != nil {
@@ -144,16 +145,17 @@
 	return p, nil
 }
 
+// logEvent logs an event, if the configuration has a logger.
 func (p *Planner) logEvent(event, why string) {
 	if p.cfg.LogEvent != nil {
 		p.cfg.LogEvent(event, why)
 	}
 }
 
-// Addr is where forwarders find it.
+// Addr returns the address that the planner listens on.
 func (p *Planner) Addr() netip.AddrPort { return netip.MustParseAddrPort(p.listener.Addr().String()) }
 
-// Run serves until the context ends.
+// Run serves forwarders until the context is cancelled.
 func (p *Planner) Run(ctx context.Context) error {
 	c := p.cfg.Registry
 	c.Roster.Nodes, c.Roster.AskWithin, c.Roster.CallTimeout = 1, 4*time.Second, listCallTimeout
@@ -181,7 +183,7 @@
 	p.registry.Close()
 	p.lease.close()
 	for c := range p.conns {
-		go c.tls.Close() // it may wait to say so to the other end
+		go c.tls.Close() // Close may block while it notifies the peer
 	}
 	if p.store != nil {
 		p.saveSnapshot()
@@ -190,7 +192,7 @@
 	p.members.leave()
 }
 
-// Reload reads the certificates anew; connections that stand go on with theirs.
+// Reload reloads the certificates. Open connections keep the old ones.
 func (p *Planner) Reload() {
 	certs, err := p.cfg.Certificates()
 	if err != nil {
@@ -201,7 +203,7 @@
 	p.logEvent("reload", "certificates=true")
 }
 
-// accept takes connections. It is a goroutine of its own.
+// accept accepts connections. It runs in its own goroutine.
 func (p *Planner) accept() {
 	for {
 		raw, err := p.listener.Accept()
@@ -211,7 +213,7 @@
 			}
 			return
 		}
-		// Guards against callers that take all descriptors.
+		// The limit keeps clients from exhausting the file descriptors.
 		if p.connCount.Add(1) > int64(p.cfg.Plan.Forwarders)+64 {
 			p.connCount.Add(-1)
 			raw.Close()
@@ -221,7 +223,7 @@
 	}
 }
 
-// serve speaks with one forwarder, in two goroutines.
+// serve handles one forwarder's connection: it reads in this goroutine and writes in another.
 func (p *Planner) serve(raw net.Conn) {
 	defer p.connCount.Add(-1)
 	c := &conn{p: p, tls: tls.Server(loop.CountBytes(raw, &p.bytesIn, &p.bytesOut), p.tls.Load()), out: make(chan []byte, 2)}
@@ -256,7 +258,8 @@
 	})
 }
 
-// read takes digests until the connection ends. An error is of what came, not of the connection.
+// read passes messages to the loop until the connection ends. It returns an error only if a frame cannot be decoded, not
+// if the connection fails.
 func (c *conn) read() error {
 	var input []byte
 	for {
@@ -286,15 +289,15 @@
 	}
 }
 
-// handleMessage takes a message of a forwarder.
+// handleMessage processes a message from a forwarder.
 func (p *Planner) handleMessage(c *conn, m planwire.Message) {
 	p.digests++
 	var err error
 	switch d := m.Digest; {
 	case d == nil:
-		err = fmt.Errorf("no digest, but what planners tell")
-	case d.From != c.name: // who it is, its certificate says
-		err = fmt.Errorf("%q says it is another", c.name)
+		err = fmt.Errorf("message is a view or a change, not a digest")
+	case d.From != c.name: // the name in the certificate decides
+		err = fmt.Errorf("%q sent a digest under another name", c.name)
 	default:
 		if m.Hold != nil {
 			err = c.updateHold(p.loop.Now(), *m.Hold, m.NextChange)
@@ -316,7 +319,7 @@
 	}
 }
 
-// refuse counts a message that counts for nothing, and tells of the first, second, fourth and so on of a forwarder.
+// refuse counts a rejected message. It logs the first, second, fourth, eighth and so on of each forwarder.
 func (p *Planner) refuse(c *conn, reason error) {
 	n := p.refusedBy[c.name] + 1
 	if p.refusedBy[c.name] = n; len(p.refusedBy) > 1024 {
@@ -328,7 +331,7 @@
 	}
 }
 
-// refusalCount is how many messages of those now in the table counted for nothing.
+// refusalCount returns the number of rejected messages in refusedBy.
 func (p *Planner) refusalCount() (sum int64) {
 	for _, n := range p.refusedBy {
 		sum += n
@@ -336,7 +339,7 @@
 	return sum
 }
 
-// updateServers takes list news.
+// updateServers applies an update of the server list. The first non-empty list triggers the restore of the snapshot.
 func (p *Planner) updateServers(update roster.Update) {
 	if update.Complete {
 		clear(p.entries)
@@ -359,7 +362,7 @@
 	}
 }
 
-// update makes what is told, and tells it.
+// update computes the new plan and sends it, once per interval.
 func (p *Planner) update() {
 	now := p.loop.Now()
 	p.plan.Update(now)
@@ -369,7 +372,7 @@
 
 var snapshotBucket, snapshotKey = []byte("planner"), []byte("snapshot")
 
-// scheduleSnapshot keeps what was learned, every so often.
+// scheduleSnapshot saves a snapshot at regular intervals.
 func (p *Planner) scheduleSnapshot() {
 	if p.store == nil {
 		return
@@ -382,7 +385,7 @@
 
 func (p *Planner) saveSnapshot() {
 	if !p.restored {
-		return // nothing was learned
+		return // there is no list yet, so nothing has been learned
 	}
 	text, err := json.Marshal(p.plan.Snapshot(p.loop.Now()))
 	if err == nil {
@@ -422,7 +425,7 @@
 	return control.Say(200, "ready")
 }
 
-// Status is the view that the planner makes and why each weight is what it is, in plain lines.
+// Status describes the current view and the reason for each weight, as text for operators.
 func (p *Planner) Status() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "planner %s, %d forwarders heard, %d connected\n", p.cfg.Plan.ID, p.plan.ForwarderCount(), len(p.conns))
@@ -443,10 +446,11 @@
 	return b.String()
 }
 
+// metrics returns the counters and gauges in the Prometheus text format.
 func (p *Planner) metrics() control.Reply {
 	var b strings.Builder
 	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u) // fails for no process of its own
+	syscall.Getrusage(syscall.RUSAGE_SELF, &u) // cannot fail for the calling process
 	s := &p.sender
 	for _, x := range []struct {
 		name, kind string
@@ -466,7 +470,7 @@
 	return control.Reply{Status: 200, Type: "text/plain; version=0.0.4; charset=utf-8", Body: []byte(b.String())}
 }
 
-// residentBytes is how many bytes of memory the process has; 0: the system does not say.
+// residentBytes returns the resident memory of the process, or 0 if /proc is not available.
 func residentBytes() float64 {
 	text, _ := os.ReadFile("/proc/self/statm")
 	if words := strings.Fields(string(text)); len(words) > 1 {
--- a/internal/planner/talk_test.go
+++ b/internal/planner/talk_test.go
@@ -591,7 +591,7 @@
 			t.Errorf("%d heard, %v refused, %d broken, %d connections", p.plan.ForwarderCount(), p.refusedBy, p.malformed, len(p.conns))
 		}
 	})
-	if !r.logged("digest_refused", `from="evil" count=1 `, "what planners tell") || !r.logged("digest_refused", `from="evil" count=4 `, "holds revision 0 of history 3") {
+	if !r.logged("digest_refused", `from="evil" count=1 `, "not a digest") || !r.logged("digest_refused", `from="evil" count=4 `, "holds revision 0 of history 3") {
 		t.Error("no reason said")
 	}
 	// It can still speak.
