--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -11,9 +11,9 @@
 	"lapisshelf/policy"
 )
 
-// BenchmarkPlannerAndForwarders has forwarders and a planner talk over loopback in one process for some seconds, at the default paces, by
-// whole digests and views and by changes: what it costs a second and a forwarder, both ends and the made-up load together.
-// Take a profile for who spends it.
+// BenchmarkPlannerAndForwarders runs a planner and forwarders over loopback in one process at the default intervals, once
+// with full digests and views and once with changes. It reports the cost per forwarder and second of both ends and the
+// generated load together; a profile shows how it is divided.
 func BenchmarkPlannerAndForwarders(b *testing.B) {
 	const forwarders, caches = 300, 420
 	for name, legacy := range map[string]bool{"whole": true, "changes": false} {
@@ -36,7 +36,7 @@
 			for i := range forwarders {
 				group.add(fmt.Sprintf("f%d", i), func(cfg *forwarder.Config) { cfg.Interval, cfg.Legacy = time.Second, legacy }, p.Addr())
 			}
-			p.eventually("all are heard", func() bool { return p.plan.ForwarderCount() == forwarders })
+			p.eventually("the planner has digests of all forwarders", func() bool { return p.plan.ForwarderCount() == forwarders })
 			time.Sleep(5 * time.Second)
 			b.ResetTimer()
 			cpu, start := cpuTime(), time.Now()
@@ -57,6 +57,7 @@
 	}
 }
 
+// memoryInUse returns the bytes of heap and stacks in use after a garbage collection.
 func memoryInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/planner/grants_test.go
+++ b/internal/planner/grants_test.go
@@ -13,12 +13,12 @@
 	"lapisshelf/policy"
 )
 
-// restartCache has the list tell that a cache starts now.
+// restartCache changes the cache's entry in the server list to a start time of now, which makes it cold.
 func (r *testEnv) restartCache(id string) {
 	r.list.Set(world.Member{ID: id, Addr: "127.0.0.1:999", Zone: "a", Kind: "m2", Weight: 1, Started: r.list.Log.Now()})
 }
 
-// budgetLog are what planners had for a cache, with each look that they took.
+// budgetLog holds samples of the planners' budgets for a cold cache.
 type budgetLog struct {
 	mu      sync.Mutex
 	samples []budgetSample
@@ -29,7 +29,7 @@
 	budget float64
 }
 
-// record notes a planner's budget for a cache; on its loop.
+// record adds a sample of a planner's budget for a cache. It must be called on the planner's loop.
 func (b *budgetLog) record(p *testPlanner, id string) {
 	for _, x := range p.plan.Explain() {
 		if x.ID == id && x.Allow > 0 {
@@ -40,7 +40,7 @@
 	}
 }
 
-// recordPeriodically looks again and again. Its timer comes between any two of the planner's ticks: both are set anew after each.
+// recordPeriodically records a sample five times per update interval, so that there is one between any two updates.
 func (b *budgetLog) recordPeriodically(p *testPlanner, id string) {
 	var again func()
 	again = func() {
@@ -50,7 +50,7 @@
 	p.onLoop(again)
 }
 
-// largest is the largest that any planner had in that time.
+// largest returns the largest budget recorded since the given time.
 func (b *budgetLog) largest(since time.Time) (most float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -62,9 +62,9 @@
 	return most
 }
 
-// Two planners and uneven forwarders, a cache that starts: planners are killed and come back, forwarders go over to the other
-// one and back, and some start anew. What all of them may send to it, by the views that are valid there, is never over the
-// largest budget that a planner had while these were.
+// With two planners, forwarders with different loads and a cold cache, planners are stopped and restarted, forwarders switch
+// between them, and some forwarders restart. The sum of the rates that all forwarders may send to the cache, by the views that
+// are valid there, never exceeds the largest budget that a planner had while those views were valid.
 func TestGrantsWhilePlannersDie(t *testing.T) {
 	r := newTestEnv(t, 10)
 	const valid = time.Second
@@ -91,7 +91,7 @@
 	for i := range nodes {
 		c.add(fmt.Sprintf("n%d", i), func(cfg *forwarder.Config) { cfg.Fade = time.Second }, planners[i%2].Addr(), planners[1-i%2].Addr())
 	}
-	// sum is what all may send, and how many are limited.
+	// sum returns the total rate that all forwarders may send to the cache, and how many of them have a limit.
 	sum := func() (sum float64, limited int) {
 		c.onLoop(func() {
 			for _, n := range c.nodes {
@@ -114,7 +114,7 @@
 		t.Helper()
 		eventually(t, what, func() bool {
 			s, limited := sum()
-			for _, p := range planners { // what was granted before that has a budget noted
+			for _, p := range planners { // records the budget behind any grant made before this moment
 				if p != dead {
 					p.onLoop(func() { b.record(p, r.cacheIDs[0]) })
 				}
@@ -126,7 +126,7 @@
 			return cond(limited)
 		})
 	}
-	await("all are heard", func(int) bool {
+	await("the planners have digests of all forwarders", func(int) bool {
 		heard := 0
 		for _, p := range planners {
 			p.onLoop(func() { heard += p.plan.ForwarderCount() })
@@ -134,16 +134,16 @@
 		return heard == 2*nodes
 	})
 	r.restartCache(r.cacheIDs[0])
-	await("all are limited", func(limited int) bool { return limited == nodes })
+	await("all forwarders are limited", func(limited int) bool { return limited == nodes })
 	for round := range 4 {
 		i := round % 2
-		planners[i].onLoop(func() { // no more is granted from here on
+		planners[i].onLoop(func() { // without entries the planner sends nothing, so it makes no more grants
 			b.record(planners[i], r.cacheIDs[0])
 			clear(planners[i].entries)
 		})
 		dead = planners[i]
 		dead.shutdown()
-		await("all are limited by the other", func(limited int) bool {
+		await("all forwarders are limited by the other planner", func(limited int) bool {
 			yes := limited == nodes
 			c.onLoop(func() {
 				for _, n := range c.nodes {
@@ -154,18 +154,18 @@
 		})
 		planners[i] = start([]string{"p1", "p2"}[i], addrs[i])
 		b.recordPeriodically(planners[i], r.cacheIDs[0])
-		// One forwarder starts anew.
+		// One forwarder restarts.
 		old := c.nodes[round]
 		c.onLoop(func() { old.Close(); old.closed = true })
 		fresh := c.add(old.name, func(cfg *forwarder.Config) { cfg.Fade = time.Second }, planners[0].Addr(), planners[1].Addr())
 		c.onLoop(func() { c.nodes = append(append(c.nodes[:round:round], fresh), c.nodes[round+1:nodes]...) })
-		await("all are heard again", func(limited int) bool {
+		await("the restarted planner has digests of all forwarders", func(limited int) bool {
 			heard := 0
 			planners[i].onLoop(func() { heard = planners[i].plan.ForwarderCount() })
 			return heard == nodes && limited == nodes
 		})
 	}
-	// All start anew at once: half of them hear the one planner first, and half the other.
+	// All forwarders restart at once. Half of them list one planner first, half the other.
 	killed := worst
 	worst = 0
 	for range 3 {
@@ -180,7 +180,7 @@
 			fresh[i] = c.add(fmt.Sprintf("n%d", i), func(cfg *forwarder.Config) { cfg.Fade = time.Second }, planners[i%2].Addr(), planners[1-i%2].Addr())
 		}
 		c.onLoop(func() { c.nodes = fresh })
-		await("all are limited again", func(limited int) bool {
+		await("all forwarders are limited again", func(limited int) bool {
 			up := 0
 			c.onLoop(func() {
 				for _, n := range c.nodes {
@@ -190,18 +190,18 @@
 			return limited == nodes && up == 2*nodes
 		})
 	}
-	t.Logf("as all start anew, the largest sum was %.3f of the largest budget of its time", worst)
+	t.Logf("as all restart, the largest sum was %.3f of the largest budget at that time", worst)
 	if worst > 1 || worst == 0 {
-		t.Errorf("as all start anew, the largest sum was %.3f of the largest budget of its time", worst)
+		t.Errorf("as all restart, the largest sum was %.3f of the largest budget at that time", worst)
 	}
 	worst = killed
-	t.Logf("the largest sum was %.3f of the largest budget of its time", worst)
+	t.Logf("the largest sum was %.3f of the largest budget at that time", worst)
 	if worst > 1 || worst < 0.5 {
-		t.Errorf("the largest sum was %.3f of the largest budget of its time", worst)
+		t.Errorf("the largest sum was %.3f of the largest budget at that time", worst)
 	}
 }
 
-// What a planner grants that is not followed counts at once, if it is less.
+// A grant of a planner that is not followed takes effect at once if it is lower than that of the followed one.
 func TestTheOtherPlannersGrants(t *testing.T) {
 	r := newTestEnv(t, 8)
 	a, b := r.startFakePlanner("a"), r.startFakePlanner("b")
@@ -221,7 +221,7 @@
 			return is
 		}
 	}
-	eventually(t, "a's grant", allow(a, 8, 8))
-	eventually(t, "b's, which is less", allow(b, 3, 3))
-	eventually(t, "a's again", allow(b, 9, 8))
+	eventually(t, "the grant of a is in force", allow(a, 8, 8))
+	eventually(t, "the lower grant of b is in force", allow(b, 3, 3))
+	eventually(t, "the grant of a is in force again", allow(b, 9, 8))
 }
--- a/internal/planner/old_test.go
+++ b/internal/planner/old_test.go
@@ -15,8 +15,8 @@
 	"lapisshelf/internal/keys"
 )
 
-// The frames as they were before there were changes, written and read as then: frozen here, so that what is built later
-// cannot change both ends at once.
+// The wire format before changes were added. It is defined separately here, so that a later modification of the wire format
+// cannot alter both ends of a test at once.
 
 type (
 	legacyMessage struct {
@@ -76,7 +76,7 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
 }
 
-// readLegacy reads one frame; raw is what it holds by number, also what was not known then.
+// readLegacy reads one frame. raw holds its fields by number, including those that the old format does not have.
 func readLegacy(conn net.Conn) (m legacyMessage, raw map[int]cbor.RawMessage, err error) {
 	var head [4]byte
 	if _, err = io.ReadFull(conn, head[:]); err != nil {
@@ -84,7 +84,7 @@
 	}
 	size := binary.BigEndian.Uint32(head[:])
 	if size == 0 || size > legacyMaxMessageBytes {
-		return m, nil, errors.New("a message of absurd size")
+		return m, nil, errors.New("invalid message length")
 	}
 	body := make([]byte, size)
 	if _, err = io.ReadFull(conn, body); err != nil {
@@ -99,7 +99,7 @@
 	return m, raw, legacyDecoder.Unmarshal(body, &raw)
 }
 
-// dial connects as a forwarder.
+// dial connects to a planner as a forwarder.
 func (r *testEnv) dial(name, addr string) *tls.Conn {
 	r.t.Helper()
 	conn, err := tls.Dial("tcp", addr, r.certificate(name, keys.Forwarder).ClientConfig(keys.Planner))
@@ -110,17 +110,18 @@
 	return conn
 }
 
-// fakeServer is a planner that a test plays.
+// fakeServer accepts connections from forwarders in place of a planner.
 type fakeServer struct {
 	r        *testEnv
 	listener net.Listener
 	serve    func(conn net.Conn)
 	mu       sync.Mutex
 	conns    []net.Conn
-	accepted int // connections that came up
+	accepted int // connections accepted so far
 }
 
-// startFakeServer listens and has each connection served in a goroutine of its own until the test ends.
+// startFakeServer listens on an address, or on any port if it is "", and serves each connection in its own goroutine until
+// the test ends.
 func (r *testEnv) startFakeServer(id, listen string, serve func(conn net.Conn)) *fakeServer {
 	r.t.Helper()
 	if listen == "" {
@@ -162,8 +163,8 @@
 	return s.accepted
 }
 
-// startLegacyPlanner is a planner of before there were changes: it tells whole views of all caches every so often, from the start of
-// each connection, and is given each digest with what the frame holds by number.
+// startLegacyPlanner starts a planner that is older than changes. It sends full views of all caches periodically from the
+// start of each connection. took is called with each digest and the raw fields of its frame.
 func (r *testEnv) startLegacyPlanner(id, listen string, factor float64, took func(d legacyDigest, raw map[int]cbor.RawMessage)) *fakeServer {
 	r.t.Helper()
 	return r.startFakeServer(id, listen, func(conn net.Conn) {
@@ -194,7 +195,7 @@
 				return
 			}
 			if m.Digest == nil {
-				r.t.Error("a view from a forwarder")
+				r.t.Error("received a view from a forwarder")
 				return
 			}
 			took(*m.Digest, raw)
--- a/internal/planner/rig_test.go
+++ b/internal/planner/rig_test.go
@@ -26,10 +26,10 @@
 
 const (
 	ms          = time.Millisecond
-	waitTimeout = 60 * time.Second // until a test gives up on something that must come
+	waitTimeout = 60 * time.Second // after which an awaited condition fails the test
 )
 
-// testEnv is a list service and an authority, before which planners and forwarders start.
+// testEnv is a server list and a certificate authority for planners and forwarders.
 type testEnv struct {
 	t        testing.TB
 	list     *standin.List
@@ -75,7 +75,7 @@
 	}
 }
 
-// logged reports whether a line of the log holds all words.
+// logged reports whether some line of the log contains all words.
 func (r *testEnv) logged(words ...string) bool {
 	r.log.Lock()
 	defer r.log.Unlock()
@@ -91,11 +91,11 @@
 	return false
 }
 
-// certificate is a holder's certificate, made when it is first asked for.
+// certificate returns a holder's certificate, issued at the first call.
 func (r *testEnv) certificate(name string, role keys.Role) *keys.Pair {
 	r.t.Helper()
 	cert := filepath.Join(r.dir, name)
-	keys.Issue(r.dir, name, role, time.Now(), time.Hour, false) // it may be there already
+	keys.Issue(r.dir, name, role, time.Now(), time.Hour, false) // fails if it exists, which is fine
 	p, err := keys.Load(filepath.Join(r.dir, "ca.pem"), cert+".pem", cert+".key")
 	if err != nil {
 		r.t.Fatal(err)
@@ -103,7 +103,7 @@
 	return p
 }
 
-// testPlanner is a planner that runs.
+// testPlanner is a running planner.
 type testPlanner struct {
 	*Planner
 	r      *testEnv
@@ -111,7 +111,7 @@
 	done   chan error
 }
 
-// startPlanner starts a planner; one that listens at "" takes any port.
+// startPlanner starts a planner, on any port if listen is "", and waits until it has the server list.
 func (r *testEnv) startPlanner(id, listen string, change func(*Config)) *testPlanner {
 	r.t.Helper()
 	if listen == "" {
@@ -133,11 +133,11 @@
 	run := &testPlanner{Planner: p, r: r, cancel: stop, done: make(chan error, 1)}
 	go func() { run.done <- p.Run(ctx) }()
 	r.t.Cleanup(run.shutdown)
-	run.eventually("it has the list", func() bool { return len(p.entries) == len(r.cacheIDs) })
+	run.eventually("the planner has the server list", func() bool { return len(p.entries) == len(r.cacheIDs) })
 	return run
 }
 
-// shutdown ends a planner, once.
+// shutdown stops the planner and waits for it. Later calls have no effect.
 func (p *testPlanner) shutdown() {
 	p.cancel()
 	if err, first := <-p.done; first {
@@ -147,14 +147,14 @@
 	}
 }
 
-// onLoop does something on the planner's loop and waits for it.
+// onLoop calls f on the planner's loop and waits for it.
 func (p *testPlanner) onLoop(f func()) {
 	done := make(chan struct{})
 	p.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// eventually waits until something is true on the planner's loop.
+// eventually waits until a condition, evaluated on the planner's loop, is true.
 func (p *testPlanner) eventually(what string, is func() bool) {
 	p.r.t.Helper()
 	eventually(p.r.t, what, func() (yes bool) { p.onLoop(func() { yes = is() }); return yes })
@@ -164,28 +164,28 @@
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !is(); time.Sleep(2 * ms) {
 		if time.Now().After(end) {
-			t.Fatalf("not in %v: %s", waitTimeout, what)
+			t.Fatalf("not within %v: %s", waitTimeout, what)
 		}
 	}
 }
 
-// forwarderGroup is forwarders on one loop.
+// forwarderGroup is a group of forwarders on one loop.
 type forwarderGroup struct {
 	r     *testEnv
 	loop  *loop.Loop
 	nodes []*node
-	// load draws what a node saw since its last digest; it runs on the loop.
+	// load reports a node's traffic since its last digest to its forwarder. It is called on the loop.
 	load func(n *node)
-	// took is called as a view is put in force; it runs on the loop.
+	// onView is called when a view is put in force at a node. It is called on the loop.
 	onView func(n *node)
 }
 
-// node is a forwarder and the view that it acts on.
+// node is a forwarder and its view in force.
 type node struct {
 	*forwarder.Forwarder
 	name      string
 	view      policy.View
-	viewCount int // views put in force
+	viewCount int // number of views put in force
 	closed    bool
 }
 
@@ -230,7 +230,7 @@
 	return list
 }
 
-// add starts a forwarder.
+// add starts a forwarder and its load.
 func (c *forwarderGroup) add(name string, change func(*forwarder.Config), planners ...netip.AddrPort) *node {
 	c.r.t.Helper()
 	cfg := forwarder.Config{Planners: planners, Name: name, TLS: c.r.certificate(name, keys.Forwarder).ClientConfig(keys.Planner), Interval: 100 * ms}
@@ -250,7 +250,7 @@
 	return n
 }
 
-// generateLoad has a node see its load.
+// generateLoad calls load for a node periodically until it is closed.
 func (c *forwarderGroup) generateLoad(d time.Duration, n *node) {
 	if n.closed {
 		return
@@ -261,6 +261,7 @@
 	c.loop.After(d, func() { c.generateLoad(d, n) })
 }
 
+// cpuTime returns the CPU time that the process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- a/internal/planner/send_test.go
+++ b/internal/planner/send_test.go
@@ -15,16 +15,16 @@
 	"lapisshelf/policy"
 )
 
-// steppedPlanner is a planner that does not run: a test moves its clock and looks at what it puts out.
+// steppedPlanner is a planner whose loop does not run. A test advances its clock and reads the frames that it sends.
 type steppedPlanner struct {
 	*Planner
 	t        *testing.T
 	now      time.Duration
 	cacheIDs []string
-	factor   float64 // what all servers count for; they would recover, since nothing bad is told of them
+	factor   float64 // of all servers; reset before each update, as the factors would recover without bad answers
 }
 
-func newSteppedPlanner(t *testing.T, caches int, off float64) *steppedPlanner {
+func newSteppedPlanner(t *testing.T, caches int, factor float64) *steppedPlanner {
 	t.Helper()
 	p, err := New(Config{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Interval: 500 * ms, Certificates: func() (*tls.Config, error) { return &tls.Config{}, nil },
 		Plan: plan.Config{ID: "p", Forwarders: 4096, Valid: 3 * time.Second, FallMultiple: 3, WarmUp: time.Minute, ColdFrom: 0.1}})
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { p.listener.Close() })
-	s := &steppedPlanner{Planner: p, t: t, now: 1000 * time.Second, factor: off}
+	s := &steppedPlanner{Planner: p, t: t, now: 1000 * time.Second, factor: factor}
 	for i := range caches {
 		s.cacheIDs = append(s.cacheIDs, fmt.Sprintf("shelf-cache-%03d", i))
 	}
@@ -41,7 +41,7 @@
 	return s
 }
 
-// setList has the list name all caches; the first so many started now.
+// setList sets a server list with all caches, of which the first ones start now and are cold.
 func (s *steppedPlanner) setList(cold int) {
 	var list []policy.Server
 	for i, id := range s.cacheIDs {
@@ -55,33 +55,33 @@
 	s.plan.SetServers(s.now, list)
 }
 
-// updatePlan has the planner look at what is so.
+// updatePlan sets all factors and updates the plan.
 func (s *steppedPlanner) updatePlan() {
-	shot := plan.Snapshot{Clock: s.now, Factors: map[string]float64{}}
+	snapshot := plan.Snapshot{Clock: s.now, Factors: map[string]float64{}}
 	for _, id := range s.cacheIDs {
-		shot.Factors[id] = s.factor
+		snapshot.Factors[id] = s.factor
 	}
-	if s.factor < 1 && !s.plan.Restore(s.now, time.Hour, shot) {
-		s.t.Fatal("the snapshot does not count")
+	if s.factor < 1 && !s.plan.Restore(s.now, time.Hour, snapshot) {
+		s.t.Fatal("the snapshot was not restored")
 	}
 	s.plan.Update(s.now)
 }
 
-// addConn is a forwarder's connection whose frames the test takes.
+// addConn adds a forwarder's connection whose frames the test reads.
 func (s *steppedPlanner) addConn(name string) *conn {
 	c := &conn{p: s.Planner, name: name, out: make(chan []byte, 2)}
 	s.conns[c] = true
 	return c
 }
 
-// step moves the clock by as much as lies between two sendings, and sends.
+// step advances the clock by one interval, updates the plan and sends.
 func (s *steppedPlanner) step() {
 	s.now += s.cfg.Interval
 	s.updatePlan()
 	s.sendUpdates(s.now)
 }
 
-// takeFrames is what waits for a connection, taken from it.
+// takeFrames returns and removes the frames queued on a connection.
 func (s *steppedPlanner) takeFrames(c *conn) (frames [][]byte) {
 	for {
 		select {
@@ -93,7 +93,7 @@
 	}
 }
 
-// decode reads frames.
+// decode decodes frames of one message each.
 func (s *steppedPlanner) decode(frames ...[]byte) (list []planwire.Message) {
 	s.t.Helper()
 	for _, f := range frames {
@@ -106,7 +106,7 @@
 	return list
 }
 
-// acknowledge has a forwarder tell what it holds, and that all that went out has come.
+// acknowledge reports that a forwarder holds a state and has received all changes sent so far.
 func (s *steppedPlanner) acknowledge(c *conn, h plan.Hold) {
 	s.t.Helper()
 	if err := c.updateHold(s.now, h, c.changesSent+1); err != nil {
@@ -118,8 +118,9 @@
 	return plan.Hold{History: s.cfg.Plan.History, Revision: s.plan.Revision()}
 }
 
-// A fleet that comes back all at once, with a state of 420 servers that are all off: the whole states go out at their pace,
-// in the order of asking, frozen forwarders keep none of the others waiting, and one that asks again each time waits in turn.
+// A whole fleet reconnects at once, and the state has 420 servers with factors below 1. The full states are sent at the
+// limited rate, in the order of the requests. Frozen forwarders do not delay the others, and a forwarder that requests the
+// state again and again gets it only in its turn.
 func TestFullStatesArePaced(t *testing.T) {
 	const nodes = 1900
 	s := newSteppedPlanner(t, 420, 0.5)
@@ -128,8 +129,8 @@
 		conns = append(conns, s.addConn(fmt.Sprintf("n%04d", i)))
 		s.acknowledge(conns[i], plan.Hold{})
 	}
-	frozen, liar := conns[0], conns[1]
-	var stuck *conn // freezes while it waits
+	frozen, repeater := conns[0], conns[1]
+	var frozenLater *conn // stops reading while it is queued
 	frozen.out <- nil
 	frozen.out <- nil
 	bytes, served := []int{}, map[*conn]int{}
@@ -142,7 +143,7 @@
 		s.step()
 		sum := 0
 		for _, c := range conns {
-			if c == frozen || c == stuck {
+			if c == frozen || c == frozenLater {
 				continue
 			}
 			for _, f := range s.takeFrames(c) {
@@ -152,32 +153,32 @@
 				}
 				sum += len(f)
 				size = len(f)
-				if served[c]++; c != liar && served[c] > 1 {
-					t.Errorf("%s got %d", c.name, served[c])
+				if served[c]++; c != repeater && served[c] > 1 {
+					t.Errorf("%s got %d full states", c.name, served[c])
 				}
 			}
 		}
 		bytes = append(bytes, sum)
 		if ticks == 0 {
-			stuck = s.sender.awaitingState[len(s.sender.awaitingState)/2]
-			if stuck == liar {
-				stuck = s.sender.awaitingState[0]
+			frozenLater = s.sender.awaitingState[len(s.sender.awaitingState)/2]
+			if frozenLater == repeater {
+				frozenLater = s.sender.awaitingState[0]
 			}
-			stuck.out <- nil
-			stuck.out <- nil
+			frozenLater.out <- nil
+			frozenLater.out <- nil
 		}
-		if ticks > 0 { // those who wait from before come first
+		if ticks > 0 { // connections queued earlier are served first
 			for i, c := range before[:min(len(before), 20)] {
-				if served[c] == 0 && c != frozen && c != stuck {
-					t.Errorf("tick %d: the %d. of those who waited got none", ticks, i+1)
+				if served[c] == 0 && c != frozen && c != frozenLater {
+					t.Errorf("tick %d: number %d of the queue got no state", ticks, i+1)
 				}
 			}
 		}
-		s.acknowledge(liar, plan.Hold{})
+		s.acknowledge(repeater, plan.Hold{})
 	}
-	t.Logf("states of %d bytes, bytes each half second: %v", size, bytes)
+	t.Logf("states of %d bytes; bytes sent per half second: %v", size, bytes)
 	if size < 4000 {
-		t.Errorf("a state of %d bytes: that is no test", size)
+		t.Errorf("a state of %d bytes is too small for this test", size)
 	}
 	for i := range bytes[1:] { // in any second
 		if sum := bytes[i] + bytes[i+1]; sum > stateBytesPerSecond*3/2+2*size {
@@ -185,27 +186,28 @@
 		}
 	}
 	if total := nodes * size; len(bytes) > 2+2*total/stateBytesPerSecond {
-		t.Errorf("%d ticks for %d bytes", len(bytes), total)
+		t.Errorf("sending took %d ticks for %d bytes", len(bytes), total)
 	}
-	if served[liar] > 1+len(bytes)/2 || s.sender.statesPaced == 0 {
-		t.Errorf("the one that asks each time got %d in %d ticks; %d paced", served[liar], len(bytes), s.sender.statesPaced)
+	if served[repeater] > 1+len(bytes)/2 || s.sender.statesPaced == 0 {
+		t.Errorf("the repeating forwarder got %d states in %d ticks; %d were delayed", served[repeater], len(bytes), s.sender.statesPaced)
 	}
-	for _, c := range []*conn{frozen, stuck} {
+	for _, c := range []*conn{frozen, frozenLater} {
 		if len(c.out) != 2 {
-			t.Errorf("a frozen one has %d frames to take", len(c.out))
+			t.Errorf("a frozen forwarder has %d queued frames", len(c.out))
 		}
 		s.takeFrames(c)
 	}
 	s.step()
 	s.step()
-	for _, c := range []*conn{frozen, stuck} {
+	for _, c := range []*conn{frozen, frozenLater} {
 		if list := s.decode(s.takeFrames(c)...); len(list) == 0 || list[0].Change.Base != 0 {
-			t.Errorf("thawed, it got %+v", list)
+			t.Errorf("after the freeze, a forwarder got %+v", list)
 		}
 	}
 }
 
-// In the calm a forwarder that holds the present state hears once a second, all of them the same bytes, made once.
+// While nothing changes, each forwarder that holds the current state gets a heartbeat once a second. All heartbeats of an
+// update share one encoded frame.
 func TestHeartbeats(t *testing.T) {
 	s := newSteppedPlanner(t, 20, 1)
 	var conns []*conn
@@ -219,11 +221,11 @@
 	frozen.out <- nil
 	frozen.out <- nil
 	for tick := 1; tick <= 20; tick++ {
-		made := s.sender.changesEncoded
+		encoded := s.sender.changesEncoded
 		s.step()
-		want := (tick + 1) % 2 // every other
-		if s.sender.changesEncoded-made > 1 {
-			t.Errorf("tick %d: encoded %d times", tick, s.sender.changesEncoded-made)
+		want := (tick + 1) % 2 // every second tick
+		if s.sender.changesEncoded-encoded > 1 {
+			t.Errorf("tick %d: encoded %d times", tick, s.sender.changesEncoded-encoded)
 		}
 		var first []byte
 		for _, c := range conns[1:] {
@@ -238,7 +240,7 @@
 				first = got[0]
 			}
 			if &first[0] != &got[0][0] {
-				t.Fatal("the same bytes made twice")
+				t.Fatal("the same frame was encoded twice")
 			}
 			if m := s.decode(got[0])[0].Change; m.Base != s.plan.Revision() || len(m.Servers) > 0 || len(got[0]) > 120 {
 				t.Fatalf("%d bytes: %+v", len(got[0]), m)
@@ -246,57 +248,58 @@
 		}
 	}
 	if len(frozen.out) != 2 {
-		t.Error("a frozen one was written to")
+		t.Error("a frozen forwarder was sent a frame")
 	}
 }
 
-// What changed is told at once from what is acknowledged, again with the heartbeat while it is not, and no more once it is.
-// One that has told nothing, not even that it is older, is told nothing.
+// A change starts from the acknowledged state. It is sent at once, repeated with the heartbeat until it is acknowledged, and
+// not sent again after that. A connection without any digest yet is sent nothing.
 func TestChangesStartFromHeldState(t *testing.T) {
 	s := newSteppedPlanner(t, 20, 1)
-	a, b, mute := s.addConn("a"), s.addConn("b"), s.addConn("mute")
-	first := s.currentHold()
+	a, b, silent := s.addConn("a"), s.addConn("b"), s.addConn("mute")
+	initial := s.currentHold()
 	for _, c := range []*conn{a, b} {
-		s.acknowledge(c, first)
+		s.acknowledge(c, initial)
 		c.lastSent = s.now
 	}
 	s.factor = 0.5
 	s.step()
 	for _, c := range []*conn{a, b} {
-		if list := s.decode(s.takeFrames(c)...); len(list) != 1 || list[0].Change.Base != first.Revision || list[0].Change.Revision != s.plan.Revision() || len(list[0].Change.Servers) != 20 {
+		if list := s.decode(s.takeFrames(c)...); len(list) != 1 || list[0].Change.Base != initial.Revision || list[0].Change.Revision != s.plan.Revision() || len(list[0].Change.Servers) != 20 {
 			t.Fatalf("%s: %+v", c.name, list)
 		}
 	}
 	s.acknowledge(a, s.currentHold())
-	s.step() // b's is on its way
+	s.step() // the change to b is in transit
 	if n, m := len(s.takeFrames(a)), len(s.takeFrames(b)); n+m > 0 {
 		t.Errorf("%d and %d frames", n, m)
 	}
 	s.step() // the heartbeat
-	for c, base := range map[*conn]uint64{a: s.plan.Revision(), b: first.Revision} {
+	for c, base := range map[*conn]uint64{a: s.plan.Revision(), b: initial.Revision} {
 		if list := s.decode(s.takeFrames(c)...); len(list) != 1 || list[0].Change.Base != base {
 			t.Errorf("%s: %+v", c.name, list)
 		}
 	}
-	s.acknowledge(b, plan.Hold{}) // it does not fit what it has
+	s.acknowledge(b, plan.Hold{}) // the change did not fit its state
 	s.step()
 	if list := s.decode(s.takeFrames(b)...); len(list) != 1 || list[0].Change.Base != 0 || s.sender.lostStates != 1 {
-		t.Errorf("%+v, %d doubts", list, s.sender.lostStates)
+		t.Errorf("%+v, %d lost states", list, s.sender.lostStates)
 	}
-	s.acknowledge(a, plan.Hold{History: s.cfg.Plan.History ^ 2, Revision: 1}) // another life's
+	s.acknowledge(a, plan.Hold{History: s.cfg.Plan.History ^ 2, Revision: 1}) // of another run
 	s.step()
 	if list := s.decode(s.takeFrames(a)...); len(list) != 1 || list[0].Change.Base != 0 {
 		t.Errorf("%+v", list)
 	}
-	if n := len(s.takeFrames(mute)); n > 0 {
-		t.Errorf("%d frames to one that said nothing", n)
+	if n := len(s.takeFrames(silent)); n > 0 {
+		t.Errorf("%d frames to a forwarder that has sent nothing", n)
 	}
 }
 
-// A forwarder's grants go to it alone, beside what goes to all, at each tick while a server is cold.
+// While a server is cold, each update sends every forwarder its own grants with the shared change.
 func TestGrantsGoToOneForwarder(t *testing.T) {
 	s := newSteppedPlanner(t, 20, 1)
-	// The last one's digests have come over another connection, on which the forwarder does not look for the answer.
+	// The last connection is a second one of forwarder a, whose digests arrive on the first. The forwarder does not match grants
+	// on the second connection with its digests.
 	conns := []*conn{s.addConn("a"), s.addConn("b"), s.addConn("unheard of"), s.addConn("a")}
 	seq := uint64(0)
 	digest := func() {
@@ -336,7 +339,7 @@
 			}
 			m := list[0].Change
 			if c.lastDigestSeq == 0 && len(m.Grants) > 0 {
-				t.Errorf("%s: grants that answer no digest", c.name)
+				t.Errorf("%s: got grants without a digest on the connection", c.name)
 			}
 			if g := m.Grants; len(g) == 1 && g[0].ID == s.cacheIDs[0] && m.Answers == seq && m.After == s.cfg.Interval {
 				rates = append(rates, g[0].Rate)
@@ -352,7 +355,7 @@
 	}
 }
 
-// What a forwarder says that it holds is believed only where it can be true.
+// A hold that cannot be true is rejected.
 func TestInvalidHolds(t *testing.T) {
 	s := newSteppedPlanner(t, 20, 1)
 	c := s.addConn("a")
@@ -364,7 +367,7 @@
 			t.Errorf("%+v: refused %d, %+v", h, s.refusedBy["a"], c.hold)
 		}
 	}
-	// A follower's own holds are none of these.
+	// The holds that a follower reports are accepted.
 	f := follow.New(follow.Config{})
 	for range 3 {
 		s.acknowledge(c, f.Hold("p"))
@@ -384,69 +387,70 @@
 	}
 }
 
-// A whole fleet starts at once, and each forwarder's digests cross the state on its way: one that tells that it holds nothing
-// gets a whole state once, whatever it tells until that has come. What it tells afterwards is a doubt, at once. One of before
-// does not tell how far it is: there the state counts as on its way for two seconds.
-// Guards against whole states by the thousand for nothing, as all nodes restart: two in five were sent again.
+// A whole fleet starts at once, and each forwarder's digests cross the full state in transit. A forwarder that holds nothing
+// gets one full state, whatever it reports until that has arrived. If it reports afterwards that it holds nothing, the state
+// counts as lost and is sent again. An older forwarder does not report which change it expects: for it, the state counts as in
+// transit for two seconds.
+// Guards against thousands of needless full states when all nodes restart: two in five were sent twice.
 func TestOneFullStatePerStart(t *testing.T) {
 	const nodes = 300
 	s := newSteppedPlanner(t, 20, 0.5)
-	other := plan.Hold{History: s.cfg.Plan.History ^ 2, Revision: 7} // of the planner's life before
+	previousRun := plan.Hold{History: s.cfg.Plan.History ^ 2, Revision: 7} // of the planner's previous run
 	var conns []*conn
 	for i := range nodes {
 		conns = append(conns, s.addConn(fmt.Sprintf("n%03d", i)))
 	}
-	tells := func(c *conn, i int, next uint64) {
+	report := func(c *conn, i int, next uint64) {
 		t.Helper()
-		if i%3 == 0 { // of before
+		if i%3 == 0 { // an older forwarder
 			next = 0
 		}
 		h := plan.Hold{}
 		if i%2 == 0 {
-			h = other
+			h = previousRun
 		}
 		if err := c.updateHold(s.now, h, next); err != nil {
 			t.Fatal(err)
 		}
 	}
-	is := func(what string, states, doubts int64) {
+	check := func(what string, states, doubts int64) {
 		t.Helper()
 		if s.sender.statesSent != states || s.sender.lostStates != doubts {
-			t.Errorf("%s: %d whole states, %d on doubt, want %d, %d", what, s.sender.statesSent, s.sender.lostStates, states, doubts)
+			t.Errorf("%s: %d full states, %d lost, want %d, %d", what, s.sender.statesSent, s.sender.lostStates, states, doubts)
 		}
 	}
 	for i, c := range conns {
-		tells(c, i, 1)
-		tells(c, i, 1)
+		report(c, i, 1)
+		report(c, i, 1)
 	}
 	s.step()
-	is("all start", nodes, 0)
+	check("all start", nodes, 0)
 	for range 3 {
 		for i, c := range conns {
-			tells(c, i, 1)
+			report(c, i, 1)
 			s.takeFrames(c)
 		}
 		s.step()
 	}
-	is("their digests crossed it", nodes, 0)
+	check("their digests crossed the states", nodes, 0)
 	for i, c := range conns {
 		s.takeFrames(c)
 		if next := c.lastState.seq + 1; i < 30 {
-			tells(c, i, next)
+			report(c, i, next)
 		} else if i < 60 {
 			s.acknowledge(c, s.currentHold())
 		}
 	}
 	s.step()
-	is("it came and does not fit, at some", nodes+20, 20)
+	check("some lost the state after it arrived", nodes+20, 20)
 	s.step()
 	for i, c := range conns[:30] {
 		s.takeFrames(c)
-		tells(c, i, c.lastState.seq)
+		report(c, i, c.lastState.seq)
 	}
 	s.step()
-	is("those of before hold nothing after two seconds", nodes+30, 30)
+	check("older forwarders hold nothing after two seconds", nodes+30, 30)
 	if err := conns[1].updateHold(s.now, plan.Hold{}, conns[1].changesSent+2); err == nil {
-		t.Error("it expects what is to come")
+		t.Error("accepted an expected change number that does not exist yet")
 	}
 }
--- a/internal/planner/talk_test.go
+++ b/internal/planner/talk_test.go
@@ -22,10 +22,10 @@
 )
 
 // readLoad has each node's digests tell reads of all caches, of which those of the bad ones come to nothing.
-func (r *testEnv) readLoad(bad *sync.Map) func(n *node) {
+func (r *testEnv) readLoad(failing *sync.Map) func(n *node) {
 	return func(n *node) {
 		for _, id := range r.cacheIDs {
-			_, is := bad.Load(id)
+			_, is := failing.Load(id)
 			for range 20 {
 				n.Request("k", "t")
 				if is {
@@ -68,7 +68,7 @@
 	bad.Store(r.cacheIDs[0], true)
 	c := r.newForwarderGroup()
 	c.load = r.readLoad(&bad)
-	fresh, whole := c.add("new", nil, p.Addr()), c.add("whole", func(cfg *forwarder.Config) { cfg.Legacy = true }, p.Addr())
+	current, legacy := c.add("new", nil, p.Addr()), c.add("whole", func(cfg *forwarder.Config) { cfg.Legacy = true }, p.Addr())
 	conn := r.dial("frozen", p.Addr().String())
 	go func() {
 		for seq := uint64(1); ; seq++ {
@@ -87,7 +87,7 @@
 		}
 	}()
 	var mu sync.Mutex
-	least, views, wrong := 1.0, 0, 0
+	lowest, views, partial := 1.0, 0, 0
 	go func() {
 		for {
 			m, _, err := readLegacy(conn)
@@ -96,28 +96,31 @@
 			}
 			mu.Lock()
 			if views++; m.View == nil || len(m.View.Servers) != len(r.cacheIDs) {
-				wrong++
+				partial++
 			} else {
-				least = min(least, m.View.Servers[0].Factor)
+				lowest = min(lowest, m.View.Servers[0].Factor)
 			}
 			mu.Unlock()
 		}
 	}()
-	wholes := int64(0) // to a planner that was slow to say what it speaks
-	c.eventually("it takes changes", func() bool { wholes = fresh.FullDigests; return strings.Contains(fresh.Status(), "tells changes") })
+	fullDigests := int64(0) // to a planner that was slow to say what it speaks
+	c.eventually("it takes changes", func() bool {
+		fullDigests = current.FullDigests
+		return strings.Contains(current.Status(), "tells changes")
+	})
 	c.eventually("all act on the bad cache", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return fresh.factor(r.cacheIDs[0]) < 0.2 && whole.factor(r.cacheIDs[0]) < 0.2 && least < 0.2
+		return current.factor(r.cacheIDs[0]) < 0.2 && legacy.factor(r.cacheIDs[0]) < 0.2 && lowest < 0.2
 	})
 	c.onLoop(func() {
-		if fresh.FullDigests != wholes || whole.FullDigests != whole.DigestsSent || fresh.ClosedConns+whole.ClosedConns > 0 || !strings.Contains(fresh.Status(), "tells changes") || !strings.Contains(whole.Status(), "tells views") {
-			t.Errorf("new: %s, old: %s", fresh.Status(), whole.Status())
+		if current.FullDigests != fullDigests || legacy.FullDigests != legacy.DigestsSent || current.ClosedConns+legacy.ClosedConns > 0 || !strings.Contains(current.Status(), "tells changes") || !strings.Contains(legacy.Status(), "tells views") {
+			t.Errorf("new: %s, old: %s", current.Status(), legacy.Status())
 		}
 	})
 	mu.Lock()
-	if wrong > 0 {
-		t.Errorf("%d of %d views are not whole", wrong, views)
+	if partial > 0 {
+		t.Errorf("%d of %d views are not whole", partial, views)
 	}
 	mu.Unlock()
 	p.onLoop(func() {
@@ -128,9 +131,9 @@
 	bad.Clear()
 	// And back, with the connections that stand.
 	go conn.Close()
-	c.eventually("the cache gets weight back", func() bool { return fresh.factor(r.cacheIDs[0]) > 0.3 && whole.factor(r.cacheIDs[0]) > 0.3 })
+	c.eventually("the cache gets weight back", func() bool { return current.factor(r.cacheIDs[0]) > 0.3 && legacy.factor(r.cacheIDs[0]) > 0.3 })
 	c.onLoop(func() {
-		if fresh.ClosedConns+whole.ClosedConns > 0 {
+		if current.ClosedConns+legacy.ClosedConns > 0 {
 			t.Error("a connection ended")
 		}
 	})
@@ -141,7 +144,7 @@
 func TestANewForwarderAtAnOldPlanner(t *testing.T) {
 	r := newTestEnv(t, 8)
 	var mu sync.Mutex
-	hellos, wholes := 0, 0
+	hellos, fullDigests := 0, 0
 	old := r.startLegacyPlanner("p1", "", 0.4, func(d legacyDigest, raw map[int]cbor.RawMessage) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -153,7 +156,7 @@
 		case d.Asked == 0 && len(d.Servers) == 0:
 			hellos++
 		case len(d.Servers) == len(r.cacheIDs):
-			wholes++
+			fullDigests++
 		default:
 			t.Errorf("a digest of %d servers", len(d.Servers))
 		}
@@ -164,7 +167,7 @@
 	c.eventually("whole digests", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return wholes >= 5 && n.factor(r.cacheIDs[0]) == 0.4
+		return fullDigests >= 5 && n.factor(r.cacheIDs[0]) == 0.4
 	})
 	if mu.Lock(); old.acceptedCount() != 1 || hellos == 0 || hellos > 5 {
 		t.Errorf("%d connections, %d hellos", old.acceptedCount(), hellos)
@@ -392,9 +395,9 @@
 	if h := s.awaitHolds(1); h != (plan.Hold{}) {
 		t.Fatalf("it holds %+v", h)
 	}
-	is := func(what string, rev uint64, bad ...string) {
+	check := func(what string, revision uint64, bad ...string) {
 		t.Helper()
-		want := plan.Hold{History: 77, Revision: rev, Follows: true}
+		want := plan.Hold{History: 77, Revision: revision, Follows: true}
 		eventually(t, what, func() bool { return s.awaitHolds(1) == want })
 		c.onLoop(func() {
 			for _, id := range r.cacheIDs {
@@ -417,24 +420,24 @@
 		return k
 	}
 	s.send(s.changeFrom(0))
-	is("a whole state", s.plan.Revision())
+	check("a whole state", s.plan.Revision())
 	first := s.plan.Revision()
 	s.nextState(r.cacheIDs[0])
-	one := s.changeFrom(first)
-	s.send(one)
-	is("a change", s.plan.Revision())
-	s.send(one) // doubled
+	change := s.changeFrom(first)
+	s.send(change)
+	check("a change", s.plan.Revision())
+	s.send(change) // doubled
 	s.nextState(r.cacheIDs[1])
-	lost := s.changeFrom(one.Revision) // never sent
+	lost := s.changeFrom(change.Revision) // never sent
 	s.nextState(r.cacheIDs[2])
-	s.send(s.changeFrom(one.Revision)) // all since what was acknowledged
-	is("what was lost comes with the next", s.plan.Revision())
+	s.send(s.changeFrom(change.Revision)) // all since what was acknowledged
+	check("what was lost comes with the next", s.plan.Revision())
 	if got := counts("late"); got != 1 {
 		t.Errorf("%d were late, want the doubled one", got)
 	}
 	s.send(lost) // late
 	s.awaitHolds(2)
-	is("a late one changes nothing", s.plan.Revision())
+	check("a late one changes nothing", s.plan.Revision())
 	if got := counts("late"); got != 2 {
 		t.Errorf("%d were late", got)
 	}
@@ -443,32 +446,32 @@
 	missed := s.plan.Revision()
 	s.nextState(r.cacheIDs[4])
 	s.send(s.changeFrom(missed))
-	nothing := func() bool { h := s.awaitHolds(1); return h.History == 0 && h.Revision == 0 }
-	eventually(t, "it wants all", nothing)
+	needsFullState := func() bool { h := s.awaitHolds(1); return h.History == 0 && h.Revision == 0 }
+	eventually(t, "it wants all", needsFullState)
 	if got := counts("doubt"); got != 1 {
 		t.Errorf("%d doubts", got)
 	}
 	s.send(s.changeFrom(0))
-	is("all anew", s.plan.Revision())
+	check("all anew", s.plan.Revision())
 	// What is rebuilt is not what the planner has.
 	from := s.plan.Revision()
 	s.nextState(r.cacheIDs[5])
 	wrong := s.changeFrom(from)
 	wrong.Sum++
 	s.send(wrong)
-	eventually(t, "it wants all", nothing)
+	eventually(t, "it wants all", needsFullState)
 	if got := counts("doubt"); got != 2 {
 		t.Errorf("%d doubts", got)
 	}
 	s.send(s.changeFrom(0))
-	is("all anew", s.plan.Revision())
+	check("all anew", s.plan.Revision())
 	// Another history, counted from nothing that is held.
 	other := s.changeFrom(s.plan.Revision())
 	other.History++
 	s.send(other)
-	eventually(t, "it wants all", nothing)
+	eventually(t, "it wants all", needsFullState)
 	s.send(s.changeFrom(0))
-	is("all anew", s.plan.Revision())
+	check("all anew", s.plan.Revision())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.receivedBrief[0] || !s.receivedBrief[len(s.receivedBrief)-1] {
@@ -499,7 +502,7 @@
 		c.onLoop(func() { f = n.factor(r.cacheIDs[0]) })
 		return f
 	}
-	stands := factor()
+	before := factor()
 	held := s.plan.Revision()
 	for i, spoil := range []func(c *plan.Change){
 		func(c *plan.Change) { c.Grants = []plan.Grant{{ID: r.cacheIDs[1], Rate: -1}} },
@@ -520,7 +523,7 @@
 		s.send(change)
 		want := "views absurd " + strconv.Itoa(i+1) + "\n"
 		eventually(t, want, func() bool { return strings.Contains(status(), want) })
-		if f := factor(); f != stands {
+		if f := factor(); f != before {
 			t.Errorf("%d: the factor is %.3f", i, f)
 		}
 		if s.awaitHolds(1); s.acceptedCount() != 1 {
@@ -563,13 +566,13 @@
 	n := c.add("good", nil, p.Addr())
 	p.eventually("it is heard", func() bool { return p.plan.ForwarderCount() == 1 && p.sender.statesSent == 1 })
 	conn := r.dial("evil", p.Addr().String())
-	own := func() (h plan.Hold) {
+	current := func() (h plan.Hold) {
 		p.onLoop(func() { h = plan.Hold{History: p.cfg.Plan.History, Revision: p.plan.Revision()} })
 		return h
 	}
 	digest := func() *plan.Digest { return &plan.Digest{From: "evil", Start: 5, Seq: 1, Span: time.Second} }
 	change := plan.Change{Planner: "evil", Made: 1, Valid: time.Second, History: 9, Revision: 1, HotSet: true, TenantsSet: true, Count: 8}
-	later := own()
+	later := current()
 	later.Revision += 1000
 	for i, m := range []planwire.Message{
 		{Change: &change},
@@ -681,8 +684,8 @@
 	n := c.add("n", nil, p.Addr())
 	c.eventually("the bad cache is avoided", func() bool { return n.factor(r.cacheIDs[0]) < 0.3 })
 	c.onLoop(func() { n.Close() })
-	again := c.add("n", nil, p.Addr())
-	c.eventually("the bad cache is avoided", func() bool { return again.factor(r.cacheIDs[0]) < 0.3 })
+	restarted := c.add("n", nil, p.Addr())
+	c.eventually("the bad cache is avoided", func() bool { return restarted.factor(r.cacheIDs[0]) < 0.3 })
 	p.onLoop(func() {
 		if p.sender.statesSent < 2 || p.refusalCount() > 0 {
 			t.Errorf("%d whole states, %v refused", p.sender.statesSent, p.refusedBy)
@@ -734,27 +737,27 @@
 	c := r.newForwarderGroup()
 	c.load = r.readLoad(&sync.Map{})
 	var nodes []*node
-	alone, began := 0, map[string]time.Time{}
+	counted, started := 0, map[string]time.Time{}
 	c.onView = func(n *node) {
 		// One of which nothing is heard for three seconds keeps the other waiting no longer.
-		if at, is := began[n.name]; !is || n.viewCount > 1 || time.Since(at) >= 3*time.Second {
+		if at, is := started[n.name]; !is || n.viewCount > 1 || time.Since(at) >= 3*time.Second {
 			return
 		}
-		alone++
+		counted++
 		if up := strings.Count(n.Status(), " up "); up != 1 {
 			t.Errorf("%s has %d connections as its first state comes", n.name, up)
 		}
 	}
 	for i := range 40 {
 		name := fmt.Sprintf("n%02d", i)
-		c.onLoop(func() { began[name] = time.Now() })
+		c.onLoop(func() { started[name] = time.Now() })
 		nodes = append(nodes, c.add(name, nil, a.Addr(), b.Addr()))
 	}
 	for _, p := range []*testPlanner{a, b} {
 		p.eventually("all are heard", func() bool { return p.plan.ForwarderCount() == len(nodes) })
 	}
 	c.onLoop(func() {
-		if alone == 0 {
+		if counted == 0 {
 			t.Error("no node was heard in time: that is no test")
 		}
 		for _, n := range nodes {
--- a/internal/planwire/planwire_test.go
+++ b/internal/planwire/planwire_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// What is written is read, piece by piece, one message after the other.
+// Encoded messages decode to the same values, one after the other, also when a frame arrives in pieces.
 func TestRoundTrip(t *testing.T) {
 	var all []byte
 	for _, m := range samples() {
@@ -44,7 +44,7 @@
 	for _, want := range samples() {
 		var got Message
 		used := 0
-		for n := 0; used == 0; n++ { // until it is whole
+		for n := 0; used == 0; n++ { // until the frame is complete
 			var err error
 			if got, used, err = Next(all[:n]); err != nil {
 				t.Fatal(err)
@@ -60,7 +60,7 @@
 	}
 }
 
-// The form on the wire is the documented one, by hand.
+// The encoding of a view has the documented format, written out by hand.
 func TestViewEncoding(t *testing.T) {
 	got, err := Append(nil, Message{View: &plan.View{Epoch: 3, Planner: "p", Made: 9, Valid: 10, View: policy.View{Servers: []policy.ServerView{{ID: "c", Factor: 0.5}}}}})
 	// length 24; {0: 1, 2: {1: 3, 2: "p", 3: 9, 4: 10, 5: [{1: "c", 2: 0.5}]}}
@@ -69,7 +69,7 @@
 	}
 }
 
-// And so are those of a digest in brief with what is held, and of a change with grants.
+// The encodings of a brief digest with a hold and of a change with grants have the documented format.
 func TestDigestAndChangeEncoding(t *testing.T) {
 	for name, c := range map[string]struct {
 		m    Message
@@ -79,10 +79,10 @@
 		"digest": {Message{Digest: &plan.Digest{From: "f", Start: 1, Seq: 2, Span: 3, Brief: true, Rest: plan.Load{Timely: 9}, Bad: []plan.Load{{ID: "c", Sends: 24, Late: 1}}, Past: 20},
 			Hold: &plan.Hold{History: 7, Revision: 5, Follows: true}},
 			"0000002b" + "a3" + "0001" + "01a9" + "016166" + "0201" + "0302" + "0403" + "08a0" + "0bf5" + "0ca10309" + "0d81a3016163" + "021818" + "0401" + "0e14" + "03a3" + "0107" + "0205" + "03f5"},
-		// {0: 1, 3: {}} beside the digest: nothing is held
+		// {0: 1, 3: {}} with the digest: nothing is held
 		"nothing held": {Message{Digest: &plan.Digest{From: "f", Start: 1, Seq: 2, Span: 3}, Hold: &plan.Hold{}},
 			"00000012" + "a3" + "0001" + "01a5" + "016166" + "0201" + "0302" + "0403" + "08a0" + "03a0"},
-		// {0: 1, 3: {4: 3}} beside the digest: the third change is expected, what the first two brought is not held
+		// {0: 1, 3: {4: 3}} with the digest: the third change is expected, and nothing of the first two is held
 		"a change expected": {Message{Digest: &plan.Digest{From: "f", Start: 1, Seq: 2, Span: 3}, Hold: &plan.Hold{}, NextChange: 3},
 			"00000014" + "a3" + "0001" + "01a5" + "016166" + "0201" + "0302" + "0403" + "08a0" + "03a10403"},
 		// {0: 1, 4: {2: "p", 3: 9, 4: 10, 5: 7, 6: 5, 7: 6, 8: 4, 9: [{1: "c", 2: 500}], 10: 800, 15: 1}, 5: [{1: "d", 2: 0.5}], 6: {1: 9, 2: 2}}
@@ -97,7 +97,7 @@
 	}
 }
 
-// A change that is written once serves all that hold the same: what each is granted goes beside it.
+// A change that is encoded once gives the same frames, with any grants, as one that is encoded with its grants.
 func TestSharedChangeEncoding(t *testing.T) {
 	c := *samples()[6].Change
 	raw, err := EncodeChange(c)
@@ -116,7 +116,7 @@
 	}
 }
 
-// What stood before there were changes, as it was: the wire's forms of version 1 at the time.
+// The wire format of version 1 before changes were added.
 type (
 	legacyMessage struct {
 		Version uint8         `cbor:"0,keyasint"`
@@ -171,8 +171,8 @@
 	}
 )
 
-// An old planner takes a new forwarder's whole digest, with what is held beside it; an old forwarder takes a new planner's
-// view; and what either writes is taken as one that knows no changes.
+// A planner older than changes decodes a newer forwarder's full digest with a hold, and a forwarder older than changes decodes
+// a newer planner's view. Messages from these older peers decode without a hold.
 func TestPeersWithoutChanges(t *testing.T) {
 	decode := must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 2 * plan.MaxServers, MaxMapPairs: 32,
 		MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode())
@@ -194,7 +194,7 @@
 		}
 		var got legacyMessage
 		if err := decode.Unmarshal(frame[4:], &got); err != nil {
-			t.Fatalf("an old one reads it as %v", err)
+			t.Fatalf("a legacy peer cannot decode it: %v", err)
 		}
 		if diff := cmp.Diff(old[i], got); diff != "" {
 			t.Error(diff)
@@ -205,13 +205,14 @@
 		}
 		read, used, err := Next(append([]byte{0, 0, byte(len(body) >> 8), byte(len(body))}, body...))
 		if err != nil || used != 4+len(body) || read.Hold != nil {
-			t.Errorf("an old one's: %+v, %d, %v", read, used, err)
+			t.Errorf("from a legacy peer: %+v, %d, %v", read, used, err)
 		}
 		if diff := cmp.Diff(samples()[i], read); diff != "" {
 			t.Error(diff)
 		}
 	}
-	// One in brief reads, to an old planner, as a digest that leaves most out: it goes to those that have sent a change.
+	// An older planner decodes a brief digest as one that omits most servers. For this reason forwarders send brief digests only
+	// to planners that have sent a change.
 	frame, _ := Append(nil, samples()[3])
 	var got legacyMessage
 	if err := decode.Unmarshal(frame[4:], &got); err != nil || got.Digest == nil || len(got.Digest.Servers) > 0 {
@@ -219,7 +220,7 @@
 	}
 }
 
-// A calm second's digest in brief, and what a planner tells in the calm, take as many bytes whatever the number of servers.
+// Without faults, the sizes of a brief digest and of a change do not depend on the number of servers.
 func TestIdleMessageSizes(t *testing.T) {
 	const node, maxBytes = "forwarder-site-079-0024", 700
 	sizes := map[int]int{}
@@ -252,12 +253,12 @@
 			}
 			worst = max(worst, len(frame))
 			if all, _ := Append(nil, Message{Digest: full}); len(all) < 3*len(frame) {
-				t.Errorf("%d servers: %d bytes in brief, %d whole", servers, len(frame), len(all))
+				t.Errorf("%d servers: brief digest of %d bytes, full digest of %d", servers, len(frame), len(all))
 			}
 		}
 		sizes[servers] = worst
 		if worst > maxBytes {
-			t.Errorf("%d servers: up to %d bytes", servers, worst)
+			t.Errorf("%d servers: digest of %d bytes", servers, worst)
 		}
 		p := plan.New(plan.Config{ID: "planner-1", History: math.MaxUint64})
 		var list []policy.Server
@@ -270,32 +271,32 @@
 			c, full := p.Change(1764000000*time.Second, base)
 			frame, err := Append(nil, Message{Change: &c})
 			if err != nil || len(frame) > 80 {
-				t.Errorf("%d servers, whole %v: a change of %d bytes, %v", servers, full, len(frame), err)
+				t.Errorf("%d servers, full state %v: a change of %d bytes, %v", servers, full, len(frame), err)
 			}
 		}
 	}
-	t.Logf("largest of twenty digests, by servers: %v", sizes)
+	t.Logf("largest of twenty digests by number of servers: %v", sizes)
 	if sizes[2000] > sizes[100]*5/4 {
-		t.Errorf("%v: they grow with the servers", sizes)
+		t.Errorf("%v: the size grows with the number of servers", sizes)
 	}
 }
 
-// Neighbouring versions are read, with fields that this one does not know; others are not, nor is what is no message.
+// Messages of the next version decode, with unknown fields ignored. Other versions and malformed frames are rejected.
 func TestVersionsAndMalformedFrames(t *testing.T) {
 	for frame, valid := range map[string]bool{
-		"0000000a" + "a3000202a2026170" + "0401" + "0901":                             false, // shorter than its length says: not whole
-		"00000010" + "a3" + "0002" + "02a3026170" + "0401" + "186301" + "1863" + "01": true,  // version 2, unknown fields
-		"0000000c" + "a2" + "0003" + "02a2026170" + "0401" + "00":                     false, // version 3, and bytes behind
-		"00000003" + "a10001":         false, // neither
-		"00000007" + "a3000103a004a0": true,  // an empty change: plan.Change.Check refuses it
-		"00000005" + "a2000103a0":     false, // what is held by nobody
+		"0000000a" + "a3000202a2026170" + "0401" + "0901":                             false, // incomplete: shorter than its length says
+		"00000010" + "a3" + "0002" + "02a3026170" + "0401" + "186301" + "1863" + "01": true,  // version 2, with unknown fields
+		"0000000c" + "a2" + "0003" + "02a2026170" + "0401" + "00":                     false, // version 3, with trailing bytes
+		"00000003" + "a10001":         false, // no content
+		"00000007" + "a3000103a004a0": true,  // an empty change, which plan.Change.Check rejects
+		"00000005" + "a2000103a0":     false, // a hold without a digest
 		"00000013" + "a3" + "0001" + "02a2026170" + "0401" + "04a3" + "026170" + "0401" + "0500": false, // a view and a change
-		"00000006" + "a2" + "0001" + "0481a0":                                                    false, // a change that is a list
-		"00000014" + "a2" + "0001" + "04a2" + "026170" + "0981a2016163021a00010000":              false, // a factor that is none
+		"00000006" + "a2" + "0001" + "0481a0":                                                    false, // a change encoded as a list
+		"00000014" + "a2" + "0001" + "04a2" + "026170" + "0981a2016163021a00010000":              false, // a factor out of range
 		"ffffffff":                false,
 		"00000000":                false,
 		"00000001ff":              false,
-		"00000005" + "a200010001": false, // a key twice
+		"00000005" + "a200010001": false, // a duplicate key
 	} {
 		data, _ := hex.DecodeString(frame)
 		m, used, err := Next(data)
@@ -305,7 +306,8 @@
 	}
 }
 
-// Whatever comes neither panics nor takes more than it is; what is read is written the same way again.
+// No input causes a panic, and none is decoded beyond its end. A decoded message that is encoded, decoded and encoded again
+// gives the same bytes.
 func FuzzNext(f *testing.F) {
 	for _, m := range samples() {
 		data, _ := Append(nil, m)
@@ -321,11 +323,11 @@
 		}
 		first, err := Append(nil, m)
 		if err != nil {
-			return // too large in this form
+			return // the canonical form can exceed the maximum size
 		}
 		again, used, err := Next(first)
 		if err != nil || used != len(first) {
-			t.Fatalf("its own form: %v", err)
+			t.Fatalf("cannot decode the encoded message: %v", err)
 		}
 		if second, err := Append(nil, again); err != nil || !bytes.Equal(first, second) {
 			t.Fatalf("%x, then %x, %v", first, second, err)
