--- a/internal/planner/talk_test.go
+++ b/internal/planner/talk_test.go
@@ -21,7 +21,7 @@
 	"lapisshelf/policy"
 )
 
-// readLoad has each node's digests tell reads of all caches, of which those of the bad ones come to nothing.
+// readLoad returns a load function that reports reads from all caches. Those from the failing caches time out.
 func (r *testEnv) readLoad(failing *sync.Map) func(n *node) {
 	return func(n *node) {
 		for _, id := range r.cacheIDs {
@@ -38,7 +38,7 @@
 	}
 }
 
-// factor is what a node counts a cache for.
+// factor returns a cache's factor in the node's view.
 func (n *node) factor(id string) float64 {
 	for _, s := range n.view.Servers {
 		if s.ID == id {
@@ -59,8 +59,9 @@
 
 func addrOf(s *fakeServer) netip.AddrPort { return netip.MustParseAddrPort(s.listener.Addr().String()) }
 
-// Forwarders of before there were changes, among new ones at one planner: they get whole views on the connection that
-// stands, and all act alike. Both a new forwarder told to speak as then, and frames as they were then.
+// Forwarders older than changes share a planner with a current one. They get full views, and all of them react to a bad cache
+// in the same way, without reconnects. One of the older ones is a current forwarder with Config.Legacy, the other sends frames
+// of the old wire format.
 func TestOldForwardersAtANewPlanner(t *testing.T) {
 	r := newTestEnv(t, 8)
 	p := r.startPlanner("p1", "", nil)
@@ -103,35 +104,35 @@
 			mu.Unlock()
 		}
 	}()
-	fullDigests := int64(0) // to a planner that was slow to say what it speaks
-	c.eventually("it takes changes", func() bool {
+	fullDigests := int64(0) // sent before the planner's protocol was known
+	c.eventually("the current forwarder receives changes", func() bool {
 		fullDigests = current.FullDigests
 		return strings.Contains(current.Status(), "tells changes")
 	})
-	c.eventually("all act on the bad cache", func() bool {
+	c.eventually("all forwarders avoid the bad cache", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return current.factor(r.cacheIDs[0]) < 0.2 && legacy.factor(r.cacheIDs[0]) < 0.2 && lowest < 0.2
 	})
 	c.onLoop(func() {
 		if current.FullDigests != fullDigests || legacy.FullDigests != legacy.DigestsSent || current.ClosedConns+legacy.ClosedConns > 0 || !strings.Contains(current.Status(), "tells changes") || !strings.Contains(legacy.Status(), "tells views") {
-			t.Errorf("new: %s, old: %s", current.Status(), legacy.Status())
+			t.Errorf("current: %s, legacy: %s", current.Status(), legacy.Status())
 		}
 	})
 	mu.Lock()
 	if partial > 0 {
-		t.Errorf("%d of %d views are not whole", partial, views)
+		t.Errorf("%d of %d views are not full", partial, views)
 	}
 	mu.Unlock()
 	p.onLoop(func() {
 		if len(p.conns) != 3 || p.plan.ForwarderCount() != 3 || p.malformed > 0 || p.refusalCount() > 0 || p.sender.viewsSent == 0 || p.sender.changesSent == 0 {
-			t.Errorf("%d connections, %d heard, %d broken, %v refused, %+v", len(p.conns), p.plan.ForwarderCount(), p.malformed, p.refusedBy, p.sender)
+			t.Errorf("%d connections, %d forwarders, %d malformed, %v refused, %+v", len(p.conns), p.plan.ForwarderCount(), p.malformed, p.refusedBy, p.sender)
 		}
 	})
 	bad.Clear()
-	// And back, with the connections that stand.
+	// The recovery uses the same connections.
 	go conn.Close()
-	c.eventually("the cache gets weight back", func() bool { return current.factor(r.cacheIDs[0]) > 0.3 && legacy.factor(r.cacheIDs[0]) > 0.3 })
+	c.eventually("the cache regains weight", func() bool { return current.factor(r.cacheIDs[0]) > 0.3 && legacy.factor(r.cacheIDs[0]) > 0.3 })
 	c.onLoop(func() {
 		if current.ClosedConns+legacy.ClosedConns > 0 {
 			t.Error("a connection ended")
@@ -139,8 +140,8 @@
 	})
 }
 
-// A planner of before there were changes: a new forwarder acts on its whole views, and tells it whole digests alone, on the
-// connection that stands.
+// A current forwarder at a planner that is older than changes acts on its full views, and sends it only hellos and full
+// digests, on one connection.
 func TestANewForwarderAtAnOldPlanner(t *testing.T) {
 	r := newTestEnv(t, 8)
 	var mu sync.Mutex
@@ -150,7 +151,7 @@
 		defer mu.Unlock()
 		var fields map[int]cbor.RawMessage
 		if legacyDecoder.Unmarshal(raw[1], &fields); fields[11] != nil || fields[12] != nil || fields[13] != nil {
-			t.Error("a brief digest at a planner that would take it for a whole one")
+			t.Error("sent a brief digest to a planner that takes it for a full one")
 		}
 		switch {
 		case d.Asked == 0 && len(d.Servers) == 0:
@@ -164,7 +165,7 @@
 	c := r.newForwarderGroup()
 	c.load = r.readLoad(&sync.Map{})
 	n := c.add("new", nil, addrOf(old))
-	c.eventually("whole digests", func() bool {
+	c.eventually("the planner gets full digests", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return fullDigests >= 5 && n.factor(r.cacheIDs[0]) == 0.4
@@ -180,9 +181,9 @@
 	})
 }
 
-// A planner is replaced at its address by one of before there were changes, and that by a new one: what it speaks is asked
-// anew on each connection.
-// Guards against brief digests that an older planner would take for whole ones.
+// A planner is replaced at its address by one that is older than changes, and that one by a current one. The forwarder detects
+// the protocol anew on each connection.
+// Guards against brief digests that an older planner takes for full ones.
 func TestAPlannerOfAnotherVersionAtTheSameAddress(t *testing.T) {
 	r := newTestEnv(t, 8)
 	p := r.startPlanner("p1", "", nil)
@@ -190,37 +191,38 @@
 	c := r.newForwarderGroup()
 	c.load = r.readLoad(&sync.Map{})
 	n := c.add("new", nil, at)
-	p.eventually("brief digests", func() bool { return p.briefDigests > 3 })
+	p.eventually("the planner gets brief digests", func() bool { return p.briefDigests > 3 })
 	p.shutdown()
 	var mu sync.Mutex
-	wholes := 0
+	fullDigests := 0
 	old := r.startLegacyPlanner("p1", at.String(), 0.4, func(d legacyDigest, raw map[int]cbor.RawMessage) {
 		mu.Lock()
 		defer mu.Unlock()
 		var fields map[int]cbor.RawMessage
 		if legacyDecoder.Unmarshal(raw[1], &fields); fields[11] != nil {
-			t.Error("a brief digest at a planner that would take it for a whole one")
+			t.Error("sent a brief digest to a planner that takes it for a full one")
 		}
 		if len(d.Servers) == len(r.cacheIDs) {
-			wholes++
+			fullDigests++
 		}
 	})
-	c.eventually("whole digests", func() bool {
+	c.eventually("the planner gets full digests", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return wholes > 3 && n.factor(r.cacheIDs[0]) == 0.4
+		return fullDigests > 3 && n.factor(r.cacheIDs[0]) == 0.4
 	})
 	old.close()
 	p = r.startPlanner("p1", at.String(), nil)
-	p.eventually("brief digests again", func() bool { return p.briefDigests > 3 })
-	c.eventually("its state", func() bool { return n.factor(r.cacheIDs[0]) == 1 })
+	p.eventually("the planner gets brief digests again", func() bool { return p.briefDigests > 3 })
+	c.eventually("the new planner's state is in force", func() bool { return n.factor(r.cacheIDs[0]) == 1 })
 }
 
-// A planner that says nothing gets no counts at first, then whole digests: it may be one that has no list yet.
-func TestAPlannerThatSaysNothing(t *testing.T) {
+// A planner that sends nothing, for example because it has no server list yet, gets digests without counts at first, and full
+// digests after that.
+func TestSilentPlannerGetsFullDigests(t *testing.T) {
 	r := newTestEnv(t, 8)
 	var mu sync.Mutex
-	var kinds []int
+	var serverCounts []int
 	s := r.startFakeServer("p1", "", func(conn net.Conn) {
 		for {
 			m, raw, err := readLegacy(conn)
@@ -228,10 +230,10 @@
 				return
 			}
 			mu.Lock()
-			kinds = append(kinds, len(m.Digest.Servers))
+			serverCounts = append(serverCounts, len(m.Digest.Servers))
 			var fields map[int]cbor.RawMessage
 			if legacyDecoder.Unmarshal(raw[1], &fields); fields[11] != nil {
-				t.Error("a brief digest")
+				t.Error("sent a brief digest to a silent planner")
 			}
 			mu.Unlock()
 		}
@@ -239,21 +241,21 @@
 	c := r.newForwarderGroup()
 	c.load = r.readLoad(&sync.Map{})
 	c.add("new", nil, addrOf(s))
-	c.eventually("whole digests", func() bool {
+	c.eventually("the planner gets full digests", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return len(kinds) > 5 && kinds[len(kinds)-1] == len(r.cacheIDs)
+		return len(serverCounts) > 5 && serverCounts[len(serverCounts)-1] == len(r.cacheIDs)
 	})
 	mu.Lock()
 	defer mu.Unlock()
-	for i, n := range kinds[:5] {
+	for i, n := range serverCounts[:5] {
 		if n != 0 {
 			t.Errorf("digest %d named %d servers", i+1, n)
 		}
 	}
 }
 
-// fakePlanner is a planner whose states a test makes and sends as it likes.
+// fakePlanner is a planner whose states and messages the test controls.
 type fakePlanner struct {
 	*fakeServer
 	mu            sync.Mutex
@@ -261,14 +263,15 @@
 	receivedHolds []plan.Hold
 	receivedBrief []bool
 	receivedNext  []uint64
-	changesSent   uint64 // changes
+	changesSent   uint64
 	plan          *plan.Planner
 	now           time.Duration
 	bad           map[string]bool
 	seq           uint64
-	lastSeq       uint64 // digest that came
+	lastSeq       uint64 // number of the last digest received
 }
 
+// startFakePlanner starts a planner that records what the digests it receives report.
 func (r *testEnv) startFakePlanner(id string) *fakePlanner {
 	s := &fakePlanner{now: time.Duration(time.Now().UnixNano()), bad: map[string]bool{}}
 	s.plan = plan.New(plan.Config{ID: id, History: 77, Move: 1})
@@ -297,7 +300,7 @@
 				input = input[used:]
 				s.mu.Lock()
 				if m.Hold == nil {
-					r.t.Error("a digest without a hold")
+					r.t.Error("received a digest without a hold")
 				} else {
 					s.lastSeq = m.Digest.Seq
 					s.receivedHolds, s.receivedBrief, s.receivedNext = append(s.receivedHolds, *m.Hold), append(s.receivedBrief, m.Digest.Brief), append(s.receivedNext, m.NextChange)
@@ -313,14 +316,14 @@
 	return s
 }
 
-// nextState makes another state, in which more caches are bad.
+// nextState advances the planner to a new revision, in which the given caches are bad too.
 func (s *fakePlanner) nextState(bad ...string) {
 	for _, id := range bad {
 		s.bad[id] = true
 	}
 	for from, i := s.plan.Revision(), 0; i < 4 || s.plan.Revision() == from; i++ {
 		if i == 100 {
-			s.r.t.Fatal("no other state")
+			s.r.t.Fatal("the revision does not change")
 		}
 		s.now += time.Second
 		s.seq++
@@ -339,13 +342,13 @@
 	}
 }
 
-// changeFrom is what leads from a revision to the present state.
+// changeFrom returns the change from a revision to the current state.
 func (s *fakePlanner) changeFrom(from uint64) plan.Change {
 	c, _ := s.plan.Change(s.now, plan.Hold{History: 77, Revision: from})
 	return c
 }
 
-// lastDigest is the number of the last digest that came.
+// lastDigest returns the number of the last digest received.
 func (s *fakePlanner) lastDigest() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -368,13 +371,13 @@
 	s.conn.Write(frame)
 }
 
-// awaitHolds waits until so many digests from now on have told a hold, and gives the last.
+// awaitHolds waits for n more digests with a hold, and returns the last hold.
 func (s *fakePlanner) awaitHolds(n int) plan.Hold {
 	s.r.t.Helper()
 	s.mu.Lock()
 	from := len(s.receivedHolds)
 	s.mu.Unlock()
-	eventually(s.r.t, "digests", func() bool {
+	eventually(s.r.t, "more digests arrive", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return len(s.receivedHolds) >= from+n
@@ -384,8 +387,8 @@
 	return s.receivedHolds[len(s.receivedHolds)-1]
 }
 
-// Changes that are lost, doubled, late or of another history, as they come over a connection: what is in force is the
-// planner's state or, where that can't be, the forwarder says so with its next digest and gets all.
+// Changes arrive lost, duplicated, late or of another history. The planner's state is in force whenever it can be rebuilt.
+// Otherwise the forwarder requests the full state with its next digest.
 func TestLostDoubledAndLateChanges(t *testing.T) {
 	r := newTestEnv(t, 24)
 	s := r.startFakePlanner("p1")
@@ -393,7 +396,7 @@
 	c.load = r.readLoad(&sync.Map{})
 	n := c.add("n", nil, addrOf(s.fakeServer))
 	if h := s.awaitHolds(1); h != (plan.Hold{}) {
-		t.Fatalf("it holds %+v", h)
+		t.Fatalf("a new forwarder holds %+v", h)
 	}
 	check := func(what string, revision uint64, bad ...string) {
 		t.Helper()
@@ -402,7 +405,7 @@
 		c.onLoop(func() {
 			for _, id := range r.cacheIDs {
 				if f, want := n.factor(id), s.bad[id]; (f < 1) != want {
-					t.Errorf("%s: %s counts for %.2f", what, id, f)
+					t.Errorf("%s: %s has factor %.2f", what, id, f)
 				}
 			}
 		})
@@ -420,71 +423,71 @@
 		return k
 	}
 	s.send(s.changeFrom(0))
-	check("a whole state", s.plan.Revision())
+	check("a full state", s.plan.Revision())
 	first := s.plan.Revision()
 	s.nextState(r.cacheIDs[0])
 	change := s.changeFrom(first)
 	s.send(change)
 	check("a change", s.plan.Revision())
-	s.send(change) // doubled
+	s.send(change) // duplicate
 	s.nextState(r.cacheIDs[1])
 	lost := s.changeFrom(change.Revision) // never sent
 	s.nextState(r.cacheIDs[2])
-	s.send(s.changeFrom(change.Revision)) // all since what was acknowledged
-	check("what was lost comes with the next", s.plan.Revision())
+	s.send(s.changeFrom(change.Revision)) // everything since the acknowledged revision
+	check("the next change includes the lost one", s.plan.Revision())
 	if got := counts("late"); got != 1 {
-		t.Errorf("%d were late, want the doubled one", got)
+		t.Errorf("%d out of order, want only the duplicate", got)
 	}
 	s.send(lost) // late
 	s.awaitHolds(2)
-	check("a late one changes nothing", s.plan.Revision())
+	check("a late change has no effect", s.plan.Revision())
 	if got := counts("late"); got != 2 {
-		t.Errorf("%d were late", got)
+		t.Errorf("%d out of order", got)
 	}
-	// One is lost, and the planner wrongly counts from it.
+	// A change is lost, and the planner wrongly sends the next one from its revision.
 	s.nextState(r.cacheIDs[3])
 	missed := s.plan.Revision()
 	s.nextState(r.cacheIDs[4])
 	s.send(s.changeFrom(missed))
 	needsFullState := func() bool { h := s.awaitHolds(1); return h.History == 0 && h.Revision == 0 }
-	eventually(t, "it wants all", needsFullState)
+	eventually(t, "the forwarder requests the full state", needsFullState)
 	if got := counts("doubt"); got != 1 {
-		t.Errorf("%d doubts", got)
+		t.Errorf("%d mismatches", got)
 	}
 	s.send(s.changeFrom(0))
-	check("all anew", s.plan.Revision())
-	// What is rebuilt is not what the planner has.
+	check("the full state again", s.plan.Revision())
+	// The rebuilt state does not match the planner's checksum.
 	from := s.plan.Revision()
 	s.nextState(r.cacheIDs[5])
 	wrong := s.changeFrom(from)
 	wrong.Sum++
 	s.send(wrong)
-	eventually(t, "it wants all", needsFullState)
+	eventually(t, "the forwarder requests the full state", needsFullState)
 	if got := counts("doubt"); got != 2 {
-		t.Errorf("%d doubts", got)
+		t.Errorf("%d mismatches", got)
 	}
 	s.send(s.changeFrom(0))
-	check("all anew", s.plan.Revision())
-	// Another history, counted from nothing that is held.
+	check("the full state again", s.plan.Revision())
+	// The change is of another history, of which no state is held.
 	other := s.changeFrom(s.plan.Revision())
 	other.History++
 	s.send(other)
-	eventually(t, "it wants all", needsFullState)
+	eventually(t, "the forwarder requests the full state", needsFullState)
 	s.send(s.changeFrom(0))
-	check("all anew", s.plan.Revision())
+	check("the full state again", s.plan.Revision())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.receivedBrief[0] || !s.receivedBrief[len(s.receivedBrief)-1] {
 		t.Errorf("brief: %v", s.receivedBrief)
 	}
-	// Each digest tells the change that is expected, whatever became of those before: the first is 1.
+	// Each digest reports the next change expected, counting all received ones, accepted or not. The first is 1.
 	if first, last := s.receivedNext[0], s.receivedNext[len(s.receivedNext)-1]; first != 1 || last != s.changesSent+1 || !slices.IsSorted(s.receivedNext) {
-		t.Errorf("%d changes went out, expected were %v", s.changesSent, s.receivedNext)
+		t.Errorf("%d changes were sent, the forwarder expected %v", s.changesSent, s.receivedNext)
 	}
 }
 
-// Absurd, forged and old messages of a planner: refused with a reason and counted, the connection and what is in force
-// stand; what cannot be read ends the connection, which is made anew.
+// Invalid messages from a planner are rejected and counted, and a reason is logged. The connection and the view in force stay.
+// A frame that cannot be decoded ends the connection, and the forwarder reconnects.
 func TestInvalidChanges(t *testing.T) {
 	r := newTestEnv(t, 8)
 	s := r.startFakePlanner("p1")
@@ -493,7 +496,7 @@
 	s.awaitHolds(1)
 	s.nextState(r.cacheIDs[0])
 	s.send(s.changeFrom(0))
-	eventually(t, "it holds the state", func() bool { return s.awaitHolds(1).Revision == s.plan.Revision() })
+	eventually(t, "the forwarder holds the state", func() bool { return s.awaitHolds(1).Revision == s.plan.Revision() })
 	status := func() (text string) {
 		c.onLoop(func() { text = n.Status() })
 		return text
@@ -515,7 +518,7 @@
 		func(c *plan.Change) { c.Base = c.Revision + 1 },
 		func(c *plan.Change) { c.Valid = -1 },
 		func(c *plan.Change) { c.Planner = "" },
-		func(c *plan.Change) { c.Count = 1 }, // of eight
+		func(c *plan.Change) { c.Count = 1 }, // there are eight
 	} {
 		change := s.changeFrom(held)
 		change.Answers = s.lastDigest()
@@ -524,47 +527,47 @@
 		want := "views absurd " + strconv.Itoa(i+1) + "\n"
 		eventually(t, want, func() bool { return strings.Contains(status(), want) })
 		if f := factor(); f != before {
-			t.Errorf("%d: the factor is %.3f", i, f)
+			t.Errorf("%d: the factor changed to %.3f", i, f)
 		}
 		if s.awaitHolds(1); s.acceptedCount() != 1 {
-			t.Fatalf("%d: the connection ended", i)
+			t.Fatalf("%d: the connection was closed", i)
 		}
 	}
 	if !r.logged("n view_refused", "reason=absurd") {
-		t.Error("nothing said")
+		t.Error("the rejection was not logged")
 	}
-	// Grants for servers that the list does not have count for nothing, and hurt nothing.
+	// Grants for servers that are not in the list do no harm.
 	s.send(s.changeFrom(0))
 	change := s.changeFrom(held)
 	change.Grants, change.Answers = []plan.Grant{{ID: "nobody", Rate: 3}}, s.lastDigest()
 	s.send(change)
-	eventually(t, "taken", func() bool {
+	eventually(t, "the change is accepted", func() bool {
 		h := s.awaitHolds(1)
 		return h.Revision == held && strings.Contains(status(), "nobody")
 	})
-	// What cannot be read.
+	// Frames that cannot be decoded close the connection.
 	for i, frame := range [][]byte{{0xff, 0xff, 0xff, 0xff}, {0, 0, 0, 1, 0xff}, {0, 0, 0, 0}, frameOf(t, planwire.Message{Digest: &plan.Digest{From: "p1", Start: 1, Seq: 1, Span: 1}})} {
-		eventually(t, "a connection", func() bool { return s.acceptedCount() == i+1 })
+		eventually(t, "the forwarder is connected", func() bool { return s.acceptedCount() == i+1 })
 		s.awaitHolds(1)
 		s.sendRaw(frame)
-		eventually(t, "another connection", func() bool { return s.acceptedCount() == i+2 })
+		eventually(t, "the forwarder reconnects", func() bool { return s.acceptedCount() == i+2 })
 	}
 	c.onLoop(func() {
 		if n.ClosedConns != 4 {
-			t.Errorf("%d connections ended", n.ClosedConns)
+			t.Errorf("%d connections were closed", n.ClosedConns)
 		}
 	})
 }
 
-// What a forwarder should not send: counted and told with a reason under the name in its certificate; the connection stands
-// while frames can be read, and others are not touched.
+// Invalid messages from a forwarder are counted and logged with a reason, under the name in its certificate. The connection
+// stays open while frames can be decoded, and other forwarders are not affected.
 func TestInvalidDigests(t *testing.T) {
 	r := newTestEnv(t, 8)
 	p := r.startPlanner("p1", "", nil)
 	c := r.newForwarderGroup()
 	c.load = r.readLoad(&sync.Map{})
 	n := c.add("good", nil, p.Addr())
-	p.eventually("it is heard", func() bool { return p.plan.ForwarderCount() == 1 && p.sender.statesSent == 1 })
+	p.eventually("the planner has a digest of the good one", func() bool { return p.plan.ForwarderCount() == 1 && p.sender.statesSent == 1 })
 	conn := r.dial("evil", p.Addr().String())
 	current := func() (h plan.Hold) {
 		p.onLoop(func() { h = plan.Hold{History: p.cfg.Plan.History, Revision: p.plan.Revision()} })
@@ -587,32 +590,32 @@
 		{Digest: &plan.Digest{From: "evil", Start: 5, Seq: 1, Span: time.Second, Bad: []plan.Load{{ID: r.cacheIDs[0], Late: 1}}}},
 	} {
 		conn.Write(frameOf(t, m))
-		p.eventually("it is refused", func() bool { return p.refusedBy["evil"] == int64(i+1) })
+		p.eventually("the message is refused", func() bool { return p.refusedBy["evil"] == int64(i+1) })
 	}
 	p.onLoop(func() {
 		if p.plan.ForwarderCount() != 1 || p.refusedBy["good"] > 0 || p.malformed > 0 || len(p.conns) != 2 {
-			t.Errorf("%d heard, %v refused, %d broken, %d connections", p.plan.ForwarderCount(), p.refusedBy, p.malformed, len(p.conns))
+			t.Errorf("%d forwarders, %v refused, %d malformed, %d connections", p.plan.ForwarderCount(), p.refusedBy, p.malformed, len(p.conns))
 		}
 	})
 	if !r.logged("digest_refused", `from="evil" count=1 `, "not a digest") || !r.logged("digest_refused", `from="evil" count=4 `, "holds revision 0 of history 3") {
-		t.Error("no reason said")
+		t.Error("the reason was not logged")
 	}
-	// It can still speak.
+	// Valid messages on the same connection are still accepted.
 	conn.Write(frameOf(t, planwire.Message{Digest: digest(), Hold: &plan.Hold{}}))
-	p.eventually("it is heard", func() bool { return p.plan.ForwarderCount() == 2 })
-	// Frames that cannot be read.
+	p.eventually("the planner has a digest of the other one", func() bool { return p.plan.ForwarderCount() == 2 })
+	// Frames that cannot be decoded.
 	for i, frame := range [][]byte{binary.BigEndian.AppendUint32(nil, 1<<30), {0, 0, 0, 1, 0xff}, append(binary.BigEndian.AppendUint32(nil, planwire.MaxMessageBytes+1), 1)} {
 		conn := r.dial("worse", p.Addr().String())
 		conn.Write(frame)
-		p.eventually("it is hung up on", func() bool { return p.malformed == int64(i+1) })
+		p.eventually("the connection is closed", func() bool { return p.malformed == int64(i+1) })
 		if _, err := conn.Read(make([]byte, 1)); err == nil {
-			t.Error("the connection stands")
+			t.Error("the connection is still open")
 		}
 	}
 	if !r.logged("digest_refused", `from="worse"`, "bytes") {
-		t.Error("no reason said")
+		t.Error("the reason was not logged")
 	}
-	c.eventually("the other one is served", func() bool { return n.ViewsReceived > 0 })
+	c.eventually("the good forwarder receives a view", func() bool { return n.ViewsReceived > 0 })
 	c.onLoop(func() {
 		if n.ClosedConns > 0 {
 			t.Error(n.Status())
@@ -620,8 +623,8 @@
 	})
 }
 
-// A planner that starts anew at its address counts in another history: what was held of the one before is replaced as a
-// whole, and no factor of it stays.
+// A planner that restarts at its address has another history. The state held of its previous run is replaced completely, so
+// that none of its factors remains.
 func TestPlannerRestart(t *testing.T) {
 	r := newTestEnv(t, 8)
 	p := r.startPlanner("p1", "", nil)
@@ -636,23 +639,23 @@
 	bad.Clear()
 	bad.Store(r.cacheIDs[5], true)
 	p = r.startPlanner("p1", at.String(), nil)
-	c.eventually("the other one is avoided, and it alone", func() bool { return n.factor(r.cacheIDs[5]) < 0.3 && n.factor(r.cacheIDs[0]) == 1 })
+	c.eventually("only the other cache is avoided", func() bool { return n.factor(r.cacheIDs[5]) < 0.3 && n.factor(r.cacheIDs[0]) == 1 })
 	p.onLoop(func() {
 		if p.sender.statesSent == 0 {
-			t.Error("no whole state")
+			t.Error("no full state was sent")
 		}
 	})
 }
 
-// A connection that breaks and comes up again costs no whole state: the forwarder says what it holds.
+// A reconnect needs no full state, since the forwarder reports what it holds.
 func TestReconnectNeedsNoFullState(t *testing.T) {
 	r := newTestEnv(t, 8)
 	p := r.startPlanner("p1", "", nil)
 	c := r.newForwarderGroup()
 	c.load = r.readLoad(&sync.Map{})
 	n := c.add("n", nil, p.Addr())
-	// What was on its way when the first state went out asked for another.
-	p.eventually("brief digests", func() bool { return p.briefDigests > 3 && len(p.sender.awaitingState) == 0 })
+	// Digests in transit when the first state was sent can still request another.
+	p.eventually("the planner gets brief digests", func() bool { return p.briefDigests > 3 && len(p.sender.awaitingState) == 0 })
 	states, doubts := int64(0), int64(0)
 	p.onLoop(func() { states, doubts = p.sender.statesSent, p.sender.lostStates })
 	for i := range int64(3) {
@@ -661,19 +664,19 @@
 				conn.tls.NetConn().Close()
 			}
 		})
-		c.eventually("the connection broke", func() bool { return n.ClosedConns == i+1 })
+		c.eventually("the connection was closed", func() bool { return n.ClosedConns == i+1 })
 		briefs := int64(0)
 		p.onLoop(func() { briefs = p.briefDigests })
-		p.eventually("brief digests", func() bool { return p.briefDigests > briefs+2 })
+		p.eventually("the planner gets brief digests", func() bool { return p.briefDigests > briefs+2 })
 	}
 	p.onLoop(func() {
 		if p.sender.statesSent != states || p.sender.lostStates != doubts {
-			t.Errorf("%d whole states, %d doubts", p.sender.statesSent, p.sender.lostStates)
+			t.Errorf("%d full states, %d lost", p.sender.statesSent, p.sender.lostStates)
 		}
 	})
 }
 
-// A forwarder that starts anew under its name holds nothing, and gets all.
+// A forwarder that restarts under the same name holds nothing, and gets the full state.
 func TestForwarderRestart(t *testing.T) {
 	r := newTestEnv(t, 8)
 	p := r.startPlanner("p1", "", nil)
@@ -688,13 +691,13 @@
 	c.eventually("the bad cache is avoided", func() bool { return restarted.factor(r.cacheIDs[0]) < 0.3 })
 	p.onLoop(func() {
 		if p.sender.statesSent < 2 || p.refusalCount() > 0 {
-			t.Errorf("%d whole states, %v refused", p.sender.statesSent, p.refusedBy)
+			t.Errorf("%d full states, %v refused", p.sender.statesSent, p.refusedBy)
 		}
 	})
 }
 
-// A forwarder has lost what the planner takes it to hold: it says so with its next digest, and gets the whole state. That this
-// goes out with the planner's next look, see TestChangesAreToldFromWhatIsHeld.
+// A forwarder that lost the state which the planner takes it to hold reports this with its next digest, and gets the full
+// state. That the state is sent with the next update is tested by TestChangesStartFromHeldState.
 func TestForwarderLostItsState(t *testing.T) {
 	r := newTestEnv(t, 8)
 	p := r.startPlanner("p1", "", nil)
@@ -702,15 +705,15 @@
 	c := r.newForwarderGroup()
 	c.load = r.readLoad(&bad)
 	n := c.add("n", nil, p.Addr())
-	c.eventually("it holds the state", func() bool { return strings.Contains(n.Status(), "tells changes") && n.viewCount > 0 })
-	// A digest that was on its way as the first state went out holds nothing and counts as doubt too. Guards against taking that
-	// for the doubt that is looked for: a brief digest comes after all of those, and the counts go from there.
-	p.eventually("it says what it holds", func() bool { return p.briefDigests > 0 && len(p.sender.awaitingState) == 0 })
+	c.eventually("the forwarder holds the state", func() bool { return strings.Contains(n.Status(), "tells changes") && n.viewCount > 0 })
+	// A digest in transit when the first state was sent reports no hold, and can count as a lost state too. A brief digest
+	// arrives after all of those, so the counts of this test start there.
+	p.eventually("the forwarder reports its hold", func() bool { return p.briefDigests > 0 && len(p.sender.awaitingState) == 0 })
 	states, doubts := int64(0), int64(0)
 	p.onLoop(func() { states, doubts = p.sender.statesSent, p.sender.lostStates })
 	bad.Store(r.cacheIDs[0], true)
-	// The planner takes it to hold revisions that never went out.
-	p.eventually("doubt", func() bool {
+	// The planner takes the forwarder to hold revisions that were never sent.
+	p.eventually("the lost state is counted", func() bool {
 		was := p.plan.Revision()
 		if p.plan.Update(p.loop.Now()); p.sender.lostStates == doubts && p.plan.Revision() > was {
 			for conn := range p.conns {
@@ -719,7 +722,7 @@
 		}
 		return p.sender.lostStates > doubts
 	})
-	p.eventually("a whole state", func() bool { return p.sender.statesSent > states })
+	p.eventually("a full state is sent", func() bool { return p.sender.statesSent > states })
 	c.eventually("the bad cache is avoided", func() bool { return n.factor(r.cacheIDs[0]) < 0.3 })
 	c.onLoop(func() {
 		if n.ClosedConns > 0 || !strings.Contains(n.Status(), "views doubt ") || strings.Contains(n.Status(), "views doubt 0") {
@@ -728,9 +731,9 @@
 	})
 }
 
-// Nodes that start open their connections one after the other: as the first planner's state comes to one, the other planner
-// has not heard of it. Where the first address takes no connections, the second is dialled in its place. All stand in the end.
-// Guards against two handshakes of 4 KB, and two whole states, in one second of a node.
+// A starting node opens its connections one after the other: when the first planner's state arrives, it is not connected to the
+// other planner yet. If the first address refuses connections, the second is dialed instead. In the end all are connected.
+// Guards against two handshakes of 4 KB and two full states at one node within a second.
 func TestOneConnectionAfterTheOther(t *testing.T) {
 	r := newTestEnv(t, 8)
 	a, b := r.startPlanner("a", "", nil), r.startPlanner("b", "", nil)
@@ -739,13 +742,13 @@
 	var nodes []*node
 	counted, started := 0, map[string]time.Time{}
 	c.onView = func(n *node) {
-		// One of which nothing is heard for three seconds keeps the other waiting no longer.
+		// After three seconds without a message, the other connection is opened anyway.
 		if at, is := started[n.name]; !is || n.viewCount > 1 || time.Since(at) >= 3*time.Second {
 			return
 		}
 		counted++
 		if up := strings.Count(n.Status(), " up "); up != 1 {
-			t.Errorf("%s has %d connections as its first state comes", n.name, up)
+			t.Errorf("%s has %d connections when its first state arrives", n.name, up)
 		}
 	}
 	for i := range 40 {
@@ -754,21 +757,21 @@
 		nodes = append(nodes, c.add(name, nil, a.Addr(), b.Addr()))
 	}
 	for _, p := range []*testPlanner{a, b} {
-		p.eventually("all are heard", func() bool { return p.plan.ForwarderCount() == len(nodes) })
+		p.eventually("the planner has digests of all nodes", func() bool { return p.plan.ForwarderCount() == len(nodes) })
 	}
 	c.onLoop(func() {
 		if counted == 0 {
-			t.Error("no node was heard in time: that is no test")
+			t.Error("no node got a state in time, so nothing was tested")
 		}
 		for _, n := range nodes {
 			if n.viewCount == 0 {
-				t.Errorf("%s acts on no view: %s", n.name, n.Status())
+				t.Errorf("%s has no view: %s", n.name, n.Status())
 			}
 		}
 	})
 	at := a.Addr()
 	a.shutdown()
 	n := c.add("late", nil, at, b.Addr())
-	b.eventually("it is heard though the other is gone", func() bool { return b.plan.ForwarderCount() == len(nodes)+1 })
-	c.eventually("and acts on a view", func() bool { return n.viewCount > 0 })
+	b.eventually("the second planner has a digest though the first is down", func() bool { return b.plan.ForwarderCount() == len(nodes)+1 })
+	c.eventually("the late node has a view", func() bool { return n.viewCount > 0 })
 }
