--- a/internal/planner/members.go
+++ b/internal/planner/members.go
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// membership is the group of planners that know each other through gossip. The one with the lowest id leads; forwarders do
-// not depend on it.
+// membership is the group of planners that know each other through gossip. It is only shown to operators: the leader is
+// elected by the leases, see plan.Planner.ElectLeader.
 type membership struct{ gossip *memberlist.Memberlist }
 
 // joinGossip starts the gossip. Planners that are not up yet join later.
@@ -43,7 +43,7 @@
 func (e eventLogger) NotifyLeave(n *memberlist.Node)  { e.logEvent("planner_left", "id="+n.Name) }
 func (e eventLogger) NotifyUpdate(n *memberlist.Node) {}
 
-// ids returns the ids of the healthy planners, sorted: the leader is first.
+// ids returns the ids of the healthy planners, sorted.
 func (m *membership) ids() (ids []string) {
 	if m == nil {
 		return nil
