--- a/internal/keys/handshake_test.go
+++ b/internal/keys/handshake_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// BenchmarkHandshake tells what both ends of a forwarder's connection to a planner spend on its handshake, and how many bytes go
-// each way. docs/CAPACITY.md multiplies it by the fleet that comes back at once.
+// BenchmarkHandshake measures the time that both ends of a forwarder's connection to a planner spend on the TLS handshake,
+// and the bytes sent each way. docs/CAPACITY.md multiplies the results by the size of a fleet that reconnects at once.
 func BenchmarkHandshake(b *testing.B) {
 	dir := b.TempDir()
 	now := time.Now()
-	if err := MakeAuthority(dir, now, time.Hour); err != nil {
+	if err := CreateAuthority(dir, now, time.Hour); err != nil {
 		b.Fatal(err)
 	}
 	pair := func(name string, role Role) *Pair {
-		if err := Make(dir, name, role, now, time.Minute, false); err != nil {
+		if err := Issue(dir, name, role, now, time.Minute, false); err != nil {
 			b.Fatal(err)
 		}
 		p, err := Load(filepath.Join(dir, caFile), filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key"))
@@ -26,13 +26,13 @@
 		}
 		return p
 	}
-	server, client := pair("p1", Planner).Server(Forwarder), pair("n1", Forwarder).Client(Planner)
+	server, client := pair("p1", Planner).ServerConfig(Forwarder), pair("n1", Forwarder).ClientConfig(Planner)
 	var in, out int
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
 		x, y := net.Pipe()
-		counted := &counting{Conn: x}
+		counted := &countingConn{Conn: x}
 		done := make(chan error, 1)
 		go func() {
 			s := tls.Server(y, server)
@@ -56,18 +56,19 @@
 	b.ReportMetric(float64(in)/float64(b.N), "bytes-to-forwarder")
 }
 
-type counting struct {
+// countingConn counts the bytes that are read and written.
+type countingConn struct {
 	net.Conn
 	in, out int
 }
 
-func (c *counting) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.in += n
 	return n, err
 }
 
-func (c *counting) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.out += n
 	return n, err
--- a/internal/operator/planners.go
+++ b/internal/operator/planners.go
@@ -126,7 +126,7 @@
 	if p == nil {
 		return nil, nil
 	}
-	c := &forwarder.Config{Every: p.Every.D(), Fade: p.Fade.D()}
+	c := &forwarder.Config{Interval: p.Every.D(), Fade: p.Fade.D()}
 	for _, a := range p.Addresses {
 		c.Planners = append(c.Planners, netip.MustParseAddrPort(a)) // checked with the file
 	}
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, f.file.Errorf(tomlfile.At("planners", "cert_file"), "%v", err)
 	}
-	c.TLS = pair.Client(keys.Planner)
+	c.TLS = pair.ClientConfig(keys.Planner)
 	return c, nil
 }
 
@@ -152,8 +152,8 @@
 	if f.Node.Control != "" {
 		control = netip.MustParseAddrPort(f.Node.Control) // checked with the file
 	}
-	c := planner.Config{Listen: netip.MustParseAddrPort(p.Listen), Control: control, Join: p.Join, Every: p.Every.D(), Snapshot: f.beside(p.Snapshot),
-		SnapshotAge: p.SnapshotAge.D(), Plan: plan.Config{ID: p.ID, Valid: p.Valid.D(), Silent: p.Silent.D(), Move: p.Move, Forwarders: p.Forwarders,
+	c := planner.Config{Listen: netip.MustParseAddrPort(p.Listen), Control: control, Join: p.Join, Interval: p.Every.D(), Snapshot: f.beside(p.Snapshot),
+		MaxSnapshotAge: p.SnapshotAge.D(), Plan: plan.Config{ID: p.ID, Valid: p.Valid.D(), Silent: p.Silent.D(), Move: p.Move, Forwarders: p.Forwarders,
 			Mode: set.Mode, OriginKind: set.OriginKind, Weighted: set.Weighted, ColdFrom: set.ColdFrom, WarmUp: set.WarmUp,
 			FallMultiple: set.FallMultiple, FallWindow: set.FallWindow}}
 	if !set.OriginFalls {
@@ -161,7 +161,7 @@
 	}
 	if p.Gossip != "" {
 		c.Gossip = netip.MustParseAddrPort(p.Gossip)
-		secret, err := keys.Gossip(f.beside(p.GossipKey))
+		secret, err := keys.LoadGossipKey(f.beside(p.GossipKey))
 		if err != nil {
 			return c, f.file.Errorf(tomlfile.At("planner", "gossip_key_file"), "%v", err)
 		}
@@ -180,14 +180,14 @@
 	}
 	c.Registry = *list
 	if c.Registry.Kind != registry.Discovery { // which keeps no leases
-		c.Lease, c.TTL = p.Lease, p.TTL.D()
+		c.LeasePrefix, c.LeaseTTL = p.Lease, p.TTL.D()
 	}
 	load := func() (*tls.Config, error) {
 		pair, err := keys.Load(f.beside(p.CAFile), f.beside(p.CertFile), f.beside(p.KeyFile))
 		if err != nil {
 			return nil, f.file.Errorf(tomlfile.At("planner", "cert_file"), "%v", err)
 		}
-		return pair.Server(keys.Forwarder), nil
+		return pair.ServerConfig(keys.Forwarder), nil
 	}
 	c.Certificates = load
 	_, err = load()
