--- a/cmd/lapisshelf/migrate.go
+++ b/cmd/lapisshelf/migrate.go
@@ -39,7 +39,7 @@
 }
 
 func move(c *cobra.Command, source, target string, shape migrate.Shape, dry, force bool) error {
-	text, err := tomlfile.Text(source)
+	text, err := tomlfile.ReadText(source)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 		if cause := errors.Unwrap(err); cause != nil {
 			err = cause
 		}
-		return &tomlfile.Error{Path: path, Why: err.Error()}
+		return &tomlfile.Error{Path: path, Reason: err.Error()}
 	}
 	f, err := os.CreateTemp(filepath.Dir(path), ".migrate-*")
 	if err != nil {
@@ -93,7 +93,7 @@
 		err = os.Rename(f.Name(), path)
 	default: // a link, unlike a rename, does not take the place of what stands there
 		if err = os.Link(f.Name(), path); errors.Is(err, fs.ErrExist) {
-			return &tomlfile.Error{Path: path, Why: "stands there already; --force replaces it"}
+			return &tomlfile.Error{Path: path, Reason: "stands there already; --force replaces it"}
 		}
 	}
 	if err != nil {
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -396,5 +396,5 @@
 // fault is a plain line about a place in a file.
 func fault(path string, text []byte, at int, key, why string) error {
 	line := 1 + bytes.Count(text[:min(max(0, at), len(text))], []byte("\n"))
-	return &tomlfile.Error{Path: path, Line: line, Key: key, Why: why}
+	return &tomlfile.Error{Path: path, Line: line, Key: key, Reason: why}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -96,7 +96,7 @@
 
 // defaults are the figures of a small installation.
 func defaults() Service {
-	ms := func(n int) Span { return tomlfile.Span(time.Duration(n) * time.Millisecond) }
+	ms := func(n int) Span { return tomlfile.NewDuration(time.Duration(n) * time.Millisecond) }
 	return Service{Mode: "aside", OriginKind: "origin", OriginFalls: true, Balancers: 1, Attempts: 3, Cancel: true, Weighted: true,
 		AskWithin: ms(4000), WarmUp: ms(10000), ColdFrom: 0.2, FallMultiple: 3, FallWindow: ms(1500), ConnIdle: ms(30000),
 		ConnectTimeout: ms(250), PerConn: 8, MostHeld: 5000, Tick: ms(5)}
@@ -104,7 +104,7 @@
 
 // Read reads a file.
 func Read(path string) (*File, error) {
-	text, err := tomlfile.Text(path)
+	text, err := tomlfile.ReadText(path)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operator/planners.go
+++ b/internal/operator/planners.go
@@ -48,12 +48,12 @@
 }
 
 func plannersDefaults() Planners {
-	return Planners{Every: tomlfile.Span(time.Second), Fade: tomlfile.Span(10 * time.Second)}
+	return Planners{Every: tomlfile.NewDuration(time.Second), Fade: tomlfile.NewDuration(10 * time.Second)}
 }
 
 func plannerDefaults() Planner {
-	return Planner{Every: tomlfile.Span(500 * time.Millisecond), Valid: tomlfile.Span(3 * time.Second), Silent: tomlfile.Span(5 * time.Second),
-		Lease: "lapisshelf/planners/", TTL: tomlfile.Span(10 * time.Second), Move: 0.05, Forwarders: 4096, SnapshotAge: tomlfile.Span(30 * time.Second)}
+	return Planner{Every: tomlfile.NewDuration(500 * time.Millisecond), Valid: tomlfile.NewDuration(3 * time.Second), Silent: tomlfile.NewDuration(5 * time.Second),
+		Lease: "lapisshelf/planners/", TTL: tomlfile.NewDuration(10 * time.Second), Move: 0.05, Forwarders: 4096, SnapshotAge: tomlfile.NewDuration(30 * time.Second)}
 }
 
 const mostPlanners = 16
--- a/internal/operator/registry.go
+++ b/internal/operator/registry.go
@@ -45,7 +45,7 @@
 }
 
 func announceDefaults() Announce {
-	return Announce{Prefix: "lapisshelf/nodes/", TTL: tomlfile.Span(10e9)}
+	return Announce{Prefix: "lapisshelf/nodes/", TTL: tomlfile.NewDuration(10e9)}
 }
 
 // checkAnnounce checks the table and what it needs besides.
@@ -65,7 +65,7 @@
 
 // registryDefaults are the figures where the table stands and does not tell them.
 func registryDefaults() Registry {
-	return Registry{Kind: string(registry.Etcd), Prefix: "lapisshelf/servers/", Hold: tomlfile.Span(30e9), HoldPart: 0.5, Rewind: tomlfile.Span(30e9),
+	return Registry{Kind: string(registry.Etcd), Prefix: "lapisshelf/servers/", Hold: tomlfile.NewDuration(30e9), HoldPart: 0.5, Rewind: tomlfile.NewDuration(30e9),
 		Page: 500, CallsPerS: 100}
 }
 
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -25,10 +25,10 @@
 
 // Error is a fault in a file. Line is 0 where it is not known.
 type Error struct {
-	Path string
-	Line int
-	Key  string
-	Why  string
+	Path   string
+	Line   int
+	Key    string
+	Reason string
 }
 
 // Error implements error: one line, FILE:LINE: KEY: WHY.
@@ -41,27 +41,27 @@
 	if e.Key != "" {
 		b.WriteString(": " + e.Key)
 	}
-	return b.String() + ": " + strings.Join(strings.Fields(e.Why), " ")
+	return b.String() + ": " + strings.Join(strings.Fields(e.Reason), " ")
 }
 
 // Read reads a file into v, a pointer to a struct; a key that v does not have is an error.
 func Read(path string, v any) (*File, error) {
-	text, err := Text(path)
+	text, err := ReadText(path)
 	if err != nil {
 		return nil, err
 	}
 	return Decode(path, text, v)
 }
 
-// Text gives what stands in a file.
-func Text(path string) ([]byte, error) {
+// ReadText gives what stands in a file.
+func ReadText(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	var why *os.PathError
 	if errors.As(err, &why) {
 		err = why.Err
 	}
 	if err != nil {
-		return nil, &Error{Path: path, Why: err.Error()}
+		return nil, &Error{Path: path, Reason: err.Error()}
 	}
 	return text, nil
 }
@@ -79,7 +79,7 @@
 					parts[i] = n
 				}
 			}
-			plain = &Error{path, line, Name(parts), "must be text in quotes"}
+			plain = &Error{path, line, FormatPath(parts), "must be text in quotes"}
 		}
 	})
 	if plain != nil {
@@ -101,7 +101,7 @@
 		line, _ := bad.Position()
 		return nil, &Error{path, line, key(bad.Key()), strings.TrimPrefix(bad.Error(), "toml: ")}
 	}
-	return nil, &Error{Path: path, Why: strings.TrimPrefix(err.Error(), "toml: ")}
+	return nil, &Error{Path: path, Reason: strings.TrimPrefix(err.Error(), "toml: ")}
 }
 
 func key(k toml.Key) string { return strings.Join(k, ".") }
@@ -109,7 +109,7 @@
 // Errorf makes an error about a key of the file, by its path: tables, then the number in an array of tables, from 0, and
 // the key itself, as in At("fault", 2, "kind"). What does not stand in the file is looked for at its table.
 func (f *File) Errorf(at []any, format string, args ...any) error {
-	e := &Error{Path: f.Path, Key: Name(at), Why: fmt.Sprintf(format, args...)}
+	e := &Error{Path: f.Path, Key: FormatPath(at), Reason: fmt.Sprintf(format, args...)}
 	for n := len(at); n > 0 && e.Line == 0; n-- {
 		e.Line = f.lines[join(at[:n])]
 	}
@@ -125,8 +125,8 @@
 // At builds a path for Errorf.
 func At(path ...any) []any { return path }
 
-// Name is a path as a person would write it: fault[2].kind, counted from 1.
-func Name(path []any) string {
+// FormatPath is a path as a person would write it: fault[2].kind, counted from 1.
+func FormatPath(path []any) string {
 	var b strings.Builder
 	for _, p := range path {
 		switch p := p.(type) {
@@ -249,8 +249,8 @@
 // Duration is a time span as text: a number and a unit, as in "250ms" or "1m30s". A plain number is none.
 type Duration struct{ d time.Duration }
 
-// Span makes one of a time.Duration.
-func Span(d time.Duration) Duration { return Duration{d} }
+// NewDuration makes one of a time.Duration.
+func NewDuration(d time.Duration) Duration { return Duration{d} }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -247,7 +247,7 @@
 	if err != nil {
 		var why *os.PathError
 		if errors.As(err, &why) {
-			err = &tomlfile.Error{Path: path, Why: why.Err.Error()}
+			err = &tomlfile.Error{Path: path, Reason: why.Err.Error()}
 		}
 		return nil, err
 	}
@@ -269,7 +269,7 @@
 		x.Seed = opt.Seed
 	}
 	if opt.Length > 0 {
-		x.Length = tomlfile.Span(opt.Length)
+		x.Length = tomlfile.NewDuration(opt.Length)
 	}
 	if opt.Rate > 0 {
 		x.Clients.Rate = opt.Rate
@@ -302,7 +302,7 @@
 func yes() *bool { b := true; return &b }
 func no() *bool  { b := false; return &b }
 
-func ms(n int) Span { return tomlfile.Span(time.Duration(n) * time.Millisecond) }
+func ms(n int) Span { return tomlfile.NewDuration(time.Duration(n) * time.Millisecond) }
 
 // defaults is a small deployment; docs/lab.md has the same figures.
 func defaults() File {
--- a/lab/scale/file.go
+++ b/lab/scale/file.go
@@ -122,7 +122,7 @@
 
 func defaults() *File {
 	f := &File{Seed: 1}
-	span := tomlfile.Span
+	span := tomlfile.NewDuration
 	f.Planners.Count, f.Planners.Every, f.Planners.Valid = 2, span(500*time.Millisecond), span(3*time.Second)
 	f.Nodes.Processes, f.Nodes.Every, f.Nodes.Fade = 8, span(time.Second), span(10*time.Second)
 	f.List.Kind, f.List.Delay = "discovery", span(200*time.Millisecond)
@@ -135,7 +135,7 @@
 
 // Read reads a run's file.
 func Read(path string, o Options) (*File, error) {
-	text, err := tomlfile.Text(path)
+	text, err := tomlfile.ReadText(path)
 	if err != nil {
 		return nil, err
 	}
@@ -250,7 +250,7 @@
 			return cmp.Compare(float64(a.Nodes*a.Servers)*a.Rate, float64(b.Nodes*b.Servers)*b.Rate)
 		})}
 		for _, d := range []*tomlfile.Duration{&f.Phases.Idle, &f.Phases.Calm, &f.Phases.Jam, &f.Phases.Drain} {
-			*d = tomlfile.Span(d.D() / 2)
+			*d = tomlfile.NewDuration(d.D() / 2)
 		}
 	}
 	var variants []Variant
