--- a/internal/node/capacity.go
+++ b/internal/node/capacity.go
@@ -143,7 +143,7 @@
 
 // full reports whether the node holds as much as it may.
 func (n *Node) full(value int) bool {
-	most := n.cfg.Transport.MostHeld
+	most := n.cfg.Transport.MaxRequests
 	return most > 0 && len(n.calls) >= most || n.held+n.owed+value > n.most()
 }
 
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -87,7 +87,7 @@
 	if kind := n.cfg.Settings.OriginKind; kind != "" && s.Kind == kind {
 		p.proto = originProtocol{host: p.addr.String()}
 	} else {
-		p.proto = cacheProtocol{perConn: n.cfg.Transport.PerConn}
+		p.proto = cacheProtocol{perConn: n.cfg.Transport.MaxRequestsPerConn}
 	}
 	p.ready, p.weight = s.State == policy.Ready, s.Weight
 	if moved {
@@ -354,7 +354,7 @@
 	}
 	var best *link
 	for _, l := range p.links {
-		if !l.old && l.body == nil && l.going == nil && len(l.tries) < p.node.cfg.Transport.PerConn && (best == nil || len(l.tries) < len(best.tries)) {
+		if !l.old && l.body == nil && l.going == nil && len(l.tries) < p.node.cfg.Transport.MaxRequestsPerConn && (best == nil || len(l.tries) < len(best.tries)) {
 			best = l
 		}
 	}
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -39,7 +39,7 @@
 	local := netip.MustParseAddrPort("127.0.0.1:0")
 	n, err := New(Config{Listen: local, Registry: registry.Config{Endpoints: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}}, MemoryMB: 192, Sockets: 64,
 		Settings: policy.Settings{Classes: []policy.Class{{Name: "read", Aim: time.Second}}, MaxAttempts: 3},
-		Transport: settings.Transport{PerConn: 8, ConnIdle: 30 * time.Second,
+		Transport: settings.Transport{MaxRequestsPerConn: 8, ConnIdle: 30 * time.Second,
 			ConnectTimeout: time.Second}}, l)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -31,7 +31,7 @@
 	}
 	local := netip.MustParseAddrPort("127.0.0.1:0")
 	n, err := New(Config{Listen: local, Registry: registry.Config{Endpoints: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}}, MemoryMB: 192, Sockets: 4096,
-		Settings: set, Transport: settings.Transport{PerConn: 8, ConnIdle: 30 * time.Second, ConnectTimeout: 10 * time.Second, Deadlines: longest}}, l)
+		Settings: set, Transport: settings.Transport{MaxRequestsPerConn: 8, ConnIdle: 30 * time.Second, ConnectTimeout: 10 * time.Second, Deadlines: longest}}, l)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -265,7 +265,7 @@
 	if s.Mode == "aside" {
 		set.Mode = policy.Aside
 	}
-	t := settings.Transport{ConnIdle: s.ConnIdle.D(), ConnectTimeout: s.ConnectTimeout.D(), PerConn: s.PerConn, MostHeld: s.MostHeld,
+	t := settings.Transport{ConnIdle: s.ConnIdle.D(), ConnectTimeout: s.ConnectTimeout.D(), MaxRequestsPerConn: s.PerConn, MaxRequests: s.MostHeld,
 		Deadlines: map[string]time.Duration{}}
 	for _, c := range f.Class {
 		worth := c.Worth
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -53,12 +53,12 @@
 
 // Transport is what the settings say of connections and of what may be held; a node needs it, the decisions don't.
 type Transport struct {
-	ConnIdle       time.Duration // an idle connection is closed by then; 0 when that is not told
-	ConnectTimeout time.Duration // a connection that does not stand by then has failed; 0 when that is not told
-	PerConn        int           // requests that a connection may carry at once
-	MostHeld       int           // requests that a node may hold; 0 when that is not told
-	DrainGrace     time.Duration // until then what is sent to a server told to drain is forgiven; 0 when that is not told
-	Deadlines      map[string]time.Duration
+	ConnIdle           time.Duration // an idle connection is closed by then; 0 when that is not told
+	ConnectTimeout     time.Duration // a connection that does not stand by then has failed; 0 when that is not told
+	MaxRequestsPerConn int           // requests that a connection may carry at once
+	MaxRequests        int           // requests that a node may hold; 0 when that is not told
+	DrainGrace         time.Duration // until then what is sent to a server told to drain is forgiven; 0 when that is not told
+	Deadlines          map[string]time.Duration
 }
 
 var (
@@ -199,8 +199,8 @@
 
 func (w *object) transport() Transport {
 	t := Transport{ConnIdle: time.Duration(max(0, w.Limits.ConnIdle)),
-		ConnectTimeout: time.Duration(max(0, w.Limits.ConnectTimeout)),
-		PerConn:        max(1, w.Limits.StreamsPerConn), MostHeld: max(0, w.Limits.MostHeld),
+		ConnectTimeout:     time.Duration(max(0, w.Limits.ConnectTimeout)),
+		MaxRequestsPerConn: max(1, w.Limits.StreamsPerConn), MaxRequests: max(0, w.Limits.MostHeld),
 		DrainGrace: time.Duration(max(0, w.Guarantees.DrainGrace)),
 		Deadlines:  map[string]time.Duration{}}
 	for _, c := range w.Classes {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,8 +28,8 @@
 	if c := set.Classes[1]; c.Effect != policy.Keyed || c.Scope != policy.ScopeZone || c.Window != 1200*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
-	if tr.PerConn != 128 || tr.ConnIdle != 30*time.Second || tr.ConnectTimeout != 150*time.Millisecond ||
-		tr.MostHeld != 20000 || tr.Deadlines["pin"] != 600*time.Millisecond {
+	if tr.MaxRequestsPerConn != 128 || tr.ConnIdle != 30*time.Second || tr.ConnectTimeout != 150*time.Millisecond ||
+		tr.MaxRequests != 20000 || tr.Deadlines["pin"] != 600*time.Millisecond {
 		t.Errorf("%+v", tr)
 	}
 }
@@ -50,7 +50,7 @@
 	// What is missing of the transport's figures has a harmless meaning.
 	_, tr, err := DecodeAll([]byte(strings.Replace(strings.Replace(whole, `"StreamsPerConn":128,`, ``, 1),
 		`"ConnIdle":30000000000,`, ``, 1)))
-	if err != nil || tr.PerConn != 1 || tr.ConnIdle != 0 {
+	if err != nil || tr.MaxRequestsPerConn != 1 || tr.ConnIdle != 0 {
 		t.Errorf("%+v, %v", tr, err)
 	}
 }
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -112,7 +112,7 @@
 	if set.Balancers != 2 || set.Mode != policy.Aside || set.OriginKind != "origin" || set.MaxAttempts != 6 || set.Parallel ||
 		len(set.Classes) != 2 || set.Classes[1].Effect != policy.Keyed || set.Classes[1].Scope != policy.ScopeZone ||
 		set.Classes[1].Window != 2*time.Second || set.Tenants[0].Quota != 10 || set.WarmUp != x.Service.WarmUp.D() ||
-		transport.PerConn != 8 || transport.Deadlines["read"] != time.Second {
+		transport.MaxRequestsPerConn != 8 || transport.Deadlines["read"] != time.Second {
 		t.Errorf("%+v %+v", set, transport)
 	}
 }
