--- a/cmd/lapisshelf/main.go
+++ b/cmd/lapisshelf/main.go
@@ -117,7 +117,7 @@
 		if err != nil || op.Service == nil {
 			return nil, err
 		}
-		return op.TooMany(op.Service.Balancers), nil
+		return op.CheckFleetSize(op.Service.Balancers), nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -137,8 +137,8 @@
 	switch {
 	case why == "":
 		return nil
-	case op != nil && (op.List != nil && cfg.Registry.Kind != registry.Discovery || op.Service != nil && op.Service.Balancers == cfg.Settings.Balancers):
-		return op.TooMany(cfg.Settings.Balancers)
+	case op != nil && (op.Registry != nil && cfg.Registry.Kind != registry.Discovery || op.Service != nil && op.Service.Balancers == cfg.Settings.Balancers):
+		return op.CheckFleetSize(cfg.Settings.Balancers)
 	}
 	return fmt.Errorf("%s: settings: Balancers: %s", path, why)
 }
--- a/cmd/lapisshelf/planning.go
+++ b/cmd/lapisshelf/planning.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	cfg, err := op.Plans()
+	cfg, err := op.PlannerConfig()
 	if err != nil {
 		return err
 	}
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -82,7 +82,7 @@
 	if s.Nodes < 1 || s.Nodes > 100000 {
 		return fmt.Errorf("%d nodes: must be 1 to 100000", s.Nodes)
 	}
-	if !operator.ZoneName(s.Zone) {
+	if !operator.ValidZone(s.Zone) {
 		return fmt.Errorf("zone %q: must be a zone's name of 64 bytes at most, without blanks", s.Zone)
 	}
 	if s.Position < 0 || s.Position >= s.Nodes {
@@ -152,7 +152,7 @@
 		}
 	}
 	if from, to := filepath.Dir(path), filepath.Dir(target); from != to {
-		f.Files(func(key string, file *string) {
+		f.EachFile(func(key string, file *string) {
 			if *file != "" && !filepath.IsAbs(*file) {
 				moved, err := filepath.Rel(to, filepath.Join(from, *file))
 				if err != nil {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -112,7 +112,7 @@
 	}
 	c.StateDir = cmp.Or(op.Node.StateDir, c.StateDir)
 	discovery := cmp.Or(file.Discovery, getenv("EDGE_DISCOVERY"), op.Node.Discovery)
-	if told, err := op.Registry(); err != nil {
+	if told, err := op.RegistryConfig(); err != nil {
 		return Config{}, err
 	} else if told != nil && discovery == "" {
 		c.Registry = *told
@@ -130,7 +130,7 @@
 		}
 		c.Registry = registry.Config{Kind: registry.Discovery, Endpoints: []netip.AddrPort{addr}}
 	}
-	if c.Planners, err = op.Forwards(); err != nil {
+	if c.Planners, err = op.ForwarderConfig(); err != nil {
 		return Config{}, err
 	} else if c.Planners != nil {
 		if c.Planners.Name = c.Name; c.Name == "" {
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -49,7 +49,7 @@
 func (cfg *Config) TooMany() string {
 	c := cfg.followed()
 	c.Roster.Endpoints = len(c.Endpoints)
-	return operator.TooMany(c.Roster, "Balancers", cfg.Settings.Balancers)
+	return operator.FleetSizeWarning(c.Roster, "Balancers", cfg.Settings.Balancers)
 }
 
 // follow begins to follow the list, from the one known before.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -13,8 +13,8 @@
 	"lapisshelf/policy"
 )
 
-// Span is a time span as in "250ms".
-type Span = tomlfile.Duration
+// Duration is a time span as in "250ms".
+type Duration = tomlfile.Duration
 
 // File is the operator's file. A table that does not stand there leaves its subsystem off; of the platform's own
 // configuration, what that tells wins.
@@ -23,7 +23,7 @@
 	Service  *Service
 	Class    []Class
 	Tenant   []Tenant
-	List     *Registry `toml:"registry"`
+	Registry *Registry `toml:"registry"`
 	Announce *Announce
 	Planners *Planners
 	Planner  *Planner
@@ -45,28 +45,28 @@
 
 // Service is what the platform's settings object tells elsewhere.
 type Service struct {
-	Mode           string
-	OriginKind     string `toml:"origin_kind"`
-	OriginFalls    bool   `toml:"origin_falls"`
-	Balancers      int
-	Position       int
-	Zone           string
-	Attempts       int
-	Parallel       bool
-	Cancel         bool
-	Weighted       bool
-	Probes         bool
-	MaxRetryAfter  Span    `toml:"max_retry_after"`
-	AskWithin      Span    `toml:"ask_within"`
-	WarmUp         Span    `toml:"warm_up"`
-	ColdFrom       float64 `toml:"cold_from"`
-	FallMultiple   float64 `toml:"fall_multiple"`
-	FallWindow     Span    `toml:"fall_window"`
-	ConnIdle       Span    `toml:"conn_idle"`
-	ConnectTimeout Span    `toml:"connect_timeout"`
-	PerConn        int     `toml:"per_conn"`
-	MostHeld       int     `toml:"most_held"`
-	Tick           Span
+	Mode               string
+	OriginKind         string `toml:"origin_kind"`
+	OriginFalls        bool   `toml:"origin_falls"`
+	Balancers          int
+	Position           int
+	Zone               string
+	Attempts           int
+	Parallel           bool
+	Cancel             bool
+	Weighted           bool
+	Probes             bool
+	MaxRetryAfter      Duration `toml:"max_retry_after"`
+	AskWithin          Duration `toml:"ask_within"`
+	WarmUp             Duration `toml:"warm_up"`
+	ColdFrom           float64  `toml:"cold_from"`
+	FallMultiple       float64  `toml:"fall_multiple"`
+	FallWindow         Duration `toml:"fall_window"`
+	ConnIdle           Duration `toml:"conn_idle"`
+	ConnectTimeout     Duration `toml:"connect_timeout"`
+	MaxRequestsPerConn int      `toml:"per_conn"`
+	MaxRequests        int      `toml:"most_held"`
+	Tick               Duration
 }
 
 // Class is a class of requests.
@@ -74,9 +74,9 @@
 	Name     string
 	Effect   string
 	Scope    string
-	Window   Span
-	Aim      Span
-	Deadline Span
+	Window   Duration
+	Aim      Duration
+	Deadline Duration
 	Worth    float64
 }
 
@@ -96,10 +96,10 @@
 
 // defaults are the figures of a small installation.
 func defaults() Service {
-	ms := func(n int) Span { return tomlfile.NewDuration(time.Duration(n) * time.Millisecond) }
+	ms := func(n int) Duration { return tomlfile.NewDuration(time.Duration(n) * time.Millisecond) }
 	return Service{Mode: "aside", OriginKind: "origin", OriginFalls: true, Balancers: 1, Attempts: 3, Cancel: true, Weighted: true,
 		AskWithin: ms(4000), WarmUp: ms(10000), ColdFrom: 0.2, FallMultiple: 3, FallWindow: ms(1500), ConnIdle: ms(30000),
-		ConnectTimeout: ms(250), PerConn: 8, MostHeld: 5000, Tick: ms(5)}
+		ConnectTimeout: ms(250), MaxRequestsPerConn: 8, MaxRequests: 5000, Tick: ms(5)}
 }
 
 // Read reads a file.
@@ -126,7 +126,7 @@
 	}
 	if t.Has("registry") {
 		d := registryDefaults()
-		f.List = &d
+		f.Registry = &d
 	}
 	if t.Has("announce") {
 		d := announceDefaults()
@@ -193,19 +193,19 @@
 		return err
 	}
 	s := f.Service
-	span := func(d Span, key string) rule {
+	span := func(d Duration, key string) rule {
 		return rule{d.D() < 0 || d.D() > longest, at("service", key), "must be 0s to 1h"}
 	}
 	if err := f.first(
 		rule{s.Mode != "aside" && s.Mode != "through", at("service", "mode"), "must be aside or through"},
 		rule{s.Balancers < 1 || s.Balancers > 100000, at("service", "balancers"), "must be 1 to 100000"},
 		rule{s.Position < 0 || s.Position >= s.Balancers, at("service", "position"), "must be 0 to one less than balancers"},
-		rule{!ZoneName(s.Zone), at("service", "zone"), "must be a zone's name of 64 bytes at most, without blanks"},
+		rule{!ValidZone(s.Zone), at("service", "zone"), "must be a zone's name of 64 bytes at most, without blanks"},
 		rule{s.Attempts < 1 || s.Attempts > 100, at("service", "attempts"), "must be 1 to 100"},
 		rule{!(s.ColdFrom > 0 && s.ColdFrom <= 1), at("service", "cold_from"), "must be above 0 and at most 1"},
 		rule{!(s.FallMultiple > 0 && s.FallMultiple <= 1000), at("service", "fall_multiple"), "must be above 0 and at most 1000"},
-		rule{s.PerConn < 1 || s.PerConn > 100000, at("service", "per_conn"), "must be 1 to 100000"},
-		rule{s.MostHeld < 1, at("service", "most_held"), "must be at least 1"},
+		rule{s.MaxRequestsPerConn < 1 || s.MaxRequestsPerConn > 100000, at("service", "per_conn"), "must be 1 to 100000"},
+		rule{s.MaxRequests < 1, at("service", "most_held"), "must be at least 1"},
 		rule{s.Tick.D() < time.Millisecond || s.Tick.D() > time.Second, at("service", "tick"), "must be 1ms to 1s"},
 		span(s.MaxRetryAfter, "max_retry_after"), span(s.AskWithin, "ask_within"), span(s.WarmUp, "warm_up"),
 		span(s.FallWindow, "fall_window"), span(s.ConnIdle, "conn_idle"), span(s.ConnectTimeout, "connect_timeout"),
@@ -242,8 +242,8 @@
 	return nil
 }
 
-// ZoneName reports whether a text may stand for a zone; the empty one stands for none.
-func ZoneName(s string) bool {
+// ValidZone reports whether a text may stand for a zone; the empty one stands for none.
+func ValidZone(s string) bool {
 	return len(s) <= longestZone && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f })
 }
 
@@ -265,7 +265,7 @@
 	if s.Mode == "aside" {
 		set.Mode = policy.Aside
 	}
-	t := settings.Transport{ConnIdle: s.ConnIdle.D(), ConnectTimeout: s.ConnectTimeout.D(), MaxRequestsPerConn: s.PerConn, MaxRequests: s.MostHeld,
+	t := settings.Transport{ConnIdle: s.ConnIdle.D(), ConnectTimeout: s.ConnectTimeout.D(), MaxRequestsPerConn: s.MaxRequestsPerConn, MaxRequests: s.MaxRequests,
 		Deadlines: map[string]time.Duration{}}
 	for _, c := range f.Class {
 		worth := c.Worth
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -50,9 +50,9 @@
 		t.Fatal(err)
 	}
 	d := registryDefaults()
-	d.Endpoints = f.List.Endpoints
-	if !reflect.DeepEqual(*f.List, d) || *f.Announce != announceDefaults() {
-		t.Errorf("the file shows %+v %+v, the defaults are %+v", *f.List, *f.Announce, d)
+	d.Endpoints = f.Registry.Endpoints
+	if !reflect.DeepEqual(*f.Registry, d) || *f.Announce != announceDefaults() {
+		t.Errorf("the file shows %+v %+v, the defaults are %+v", *f.Registry, *f.Announce, d)
 	}
 	// It shows every key that there is.
 	for _, table := range []any{Node{}, Service{}, Class{}, Tenant{}, Registry{}, Announce{}} {
@@ -144,7 +144,7 @@
 		}
 		f, err := Read(path)
 		if err == nil {
-			_, err = f.Registry()
+			_, err = f.RegistryConfig()
 		}
 		if err == nil || !strings.HasPrefix(strings.TrimPrefix(err.Error(), filepath.Dir(path)+"/"), c.want) {
 			t.Errorf("%q: %v, want %q", c.in, err, c.want)
--- a/internal/operator/planners.go
+++ b/internal/operator/planners.go
@@ -18,42 +18,42 @@
 
 // Planners makes a node a forwarder: it tells planners what it sees, and acts on their views.
 type Planners struct {
-	Addresses []string
-	CAFile    string `toml:"ca_file"`
-	CertFile  string `toml:"cert_file"`
-	KeyFile   string `toml:"key_file"`
-	Every     Span
-	Fade      Span
+	Addresses      []string
+	CAFile         string   `toml:"ca_file"`
+	CertFile       string   `toml:"cert_file"`
+	KeyFile        string   `toml:"key_file"`
+	DigestInterval Duration `toml:"every"`
+	FadeTime       Duration `toml:"fade"`
 }
 
 // Planner is what `lapisshelf plan` is told of itself.
 type Planner struct {
-	ID          string
-	Listen      string
-	Gossip      string
-	Join        []string
-	GossipKey   string `toml:"gossip_key_file"`
-	CAFile      string `toml:"ca_file"`
-	CertFile    string `toml:"cert_file"`
-	KeyFile     string `toml:"key_file"`
-	Every       Span
-	Valid       Span
-	Silent      Span
-	Move        float64
-	Forwarders  int
-	Lease       string
-	TTL         Span
-	Snapshot    string
-	SnapshotAge Span `toml:"snapshot_age"`
+	ID             string
+	Listen         string
+	Gossip         string
+	Join           []string
+	GossipKeyFile  string   `toml:"gossip_key_file"`
+	CAFile         string   `toml:"ca_file"`
+	CertFile       string   `toml:"cert_file"`
+	KeyFile        string   `toml:"key_file"`
+	ViewInterval   Duration `toml:"every"`
+	ViewValidity   Duration `toml:"valid"`
+	SilenceTimeout Duration `toml:"silent"`
+	MaxMove        float64  `toml:"move"`
+	MaxForwarders  int      `toml:"forwarders"`
+	LeasePrefix    string   `toml:"lease"`
+	LeaseTTL       Duration `toml:"ttl"`
+	Snapshot       string
+	SnapshotAge    Duration `toml:"snapshot_age"`
 }
 
 func plannersDefaults() Planners {
-	return Planners{Every: tomlfile.NewDuration(time.Second), Fade: tomlfile.NewDuration(10 * time.Second)}
+	return Planners{DigestInterval: tomlfile.NewDuration(time.Second), FadeTime: tomlfile.NewDuration(10 * time.Second)}
 }
 
 func plannerDefaults() Planner {
-	return Planner{Every: tomlfile.NewDuration(500 * time.Millisecond), Valid: tomlfile.NewDuration(3 * time.Second), Silent: tomlfile.NewDuration(5 * time.Second),
-		Lease: "lapisshelf/planners/", TTL: tomlfile.NewDuration(10 * time.Second), Move: 0.05, Forwarders: 4096, SnapshotAge: tomlfile.NewDuration(30 * time.Second)}
+	return Planner{ViewInterval: tomlfile.NewDuration(500 * time.Millisecond), ViewValidity: tomlfile.NewDuration(3 * time.Second), SilenceTimeout: tomlfile.NewDuration(5 * time.Second),
+		LeasePrefix: "lapisshelf/planners/", LeaseTTL: tomlfile.NewDuration(10 * time.Second), MaxMove: 0.05, MaxForwarders: 4096, SnapshotAge: tomlfile.NewDuration(30 * time.Second)}
 }
 
 const mostPlanners = 16
@@ -69,8 +69,8 @@
 		if err := f.first(
 			rule{len(p.Addresses) == 0 || len(p.Addresses) > mostPlanners, at("addresses"), "must name 1 to 16 addresses"},
 			rule{p.CAFile == "" || p.CertFile == "" || p.KeyFile == "", at("cert_file"), "ca_file, cert_file and key_file are needed: lapisshelf keys makes them"},
-			rule{p.Every.D() < 100*time.Millisecond || p.Every.D() > time.Minute/2, at("every"), "must be 100ms to 30s"},
-			rule{p.Fade.D() < time.Second || p.Fade.D() > longest, at("fade"), "must be 1s to 1h"},
+			rule{p.DigestInterval.D() < 100*time.Millisecond || p.DigestInterval.D() > time.Minute/2, at("every"), "must be 100ms to 30s"},
+			rule{p.FadeTime.D() < time.Second || p.FadeTime.D() > longest, at("fade"), "must be 1s to 1h"},
 		); err != nil {
 			return err
 		}
@@ -90,16 +90,16 @@
 		rule{address(p.Listen), at("listen"), "must be an address and a port, such as 127.0.0.1:7400"},
 		rule{p.Gossip != "" && address(p.Gossip), at("gossip"), "must be an address and a port, such as 127.0.0.1:7401"},
 		rule{len(p.Join) > 0 && p.Gossip == "", at("join"), "needs gossip"},
-		rule{p.Gossip != "" && p.GossipKey == "", at("gossip"), "needs gossip_key_file: lapisshelf keys makes it"},
+		rule{p.Gossip != "" && p.GossipKeyFile == "", at("gossip"), "needs gossip_key_file: lapisshelf keys makes it"},
 		rule{p.CAFile == "" || p.CertFile == "" || p.KeyFile == "", at("cert_file"), "ca_file, cert_file and key_file are needed: lapisshelf keys makes them"},
-		rule{p.Every.D() < 50*time.Millisecond || p.Every.D() > 10*time.Second, at("every"), "must be 50ms to 10s"},
-		rule{p.Valid.D() < 2*p.Every.D() || p.Valid.D() > plan.MaxValidity, at("valid"), "must be twice every to 100s"},
-		rule{p.Silent.D() < time.Second || p.Silent.D() > longest, at("silent"), "must be 1s to 1h"},
-		rule{!(p.Move > 0 && p.Move <= 1), at("move"), "must be above 0 and at most 1"},
-		rule{p.Forwarders < 1 || p.Forwarders > 100000, at("forwarders"), "must be 1 to 100000"},
-		rule{strings.ContainsAny(p.Lease, "\r\n\x00") || f.List != nil && p.Lease != "" && strings.HasPrefix(p.Lease, f.List.Prefix), at("lease"),
+		rule{p.ViewInterval.D() < 50*time.Millisecond || p.ViewInterval.D() > 10*time.Second, at("every"), "must be 50ms to 10s"},
+		rule{p.ViewValidity.D() < 2*p.ViewInterval.D() || p.ViewValidity.D() > plan.MaxValidity, at("valid"), "must be twice every to 100s"},
+		rule{p.SilenceTimeout.D() < time.Second || p.SilenceTimeout.D() > longest, at("silent"), "must be 1s to 1h"},
+		rule{!(p.MaxMove > 0 && p.MaxMove <= 1), at("move"), "must be above 0 and at most 1"},
+		rule{p.MaxForwarders < 1 || p.MaxForwarders > 100000, at("forwarders"), "must be 1 to 100000"},
+		rule{strings.ContainsAny(p.LeasePrefix, "\r\n\x00") || f.Registry != nil && p.LeasePrefix != "" && strings.HasPrefix(p.LeasePrefix, f.Registry.Prefix), at("lease"),
 			"must be what the keys of planners begin with, not within registry.prefix"},
-		rule{p.TTL.D() < time.Second || p.TTL.D() > longest, at("ttl"), "must be 1s to 1h"},
+		rule{p.LeaseTTL.D() < time.Second || p.LeaseTTL.D() > longest, at("ttl"), "must be 1s to 1h"},
 		rule{p.SnapshotAge.D() < time.Second || p.SnapshotAge.D() > 24*time.Hour, at("snapshot_age"), "must be 1s to 24h"},
 	); err != nil {
 		return err
@@ -120,13 +120,13 @@
 	return filepath.Join(filepath.Dir(f.file.Path), path)
 }
 
-// Forwards is the configuration of a forwarder; nil without [planners]. It reads the certificates.
-func (f *File) Forwards() (*forwarder.Config, error) {
+// ForwarderConfig is the configuration of a forwarder; nil without [planners]. It reads the certificates.
+func (f *File) ForwarderConfig() (*forwarder.Config, error) {
 	p := f.Planners
 	if p == nil {
 		return nil, nil
 	}
-	c := &forwarder.Config{Every: p.Every.D(), Fade: p.Fade.D()}
+	c := &forwarder.Config{Every: p.DigestInterval.D(), Fade: p.FadeTime.D()}
 	for _, a := range p.Addresses {
 		c.Planners = append(c.Planners, netip.MustParseAddrPort(a)) // checked with the file
 	}
@@ -138,8 +138,8 @@
 	return c, nil
 }
 
-// Plans is the configuration of a planner; an error without [planner]. It reads the certificates.
-func (f *File) Plans() (planner.Config, error) {
+// PlannerConfig is the configuration of a planner; an error without [planner]. It reads the certificates.
+func (f *File) PlannerConfig() (planner.Config, error) {
 	p := f.Planner
 	if p == nil {
 		return planner.Config{}, f.file.Errorf(nil, "needs a [planner] table to plan")
@@ -152,8 +152,8 @@
 	if f.Node.Control != "" {
 		control = netip.MustParseAddrPort(f.Node.Control) // checked with the file
 	}
-	c := planner.Config{Listen: netip.MustParseAddrPort(p.Listen), Control: control, Join: p.Join, Every: p.Every.D(), Snapshot: f.beside(p.Snapshot),
-		SnapshotAge: p.SnapshotAge.D(), Plan: plan.Config{ID: p.ID, Valid: p.Valid.D(), Silent: p.Silent.D(), Move: p.Move, Forwarders: p.Forwarders,
+	c := planner.Config{Listen: netip.MustParseAddrPort(p.Listen), Control: control, Join: p.Join, Every: p.ViewInterval.D(), Snapshot: f.beside(p.Snapshot),
+		SnapshotAge: p.SnapshotAge.D(), Plan: plan.Config{ID: p.ID, Valid: p.ViewValidity.D(), Silent: p.SilenceTimeout.D(), Move: p.MaxMove, Forwarders: p.MaxForwarders,
 			Mode: set.Mode, OriginKind: set.OriginKind, Weighted: set.Weighted, ColdFrom: set.ColdFrom, WarmUp: set.WarmUp,
 			FallMultiple: set.FallMultiple, FallWindow: set.FallWindow}}
 	if !set.OriginFalls {
@@ -161,13 +161,13 @@
 	}
 	if p.Gossip != "" {
 		c.Gossip = netip.MustParseAddrPort(p.Gossip)
-		secret, err := keys.Gossip(f.beside(p.GossipKey))
+		secret, err := keys.Gossip(f.beside(p.GossipKeyFile))
 		if err != nil {
 			return c, f.file.Errorf(tomlfile.At("planner", "gossip_key_file"), "%v", err)
 		}
 		c.GossipKey = secret
 	}
-	list, err := f.Registry()
+	list, err := f.RegistryConfig()
 	if err != nil {
 		return c, err
 	}
@@ -180,7 +180,7 @@
 	}
 	c.Registry = *list
 	if c.Registry.Kind != registry.Discovery { // which keeps no leases
-		c.Lease, c.TTL = p.Lease, p.TTL.D()
+		c.Lease, c.TTL = p.LeasePrefix, p.LeaseTTL.D()
 	}
 	load := func() (*tls.Config, error) {
 		pair, err := keys.Load(f.beside(p.CAFile), f.beside(p.CertFile), f.beside(p.KeyFile))
@@ -194,9 +194,9 @@
 	return c, err
 }
 
-// Files shows each key that names a file: beside the operator's file unless the path is whole.
-func (f *File) Files(show func(key string, file *string)) {
-	if r := f.List; r != nil {
+// EachFile shows each key that names a file: beside the operator's file unless the path is whole.
+func (f *File) EachFile(show func(key string, file *string)) {
+	if r := f.Registry; r != nil {
 		show("registry.token_file", &r.TokenFile)
 		show("registry.ca_file", &r.CAFile)
 		show("registry.cert_file", &r.CertFile)
@@ -211,7 +211,7 @@
 		show("planner.ca_file", &p.CAFile)
 		show("planner.cert_file", &p.CertFile)
 		show("planner.key_file", &p.KeyFile)
-		show("planner.gossip_key_file", &p.GossipKey)
+		show("planner.gossip_key_file", &p.GossipKeyFile)
 		show("planner.snapshot", &p.Snapshot)
 	}
 }
--- a/internal/operator/registry.go
+++ b/internal/operator/registry.go
@@ -20,28 +20,28 @@
 
 // Registry says where the server list is kept, in place of the platform's discovery.
 type Registry struct {
-	Kind       string
-	Endpoints  []string
-	Prefix     string
-	TokenFile  string `toml:"token_file"`
-	TLS        bool
-	CAFile     string `toml:"ca_file"`
-	CertFile   string `toml:"cert_file"`
-	KeyFile    string `toml:"key_file"`
-	ServerName string `toml:"server_name"`
-	Watch      Span
-	Hold       Span
-	HoldPart   float64 `toml:"hold_part"`
-	Rewind     Span
-	Page       int
-	Most       int
-	CallsPerS  float64 `toml:"calls_per_s"`
+	Kind         string
+	Endpoints    []string
+	Prefix       string
+	TokenFile    string `toml:"token_file"`
+	TLS          bool
+	CAFile       string   `toml:"ca_file"`
+	CertFile     string   `toml:"cert_file"`
+	KeyFile      string   `toml:"key_file"`
+	ServerName   string   `toml:"server_name"`
+	WatchTimeout Duration `toml:"watch"`
+	HoldTime     Duration `toml:"hold"`
+	HoldPart     float64  `toml:"hold_part"`
+	RewindAfter  Duration `toml:"rewind"`
+	PageSize     int      `toml:"page"`
+	MaxEntries   int      `toml:"most"`
+	CallRate     float64  `toml:"calls_per_s"`
 }
 
 // Announce makes the node keep an entry of itself in the registry, under a lease.
 type Announce struct {
 	Prefix string
-	TTL    Span
+	TTL    Duration
 }
 
 func announceDefaults() Announce {
@@ -56,17 +56,17 @@
 	}
 	at := func(key string) []any { return tomlfile.At("announce", key) }
 	return f.first(
-		rule{f.List == nil, tomlfile.At("announce"), "needs a [registry] table"},
+		rule{f.Registry == nil, tomlfile.At("announce"), "needs a [registry] table"},
 		rule{strings.ContainsAny(a.Prefix, "\r\n\x00") || a.Prefix == "", at("prefix"), "must be what the keys of nodes begin with"},
-		rule{f.List != nil && strings.HasPrefix(a.Prefix, f.List.Prefix), at("prefix"), "must not lie within registry.prefix: nodes are no servers"},
+		rule{f.Registry != nil && strings.HasPrefix(a.Prefix, f.Registry.Prefix), at("prefix"), "must not lie within registry.prefix: nodes are no servers"},
 		rule{a.TTL.D() < 1e9 || a.TTL.D() > longest, at("ttl"), "must be 1s to 1h"},
 	)
 }
 
 // registryDefaults are the figures where the table stands and does not tell them.
 func registryDefaults() Registry {
-	return Registry{Kind: string(registry.Etcd), Prefix: "lapisshelf/servers/", Hold: tomlfile.NewDuration(30e9), HoldPart: 0.5, Rewind: tomlfile.NewDuration(30e9),
-		Page: 500, CallsPerS: 100}
+	return Registry{Kind: string(registry.Etcd), Prefix: "lapisshelf/servers/", HoldTime: tomlfile.NewDuration(30e9), HoldPart: 0.5, RewindAfter: tomlfile.NewDuration(30e9),
+		PageSize: 500, CallRate: 100}
 }
 
 const (
@@ -75,7 +75,7 @@
 )
 
 func (f *File) checkRegistry() error {
-	r := f.List
+	r := f.Registry
 	if r == nil {
 		return nil
 	}
@@ -88,13 +88,13 @@
 			"must be what the keys begin with, for consul without a slash in front"},
 		rule{!r.TLS && (r.CAFile != "" || r.CertFile != "" || r.KeyFile != "" || r.ServerName != ""), at("tls"), "certificates need tls = true"},
 		rule{(r.CertFile == "") != (r.KeyFile == ""), at("cert_file"), "cert_file and key_file go together"},
-		rule{r.Watch.D() < 0 || r.Watch.D() > longest || r.Watch.D() > 0 && r.Watch.D() < 1e9, at("watch"), "must be 0s, or 1s to 1h"},
-		rule{r.Hold.D() < 0 || r.Hold.D() > longest, at("hold"), "must be 0s to 1h"},
+		rule{r.WatchTimeout.D() < 0 || r.WatchTimeout.D() > longest || r.WatchTimeout.D() > 0 && r.WatchTimeout.D() < 1e9, at("watch"), "must be 0s, or 1s to 1h"},
+		rule{r.HoldTime.D() < 0 || r.HoldTime.D() > longest, at("hold"), "must be 0s to 1h"},
 		rule{!(r.HoldPart > 0 && r.HoldPart <= 1), at("hold_part"), "must be above 0 and at most 1"},
-		rule{r.Rewind.D() < 1e9 || r.Rewind.D() > longest, at("rewind"), "must be 1s to 1h"},
-		rule{r.Page < 1 || r.Page > 10000, at("page"), "must be 1 to 10000"},
-		rule{r.Most < 0 || r.Most > 1000000, at("most"), "must be 0 to 1000000"},
-		rule{!(r.CallsPerS >= 1 && r.CallsPerS <= 100000), at("calls_per_s"), "must be 1 to 100000"},
+		rule{r.RewindAfter.D() < 1e9 || r.RewindAfter.D() > longest, at("rewind"), "must be 1s to 1h"},
+		rule{r.PageSize < 1 || r.PageSize > 10000, at("page"), "must be 1 to 10000"},
+		rule{r.MaxEntries < 0 || r.MaxEntries > 1000000, at("most"), "must be 0 to 1000000"},
+		rule{!(r.CallRate >= 1 && r.CallRate <= 100000), at("calls_per_s"), "must be 1 to 100000"},
 	); err != nil {
 		return err
 	}
@@ -106,14 +106,14 @@
 	return nil
 }
 
-// Registry reads the files that the table names and gives the configuration; nil without the table.
-func (f *File) Registry() (*registry.Config, error) {
-	r := f.List
+// RegistryConfig reads the files that the table names and gives the configuration; nil without the table.
+func (f *File) RegistryConfig() (*registry.Config, error) {
+	r := f.Registry
 	if r == nil {
 		return nil, nil
 	}
-	c := &registry.Config{Kind: registry.Kind(r.Kind), Prefix: r.Prefix, Roster: roster.Config{WatchTimeout: r.Watch.D(), HoldTime: r.Hold.D(), HoldPart: r.HoldPart,
-		RewindAfter: r.Rewind.D(), PageSize: r.Page, MaxEntries: r.Most, CallRate: r.CallsPerS}}
+	c := &registry.Config{Kind: registry.Kind(r.Kind), Prefix: r.Prefix, Roster: roster.Config{WatchTimeout: r.WatchTimeout.D(), HoldTime: r.HoldTime.D(), HoldPart: r.HoldPart,
+		RewindAfter: r.RewindAfter.D(), PageSize: r.PageSize, MaxEntries: r.MaxEntries, CallRate: r.CallRate}}
 	for _, e := range r.Endpoints {
 		c.Endpoints = append(c.Endpoints, netip.MustParseAddrPort(e)) // checked with the file
 	}
@@ -164,21 +164,21 @@
 	return c, nil
 }
 
-// TooMany says in one line, naming file and key, that a fleet of so many balancers is larger than the calls a second let know
+// CheckFleetSize says in one line, naming file and key, that a fleet of so many balancers is larger than the calls a second let know
 // of a change before it counts; nil if it is not. That is no fault of the file: such a fleet starts, and is told later.
-func (f *File) TooMany(balancers int) error {
+func (f *File) CheckFleetSize(balancers int) error {
 	c, key := roster.Config{}, tomlfile.At("service", "balancers") // discovery has no key of its own for it
-	if f.List != nil {
-		c.CallRate, c.Endpoints, key = f.List.CallsPerS, len(f.List.Endpoints), tomlfile.At("registry", "calls_per_s")
+	if f.Registry != nil {
+		c.CallRate, c.Endpoints, key = f.Registry.CallRate, len(f.Registry.Endpoints), tomlfile.At("registry", "calls_per_s")
 	}
-	if why := TooMany(c, "service.balancers", balancers); why != "" {
+	if why := FleetSizeWarning(c, "service.balancers", balancers); why != "" {
 		return f.file.Errorf(key, "%s", why)
 	}
 	return nil
 }
 
-// TooMany is what there is to say of a fleet of so many balancers, as a key tells, that follow a list so; empty: nothing.
-func TooMany(c roster.Config, key string, balancers int) string {
+// FleetSizeWarning is what there is to say of a fleet of so many balancers, as a key tells, that follow a list so; empty: nothing.
+func FleetSizeWarning(c roster.Config, key string, balancers int) string {
 	most := roster.MaxNodes(c)
 	if balancers <= most {
 		return ""
