--- a/cmd/lapisshelf/migrate.go
+++ b/cmd/lapisshelf/migrate.go
@@ -15,7 +15,7 @@
 
 // migrateCommand writes the counterpart of a configuration for a deployment in which each client process has a node.
 func migrateCommand() *cobra.Command {
-	var shape migrate.Shape
+	var shape migrate.Deployment
 	var dry, force bool
 	c := &cobra.Command{Use: "migrate SOURCE TARGET", Short: "Write the counterpart of a configuration for a node beside one client process",
 		Long: "Reads an operator's file (.toml) or a node's configuration (.json) of a node that served a pool of clients, and\n" +
@@ -38,12 +38,12 @@
 	return c
 }
 
-func move(c *cobra.Command, source, target string, shape migrate.Shape, dry, force bool) error {
+func move(c *cobra.Command, source, target string, shape migrate.Deployment, dry, force bool) error {
 	text, err := tomlfile.ReadText(source)
 	if err != nil {
 		return err
 	}
-	r, err := migrate.File(source, text, target, shape)
+	r, err := migrate.Convert(source, text, target, shape)
 	if err != nil {
 		return err
 	}
@@ -54,10 +54,10 @@
 		return err
 	}
 	for _, n := range r.Changed {
-		fmt.Fprintf(out, "changed: %s: %s\n", n.Key, n.Why)
+		fmt.Fprintf(out, "changed: %s: %s\n", n.Key, n.Reason)
 	}
-	for _, n := range r.Lost {
-		fmt.Fprintf(out, "not carried over: %s: %s\n", n.Key, n.Why)
+	for _, n := range r.Dropped {
+		fmt.Fprintf(out, "not carried over: %s: %s\n", n.Key, n.Reason)
 	}
 	if dry {
 		fmt.Fprintf(out, "%s: not written\n", target)
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -23,8 +23,8 @@
 	"lapisshelf/internal/tomlfile"
 )
 
-// Shape is what the new deployment is like, as far as a configuration tells it.
-type Shape struct {
+// Deployment is what the new deployment is like, as far as a configuration tells it.
+type Deployment struct {
 	Nodes    int    // in the fleet, one for each client process; 1 to 100000
 	Position int    // this one's number among them, from 0
 	Name     string // this one's name; empty: it is told none
@@ -32,21 +32,21 @@
 	Listen   string // address and port for its client; empty: the old port on 127.0.0.1
 }
 
-// Note is a key that was not carried over as it was, and the reason.
-type Note struct{ Key, Why string }
+// KeyChange is a key that was not carried over as it was, and the reason.
+type KeyChange struct{ Key, Reason string }
 
 // Result is a converted configuration.
 type Result struct {
 	Text    []byte
-	Lost    []Note // keys that the new configuration does not have
-	Changed []Note // keys that it has with another value
+	Dropped []KeyChange // keys that the new configuration does not have
+	Changed []KeyChange // keys that it has with another value
 }
 
-func (r *Result) lost(key, why string) { r.Lost = append(r.Lost, Note{key, why}) }
+func (r *Result) lost(key, why string) { r.Dropped = append(r.Dropped, KeyChange{key, why}) }
 
 func (r *Result) changed(key string, from, to any, why string) {
 	if fmt.Sprint(from) != fmt.Sprint(to) {
-		r.Changed = append(r.Changed, Note{key, fmt.Sprintf("%v, was %v: %s", to, from, why)})
+		r.Changed = append(r.Changed, KeyChange{key, fmt.Sprintf("%v, was %v: %s", to, from, why)})
 	}
 }
 
@@ -65,7 +65,7 @@
 const header = "# Written by lapisshelf migrate: a node beside one client process.\n"
 
 // listen gives the address that the new node listens at.
-func (s Shape) listen(old string) string {
+func (s Deployment) listen(old string) string {
 	if s.Listen != "" {
 		return s.Listen
 	}
@@ -75,7 +75,7 @@
 	return old
 }
 
-func (s Shape) check() error {
+func (s Deployment) check() error {
 	if _, err := netip.ParseAddrPort(s.Listen); s.Listen != "" && err != nil {
 		return fmt.Errorf("listen %q must be an address and a port, such as 127.0.0.1:11211", s.Listen)
 	}
@@ -91,9 +91,9 @@
 	return nil
 }
 
-// File converts the text of the file at path, which is to stand at target; both end in .toml, an operator's file, or
+// Convert converts the text of the file at path, which is to stand at target; both end in .toml, an operator's file, or
 // in .json, a node's configuration. A fault in it is one line with file, line and key where it has them.
-func File(path string, text []byte, target string, s Shape) (Result, error) {
+func Convert(path string, text []byte, target string, s Deployment) (Result, error) {
 	if err := s.check(); err != nil {
 		return Result{}, err
 	}
@@ -111,7 +111,7 @@
 }
 
 // operators converts an operator's file.
-func operators(path string, text []byte, target string, s Shape) (Result, error) {
+func operators(path string, text []byte, target string, s Deployment) (Result, error) {
 	var r Result
 	f, err := operator.Decode(path, text)
 	if err != nil {
@@ -245,7 +245,7 @@
 var known = []string{"name", "listen", "discovery", "control", "seed", "limits", "known", "settings"}
 
 // configuration converts a node's configuration.
-func configuration(path string, text []byte, s Shape) (Result, error) {
+func configuration(path string, text []byte, s Deployment) (Result, error) {
 	var r Result
 	parts, err := split(path, text)
 	if err != nil {
@@ -311,7 +311,7 @@
 }
 
 // resettle changes the settings object, which is the platform's: what nobody here knows of stays as it is.
-func resettle(path string, text []byte, p part, s Shape, r *Result) (json.RawMessage, error) {
+func resettle(path string, text []byte, p part, s Deployment, r *Result) (json.RawMessage, error) {
 	if _, _, err := settings.DecodeAll(p.value); err != nil {
 		at, key := p.at, p.key
 		var wrong *json.UnmarshalTypeError
@@ -340,7 +340,7 @@
 		delete(all, "Az")
 		r.lost("settings.Az", whyZone)
 	}
-	slices.SortFunc(r.Changed, func(x, y Note) int { return strings.Compare(x.Key, y.Key) })
+	slices.SortFunc(r.Changed, func(x, y KeyChange) int { return strings.Compare(x.Key, y.Key) })
 	return json.Marshal(all)
 }
 
