--- a/internal/simhost/simhost.go
+++ b/internal/simhost/simhost.go
@@ -54,7 +54,7 @@
 
 // deliver hands one event to its instance. A panic of the module is reported as that instance's crash.
 func deliver(nodes map[string]balancer, w *simwire.Writer, now time.Duration, e simwire.Event) error {
-	actor := simwire.Actor{W: w, Instance: e.Instance}
+	actor := simwire.Actor{Writer: w, Instance: e.Instance}
 	defer func() {
 		if p := recover(); p != nil {
 			actor.Crash(fmt.Sprint("the decision module failed: ", p))
@@ -76,7 +76,7 @@
 	case simwire.Request:
 		b.Request(now, e.Request)
 	case simwire.FirstByte:
-		b.ResponseStarted(now, e.ID, e.N)
+		b.ResponseStarted(now, e.ID, e.Attempt)
 	case simwire.Result:
 		b.Result(now, e.Result)
 	case simwire.Abandoned:
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -53,7 +53,7 @@
 	Entries  []policy.Server // List
 	Request  policy.Request  // Request
 	ID       string          // FirstByte, Abandoned
-	N        int             // FirstByte
+	Attempt  int             // FirstByte
 	Result   policy.Result   // Result
 	Token    string          // Timer
 	Server   string          // Probed
@@ -176,7 +176,7 @@
 
 func (r *Reader) event(l line) (Event, error) {
 	kind, known := kinds[l.Kind]
-	e := Event{Kind: kind, Instance: l.I, ID: l.Handle, N: l.N, Token: l.Ref, Seed: l.Prng}
+	e := Event{Kind: kind, Instance: l.I, ID: l.Handle, Attempt: l.N, Token: l.Ref, Seed: l.Prng}
 	switch {
 	case !known:
 		return e, errors.New("unknown event")
@@ -290,29 +290,29 @@
 
 // Actor writes the actions of one instance; it is that instance's policy.Actions.
 type Actor struct {
-	W        *Writer
+	Writer   *Writer
 	Instance string
 }
 
 // Send implements policy.Actions.
 func (a Actor) Send(id, server string, wait, _ time.Duration) {
-	a.W.open("Place", a.Instance)
-	a.W.text("Handle", id)
-	a.W.text("Server", server)
+	a.Writer.open("Place", a.Instance)
+	a.Writer.text("Handle", id)
+	a.Writer.text("Server", server)
 	if wait > 0 {
-		a.W.number("MaxWait", int64(wait))
+		a.Writer.number("MaxWait", int64(wait))
 	}
-	a.W.end()
+	a.Writer.end()
 }
 
 // Refuse implements policy.Actions.
 func (a Actor) Refuse(id string, comeBack time.Duration) {
-	a.W.open("SayNo", a.Instance)
-	a.W.text("Handle", id)
+	a.Writer.open("SayNo", a.Instance)
+	a.Writer.text("Handle", id)
 	if comeBack > 0 {
-		a.W.number("HoldOff", int64(comeBack))
+		a.Writer.number("HoldOff", int64(comeBack))
 	}
-	a.W.end()
+	a.Writer.end()
 }
 
 // Fail implements policy.Actions.
@@ -320,25 +320,25 @@
 
 // Cancel implements policy.Actions.
 func (a Actor) Cancel(id string, n int) {
-	a.W.open("DropAttempt", a.Instance)
-	a.W.text("Handle", id)
-	a.W.number("N", int64(n))
-	a.W.end()
+	a.Writer.open("DropAttempt", a.Instance)
+	a.Writer.text("Handle", id)
+	a.Writer.number("N", int64(n))
+	a.Writer.end()
 }
 
 // Timer implements policy.Actions.
 func (a Actor) Timer(after time.Duration, token string) {
-	a.W.open("WakeAt", a.Instance)
-	a.W.number("Span", int64(after))
-	a.W.text("Ref", token)
-	a.W.end()
+	a.Writer.open("WakeAt", a.Instance)
+	a.Writer.number("Span", int64(after))
+	a.Writer.text("Ref", token)
+	a.Writer.end()
 }
 
 // Subscribe implements policy.Actions.
 func (a Actor) Subscribe() {
-	a.W.open("Track", a.Instance)
-	a.W.buf = append(a.W.buf, `,"Want":true`...)
-	a.W.end()
+	a.Writer.open("Track", a.Instance)
+	a.Writer.buf = append(a.Writer.buf, `,"Want":true`...)
+	a.Writer.end()
 }
 
 // Probe implements policy.Actions.
@@ -351,7 +351,7 @@
 func (a Actor) Crash(text string) { a.one("Exception", "NoteText", text) }
 
 func (a Actor) one(kind, name, value string) {
-	a.W.open(kind, a.Instance)
-	a.W.text(name, value)
-	a.W.end()
+	a.Writer.open(kind, a.Instance)
+	a.Writer.text(name, value)
+	a.Writer.end()
 }
