--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads TOML files strictly and says of each fault which file, line and key it stands in. It knows
-// the form of such files and nothing of what is in them.
+// Package tomlfile decodes TOML files strictly and reports each error with its file, line and key. It is independent of
+// what the files contain.
 package tomlfile
 
 import (
@@ -17,13 +17,13 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// File is a decoded file that remembers where each of its keys stands.
+// File is a decoded file with the line of each of its keys.
 type File struct {
 	Path  string
 	lines map[string]int
 }
 
-// Error is a fault in a file. Line is 0 where it is not known.
+// Error is an error in a file. Line is 0 if it is unknown, and Key is empty if the error concerns no key.
 type Error struct {
 	Path   string
 	Line   int
@@ -31,7 +31,7 @@
 	Reason string
 }
 
-// Error implements error: one line, FILE:LINE: KEY: WHY.
+// Error implements error with a single line: FILE:LINE: KEY: REASON.
 func (e *Error) Error() string {
 	var b strings.Builder
 	b.WriteString(e.Path)
@@ -44,7 +44,7 @@
 	return b.String() + ": " + strings.Join(strings.Fields(e.Reason), " ")
 }
 
-// Read reads a file into v, a pointer to a struct; a key that v does not have is an error.
+// Read decodes the file at path into v, a pointer to a struct. A key without a field in v is an error.
 func Read(path string, v any) (*File, error) {
 	text, err := ReadText(path)
 	if err != nil {
@@ -53,12 +53,12 @@
 	return Decode(path, text, v)
 }
 
-// ReadText gives what stands in a file.
+// ReadText returns the content of a file. Its errors are of type *Error.
 func ReadText(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
-	var why *os.PathError
-	if errors.As(err, &why) {
-		err = why.Err
+	var pathErr *os.PathError
+	if errors.As(err, &pathErr) {
+		err = pathErr.Err
 	}
 	if err != nil {
 		return nil, &Error{Path: path, Reason: err.Error()}
@@ -66,66 +66,66 @@
 	return text, nil
 }
 
-// Decode reads text, which stands in the file of that path, into v.
+// Decode decodes text, the content of the file at path, into v, a pointer to a struct.
 func Decode(path string, text []byte, v any) (*File, error) {
 	f := &File{Path: path, lines: map[string]int{}}
-	var plain *Error // the first bare value where text is wanted, which the decoder would take or not place
-	positions(text, f.lines, func(at []string, line int, value *unstable.Node) {
-		if plain == nil && value.Kind != unstable.String && wantsText(reflect.TypeOf(v), at) {
+	var unquoted *Error // first unquoted value where text is required; the decoder would accept it or report it without a line
+	indexLines(text, f.lines, func(at []string, line int, value *unstable.Node) {
+		if unquoted == nil && value.Kind != unstable.String && decodesFromText(reflect.TypeOf(v), at) {
 			parts := make([]any, len(at))
 			for i, p := range at {
 				parts[i] = p
-				if n, err := strconv.Atoi(p); err == nil { // a place in an array
+				if n, err := strconv.Atoi(p); err == nil { // an array index
 					parts[i] = n
 				}
 			}
-			plain = &Error{path, line, FormatPath(parts), "must be text in quotes"}
+			unquoted = &Error{path, line, FormatPath(parts), "must be text in quotes"}
 		}
 	})
-	if plain != nil {
-		return nil, plain
+	if unquoted != nil {
+		return nil, unquoted
 	}
 	d := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
 	err := d.Decode(v)
 	if err == nil {
 		return f, nil
 	}
-	var missing *toml.StrictMissingError
-	if errors.As(err, &missing) && len(missing.Errors) > 0 {
-		e := missing.Errors[0]
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
+		e := unknownKeys.Errors[0]
 		line, _ := e.Position()
-		return nil, &Error{path, line, key(e.Key()), "no such key"}
+		return nil, &Error{path, line, joinKey(e.Key()), "no such key"}
 	}
-	var bad *toml.DecodeError
-	if errors.As(err, &bad) {
-		line, _ := bad.Position()
-		return nil, &Error{path, line, key(bad.Key()), strings.TrimPrefix(bad.Error(), "toml: ")}
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
+		return nil, &Error{path, line, joinKey(decodeErr.Key()), strings.TrimPrefix(decodeErr.Error(), "toml: ")}
 	}
 	return nil, &Error{Path: path, Reason: strings.TrimPrefix(err.Error(), "toml: ")}
 }
 
-func key(k toml.Key) string { return strings.Join(k, ".") }
+func joinKey(k toml.Key) string { return strings.Join(k, ".") }
 
-// Errorf makes an error about a key of the file, by its path: tables, then the number in an array of tables, from 0, and
-// the key itself, as in At("fault", 2, "kind"). What does not stand in the file is looked for at its table.
+// Errorf returns an *Error for the key at a path: the tables, the index from 0 after an array of tables, and the key itself,
+// as in At("fault", 2, "kind"). For a key that the file does not have, the line is that of the closest enclosing table.
 func (f *File) Errorf(at []any, format string, args ...any) error {
 	e := &Error{Path: f.Path, Key: FormatPath(at), Reason: fmt.Sprintf(format, args...)}
 	for n := len(at); n > 0 && e.Line == 0; n-- {
-		e.Line = f.lines[join(at[:n])]
+		e.Line = f.lines[pathKey(at[:n])]
 	}
 	return e
 }
 
 // Has reports whether the file has the key.
 func (f *File) Has(at ...any) bool {
-	_, ok := f.lines[join(at)]
+	_, ok := f.lines[pathKey(at)]
 	return ok
 }
 
-// At builds a path for Errorf.
+// At returns its arguments as a path for Errorf and FormatPath.
 func At(path ...any) []any { return path }
 
-// FormatPath is a path as a person would write it: fault[2].kind, counted from 1.
+// FormatPath formats a path for messages, with indexes from 1: fault[2].kind.
 func FormatPath(path []any) string {
 	var b strings.Builder
 	for _, p := range path {
@@ -142,7 +142,7 @@
 	return b.String()
 }
 
-func join(path []any) string {
+func pathKey(path []any) string {
 	parts := make([]string, len(path))
 	for i, p := range path {
 		parts[i] = fmt.Sprint(p)
@@ -150,15 +150,15 @@
 	return strings.Join(parts, "\x00")
 }
 
-var textUnmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
+var textUnmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
 
-// wantsText reports whether the value of a key goes into something that is read from text.
-func wantsText(t reflect.Type, at []string) bool {
+// decodesFromText reports whether the value at path at within type t is decoded by an encoding.TextUnmarshaler.
+func decodesFromText(t reflect.Type, at []string) bool {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
 	if len(at) == 0 {
-		return reflect.PointerTo(t).Implements(textUnmarshaler)
+		return reflect.PointerTo(t).Implements(textUnmarshalerType)
 	}
 	switch t.Kind() {
 	case reflect.Struct:
@@ -168,62 +168,62 @@
 			if name == "" {
 				name = f.Name
 			}
-			if f.Anonymous && f.Tag.Get("toml") == "" && wantsText(f.Type, at) || strings.EqualFold(name, at[0]) && f.IsExported() && wantsText(f.Type, at[1:]) {
+			if f.Anonymous && f.Tag.Get("toml") == "" && decodesFromText(f.Type, at) || strings.EqualFold(name, at[0]) && f.IsExported() && decodesFromText(f.Type, at[1:]) {
 				return true
 			}
 		}
 	case reflect.Slice, reflect.Array, reflect.Map:
-		return wantsText(t.Elem(), at[1:])
+		return decodesFromText(t.Elem(), at[1:])
 	}
 	return false
 }
 
-// positions finds the line of each table and key and gives each value to look. What does not parse has none: the decoder
-// says what is wrong.
-func positions(text []byte, lines map[string]int, look func(at []string, line int, value *unstable.Node)) {
+// indexLines records the line of each table and key and calls visit for each value. It stops at the first syntax error, which
+// the decoder reports.
+func indexLines(text []byte, lines map[string]int, visit func(at []string, line int, value *unstable.Node)) {
 	var p unstable.Parser
 	p.Reset(text)
-	counts := map[string]int{} // elements of each array of tables so far
+	counts := map[string]int{} // number of elements so far of each array of tables
 	var table []string
 	for p.NextExpression() {
 		e := p.Expression()
 		switch e.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			path, line := keys(&p, e.Key())
+			path, line := dottedKey(&p, e.Key())
 			if e.Kind == unstable.ArrayTable && len(path) > 0 {
 				last := len(path) - 1
-				counts[strings.Join(append(elements(path[:last], counts), path[last]), "\x00")]++
+				counts[strings.Join(append(withIndexes(path[:last], counts), path[last]), "\x00")]++
 			}
-			table = elements(path, counts)
+			table = withIndexes(path, counts)
 			lines[strings.Join(table, "\x00")] = line
 		case unstable.KeyValue:
-			path, line := keys(&p, e.Key())
-			note(&p, lines, append(slices.Clone(table), path...), line, e.Value(), look)
+			path, line := dottedKey(&p, e.Key())
+			indexValue(&p, lines, append(slices.Clone(table), path...), line, e.Value(), visit)
 		}
 	}
 }
 
-// note keeps the line of a key and of what stands inside its value.
-func note(p *unstable.Parser, lines map[string]int, path []string, line int, value *unstable.Node,
-	look func(at []string, line int, value *unstable.Node)) {
+// indexValue records the line of a key, and those of the keys and elements inside its value, and calls visit for each value.
+func indexValue(p *unstable.Parser, lines map[string]int, path []string, line int, value *unstable.Node,
+	visit func(at []string, line int, value *unstable.Node)) {
 	lines[strings.Join(path, "\x00")] = line
-	look(path, line, value)
+	visit(path, line, value)
 	switch value.Kind {
 	case unstable.InlineTable:
 		for it := value.Children(); it.Next(); {
-			inner, at := keys(p, it.Node().Key())
-			note(p, lines, append(slices.Clone(path), inner...), max(at, line), it.Node().Value(), look)
+			inner, at := dottedKey(p, it.Node().Key())
+			indexValue(p, lines, append(slices.Clone(path), inner...), max(at, line), it.Node().Value(), visit)
 		}
 	case unstable.Array:
 		n := 0
 		for it := value.Children(); it.Next(); n++ {
-			note(p, lines, append(slices.Clone(path), strconv.Itoa(n)), line, it.Node(), look)
+			indexValue(p, lines, append(slices.Clone(path), strconv.Itoa(n)), line, it.Node(), visit)
 		}
 	}
 }
 
-// keys gives a dotted key's parts and the line of the first.
-func keys(p *unstable.Parser, it unstable.Iterator) (path []string, line int) {
+// dottedKey returns the parts of a dotted key and the line of the first part.
+func dottedKey(p *unstable.Parser, it unstable.Iterator) (path []string, line int) {
 	for it.Next() {
 		n := it.Node()
 		if line == 0 && n.Raw.Length > 0 {
@@ -234,8 +234,8 @@
 	return path, line
 }
 
-// elements puts behind each array of tables on the path the number of its last element.
-func elements(path []string, counts map[string]int) []string {
+// withIndexes inserts the index of the last element after each array of tables on the path.
+func withIndexes(path []string, counts map[string]int) []string {
 	var out []string
 	for _, part := range path {
 		out = append(out, part)
@@ -246,21 +246,21 @@
 	return out
 }
 
-// Duration is a time span as text: a number and a unit, as in "250ms" or "1m30s". A plain number is none.
+// Duration is a duration written as text: a number and a unit, as in "250ms" or "1m30s". A number without a unit is an error.
 type Duration struct{ d time.Duration }
 
-// NewDuration makes one of a time.Duration.
+// NewDuration returns d as a Duration.
 func NewDuration(d time.Duration) Duration { return Duration{d} }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time span: a number and a unit are wanted, such as 250ms or 1.5s", text)
+		return fmt.Errorf("%q is not a duration: must be a number and a unit, such as 250ms or 1.5s", text)
 	}
 	d.d = v
 	return nil
 }
 
-// D is the plain duration.
+// D returns d as a time.Duration.
 func (d Duration) D() time.Duration { return d.d }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -12,7 +12,7 @@
 	List []string
 }
 
-type doc struct {
+type document struct {
 	Name  string
 	Span  Duration
 	Table struct {
@@ -22,7 +22,7 @@
 	Fault []inner
 }
 
-const good = `# a file
+const validFile = `# a file
 name = "x"
 span = "1.5s"
 
@@ -40,9 +40,9 @@
   "b"]
 `
 
-func TestWhereThingsStand(t *testing.T) {
-	var d doc
-	f, err := Decode("f.toml", []byte(good), &d)
+func TestErrorsNameLinesAndKeys(t *testing.T) {
+	var d document
+	f, err := Decode("f.toml", []byte(validFile), &d)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 		}
 	}
 	if !f.Has("fault", 1, "for") || f.Has("fault", 0, "for") {
-		t.Error("which keys stand in the file is not told")
+		t.Error("Has does not report which keys the file has")
 	}
 }
 
@@ -84,21 +84,21 @@
 		{"[table\n", "f.toml:1: "},
 		{"name = \"a\"\nname = \"b\"\n", "f.toml:2: name: "},
 	} {
-		_, err := Decode("f.toml", []byte(c.in), &doc{})
+		_, err := Decode("f.toml", []byte(c.in), &document{})
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v, want %q", c.in, err, c.want)
 		}
 	}
-	if _, err := Read("none.toml", &doc{}); err == nil || !strings.HasPrefix(err.Error(), "none.toml: ") {
+	if _, err := Read("none.toml", &document{}); err == nil || !strings.HasPrefix(err.Error(), "none.toml: ") {
 		t.Errorf("%v", err)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(good)
+	f.Add(validFile)
 	f.Add("[a.b]\nc.d = {e = [1,{f=2}]}\n[[a.x]]\n[[a.x.y]]\nz=1\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		var d doc
+		var d document
 		Decode("f", []byte(text), &d)
 	})
 }
