--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings decodes the settings object that a balancer gets at its start: the same one on the simulator's
-// wire and in a node's configuration.
+// Package settings decodes the settings object that a balancer gets at its start. The simulator's protocol and a node's
+// configuration use the same object.
 package settings
 
 import (
@@ -13,7 +13,7 @@
 	"lapisshelf/policy"
 )
 
-// object is the settings object; what nobody here uses is left out.
+// object is the settings object, without the keys that are not used. Its field names are the JSON keys.
 type object struct {
 	Balancers      int
 	Az             string
@@ -51,14 +51,14 @@
 	}
 }
 
-// Transport is what the settings say of connections and of what may be held; a node needs it, the decisions don't.
+// Transport holds the settings for connections and for the number of requests in flight. Only a node uses it, not the policy.
 type Transport struct {
-	ConnIdle           time.Duration // an idle connection is closed by then; 0 when that is not told
-	ConnectTimeout     time.Duration // a connection that does not stand by then has failed; 0 when that is not told
-	MaxRequestsPerConn int           // requests that a connection may carry at once
-	MaxRequests        int           // requests that a node may hold; 0 when that is not told
-	DrainGrace         time.Duration // until then what is sent to a server told to drain is forgiven; 0 when that is not told
-	Deadlines          map[string]time.Duration
+	ConnIdle           time.Duration            // the server closes a connection that is idle for this long; 0: unknown
+	ConnectTimeout     time.Duration            // time after which an attempt to connect has failed; 0: unknown
+	MaxRequestsPerConn int                      // max requests in flight on one connection
+	MaxRequests        int                      // max requests that a node holds; 0: not configured
+	DrainGrace         time.Duration            // time after a server begins to drain during which requests sent to it are tolerated; 0: unknown
+	Deadlines          map[string]time.Duration // by the name of the class
 }
 
 var (
@@ -66,53 +66,54 @@
 	scopes  = map[string]policy.Scope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
 )
 
-// Decode reads the settings for the decisions alone, as the simulator tells them: what is missing has a harmless meaning.
+// Decode decodes the policy's settings from the object that the simulator sends. A missing key gets a safe default.
 func Decode(text json.RawMessage) (policy.Settings, error) {
 	w, err := parse(text)
 	if err != nil {
 		return policy.Settings{}, err
 	}
-	return w.decisions()
+	return w.policySettings()
 }
 
-// DecodeAll reads what a node needs of the settings besides, and says plainly, by its key, what is missing or makes no sense.
+// DecodeAll decodes the policy's settings and those of a node's transport. A missing or invalid value is an error that names
+// its key.
 func DecodeAll(text json.RawMessage) (policy.Settings, Transport, error) {
 	w, err := parse(text)
 	if err == nil {
-		err = w.check()
+		err = w.validate()
 	}
 	if err != nil {
 		return policy.Settings{}, Transport{}, err
 	}
-	set, err := w.decisions()
+	set, err := w.policySettings()
 	return set, w.transport(), err
 }
 
-// parse reads the object; a value of the wrong type is named by its key.
+// parse decodes the object. The error for a value of the wrong type names its key.
 func parse(text json.RawMessage) (w object, err error) {
 	err = json.Unmarshal(text, &w)
-	if wrong := (*json.UnmarshalTypeError)(nil); errors.As(err, &wrong) && wrong.Field != "" {
-		return w, &wrongType{wrong}
+	if typeErr := (*json.UnmarshalTypeError)(nil); errors.As(err, &typeErr) && typeErr.Field != "" {
+		return w, &keyTypeError{typeErr}
 	} else if err != nil {
 		return w, fmt.Errorf("settings: %w", err)
 	}
 	return w, nil
 }
 
-// wrongType names the key of a value of the wrong type; where it stands can be had from what it wraps.
-type wrongType struct{ at *json.UnmarshalTypeError }
+// keyTypeError reports the key of a value of the wrong type. The error that it wraps has the offset.
+type keyTypeError struct{ err *json.UnmarshalTypeError }
 
-func (w *wrongType) Error() string {
-	return fmt.Sprintf("settings: %s: a %s where %s belongs", w.at.Field, w.at.Value, kindOf(w.at.Type))
+func (w *keyTypeError) Error() string {
+	return fmt.Sprintf("settings: %s: is a %s, must be %s", w.err.Field, w.err.Value, expectedValue(w.err.Type))
 }
 
-func (w *wrongType) Unwrap() error { return w.at }
+func (w *keyTypeError) Unwrap() error { return w.err }
 
-// kindOf names what a value should have been.
-func kindOf(t reflect.Type) string {
+// expectedValue describes the JSON values that type t accepts.
+func expectedValue(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
-		return "a word"
+		return "a string"
 	case reflect.Bool:
 		return "true or false"
 	case reflect.Slice:
@@ -122,44 +123,45 @@
 	case reflect.Float64:
 		return "a number"
 	}
-	return "a whole number"
+	return "an integer"
 }
 
-// The words that the settings may use, beside effects and scopes.
+// The allowed values of settings other than effects and scopes.
 var (
-	modes       = []string{"through", "aside"}
-	memberships = []string{"automatic", "subscribe"}
-	weights     = []string{"", "off", "nominal", "rough", "live"}
-	feedbacks   = []string{"", "off", "inline", "on_probe"}
+	cacheModes      = []string{"through", "aside"}
+	membershipModes = []string{"automatic", "subscribe"}
+	weightModes     = []string{"", "off", "nominal", "rough", "live"}
+	feedbackModes   = []string{"", "off", "inline", "on_probe"}
 )
 
-// check says, by its key, what a node must not start with: what it needs and is not told, what is out of bounds, and words
-// that it does not know. Guards against settings of another customer that are half understood.
-func (w *object) check() error {
+// validate returns an error with the key of the first setting that a node must not start with: a required one that is missing,
+// one out of range, or one with an unknown value. It keeps a node from running on another customer's settings that it
+// understands only in part.
+func (w *object) validate() error {
 	g, l := &w.Guarantees, &w.Limits
 	if w.Balancers < 1 {
-		return fmt.Errorf("settings: Balancers: %d, or missing; there is at least 1", w.Balancers)
+		return fmt.Errorf("settings: Balancers: %d, or missing; must be at least 1", w.Balancers)
 	}
 	if l.SendCap < 1 {
 		return fmt.Errorf("settings: Limits.SendCap: %d, or missing; a request needs at least 1 attempt", l.SendCap)
 	}
 	for _, c := range []struct {
-		key, word string
-		known     []string
-	}{{"FamilyInfo.Mode", w.FamilyInfo.Mode, modes}, {"MembershipMode", w.MembershipMode, memberships},
-		{"Weights", w.Weights, weights}, {"Feedback.How", w.Feedback.How, feedbacks}} {
-		if !slices.Contains(c.known, c.word) {
-			return fmt.Errorf("settings: %s: %q, or missing; known are %q", c.key, c.word, c.known)
+		key, value string
+		known      []string
+	}{{"FamilyInfo.Mode", w.FamilyInfo.Mode, cacheModes}, {"MembershipMode", w.MembershipMode, membershipModes},
+		{"Weights", w.Weights, weightModes}, {"Feedback.How", w.Feedback.How, feedbackModes}} {
+		if !slices.Contains(c.known, c.value) {
+			return fmt.Errorf("settings: %s: %q, or missing; known are %q", c.key, c.value, c.known)
 		}
 	}
 	for _, c := range []struct {
-		key  string
-		time int64
+		key   string
+		value int64
 	}{{"Tick", w.Tick}, {"Guarantees.AskWithin", g.AskWithin}, {"Guarantees.WarmUp", g.WarmUp}, {"Guarantees.OverloadFor", g.OverloadFor},
 		{"Guarantees.DrainGrace", g.DrainGrace}, {"Limits.MaxRetryAfter", l.MaxRetryAfter}, {"Limits.ConnIdle", l.ConnIdle},
 		{"Limits.ConnectTimeout", l.ConnectTimeout}, {"Limits.StreamsPerConn", int64(l.StreamsPerConn)}, {"Limits.MostHeld", int64(l.MostHeld)}} {
-		if c.time < 0 {
-			return fmt.Errorf("settings: %s: %d is below 0", c.key, c.time)
+		if c.value < 0 {
+			return fmt.Errorf("settings: %s: %d is below 0", c.key, c.value)
 		}
 	}
 	if g.ColdFrom < 0 || g.ColdFrom > 1 {
@@ -169,25 +171,25 @@
 		return fmt.Errorf("settings: Guarantees.FallMultiple: %g is below 0", g.FallMultiple)
 	}
 	if k := w.FamilyInfo.OriginKind; w.FamilyInfo.Mode == "aside" && (k == nil || *k < 0 || *k >= len(w.Models)) {
-		return errors.New("settings: FamilyInfo.OriginKind: missing, or no place in Models; in aside mode nodes go to the origin")
+		return errors.New("settings: FamilyInfo.OriginKind: missing, or not an index of Models; in aside mode nodes fetch from the origin")
 	}
-	named := map[string]bool{}
+	seen := map[string]bool{}
 	for i, c := range w.Classes {
 		at := fmt.Sprintf("settings: Classes[%d]", i)
 		switch {
 		case c.Name == "":
 			return fmt.Errorf("%s.Name: missing", at)
-		case named[c.Name]:
-			return fmt.Errorf("%s.Name: %q stands there twice", at, c.Name)
+		case seen[c.Name]:
+			return fmt.Errorf("%s.Name: %q is used twice", at, c.Name)
 		case c.Worth < 0:
 			return fmt.Errorf("%s.Worth: %g is below 0", at, c.Worth)
 		case c.Effect == "dedup" && c.KeyTtl <= 0:
-			return fmt.Errorf("%s.KeyTtl: %d, or missing; a keyed class needs its window", at, c.KeyTtl)
+			return fmt.Errorf("%s.KeyTtl: %d, or missing; a keyed class needs a window", at, c.KeyTtl)
 		}
 		if _, known := scopes[c.DedupScope]; c.Effect == "dedup" && !known {
 			return fmt.Errorf("%s.DedupScope: %q, or missing; known are all, zone and cell", at, c.DedupScope)
 		}
-		named[c.Name] = true
+		seen[c.Name] = true
 	}
 	for i, t := range w.Tenants {
 		if t.Name == "" || t.QuotaPerS < 0 {
@@ -209,7 +211,7 @@
 	return t
 }
 
-func (w *object) decisions() (policy.Settings, error) {
+func (w *object) policySettings() (policy.Settings, error) {
 	g, l := w.Guarantees, w.Limits
 	s := policy.Settings{
 		Balancers: w.Balancers, MustSubscribe: w.MembershipMode == "subscribe",
@@ -220,7 +222,7 @@
 		FallMultiple: g.FallMultiple, FallWindow: time.Duration(g.OverloadFor),
 		OriginFalls: w.FamilyInfo.OriginFallMultiple > 0, Weighted: w.Weights != "off",
 	}
-	// Reports that come with answers cost nothing: probes are for where nothing else tells.
+	// Load reports that come with answers are free, so probes are sent only where nothing else reports the load.
 	s.MayProbe = l.Probes && w.Feedback.How == "on_probe" && slices.Contains(w.Feedback.Fields, "depth") &&
 		slices.Contains(w.Feedback.Fields, "tps")
 	if w.Penalties.CrossZone > 0 {
@@ -245,7 +247,7 @@
 		}
 		scope, ok := scopes[c.DedupScope]
 		if !ok {
-			scope = policy.ScopeCell // the narrowest: never wrong
+			scope = policy.ScopeCell // the narrowest scope is correct for every server
 		}
 		s.Classes = append(s.Classes, policy.Class{Name: c.Name, Aim: time.Duration(c.Aim),
 			Worth: c.Worth, Effect: effect, Scope: scope, Window: time.Duration(c.KeyTtl)})
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"lapisshelf/policy"
 )
 
-const whole = `{"Balancers":3,"Position":1,"Tick":5000000,"Weights":"nominal","MembershipMode":"subscribe","New":{"x":1},
+const validSettings = `{"Balancers":3,"Position":1,"Tick":5000000,"Weights":"nominal","MembershipMode":"subscribe","New":{"x":1},
 	"Models":["fast","origin"],"FamilyInfo":{"Mode":"aside","OriginKind":1},
 	"Classes":[{"Name":"read","Effect":"retryable","Aim":600000000,"Deadline":2500000000,"Worth":3},
 		{"Name":"pin","Effect":"dedup","DedupScope":"zone","KeyTtl":1200000000,"Aim":300000000,"Deadline":600000000}],
@@ -17,7 +17,7 @@
 		"RetryAfter":true,"MaxRetryAfter":1200000000}}`
 
 func TestDecodeAll(t *testing.T) {
-	set, tr, err := DecodeAll([]byte(whole))
+	set, tr, err := DecodeAll([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,27 +36,27 @@
 
 func TestDecodeAllSaysWhatIsWrong(t *testing.T) {
 	for name, change := range map[string][2]string{
-		"not an object":  {whole, `"x"`},
-		"cut off":        {whole, whole[:len(whole)/2]},
+		"not an object":  {validSettings, `"x"`},
+		"cut off":        {validSettings, validSettings[:len(validSettings)/2]},
 		"unknown effect": {`"retryable"`, `"maybe"`},
 		"no aim":         {`"Aim":600000000`, `"Aim":0`},
 		"past deadline":  {`"Deadline":600000000`, `"Deadline":-1`},
 		"a word for one": {`"Balancers":3`, `"Balancers":"three"`},
 	} {
-		if _, _, err := DecodeAll([]byte(strings.Replace(whole, change[0], change[1], 1))); err == nil {
-			t.Errorf("%s: taken", name)
+		if _, _, err := DecodeAll([]byte(strings.Replace(validSettings, change[0], change[1], 1))); err == nil {
+			t.Errorf("%s: accepted", name)
 		}
 	}
-	// What is missing of the transport's figures has a harmless meaning.
-	_, tr, err := DecodeAll([]byte(strings.Replace(strings.Replace(whole, `"StreamsPerConn":128,`, ``, 1),
+	// Missing transport settings get safe defaults.
+	_, tr, err := DecodeAll([]byte(strings.Replace(strings.Replace(validSettings, `"StreamsPerConn":128,`, ``, 1),
 		`"ConnIdle":30000000000,`, ``, 1)))
 	if err != nil || tr.MaxRequestsPerConn != 1 || tr.ConnIdle != 0 {
 		t.Errorf("%+v, %v", tr, err)
 	}
 }
 
-// Guards against a node that starts on half-understood settings of another customer: each fault is one line with its key.
-// Figures below 0 had a silent harmless meaning before.
+// Guards against a node that starts on another customer's settings and understands only a part of them: each error is one line
+// with the key. Values below 0 used to be replaced by defaults without an error.
 func TestFaultsAreNamedByTheirKey(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{`"Balancers":3`, `"Balancers":"three"`, "Balancers"},
@@ -90,9 +90,9 @@
 		{`"Worth":3`, `"Worth":-3`, "Classes[0].Worth"},
 		{`"Models"`, `"Tenants":[{"Name":"acme","QuotaPerS":-1}],"Models"`, "Tenants[0]"},
 	} {
-		text := strings.Replace(whole, c.old, c.new, 1)
-		if text == whole {
-			t.Fatalf("%s is not there", c.old)
+		text := strings.Replace(validSettings, c.old, c.new, 1)
+		if text == validSettings {
+			t.Fatalf("%s is not in the settings", c.old)
 		}
 		_, _, err := DecodeAll([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), "settings: "+c.key) || strings.Contains(err.Error(), "\n") {
@@ -101,12 +101,13 @@
 	}
 }
 
-// A node keeps to its zone only where the settings price crossing: elsewhere zones cost nothing, and must not sway it.
+// A node prefers its own zone only where the settings charge for requests to other zones. Elsewhere the zone must not affect
+// its choice.
 func TestZonesCountWhereCrossingIsPriced(t *testing.T) {
 	for price, want := range map[string]string{"0.2": "east", "0": "", "-1": ""} {
-		set, err := Decode([]byte(`{"Az":"east","Penalties":{"CrossZone":` + price + "}," + whole[1:]))
+		set, err := Decode([]byte(`{"Az":"east","Penalties":{"CrossZone":` + price + "}," + validSettings[1:]))
 		if err != nil || set.Zone != want {
-			t.Errorf("crossing at %s: zone %q, %v", price, set.Zone, err)
+			t.Errorf("CrossZone penalty %s: zone %q, %v", price, set.Zone, err)
 		}
 	}
 }
