--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's file: what an installation sets for its nodes besides, or in place of, the
-// platform's configuration. It is strict: an unknown key, a wrong unit or a senseless figure is one line with file, line
-// and key. deploy/lapisshelf.toml shows every key with its unit, default and bounds.
+// Package operator reads the operator's file: the settings of an installation's nodes in addition to, or in place of, the
+// platform's configuration. Decoding is strict: an unknown key, a wrong unit or a value out of range is an error of one line
+// with file, line and key. deploy/lapisshelf.toml shows every key with its unit, default and range.
 package operator
 
 import (
@@ -13,11 +13,12 @@
 	"lapisshelf/policy"
 )
 
-// Duration is a time span as in "250ms".
+// Duration is a duration as written in the file, such as "250ms".
 type Duration = tomlfile.Duration
 
-// File is the operator's file. A table that does not stand there leaves its subsystem off; of the platform's own
-// configuration, what that tells wins.
+// File is the operator's file. A subsystem whose table is missing is off. Where the platform's configuration sets the same
+// thing, it takes precedence. In this struct and in those of the tables, a field without a tag has its name in lower case as
+// its key.
 type File struct {
 	Node     Node
 	Service  *Service
@@ -28,10 +29,10 @@
 	Planners *Planners
 	Planner  *Planner
 
-	file *tomlfile.File
+	source *tomlfile.File
 }
 
-// Node is what one node is told of itself.
+// Node holds the settings of one node.
 type Node struct {
 	Name      string
 	Listen    string
@@ -43,7 +44,7 @@
 	Sockets   int
 }
 
-// Service is what the platform's settings object tells elsewhere.
+// Service takes the place of the platform's settings object.
 type Service struct {
 	Mode               string
 	OriginKind         string `toml:"origin_kind"`
@@ -69,7 +70,7 @@
 	Tick               Duration
 }
 
-// Class is a class of requests.
+// Class is a request class.
 type Class struct {
 	Name     string
 	Effect   string
@@ -80,21 +81,21 @@
 	Worth    float64
 }
 
-// Tenant is one who shares the service.
+// Tenant is one of the users that share the service.
 type Tenant struct {
 	Name  string
 	Quota float64
 }
 
-// Bounds of single figures; deploy/lapisshelf.toml tells them.
+// Bounds of values, documented in deploy/lapisshelf.toml.
 const (
-	fewestMB      = 8
-	fewestSockets = 64
-	longestZone   = 64 // bytes
-	longest       = time.Hour
+	minMemoryMB  = 8
+	minSockets   = 64
+	maxZoneBytes = 64 // bytes
+	maxDuration  = time.Hour
 )
 
-// defaults are the figures of a small installation.
+// defaults returns the defaults of [service], which suit a small installation.
 func defaults() Service {
 	ms := func(n int) Duration { return tomlfile.NewDuration(time.Duration(n) * time.Millisecond) }
 	return Service{Mode: "aside", OriginKind: "origin", OriginFalls: true, Balancers: 1, Attempts: 3, Cancel: true, Weighted: true,
@@ -102,7 +103,7 @@
 		ConnectTimeout: ms(250), MaxRequestsPerConn: 8, MaxRequests: 5000, Tick: ms(5)}
 }
 
-// Read reads a file.
+// Read reads and checks the operator's file at path.
 func Read(path string) (*File, error) {
 	text, err := tomlfile.ReadText(path)
 	if err != nil {
@@ -111,12 +112,12 @@
 	return Decode(path, text)
 }
 
-// Decode reads text, which stands in the file of that path.
+// Decode decodes and checks text, the content of the operator's file at path.
 func Decode(path string, text []byte) (*File, error) {
 	f := &File{}
-	// The table is looked for first: its defaults are in force only where it stands.
-	var probe File
-	t, err := tomlfile.Decode(path, text, &probe)
+	// A first pass finds the tables, since the defaults of a table apply only where it is present.
+	var scan File
+	t, err := tomlfile.Decode(path, text, &scan)
 	if err != nil {
 		return nil, err
 	}
@@ -140,43 +141,43 @@
 		d := plannerDefaults()
 		f.Planner = &d
 	}
-	if f.file, err = tomlfile.Decode(path, text, f); err != nil {
+	if f.source, err = tomlfile.Decode(path, text, f); err != nil {
 		return nil, err
 	}
-	return f, f.check()
+	return f, f.validate()
 }
 
-// rule is one thing that may be wrong in a file.
+// rule is one check of a file.
 type rule struct {
-	bad  bool
-	at   []any
-	text string
+	violated bool
+	path     []any
+	message  string
 }
 
-// first gives the first rule that is broken.
-func (f *File) first(rules ...rule) error {
+// firstViolation returns the error for the first violated rule, or nil.
+func (f *File) firstViolation(rules ...rule) error {
 	for _, r := range rules {
-		if r.bad {
-			return f.file.Errorf(r.at, "%s", r.text)
+		if r.violated {
+			return f.source.Errorf(r.path, "%s", r.message)
 		}
 	}
 	return nil
 }
 
-func (f *File) check() error {
+func (f *File) validate() error {
 	at := tomlfile.At
-	address := func(text string) bool {
+	badAddress := func(text string) bool {
 		_, err := netip.ParseAddrPort(text)
 		return text != "" && err != nil
 	}
 	n := &f.Node
-	if err := f.first(
-		rule{address(n.Listen), at("node", "listen"), "must be an address and a port, such as 127.0.0.1:11211"},
-		rule{address(n.Discovery), at("node", "discovery"), "must be an address and a port, such as 127.0.0.1:8500"},
-		rule{address(n.Control), at("node", "control"), "must be an address and a port, such as 127.0.0.1:9901"},
+	if err := f.firstViolation(
+		rule{badAddress(n.Listen), at("node", "listen"), "must be an address and a port, such as 127.0.0.1:11211"},
+		rule{badAddress(n.Discovery), at("node", "discovery"), "must be an address and a port, such as 127.0.0.1:8500"},
+		rule{badAddress(n.Control), at("node", "control"), "must be an address and a port, such as 127.0.0.1:9901"},
 		rule{n.Control != "" && n.Control == n.Listen, at("node", "control"), "must not be the address that clients connect to"},
-		rule{n.MemoryMB != 0 && n.MemoryMB < fewestMB, at("node", "memory_mb"), "must be at least 8"},
-		rule{n.Sockets != 0 && n.Sockets < fewestSockets, at("node", "sockets"), "must be at least 64"},
+		rule{n.MemoryMB != 0 && n.MemoryMB < minMemoryMB, at("node", "memory_mb"), "must be at least 8"},
+		rule{n.Sockets != 0 && n.Sockets < minSockets, at("node", "sockets"), "must be at least 64"},
 		rule{f.Service == nil && len(f.Class) > 0, at("class", 0), "classes need a [service] table"},
 		rule{f.Service == nil && len(f.Tenant) > 0, at("tenant", 0), "tenants need a [service] table"},
 		rule{f.Service != nil && len(f.Class) == 0, at("service"), "a service needs a [[class]] of requests"},
@@ -193,58 +194,58 @@
 		return err
 	}
 	s := f.Service
-	span := func(d Duration, key string) rule {
-		return rule{d.D() < 0 || d.D() > longest, at("service", key), "must be 0s to 1h"}
+	durationRule := func(d Duration, key string) rule {
+		return rule{d.D() < 0 || d.D() > maxDuration, at("service", key), "must be 0s to 1h"}
 	}
-	if err := f.first(
+	if err := f.firstViolation(
 		rule{s.Mode != "aside" && s.Mode != "through", at("service", "mode"), "must be aside or through"},
 		rule{s.Balancers < 1 || s.Balancers > 100000, at("service", "balancers"), "must be 1 to 100000"},
 		rule{s.Position < 0 || s.Position >= s.Balancers, at("service", "position"), "must be 0 to one less than balancers"},
-		rule{!ValidZone(s.Zone), at("service", "zone"), "must be a zone's name of 64 bytes at most, without blanks"},
+		rule{!ValidZone(s.Zone), at("service", "zone"), "must be a zone's name of at most 64 bytes, without blanks"},
 		rule{s.Attempts < 1 || s.Attempts > 100, at("service", "attempts"), "must be 1 to 100"},
 		rule{!(s.ColdFrom > 0 && s.ColdFrom <= 1), at("service", "cold_from"), "must be above 0 and at most 1"},
 		rule{!(s.FallMultiple > 0 && s.FallMultiple <= 1000), at("service", "fall_multiple"), "must be above 0 and at most 1000"},
 		rule{s.MaxRequestsPerConn < 1 || s.MaxRequestsPerConn > 100000, at("service", "per_conn"), "must be 1 to 100000"},
 		rule{s.MaxRequests < 1, at("service", "most_held"), "must be at least 1"},
 		rule{s.Tick.D() < time.Millisecond || s.Tick.D() > time.Second, at("service", "tick"), "must be 1ms to 1s"},
-		span(s.MaxRetryAfter, "max_retry_after"), span(s.AskWithin, "ask_within"), span(s.WarmUp, "warm_up"),
-		span(s.FallWindow, "fall_window"), span(s.ConnIdle, "conn_idle"), span(s.ConnectTimeout, "connect_timeout"),
+		durationRule(s.MaxRetryAfter, "max_retry_after"), durationRule(s.AskWithin, "ask_within"), durationRule(s.WarmUp, "warm_up"),
+		durationRule(s.FallWindow, "fall_window"), durationRule(s.ConnIdle, "conn_idle"), durationRule(s.ConnectTimeout, "connect_timeout"),
 	); err != nil {
 		return err
 	}
-	names := map[string]bool{}
+	seen := map[string]bool{}
 	for i, c := range f.Class {
 		_, effect := effects[c.Effect]
 		_, scope := scopes[c.Scope]
-		if err := f.first(
-			rule{c.Name == "" || names[c.Name], at("class", i, "name"), "must be a name that no other class has"},
+		if err := f.firstViolation(
+			rule{c.Name == "" || seen[c.Name], at("class", i, "name"), "must be a name that no other class has"},
 			rule{!effect, at("class", i, "effect"), "must be safe, keyed or unsafe"},
 			rule{!scope, at("class", i, "scope"), "must be all, zone or cell"},
-			rule{c.Aim.D() <= 0 || c.Aim.D() > longest, at("class", i, "aim"), "must be above 0s and at most 1h"},
-			rule{c.Deadline.D() < c.Aim.D() || c.Deadline.D() > longest, at("class", i, "deadline"), "must be at least the aim and at most 1h"},
-			rule{c.Window.D() < 0 || effects[c.Effect] == policy.Keyed && c.Window.D() == 0, at("class", i, "window"), "a keyed class needs a time above 0s"},
+			rule{c.Aim.D() <= 0 || c.Aim.D() > maxDuration, at("class", i, "aim"), "must be above 0s and at most 1h"},
+			rule{c.Deadline.D() < c.Aim.D() || c.Deadline.D() > maxDuration, at("class", i, "deadline"), "must be at least the aim and at most 1h"},
+			rule{c.Window.D() < 0 || effects[c.Effect] == policy.Keyed && c.Window.D() == 0, at("class", i, "window"), "a keyed class needs a duration above 0s"},
 			rule{!(c.Worth >= 0 && c.Worth < 1e9), at("class", i, "worth"), "must be 0 to 1000000000"},
 		); err != nil {
 			return err
 		}
-		names[c.Name] = true
+		seen[c.Name] = true
 	}
-	names = map[string]bool{}
+	seen = map[string]bool{}
 	for i, t := range f.Tenant {
-		if err := f.first(
-			rule{t.Name == "" || names[t.Name], at("tenant", i, "name"), "must be a name that no other tenant has"},
+		if err := f.firstViolation(
+			rule{t.Name == "" || seen[t.Name], at("tenant", i, "name"), "must be a name that no other tenant has"},
 			rule{!(t.Quota >= 0 && t.Quota < 1e9), at("tenant", i, "quota"), "must be 0 to 1000000000"},
 		); err != nil {
 			return err
 		}
-		names[t.Name] = true
+		seen[t.Name] = true
 	}
 	return nil
 }
 
-// ValidZone reports whether a text may stand for a zone; the empty one stands for none.
+// ValidZone reports whether s is a valid name of a zone. The empty string is valid and means no zone.
 func ValidZone(s string) bool {
-	return len(s) <= longestZone && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f })
+	return len(s) <= maxZoneBytes && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f })
 }
 
 var (
@@ -252,7 +253,8 @@
 	scopes  = map[string]policy.Scope{"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
 )
 
-// Settings are the file's in the form that the platform's settings object has after decoding; false without [service].
+// Settings returns the file's settings in the form that package settings decodes the platform's settings object into. It
+// returns false without [service].
 func (f *File) Settings() (policy.Settings, settings.Transport, bool) {
 	s := f.Service
 	if s == nil {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -12,12 +12,12 @@
 	"lapisshelf/policy"
 )
 
-var commented = regexp.MustCompile(`^# (\[|[a-z_]+ = )`)
+var commentedKey = regexp.MustCompile(`^# (\[|[a-z_]+ = )`)
 
-const shipped = "../../deploy/lapisshelf.toml"
+const exampleFile = "../../deploy/lapisshelf.toml"
 
 func TestTheShippedFile(t *testing.T) {
-	f, err := Read(shipped)
+	f, err := Read(exampleFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,12 +26,12 @@
 		transport.Deadlines["put"] != 600*time.Millisecond || set.Tenants[0].Quota != 50 || !set.MustSubscribe || set.MaxAttempts != 3 {
 		t.Errorf("%+v %+v", set, transport)
 	}
-	// What it shows as defaults are the defaults.
+	// The defaults in the file are those in the code.
 	if d := defaults(); *f.Service != d {
 		t.Errorf("the file shows %+v, the defaults are %+v", *f.Service, d)
 	}
-	// So does the table that is commented out.
-	text, err := os.ReadFile(shipped)
+	// So are the defaults of the tables that are commented out.
+	text, err := os.ReadFile(exampleFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 	path := filepath.Join(t.TempDir(), "x.toml")
 	lines := strings.Split("[registry]\n"+table, "\n")
 	for i, l := range lines {
-		if commented.MatchString(l) {
+		if commentedKey.MatchString(l) {
 			lines[i] = strings.TrimPrefix(l, "# ")
 		}
 	}
@@ -54,7 +54,7 @@
 	if !reflect.DeepEqual(*f.Registry, d) || *f.Announce != announceDefaults() {
 		t.Errorf("the file shows %+v %+v, the defaults are %+v", *f.Registry, *f.Announce, d)
 	}
-	// It shows every key that there is.
+	// The file has every key.
 	for _, table := range []any{Node{}, Service{}, Class{}, Tenant{}, Registry{}, Announce{}} {
 		v := reflect.TypeOf(table)
 		for i := range v.NumField() {
@@ -84,7 +84,7 @@
 }
 
 func TestBadFiles(t *testing.T) {
-	text, err := os.ReadFile(shipped)
+	text, err := os.ReadFile(exampleFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 		{"[service]", "[servce]", "x.toml:18: servce"},
 	} {
 		if strings.Count(string(text), c.from) != 1 {
-			t.Fatalf("%q is not once in the file", c.from)
+			t.Fatalf("%q does not occur exactly once in the file", c.from)
 		}
 		path := filepath.Join(t.TempDir(), "x.toml")
 		if err := os.WriteFile(path, []byte(strings.Replace(string(text), c.from, c.to, 1)), 0o600); err != nil {
--- a/internal/operator/registry.go
+++ b/internal/operator/registry.go
@@ -18,7 +18,7 @@
 	"lapisshelf/internal/tomlfile"
 )
 
-// Registry says where the server list is kept, in place of the platform's discovery.
+// Registry configures the key-value registry that holds the server list, in place of the platform's discovery.
 type Registry struct {
 	Kind         string
 	Endpoints    []string
@@ -38,7 +38,7 @@
 	CallRate     float64  `toml:"calls_per_s"`
 }
 
-// Announce makes the node keep an entry of itself in the registry, under a lease.
+// Announce makes the node keep an entry for itself in the registry, attached to a lease.
 type Announce struct {
 	Prefix string
 	TTL    Duration
@@ -48,30 +48,30 @@
 	return Announce{Prefix: "lapisshelf/nodes/", TTL: tomlfile.NewDuration(10e9)}
 }
 
-// checkAnnounce checks the table and what it needs besides.
+// checkAnnounce checks [announce], which also needs [registry].
 func (f *File) checkAnnounce() error {
 	a := f.Announce
 	if a == nil {
 		return nil
 	}
 	at := func(key string) []any { return tomlfile.At("announce", key) }
-	return f.first(
+	return f.firstViolation(
 		rule{f.Registry == nil, tomlfile.At("announce"), "needs a [registry] table"},
-		rule{strings.ContainsAny(a.Prefix, "\r\n\x00") || a.Prefix == "", at("prefix"), "must be what the keys of nodes begin with"},
-		rule{f.Registry != nil && strings.HasPrefix(a.Prefix, f.Registry.Prefix), at("prefix"), "must not lie within registry.prefix: nodes are no servers"},
-		rule{a.TTL.D() < 1e9 || a.TTL.D() > longest, at("ttl"), "must be 1s to 1h"},
+		rule{strings.ContainsAny(a.Prefix, "\r\n\x00") || a.Prefix == "", at("prefix"), "must be the prefix of the nodes' keys"},
+		rule{f.Registry != nil && strings.HasPrefix(a.Prefix, f.Registry.Prefix), at("prefix"), "must not lie within registry.prefix: nodes are not servers"},
+		rule{a.TTL.D() < 1e9 || a.TTL.D() > maxDuration, at("ttl"), "must be 1s to 1h"},
 	)
 }
 
-// registryDefaults are the figures where the table stands and does not tell them.
+// registryDefaults returns the defaults of [registry].
 func registryDefaults() Registry {
 	return Registry{Kind: string(registry.Etcd), Prefix: "lapisshelf/servers/", HoldTime: tomlfile.NewDuration(30e9), HoldPart: 0.5, RewindAfter: tomlfile.NewDuration(30e9),
 		PageSize: 500, CallRate: 100}
 }
 
 const (
-	mostEndpoints = 16
-	mostSecret    = 64 << 10 // bytes of a token or a certificate
+	maxEndpoints   = 16
+	maxSecretBytes = 64 << 10 // size limit of a file with a token, a certificate or a key
 )
 
 func (f *File) checkRegistry() error {
@@ -80,18 +80,18 @@
 		return nil
 	}
 	at := func(key string, more ...any) []any { return append(tomlfile.At("registry", key), more...) }
-	if err := f.first(
+	if err := f.firstViolation(
 		rule{r.Kind != string(registry.Etcd) && r.Kind != string(registry.Consul), at("kind"), "must be etcd or consul"},
-		rule{f.Node.Discovery != "", at("kind"), "the list is kept in one place: take node.discovery or this table out"},
-		rule{len(r.Endpoints) == 0 || len(r.Endpoints) > mostEndpoints, at("endpoints"), "must name 1 to 16 addresses"},
+		rule{f.Node.Discovery != "", at("kind"), "the list is kept in one place: remove node.discovery or this table"},
+		rule{len(r.Endpoints) == 0 || len(r.Endpoints) > maxEndpoints, at("endpoints"), "must name 1 to 16 addresses"},
 		rule{strings.ContainsAny(r.Prefix, "\r\n\x00") || r.Prefix == "" || strings.HasPrefix(r.Prefix, "/") && r.Kind == string(registry.Consul), at("prefix"),
-			"must be what the keys begin with, for consul without a slash in front"},
+			"must be the prefix of the servers' keys, for consul without a leading slash"},
 		rule{!r.TLS && (r.CAFile != "" || r.CertFile != "" || r.KeyFile != "" || r.ServerName != ""), at("tls"), "certificates need tls = true"},
 		rule{(r.CertFile == "") != (r.KeyFile == ""), at("cert_file"), "cert_file and key_file go together"},
-		rule{r.WatchTimeout.D() < 0 || r.WatchTimeout.D() > longest || r.WatchTimeout.D() > 0 && r.WatchTimeout.D() < 1e9, at("watch"), "must be 0s, or 1s to 1h"},
-		rule{r.HoldTime.D() < 0 || r.HoldTime.D() > longest, at("hold"), "must be 0s to 1h"},
+		rule{r.WatchTimeout.D() < 0 || r.WatchTimeout.D() > maxDuration || r.WatchTimeout.D() > 0 && r.WatchTimeout.D() < 1e9, at("watch"), "must be 0s, or 1s to 1h"},
+		rule{r.HoldTime.D() < 0 || r.HoldTime.D() > maxDuration, at("hold"), "must be 0s to 1h"},
 		rule{!(r.HoldPart > 0 && r.HoldPart <= 1), at("hold_part"), "must be above 0 and at most 1"},
-		rule{r.RewindAfter.D() < 1e9 || r.RewindAfter.D() > longest, at("rewind"), "must be 1s to 1h"},
+		rule{r.RewindAfter.D() < 1e9 || r.RewindAfter.D() > maxDuration, at("rewind"), "must be 1s to 1h"},
 		rule{r.PageSize < 1 || r.PageSize > 10000, at("page"), "must be 1 to 10000"},
 		rule{r.MaxEntries < 0 || r.MaxEntries > 1000000, at("most"), "must be 0 to 1000000"},
 		rule{!(r.CallRate >= 1 && r.CallRate <= 100000), at("calls_per_s"), "must be 1 to 100000"},
@@ -100,13 +100,13 @@
 	}
 	for i, e := range r.Endpoints {
 		if _, err := netip.ParseAddrPort(e); err != nil {
-			return f.file.Errorf(at("endpoints", i), "must be an address and a port, such as 127.0.0.1:2379")
+			return f.source.Errorf(at("endpoints", i), "must be an address and a port, such as 127.0.0.1:2379")
 		}
 	}
 	return nil
 }
 
-// RegistryConfig reads the files that the table names and gives the configuration; nil without the table.
+// RegistryConfig returns the configuration of the registry, or nil without [registry]. It reads the token and the certificates.
 func (f *File) RegistryConfig() (*registry.Config, error) {
 	r := f.Registry
 	if r == nil {
@@ -115,14 +115,14 @@
 	c := &registry.Config{Kind: registry.Kind(r.Kind), Prefix: r.Prefix, Roster: roster.Config{WatchTimeout: r.WatchTimeout.D(), HoldTime: r.HoldTime.D(), HoldPart: r.HoldPart,
 		RewindAfter: r.RewindAfter.D(), PageSize: r.PageSize, MaxEntries: r.MaxEntries, CallRate: r.CallRate}}
 	for _, e := range r.Endpoints {
-		c.Endpoints = append(c.Endpoints, netip.MustParseAddrPort(e)) // checked with the file
+		c.Endpoints = append(c.Endpoints, netip.MustParseAddrPort(e)) // validated by Decode
 	}
-	token, err := f.secret(r.TokenFile, "registry", "token_file")
+	token, err := f.readSecret(r.TokenFile, "registry", "token_file")
 	if err != nil {
 		return nil, err
 	}
 	if c.Token = strings.TrimSpace(string(token)); strings.ContainsAny(c.Token, "\r\n") {
-		return nil, f.file.Errorf(tomlfile.At("registry", "token_file"), "the token has more than one line")
+		return nil, f.source.Errorf(tomlfile.At("registry", "token_file"), "the token has more than one line")
 	}
 	if !r.TLS {
 		return c, nil
@@ -131,78 +131,81 @@
 	if r.ServerName == "" {
 		c.TLS.ServerName = c.Endpoints[0].Addr().String()
 	}
-	sum := sha256.New()
-	sum.Write([]byte(c.TLS.ServerName))
+	hash := sha256.New()
+	hash.Write([]byte(c.TLS.ServerName))
 	if r.CAFile != "" {
-		text, err := f.secret(r.CAFile, "registry", "ca_file")
+		text, err := f.readSecret(r.CAFile, "registry", "ca_file")
 		if err != nil {
 			return nil, err
 		}
-		sum.Write(text)
+		hash.Write(text)
 		c.TLS.RootCAs = x509.NewCertPool()
 		if !c.TLS.RootCAs.AppendCertsFromPEM(text) {
-			return nil, f.file.Errorf(tomlfile.At("registry", "ca_file"), "%s holds no certificate", r.CAFile)
+			return nil, f.source.Errorf(tomlfile.At("registry", "ca_file"), "%s has no certificate", r.CAFile)
 		}
 	}
 	if r.CertFile != "" {
-		cert, err := f.secret(r.CertFile, "registry", "cert_file")
+		cert, err := f.readSecret(r.CertFile, "registry", "cert_file")
 		if err != nil {
 			return nil, err
 		}
-		key, err := f.secret(r.KeyFile, "registry", "key_file")
+		key, err := f.readSecret(r.KeyFile, "registry", "key_file")
 		if err != nil {
 			return nil, err
 		}
 		pair, err := tls.X509KeyPair(cert, key)
 		if err != nil {
-			return nil, f.file.Errorf(tomlfile.At("registry", "cert_file"), "%v", err)
+			return nil, f.source.Errorf(tomlfile.At("registry", "cert_file"), "%v", err)
 		}
-		sum.Write(cert)
+		hash.Write(cert)
 		c.TLS.Certificates = []tls.Certificate{pair}
 	}
-	c.Secret = hex.EncodeToString(sum.Sum(nil))
+	c.Secret = hex.EncodeToString(hash.Sum(nil))
 	return c, nil
 }
 
-// CheckFleetSize says in one line, naming file and key, that a fleet of so many balancers is larger than the calls a second let know
-// of a change before it counts; nil if it is not. That is no fault of the file: such a fleet starts, and is told later.
+// CheckFleetSize returns a warning of one line with file and key if a fleet of this many balancers is too large for each of them
+// to learn of a change in time within the limit of calls per second, and nil otherwise. The file is valid all the same: such a
+// fleet starts, and learns of changes later.
 func (f *File) CheckFleetSize(balancers int) error {
-	c, key := roster.Config{}, tomlfile.At("service", "balancers") // discovery has no key of its own for it
+	c, key := roster.Config{}, tomlfile.At("service", "balancers") // with discovery there is no key for the call rate
 	if f.Registry != nil {
 		c.CallRate, c.Endpoints, key = f.Registry.CallRate, len(f.Registry.Endpoints), tomlfile.At("registry", "calls_per_s")
 	}
-	if why := FleetSizeWarning(c, "service.balancers", balancers); why != "" {
-		return f.file.Errorf(key, "%s", why)
+	if warning := FleetSizeWarning(c, "service.balancers", balancers); warning != "" {
+		return f.source.Errorf(key, "%s", warning)
 	}
 	return nil
 }
 
-// FleetSizeWarning is what there is to say of a fleet of so many balancers, as a key tells, that follow a list so; empty: nothing.
+// FleetSizeWarning returns a warning if the number of balancers, the value of key, is larger than roster.MaxNodes allows, and an
+// empty string otherwise.
 func FleetSizeWarning(c roster.Config, key string, balancers int) string {
-	most := roster.MaxNodes(c)
-	if balancers <= most {
+	maxNodes := roster.MaxNodes(c)
+	if balancers <= maxNodes {
 		return ""
 	}
-	calls := cmp.Or(c.CallRate, roster.DefaultCallRate)
-	return fmt.Sprintf("%g calls a second let %d nodes know of a change in the 6s until it counts, %s is %d, for which it takes %.0f",
-		calls, most, key, balancers, math.Ceil(calls*float64(balancers)/float64(most)))
+	callRate := cmp.Or(c.CallRate, roster.DefaultCallRate)
+	return fmt.Sprintf("%g calls a second let %d nodes learn of a change within the required 6s; %s is %d, which needs %.0f calls a second",
+		callRate, maxNodes, key, balancers, math.Ceil(callRate*float64(balancers)/float64(maxNodes)))
 }
 
-// secret reads a file that a key names, beside the operator's file unless its path is whole; no name gives nothing.
-func (f *File) secret(path string, at ...any) ([]byte, error) {
+// readSecret reads the file at path, which the key at names. A relative path is relative to the folder of the operator's file;
+// an empty path returns nil.
+func (f *File) readSecret(path string, at ...any) ([]byte, error) {
 	if path == "" {
 		return nil, nil
 	}
 	if !filepath.IsAbs(path) {
-		path = filepath.Join(filepath.Dir(f.file.Path), path)
+		path = filepath.Join(filepath.Dir(f.source.Path), path)
 	}
 	info, err := os.Stat(path)
-	if err == nil && (info.IsDir() || info.Size() > mostSecret) {
-		return nil, f.file.Errorf(at, "%s is no file of at most 64 KiB", path)
+	if err == nil && (info.IsDir() || info.Size() > maxSecretBytes) {
+		return nil, f.source.Errorf(at, "%s is not a file of at most 64 KiB", path)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, f.file.Errorf(at, "%v", err)
+		return nil, f.source.Errorf(at, "%v", err)
 	}
 	return text, nil
 }
