--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -1,6 +1,6 @@
-// Package migrate turns the configuration of a node that served a pool of clients into that of a node that stands
-// beside one client process. It reads an operator's file or a node's configuration, changes what the new shape needs
-// changed, leaves out what must not be the same at many nodes, and says of each such key why. It writes nothing.
+// Package migrate converts the configuration of a node that served a pool of clients into that of a node that runs beside a
+// single client process. It accepts an operator's file or a node's configuration, changes the keys that differ in the new
+// deployment, drops those that must not be the same on many nodes, and returns the reason for each. It writes no files.
 package migrate
 
 import (
@@ -23,49 +23,50 @@
 	"lapisshelf/internal/tomlfile"
 )
 
-// Deployment is what the new deployment is like, as far as a configuration tells it.
+// Deployment describes the new deployment and the converted node's place in it.
 type Deployment struct {
-	Nodes    int    // in the fleet, one for each client process; 1 to 100000
-	Position int    // this one's number among them, from 0
-	Name     string // this one's name; empty: it is told none
-	Zone     string // this one's zone; empty: it is told none
-	Listen   string // address and port for its client; empty: the old port on 127.0.0.1
+	Nodes    int    // number of nodes in the fleet, one for each client process; 1 to 100000
+	Position int    // index of this node in the fleet, from 0
+	Name     string // name of this node; empty: none
+	Zone     string // zone of this node; empty: none
+	Listen   string // address and port for the client; empty: the old port on 127.0.0.1
 }
 
-// KeyChange is a key that was not carried over as it was, and the reason.
+// KeyChange is a key that was dropped or has a new value, with the reason.
 type KeyChange struct{ Key, Reason string }
 
 // Result is a converted configuration.
 type Result struct {
 	Text    []byte
-	Dropped []KeyChange // keys that the new configuration does not have
-	Changed []KeyChange // keys that it has with another value
+	Dropped []KeyChange // keys that the new configuration lacks
+	Changed []KeyChange // keys with a new value
 }
 
-func (r *Result) lost(key, why string) { r.Dropped = append(r.Dropped, KeyChange{key, why}) }
+func (r *Result) drop(key, reason string) { r.Dropped = append(r.Dropped, KeyChange{key, reason}) }
 
-func (r *Result) changed(key string, from, to any, why string) {
+func (r *Result) change(key string, from, to any, reason string) {
 	if fmt.Sprint(from) != fmt.Sprint(to) {
-		r.Changed = append(r.Changed, KeyChange{key, fmt.Sprintf("%v, was %v: %s", to, from, why)})
+		r.Changed = append(r.Changed, KeyChange{key, fmt.Sprintf("%v, was %v: %s", to, from, reason)})
 	}
 }
 
 const (
-	whySeed    = "with one seed all nodes would draw alike and wait alike"
-	whyControl = "nodes beside each other would claim one address; set one for each that operators look at"
-	whyName    = "a name is one node's own; give --name"
-	whyState   = "a directory of one node's own; set one where upgrades in place are wanted"
-	whyNodes   = "each client process has a node of its own"
-	whyZone    = "a node stands in its client's zone; give --zone"
-	whyListen  = "a node listens beside its client"
-	whyPlanner = "each node needs a certificate in its own name: make them with lapisshelf keys, then put the table back"
+	reasonSeed     = "nodes with one seed would make the same random choices and wait equally long"
+	reasonControl  = "several nodes on one machine would use the same address; set one for each node that operators query"
+	reasonName     = "a name belongs to one node; give --name"
+	reasonStateDir = "a directory belongs to one node; set one where upgrades in place are wanted"
+	reasonNodes    = "each client process has its own node"
+	reasonZone     = "a node runs in its client's zone; give --zone"
+	reasonListen   = "a node runs on its client's machine"
+	reasonPlanners = "each node needs a certificate in its own name: make them with lapisshelf keys, then add the table again"
 )
 
-// header begins each converted operator's file.
+// header is the first line of each converted operator's file.
 const header = "# Written by lapisshelf migrate: a node beside one client process.\n"
 
-// listen gives the address that the new node listens at.
-func (s Deployment) listen(old string) string {
+// listenAddress returns the address on which the new node listens. It serves a client on the same machine, so an address other
+// than a loopback one becomes 127.0.0.1 with the same port.
+func (s Deployment) listenAddress(old string) string {
 	if s.Listen != "" {
 		return s.Listen
 	}
@@ -75,7 +76,7 @@
 	return old
 }
 
-func (s Deployment) check() error {
+func (s Deployment) validate() error {
 	if _, err := netip.ParseAddrPort(s.Listen); s.Listen != "" && err != nil {
 		return fmt.Errorf("listen %q must be an address and a port, such as 127.0.0.1:11211", s.Listen)
 	}
@@ -83,7 +84,7 @@
 		return fmt.Errorf("%d nodes: must be 1 to 100000", s.Nodes)
 	}
 	if !operator.ValidZone(s.Zone) {
-		return fmt.Errorf("zone %q: must be a zone's name of 64 bytes at most, without blanks", s.Zone)
+		return fmt.Errorf("zone %q: must be a zone's name of at most 64 bytes, without blanks", s.Zone)
 	}
 	if s.Position < 0 || s.Position >= s.Nodes {
 		return fmt.Errorf("position %d: must be 0 to one less than the number of nodes, %d", s.Position, s.Nodes)
@@ -91,27 +92,27 @@
 	return nil
 }
 
-// Convert converts the text of the file at path, which is to stand at target; both end in .toml, an operator's file, or
-// in .json, a node's configuration. A fault in it is one line with file, line and key where it has them.
+// Convert converts text, the content of the file at path, for a new file at target. Both paths end in .toml for an operator's
+// file, or in .json for a node's configuration. An error is one line, with file, line and key where they are known.
 func Convert(path string, text []byte, target string, s Deployment) (Result, error) {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return Result{}, err
 	}
-	form := filepath.Ext(path)
-	if form != filepath.Ext(target) || form != ".toml" && form != ".json" {
+	ext := filepath.Ext(path)
+	if ext != filepath.Ext(target) || ext != ".toml" && ext != ".json" {
 		return Result{}, fmt.Errorf("%s and %s: must both end in .toml, operator's files, or in .json, nodes' configurations", path, target)
 	}
 	if len(bytes.TrimSpace(text)) == 0 {
 		return Result{}, fmt.Errorf("%s: is empty", path)
 	}
-	if form == ".toml" {
-		return operators(path, text, target, s)
+	if ext == ".toml" {
+		return convertOperatorFile(path, text, target, s)
 	}
-	return configuration(path, text, s)
+	return convertNodeConfig(path, text, s)
 }
 
-// operators converts an operator's file.
-func operators(path string, text []byte, target string, s Deployment) (Result, error) {
+// convertOperatorFile converts an operator's file.
+func convertOperatorFile(path string, text []byte, target string, s Deployment) (Result, error) {
 	var r Result
 	f, err := operator.Decode(path, text)
 	if err != nil {
@@ -119,36 +120,36 @@
 	}
 	n := &f.Node
 	if n.Listen != "" || s.Listen != "" {
-		to := s.listen(n.Listen)
-		r.changed("node.listen", n.Listen, to, whyListen)
+		to := s.listenAddress(n.Listen)
+		r.change("node.listen", n.Listen, to, reasonListen)
 		n.Listen = to
 	}
-	leave := func(key string, stands bool, clear func(), why string) {
-		if stands {
-			r.lost(key, why)
+	dropIf := func(key string, set bool, clear func(), reason string) {
+		if set {
+			r.drop(key, reason)
 			clear()
 		}
 	}
-	leave("node.seed", n.Seed != 0, func() { n.Seed = 0 }, whySeed)
-	leave("node.control", n.Control != "", func() { n.Control = "" }, whyControl)
-	leave("node.state_dir", n.StateDir != "", func() { n.StateDir = "" }, whyState)
+	dropIf("node.seed", n.Seed != 0, func() { n.Seed = 0 }, reasonSeed)
+	dropIf("node.control", n.Control != "", func() { n.Control = "" }, reasonControl)
+	dropIf("node.state_dir", n.StateDir != "", func() { n.StateDir = "" }, reasonStateDir)
 	if s.Name != "" {
-		r.changed("node.name", n.Name, s.Name, "as asked")
+		r.change("node.name", n.Name, s.Name, "as asked")
 		n.Name = s.Name
 	} else {
-		leave("node.name", n.Name != "", func() { n.Name = "" }, whyName)
-		leave("announce", f.Announce != nil, func() { f.Announce = nil }, "a node that announces itself needs a name; give --name")
-	}
-	leave("planners", f.Planners != nil, func() { f.Planners = nil }, whyPlanner)
-	if v := f.Service; v != nil {
-		r.changed("service.balancers", v.Balancers, s.Nodes, whyNodes)
-		r.changed("service.position", v.Position, s.Position, whyNodes)
-		v.Balancers, v.Position = s.Nodes, s.Position
+		dropIf("node.name", n.Name != "", func() { n.Name = "" }, reasonName)
+		dropIf("announce", f.Announce != nil, func() { f.Announce = nil }, "a node that announces itself needs a name; give --name")
+	}
+	dropIf("planners", f.Planners != nil, func() { f.Planners = nil }, reasonPlanners)
+	if service := f.Service; service != nil {
+		r.change("service.balancers", service.Balancers, s.Nodes, reasonNodes)
+		r.change("service.position", service.Position, s.Position, reasonNodes)
+		service.Balancers, service.Position = s.Nodes, s.Position
 		if s.Zone != "" {
-			r.changed("service.zone", v.Zone, s.Zone, "as asked")
-			v.Zone = s.Zone
+			r.change("service.zone", service.Zone, s.Zone, "as asked")
+			service.Zone = s.Zone
 		} else {
-			leave("service.zone", v.Zone != "", func() { v.Zone = "" }, whyZone)
+			dropIf("service.zone", service.Zone != "", func() { service.Zone = "" }, reasonZone)
 		}
 	}
 	if from, to := filepath.Dir(path), filepath.Dir(target); from != to {
@@ -158,27 +159,27 @@
 				if err != nil {
 					moved = filepath.Join(from, *file)
 				}
-				r.changed(key, *file, moved, "the new file stands elsewhere")
+				r.change(key, *file, moved, "the new file is in another folder")
 				*file = moved
 			}
 		})
 	}
 	if strings.Contains(strings.TrimPrefix(string(text), header), "#") {
-		r.lost("comments", "the new file is written from the values")
+		r.drop("comments", "the new file is generated from the decoded values")
 	}
 	var b bytes.Buffer
 	b.WriteString(header)
-	write(&b, "", reflect.ValueOf(f).Elem())
+	writeTOML(&b, "", reflect.ValueOf(f).Elem())
 	r.Text = b.Bytes()
 	if _, err := operator.Decode(target, r.Text); err != nil {
-		return r, fmt.Errorf("the converted file would not do: %w", err)
+		return r, fmt.Errorf("the converted file is not valid: %w", err)
 	}
 	return r, nil
 }
 
-// write writes a struct as TOML: its plain keys, then its tables. What is empty is left out.
-func write(b *bytes.Buffer, table string, v reflect.Value) {
-	var later []func()
+// writeTOML writes a struct as TOML: its plain keys first, then its tables. It omits missing tables, and zero values in [node].
+func writeTOML(b *bytes.Buffer, table string, v reflect.Value) {
+	var tables []func()
 	for i := range v.NumField() {
 		t, x := v.Type().Field(i), v.Field(i)
 		if !t.IsExported() {
@@ -188,23 +189,23 @@
 		for x.Kind() == reflect.Pointer && !x.IsNil() {
 			x = x.Elem()
 		}
-		_, span := x.Interface().(tomlfile.Duration)
+		_, isDuration := x.Interface().(tomlfile.Duration)
 		switch {
 		case x.Kind() == reflect.Pointer:
-		case x.Kind() == reflect.Struct && !span:
-			later = append(later, func() {
+		case x.Kind() == reflect.Struct && !isDuration:
+			tables = append(tables, func() {
 				fmt.Fprintf(b, "\n[%s]\n", key)
-				write(b, key, x)
+				writeTOML(b, key, x)
 			})
 		case x.Kind() == reflect.Slice && x.Type().Elem().Kind() == reflect.Struct:
-			later = append(later, func() {
+			tables = append(tables, func() {
 				for j := range x.Len() {
 					fmt.Fprintf(b, "\n[[%s]]\n", key)
-					write(b, key, x.Index(j))
+					writeTOML(b, key, x.Index(j))
 				}
 			})
 		case x.IsZero() && table == "node":
-		case span:
+		case isDuration:
 			fmt.Fprintf(b, "%s = %q\n", key, x.Interface().(tomlfile.Duration).D())
 		case x.Kind() == reflect.Slice:
 			list := make([]string, x.Len())
@@ -224,177 +225,178 @@
 			fmt.Fprintf(b, "%s = %v\n", key, x.Interface())
 		}
 	}
-	for _, w := range later {
+	for _, w := range tables {
 		w()
 	}
 }
 
-// quote writes text as a basic string of TOML, whose escapes are those of JSON.
+// quote formats text as a basic string of TOML. The escapes of JSON strings are valid there.
 func quote(text string) string {
-	out, _ := json.Marshal(text) // a string always encodes
+	out, _ := json.Marshal(text) // cannot fail for a string
 	return string(out)
 }
 
-// part is a key of a node's configuration.
-type part struct {
-	key   string
-	value json.RawMessage
-	at    int // where the value begins
+// member is one key of a node's configuration with its value.
+type member struct {
+	key    string
+	value  json.RawMessage
+	offset int // of the value, in bytes from the start of the file
 }
 
-var known = []string{"name", "listen", "discovery", "control", "seed", "limits", "known", "settings"}
+// knownKeys are the keys of a node's configuration. The conversion requires strings as the values of the first four.
+var knownKeys = []string{"name", "listen", "discovery", "control", "seed", "limits", "known", "settings"}
 
-// configuration converts a node's configuration.
-func configuration(path string, text []byte, s Deployment) (Result, error) {
+// convertNodeConfig converts a node's configuration.
+func convertNodeConfig(path string, text []byte, s Deployment) (Result, error) {
 	var r Result
-	parts, err := split(path, text)
+	members, err := parseMembers(path, text)
 	if err != nil {
 		return r, err
 	}
-	var out []part
-	named := false
-	for _, p := range parts {
+	var out []member
+	hasName := false
+	for _, p := range members {
 		var old string
-		if slices.Contains(known[:4], p.key) && json.Unmarshal(p.value, &old) != nil {
-			return r, fault(path, text, p.at, p.key, "must be text")
+		if slices.Contains(knownKeys[:4], p.key) && json.Unmarshal(p.value, &old) != nil {
+			return r, errorAt(path, text, p.offset, p.key, "must be text")
 		}
 		switch p.key {
 		case "name":
-			if named = true; s.Name == "" {
-				r.lost(p.key, whyName)
+			if hasName = true; s.Name == "" {
+				r.drop(p.key, reasonName)
 				continue
 			}
-			r.changed(p.key, old, s.Name, "as asked")
+			r.change(p.key, old, s.Name, "as asked")
 			p.value, _ = json.Marshal(s.Name)
 		case "listen":
 			if _, err := netip.ParseAddrPort(old); err != nil {
-				return r, fault(path, text, p.at, p.key, "must be an address and a port")
+				return r, errorAt(path, text, p.offset, p.key, "must be an address and a port")
 			}
-			to := s.listen(old)
-			r.changed(p.key, old, to, whyListen)
+			to := s.listenAddress(old)
+			r.change(p.key, old, to, reasonListen)
 			p.value, _ = json.Marshal(to)
 		case "control":
-			r.lost(p.key, whyControl)
+			r.drop(p.key, reasonControl)
 			continue
 		case "seed":
-			r.lost(p.key, whySeed)
+			r.drop(p.key, reasonSeed)
 			continue
 		case "known":
-			r.lost(p.key, "the list that the old node held; a new one asks for its own")
+			r.drop(p.key, "the server list that the old node had; a new node fetches its own")
 			continue
 		case "settings":
-			if p.value, err = resettle(path, text, p, s, &r); err != nil {
+			if p.value, err = convertSettings(path, text, p, s, &r); err != nil {
 				return r, err
 			}
 		}
 		out = append(out, p)
 	}
-	if s.Name != "" && !named {
+	if s.Name != "" && !hasName {
 		name, _ := json.Marshal(s.Name)
-		out = append([]part{{key: "name", value: name}}, out...)
-		r.changed("name", "none", s.Name, "as asked")
+		out = append([]member{{key: "name", value: name}}, out...)
+		r.change("name", "none", s.Name, "as asked")
 	}
 	var b bytes.Buffer
 	for i, p := range out {
 		b.WriteString(map[bool]string{true: "{", false: ","}[i == 0] + quote(p.key) + ":")
 		b.Write(p.value)
 	}
-	var told bytes.Buffer
-	if err := json.Indent(&told, append(b.Bytes(), '}'), "", "  "); err != nil {
+	var indented bytes.Buffer
+	if err := json.Indent(&indented, append(b.Bytes(), '}'), "", "  "); err != nil {
 		return r, fmt.Errorf("%s: %w", path, err)
 	}
-	r.Text = append(told.Bytes(), '\n')
+	r.Text = append(indented.Bytes(), '\n')
 	if _, err := node.ParseConfig(r.Text, func(string) string { return "" }, nil); err != nil {
 		return r, fmt.Errorf("%s: %w", path, err)
 	}
 	return r, nil
 }
 
-// resettle changes the settings object, which is the platform's: what nobody here knows of stays as it is.
-func resettle(path string, text []byte, p part, s Deployment, r *Result) (json.RawMessage, error) {
+// convertSettings converts the settings object. The object belongs to the platform, so unknown keys stay unchanged.
+func convertSettings(path string, text []byte, p member, s Deployment, r *Result) (json.RawMessage, error) {
 	if _, _, err := settings.DecodeAll(p.value); err != nil {
-		at, key := p.at, p.key
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) {
-			at, key = at+int(wrong.Offset)-1, key+"."+wrong.Field
+		offset, key := p.offset, p.key
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			offset, key = offset+int(typeErr.Offset)-1, key+"."+typeErr.Field
 		}
-		return nil, fault(path, text, at, key, strings.TrimPrefix(err.Error(), "settings: "))
+		return nil, errorAt(path, text, offset, key, strings.TrimPrefix(err.Error(), "settings: "))
 	}
-	var all map[string]json.RawMessage
-	if err := json.Unmarshal(p.value, &all); err != nil {
-		return nil, fault(path, text, p.at, p.key, err.Error())
+	var object map[string]json.RawMessage
+	if err := json.Unmarshal(p.value, &object); err != nil {
+		return nil, errorAt(path, text, p.offset, p.key, err.Error())
 	}
 	for key, to := range map[string]int{"Balancers": s.Nodes, "Position": s.Position} {
 		var old int
-		_ = json.Unmarshal(all[key], &old) // Decode has read it
-		all[key] = json.RawMessage(strconv.Itoa(to))
-		r.changed("settings."+key, old, to, whyNodes)
+		_ = json.Unmarshal(object[key], &old) // DecodeAll has validated Balancers; an invalid Position counts as 0
+		object[key] = json.RawMessage(strconv.Itoa(to))
+		r.change("settings."+key, old, to, reasonNodes)
 	}
 	var zone string
-	_ = json.Unmarshal(all["Az"], &zone)
+	_ = json.Unmarshal(object["Az"], &zone)
 	switch {
 	case s.Zone != "":
-		all["Az"], _ = json.Marshal(s.Zone) // a string
-		r.changed("settings.Az", zone, s.Zone, "as asked")
+		object["Az"], _ = json.Marshal(s.Zone) // cannot fail for a string
+		r.change("settings.Az", zone, s.Zone, "as asked")
 	case zone != "":
-		delete(all, "Az")
-		r.lost("settings.Az", whyZone)
+		delete(object, "Az")
+		r.drop("settings.Az", reasonZone)
 	}
 	slices.SortFunc(r.Changed, func(x, y KeyChange) int { return strings.Compare(x.Key, y.Key) })
-	return json.Marshal(all)
+	return json.Marshal(object)
 }
 
-// split reads the keys of a configuration and what they are set to.
-func split(path string, text []byte) ([]part, error) {
+// parseMembers splits a configuration into its keys and their values, in order.
+func parseMembers(path string, text []byte) ([]member, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
-	broken := func(err error) error {
-		at, why := int(d.InputOffset()), "is not JSON"
+	syntaxError := func(err error) error {
+		offset, reason := int(d.InputOffset()), "is not JSON"
 		var syntax *json.SyntaxError
 		if errors.As(err, &syntax) {
-			at = int(syntax.Offset) - 1
+			offset = int(syntax.Offset) - 1
 		}
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			why = "ends too soon"
+			reason = "ends before the object is complete"
 		}
-		return fault(path, text, at, "", why)
+		return errorAt(path, text, offset, "", reason)
 	}
-	if open, err := d.Token(); err != nil || open != json.Delim('{') {
+	if token, err := d.Token(); err != nil || token != json.Delim('{') {
 		if err == nil {
-			return nil, fault(path, text, 0, "", "must be an object")
+			return nil, errorAt(path, text, 0, "", "must be an object")
 		}
-		return nil, broken(err)
+		return nil, syntaxError(err)
 	}
-	var parts []part
+	var members []member
 	for d.More() {
-		t, err := d.Token()
+		token, err := d.Token()
 		if err != nil {
-			return nil, broken(err)
+			return nil, syntaxError(err)
 		}
-		key, _ := t.(string)
-		at := int(d.InputOffset())
+		key, _ := token.(string)
+		offset := int(d.InputOffset())
 		var value json.RawMessage
 		if err := d.Decode(&value); err != nil {
-			return nil, broken(err)
+			return nil, syntaxError(err)
 		}
-		if !slices.Contains(known, key) {
-			return nil, fault(path, text, at, key, "no such key")
+		if !slices.Contains(knownKeys, key) {
+			return nil, errorAt(path, text, offset, key, "no such key")
 		}
-		if slices.ContainsFunc(parts, func(p part) bool { return p.key == key }) {
-			return nil, fault(path, text, at, key, "stands there twice")
+		if slices.ContainsFunc(members, func(p member) bool { return p.key == key }) {
+			return nil, errorAt(path, text, offset, key, "is set twice")
 		}
-		parts = append(parts, part{key, value, int(d.InputOffset()) - len(value)})
+		members = append(members, member{key, value, int(d.InputOffset()) - len(value)})
 	}
 	if _, err := d.Token(); err != nil {
-		return nil, broken(err)
+		return nil, syntaxError(err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return nil, fault(path, text, int(d.InputOffset()), "", "more stands behind the object")
+		return nil, errorAt(path, text, int(d.InputOffset()), "", "has more text after the object")
 	}
-	return parts, nil
+	return members, nil
 }
 
-// fault is a plain line about a place in a file.
-func fault(path string, text []byte, at int, key, why string) error {
-	line := 1 + bytes.Count(text[:min(max(0, at), len(text))], []byte("\n"))
-	return &tomlfile.Error{Path: path, Line: line, Key: key, Reason: why}
+// errorAt returns an error of one line for an offset in a file.
+func errorAt(path string, text []byte, offset int, key, reason string) error {
+	line := 1 + bytes.Count(text[:min(max(0, offset), len(text))], []byte("\n"))
+	return &tomlfile.Error{Path: path, Line: line, Key: key, Reason: reason}
 }
