--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs the decision module against the simulator: batches on standard input, replies on
-// standard output, trouble in one line on standard error.
+// Command simhost runs the policy against the simulator. It reads batches from standard input and writes replies to
+// standard output. An error ends it with one line on standard error.
 package main
 
 import (
--- a/internal/simhost/simhost.go
+++ b/internal/simhost/simhost.go
@@ -1,5 +1,5 @@
-// Package simhost hosts the decision module on the simulator's wire: one policy.Balancer for each instance,
-// none of which can see another.
+// Package simhost runs the policy behind the simulator's protocol, with a separate policy.Balancer for each
+// instance.
 package simhost
 
 import (
@@ -12,7 +12,7 @@
 	"lapisshelf/policy"
 )
 
-// balancer is what an instance must handle; policy.Balancer does.
+// balancer handles the events of one instance. policy.Balancer implements it.
 type balancer interface {
 	Members(now time.Duration, kind policy.ListKind, list []policy.Server)
 	Request(now time.Duration, q policy.Request)
@@ -23,16 +23,16 @@
 	Probed(now time.Duration, server string, ok bool, rep policy.Report)
 }
 
-// newBalancer starts an instance's balancer; tests put a broken one in its place.
+// newBalancer returns an instance's balancer. Tests replace it.
 var newBalancer = func(now time.Duration, set policy.Settings, seed uint64, act policy.Actions) balancer {
 	return policy.New(now, set, seed, act)
 }
 
-// Run answers batches from in on out until the input ends. Malformed input is an error; the batch that
-// holds it gets no reply at all.
+// Run reads batches from in and writes the replies to out until the input ends. Malformed input is an error, and the
+// batch that contains it gets no reply.
 func Run(in io.Reader, out io.Writer) error {
 	r, w := simwire.NewReader(in), simwire.NewWriter(out)
-	nodes := map[string]balancer{}
+	instances := map[string]balancer{}
 	for {
 		batch, err := r.Read()
 		if errors.Is(err, io.EOF) {
@@ -42,7 +42,7 @@
 			return err
 		}
 		for i, e := range batch.Events {
-			if err := deliver(nodes, w, batch.Now, e); err != nil {
+			if err := deliver(instances, w, batch.Now, e); err != nil {
 				return fmt.Errorf("batch %d, event %d: %w", batch.Number, i+1, err)
 			}
 		}
@@ -52,8 +52,8 @@
 	}
 }
 
-// deliver hands one event to its instance. A panic of the module is reported as that instance's crash.
-func deliver(nodes map[string]balancer, w *simwire.Writer, now time.Duration, e simwire.Event) error {
+// deliver passes one event to its instance. A panic of the balancer is reported as a crash of that instance alone.
+func deliver(instances map[string]balancer, w *simwire.Writer, now time.Duration, e simwire.Event) error {
 	actor := simwire.Actor{Writer: w, Instance: e.Instance}
 	defer func() {
 		if p := recover(); p != nil {
@@ -61,16 +61,16 @@
 		}
 	}()
 	if e.Kind == simwire.Start {
-		nodes[e.Instance] = newBalancer(now, e.Settings, e.Seed, actor)
+		instances[e.Instance] = newBalancer(now, e.Settings, e.Seed, actor)
 		return nil
 	}
-	b := nodes[e.Instance]
+	b := instances[e.Instance]
 	if b == nil {
 		return fmt.Errorf("event for instance %q, which has not started", e.Instance)
 	}
 	switch e.Kind {
 	case simwire.Stop:
-		delete(nodes, e.Instance)
+		delete(instances, e.Instance)
 	case simwire.List:
 		b.Members(now, e.ListKind, e.Entries)
 	case simwire.Request:
--- a/internal/simhost/simhost_test.go
+++ b/internal/simhost/simhost_test.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	setUp = `{"kind":"Batch","SimTime":1000,"frame":1}
+	startBatch = `{"kind":"Batch","SimTime":1000,"frame":1}
 {"kind":"Configure","I":"node_0","Prng":7,"Settings":{"Balancers":1,"Tick":5000000,"FamilyInfo":{"Mode":"aside"},"Unheard":{"of":1},` +
 		`"Classes":[{"Name":"read","Aim":400000000,"Deadline":900000000,"Effect":"retryable","Worth":1}],` +
 		`"Limits":{"SendCap":3,"ParallelTries":true}}}
@@ -21,7 +21,7 @@
 {"kind":"RosterChange","I":"node_0","How":"Persisted","SeqNo":1,"Page":3}
 {"kind":"Eob"}
 `
-	order = `{"kind":"Batch","SimTime":2000,"frame":2}
+	requestBatch = `{"kind":"Batch","SimTime":2000,"frame":2}
 {"kind":"Order","I":"node_0","Handle":"c:1","Grade":"read","Resource":12,"Grace":800000000,"New":true}
 {"kind":"Eob"}
 `
@@ -29,7 +29,7 @@
 
 func TestReplies(t *testing.T) {
 	var out bytes.Buffer
-	if err := Run(strings.NewReader(setUp+order), &out); err != nil {
+	if err := Run(strings.NewReader(startBatch+requestBatch), &out); err != nil {
 		t.Fatal(err)
 	}
 	want := `{"kind":"Next","frame":1}
@@ -42,7 +42,7 @@
 	}
 }
 
-// A probe goes out where the settings allow it and reports come with probes alone; what comes back is read.
+// Probes are sent only where the settings allow them and load reports come with probes. Their results are decoded.
 func TestProbes(t *testing.T) {
 	for _, c := range []struct {
 		name, settings string
@@ -51,9 +51,9 @@
 		{"allowed", `"Limits":{"Probes":true,`, true},
 		{"not allowed", `"Limits":{`, false},
 	} {
-		in := strings.Replace(setUp, `"Limits":{`, `"Feedback":{"How":"on_probe","Fields":["depth","tps"]},`+c.settings, 1)
+		in := strings.Replace(startBatch, `"Limits":{`, `"Feedback":{"How":"on_probe","Fields":["depth","tps"]},`+c.settings, 1)
 		in = strings.Replace(in, `"Scale":1}]`, `"Scale":1},{"Server":"10.0.0.2:80","Lifecycle":"in_service"}]`, 1)
-		in = strings.Replace(in, `"Tick"`, `"Guarantees":{"OverloadFor":2000000000},"Tick"`, 1) + order +
+		in = strings.Replace(in, `"Tick"`, `"Guarantees":{"OverloadFor":2000000000},"Tick"`, 1) + requestBatch +
 			`{"kind":"Batch","SimTime":300002000,"frame":3}
 {"kind":"ClosedAttempt","I":"node_0","Handle":"c:1","Server":"10.0.0.1:80","Ending":100,"Settled":true,"Took":300000000}
 {"kind":"Order","I":"node_0","Handle":"c:2","Grade":"read","Resource":12,"Grace":800000000}
@@ -76,12 +76,12 @@
 	}
 }
 
-// The protocol's word for a client that has left or cancelled: what is held for it is never placed, and what has been is not
-// placed again; cancels allowed or not.
+// An Aborted event means that the client has disconnected or cancelled. A request that waits is then never sent to a server, and
+// one that was sent is not retried, whether or not the settings allow cancelling attempts.
 func TestAborted(t *testing.T) {
 	for _, cancel := range []string{"", `"Cancel":true,`} {
 		for _, gone := range []bool{false, true} {
-			in := strings.Replace(setUp, `"Limits":{`, `"Limits":{`+cancel, 1) + order +
+			in := strings.Replace(startBatch, `"Limits":{`, `"Limits":{`+cancel, 1) + requestBatch +
 				`{"kind":"Batch","SimTime":3000,"frame":3}
 {"kind":"Order","I":"node_0","Handle":"c:2","Grade":"read","Resource":12,"Grace":800000000}
 {"kind":"Eob"}
@@ -102,7 +102,7 @@
 			if err := Run(strings.NewReader(in), &out); err != nil {
 				t.Fatal(err)
 			}
-			want := 2 // that of c:1, and c:2 in its place
+			want := 2 // c:1, and then c:2 when the attempt of c:1 has ended
 			if gone {
 				want = 1
 			}
@@ -122,9 +122,9 @@
 	{"no instance", "{\"kind\":\"Batch\",\"frame\":5}\n{\"kind\":\"Ring\"}\n", "batch 5, line 2: Ring: names no instance"},
 	{"not started", "{\"kind\":\"Batch\",\"frame\":5}\n{\"kind\":\"Ring\",\"I\":\"node_9\"}\n{\"kind\":\"Eob\"}\n",
 		`batch 5, event 1: event for instance "node_9", which has not started`},
-	{"unknown list", setUp + "{\"kind\":\"Batch\",\"frame\":5}\n" +
+	{"unknown list", startBatch + "{\"kind\":\"Batch\",\"frame\":5}\n" +
 		"{\"kind\":\"RosterChange\",\"I\":\"node_0\",\"How\":\"Complete\",\"Page\":4}\n", "list 4 was never sent"},
-	{"unknown outcome", setUp + "{\"kind\":\"Batch\",\"frame\":5}\n" +
+	{"unknown outcome", startBatch + "{\"kind\":\"Batch\",\"frame\":5}\n" +
 		"{\"kind\":\"ClosedAttempt\",\"I\":\"node_0\",\"Ending\":999}\n", "unknown outcome 999"},
 	{"negative weight", "{\"kind\":\"Batch\",\"frame\":5}\n{\"kind\":\"Census\",\"Page\":0,\"Entries\":" +
 		"[{\"Server\":\"a\",\"Lifecycle\":\"in_service\",\"Scale\":-2}]}\n", "negative weight -2"},
@@ -146,25 +146,25 @@
 				t.Errorf("error %v, want one with %q", err, c.want)
 			}
 			if strings.Contains(out.String(), `"frame":5`) {
-				t.Errorf("a reply to the broken batch: %s", out.String())
+				t.Errorf("the malformed batch got a reply: %s", out.String())
 			}
 		})
 	}
 }
 
-// broken is a balancer that fails on its first timer.
-type broken struct{ balancer }
+// panickingBalancer panics at its first timer event.
+type panickingBalancer struct{ balancer }
 
-func (broken) Members(time.Duration, policy.ListKind, []policy.Server) {}
-func (broken) Timer(time.Duration, string)                             { panic("planted") }
+func (panickingBalancer) Members(time.Duration, policy.ListKind, []policy.Server) {}
+func (panickingBalancer) Timer(time.Duration, string)                             { panic("planted") }
 
 func TestAPanicIsTheInstancesOwnCrash(t *testing.T) {
 	var out bytes.Buffer
-	input := setUp + "{\"kind\":\"Batch\",\"SimTime\":3000,\"frame\":3}\n" +
+	input := startBatch + "{\"kind\":\"Batch\",\"SimTime\":3000,\"frame\":3}\n" +
 		"{\"kind\":\"Ring\",\"I\":\"node_0\",\"Ref\":\"sweep\"}\n{\"kind\":\"Eob\"}\n"
-	start := newBalancer
-	defer func() { newBalancer = start }()
-	newBalancer = func(time.Duration, policy.Settings, uint64, policy.Actions) balancer { return broken{} }
+	original := newBalancer
+	defer func() { newBalancer = original }()
+	newBalancer = func(time.Duration, policy.Settings, uint64, policy.Actions) balancer { return panickingBalancer{} }
 	if err := Run(strings.NewReader(input), &out); err != nil {
 		t.Fatal(err)
 	}
@@ -172,33 +172,33 @@
 		t.Errorf("no crash reported: %s", out.String())
 	}
 	if !strings.HasSuffix(out.String(), "{\"kind\":\"Next\",\"frame\":3}\n") {
-		t.Errorf("the reply was not closed: %s", out.String())
+		t.Errorf("the reply has no end: %s", out.String())
 	}
 }
 
-func TestTheBuiltAdapter(t *testing.T) {
+func TestSimhostCommand(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "simhost")
 	if text, err := exec.Command("go", "build", "-o", bin, "lapisshelf/cmd/simhost").CombinedOutput(); err != nil {
 		t.Fatalf("building: %v\n%s", err, text)
 	}
 	run := func(input string) (string, string, int) {
-		var out, trouble bytes.Buffer
+		var out, stderr bytes.Buffer
 		cmd := exec.Command(bin)
-		cmd.Stdin, cmd.Stdout, cmd.Stderr = strings.NewReader(input), &out, &trouble
+		cmd.Stdin, cmd.Stdout, cmd.Stderr = strings.NewReader(input), &out, &stderr
 		err := cmd.Run()
 		var exit *exec.ExitError
 		if err != nil && !errors.As(err, &exit) {
 			t.Fatal(err)
 		}
-		return out.String(), trouble.String(), cmd.ProcessState.ExitCode()
+		return out.String(), stderr.String(), cmd.ProcessState.ExitCode()
 	}
-	if out, trouble, code := run(setUp + order); code != 0 || trouble != "" || strings.Count(out, "Next") != 2 {
-		t.Errorf("clean input: exit %d, output %q, trouble %q", code, out, trouble)
+	if out, stderr, code := run(startBatch + requestBatch); code != 0 || stderr != "" || strings.Count(out, "Next") != 2 {
+		t.Errorf("valid input: exit status %d, output %q, stderr %q", code, out, stderr)
 	}
 	for _, c := range malformed {
-		_, trouble, code := run(c.input)
-		if code != 1 || !strings.Contains(trouble, c.want) || strings.Count(trouble, "\n") != 1 {
-			t.Errorf("%s: exit %d, trouble %q; want 1 and one line with %q", c.name, code, trouble, c.want)
+		_, stderr, code := run(c.input)
+		if code != 1 || !strings.Contains(stderr, c.want) || strings.Count(stderr, "\n") != 1 {
+			t.Errorf("%s: exit status %d, stderr %q; want 1 and one line with %q", c.name, code, stderr, c.want)
 		}
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire speaks the simulator's wire: its framing, its JSON lines and its words, none of which
-// appear anywhere else. Events come out as the types of package policy, actions go in as plain calls.
+// Package simwire implements the simulator's protocol of JSON lines. No other package knows its framing and its
+// names: events are decoded into the types of package policy, and actions are encoded by method calls.
 package simwire
 
 import (
@@ -16,10 +16,10 @@
 	"lapisshelf/policy"
 )
 
-// Kind names an event.
+// Kind is the kind of an event.
 type Kind int
 
-// The events of a batch.
+// The kinds of events in a batch.
 const (
 	Start Kind = iota
 	Stop
@@ -33,7 +33,7 @@
 	Timer
 )
 
-var kinds = map[string]Kind{
+var eventKinds = map[string]Kind{
 	"Configure": Start, "Destroy": Stop, "RosterChange": List, "Order": Request, "Begun": FirstByte,
 	"ClosedAttempt": Result, "Aborted": Abandoned, "ProbeResult": Probed, "NeighbourSays": Peer, "Ring": Timer,
 }
@@ -43,7 +43,7 @@
 	304: policy.ConnectFailed, 305: policy.Reset, 306: policy.Cancelled, 307: policy.NotSent,
 }
 
-// Event is one event for one instance; only the fields of its kind are set.
+// Event is one event for one instance. Only the fields of its kind are set, as listed with each.
 type Event struct {
 	Kind     Kind
 	Instance string
@@ -53,7 +53,7 @@
 	Entries  []policy.Server // List
 	Request  policy.Request  // Request
 	ID       string          // FirstByte, Abandoned
-	Attempt  int             // FirstByte
+	Attempt  int             // FirstByte: number of the attempt
 	Result   policy.Result   // Result
 	Token    string          // Timer
 	Server   string          // Probed
@@ -61,15 +61,16 @@
 	Report   policy.Report   // Probed
 }
 
-// Batch is what happened at one moment.
+// Batch holds the events of one point in simulated time.
 type Batch struct {
 	Now    time.Duration
 	Number int64
 	Events []Event
 }
 
-// line is the union of all lines of a batch.
-type line struct {
+// message is one line of a batch, with the fields of all kinds of lines. The names of fields without a tag are the
+// keys on the wire.
+type message struct {
 	Kind     string `json:"kind"`
 	SimTime  int64
 	Frame    int64 `json:"frame"`
@@ -77,7 +78,7 @@
 	Prng     uint64
 	Settings json.RawMessage
 	Page     int
-	Entries  []entry
+	Entries  []listEntry
 	How      string
 	Handle   string
 	Grade    string
@@ -94,19 +95,20 @@
 	Pressure map[string]float64
 }
 
-type entry struct {
+// listEntry is one server of a list. Its field names are the keys on the wire.
+type listEntry struct {
 	Server, Az, Hw, Lifecycle string
 	Pack                      int
 	Scale                     *float64
 	Launched                  int64
 }
 
-// Reader reads batches. It remembers the numbered lists, which belong to the process.
+// Reader reads batches. It keeps the numbered server lists, which all instances of the process share.
 type Reader struct {
-	in    *bufio.Reader
-	row   int
-	batch int64
-	lists map[int][]policy.Server
+	in         *bufio.Reader
+	lineNumber int
+	batch      int64
+	lists      map[int][]policy.Server
 }
 
 // NewReader returns a Reader on r.
@@ -114,16 +116,16 @@
 	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int][]policy.Server{}}
 }
 
-func (r *Reader) bad(format string, args ...any) error {
-	return fmt.Errorf("batch %d, line %d: %w", r.batch, r.row, fmt.Errorf(format, args...))
+func (r *Reader) errorf(format string, args ...any) error {
+	return fmt.Errorf("batch %d, line %d: %w", r.batch, r.lineNumber, fmt.Errorf(format, args...))
 }
 
-// next reads one line; it gives io.EOF only at a clean end of the input.
-func (r *Reader) next() (line, error) {
-	var l line
+// readMessage reads the next line that is not empty. It returns io.EOF only if the input ends after a complete line.
+func (r *Reader) readMessage() (message, error) {
+	var l message
 	for {
 		text, err := r.in.ReadBytes('\n')
-		r.row++
+		r.lineNumber++
 		text = bytes.TrimSpace(text)
 		if len(text) == 0 {
 			if err != nil {
@@ -132,7 +134,7 @@
 			continue
 		}
 		if err := json.Unmarshal(text, &l); err != nil {
-			return l, r.bad("not a message: %w", err)
+			return l, r.errorf("not a message: %w", err)
 		}
 		return l, nil
 	}
@@ -140,19 +142,19 @@
 
 // Read returns the next batch, or io.EOF when the input ends between batches.
 func (r *Reader) Read() (Batch, error) {
-	l, err := r.next()
+	l, err := r.readMessage()
 	if err != nil {
 		return Batch{}, err
 	}
 	if l.Kind != "Batch" {
-		return Batch{}, r.bad("%q where a batch should open", l.Kind)
+		return Batch{}, r.errorf("%q where a batch should open", l.Kind)
 	}
 	b := Batch{Now: time.Duration(l.SimTime), Number: l.Frame}
-	r.batch, r.row = l.Frame, 1
+	r.batch, r.lineNumber = l.Frame, 1
 	for {
-		l, err := r.next()
+		l, err := r.readMessage()
 		if errors.Is(err, io.EOF) {
-			return b, r.bad("input ends inside the batch")
+			return b, r.errorf("input ends inside the batch")
 		}
 		if err != nil {
 			return b, err
@@ -161,21 +163,21 @@
 		case "Eob":
 			return b, nil
 		case "Census":
-			if r.lists[l.Page], err = entries(l.Entries); err != nil {
-				return b, r.bad("list %d: %w", l.Page, err)
+			if r.lists[l.Page], err = decodeEntries(l.Entries); err != nil {
+				return b, r.errorf("list %d: %w", l.Page, err)
 			}
 			continue
 		}
-		e, err := r.event(l)
+		e, err := r.decodeEvent(l)
 		if err != nil {
-			return b, r.bad("%s: %w", l.Kind, err)
+			return b, r.errorf("%s: %w", l.Kind, err)
 		}
 		b.Events = append(b.Events, e)
 	}
 }
 
-func (r *Reader) event(l line) (Event, error) {
-	kind, known := kinds[l.Kind]
+func (r *Reader) decodeEvent(l message) (Event, error) {
+	kind, known := eventKinds[l.Kind]
 	e := Event{Kind: kind, Instance: l.I, ID: l.Handle, Attempt: l.N, Token: l.Ref, Seed: l.Prng}
 	switch {
 	case !known:
@@ -188,13 +190,13 @@
 	case Start:
 		e.Settings, err = settings.Decode(l.Settings)
 	case List:
-		e.ListKind, e.Entries, err = r.list(l)
+		e.ListKind, e.Entries, err = r.decodeList(l)
 	case Request:
 		e.Request = policy.Request{ID: l.Handle, Class: l.Grade, Key: l.Resource.String(),
 			Remaining: time.Duration(l.Grace), Write: l.Write}
 		e.Request.Tenant, _ = l.Org.(string)
 	case Result:
-		e.Result, err = result(l)
+		e.Result, err = decodeResult(l)
 	case Probed:
 		e.Server, e.Passed = l.Server, l.Ending == 100
 		e.Report = policy.Report{Queue: l.Pressure["depth"], Rate: l.Pressure["tps"]}
@@ -202,7 +204,7 @@
 	return e, err
 }
 
-func (r *Reader) list(l line) (policy.ListKind, []policy.Server, error) {
+func (r *Reader) decodeList(l message) (policy.ListKind, []policy.Server, error) {
 	kind, known := map[string]policy.ListKind{"Partial": policy.ListChanges, "Complete": policy.ListComplete,
 		"Persisted": policy.ListSaved, "Error": policy.ListFailed}[l.How]
 	if !known {
@@ -218,7 +220,7 @@
 	return kind, list, nil
 }
 
-func entries(in []entry) ([]policy.Server, error) {
+func decodeEntries(in []listEntry) ([]policy.Server, error) {
 	states := map[string]policy.State{"in_service": policy.Ready, "terminating": policy.Draining,
 		"terminated": policy.Gone}
 	out := make([]policy.Server, 0, len(in))
@@ -239,16 +241,16 @@
 	return out, nil
 }
 
-func result(l line) (policy.Result, error) {
-	end, ok := outcomes[l.Ending]
+func decodeResult(l message) (policy.Result, error) {
+	outcome, ok := outcomes[l.Ending]
 	if !ok {
 		return policy.Result{}, fmt.Errorf("unknown outcome %d", l.Ending)
 	}
-	return policy.Result{ID: l.Handle, N: l.N, Server: l.Server, Outcome: end, CacheStatus: policy.CacheStatus(l.Remark),
+	return policy.Result{ID: l.Handle, N: l.N, Server: l.Server, Outcome: outcome, CacheStatus: policy.CacheStatus(l.Remark),
 		Final: l.Settled}, nil
 }
 
-// Writer collects the actions of one reply and sends it.
+// Writer buffers the actions of one reply and writes them at once.
 type Writer struct {
 	out *bufio.Writer
 	buf []byte
@@ -257,7 +259,7 @@
 // NewWriter returns a Writer on w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(w, 1<<20)} }
 
-// Close ends the reply to batch number n and flushes it; until then nothing of the reply is written.
+// Close ends the reply to batch n and writes it. No part of the reply is written earlier.
 func (w *Writer) Close(n int64) error {
 	w.buf = strconv.AppendInt(append(w.buf, `{"kind":"Next","frame":`...), n, 10)
 	w.buf = append(w.buf, "}\n"...)
@@ -272,86 +274,86 @@
 	return nil
 }
 
-func (w *Writer) text(name, value string) {
-	quoted, _ := json.Marshal(value) // a string always encodes
+func (w *Writer) stringField(name, value string) {
+	quoted, _ := json.Marshal(value) // cannot fail for a string
 	w.buf = append(append(append(append(w.buf, `,"`...), name...), `":`...), quoted...)
 }
 
-func (w *Writer) number(name string, value int64) {
+func (w *Writer) intField(name string, value int64) {
 	w.buf = strconv.AppendInt(append(append(append(w.buf, `,"`...), name...), `":`...), value, 10)
 }
 
-func (w *Writer) open(kind, instance string) {
+func (w *Writer) beginMessage(kind, instance string) {
 	w.buf = append(append(append(w.buf, `{"kind":"`...), kind...), '"')
-	w.text("I", instance)
+	w.stringField("I", instance)
 }
 
-func (w *Writer) end() { w.buf = append(w.buf, "}\n"...) }
+func (w *Writer) endMessage() { w.buf = append(w.buf, "}\n"...) }
 
-// Actor writes the actions of one instance; it is that instance's policy.Actions.
+// Actor implements policy.Actions for one instance by writing its actions to the reply.
 type Actor struct {
 	Writer   *Writer
 	Instance string
 }
 
 // Send implements policy.Actions.
-func (a Actor) Send(id, server string, wait, _ time.Duration) {
-	a.Writer.open("Place", a.Instance)
-	a.Writer.text("Handle", id)
-	a.Writer.text("Server", server)
-	if wait > 0 {
-		a.Writer.number("MaxWait", int64(wait))
+func (a Actor) Send(id, server string, timeout, _ time.Duration) {
+	a.Writer.beginMessage("Place", a.Instance)
+	a.Writer.stringField("Handle", id)
+	a.Writer.stringField("Server", server)
+	if timeout > 0 {
+		a.Writer.intField("MaxWait", int64(timeout))
 	}
-	a.Writer.end()
+	a.Writer.endMessage()
 }
 
 // Refuse implements policy.Actions.
-func (a Actor) Refuse(id string, comeBack time.Duration) {
-	a.Writer.open("SayNo", a.Instance)
-	a.Writer.text("Handle", id)
-	if comeBack > 0 {
-		a.Writer.number("HoldOff", int64(comeBack))
+func (a Actor) Refuse(id string, retryAfter time.Duration) {
+	a.Writer.beginMessage("SayNo", a.Instance)
+	a.Writer.stringField("Handle", id)
+	if retryAfter > 0 {
+		a.Writer.intField("HoldOff", int64(retryAfter))
 	}
-	a.Writer.end()
+	a.Writer.endMessage()
 }
 
 // Fail implements policy.Actions.
-func (a Actor) Fail(id string) { a.one("Fail", "Handle", id) }
+func (a Actor) Fail(id string) { a.writeMessage("Fail", "Handle", id) }
 
 // Cancel implements policy.Actions.
 func (a Actor) Cancel(id string, n int) {
-	a.Writer.open("DropAttempt", a.Instance)
-	a.Writer.text("Handle", id)
-	a.Writer.number("N", int64(n))
-	a.Writer.end()
+	a.Writer.beginMessage("DropAttempt", a.Instance)
+	a.Writer.stringField("Handle", id)
+	a.Writer.intField("N", int64(n))
+	a.Writer.endMessage()
 }
 
 // Timer implements policy.Actions.
 func (a Actor) Timer(after time.Duration, token string) {
-	a.Writer.open("WakeAt", a.Instance)
-	a.Writer.number("Span", int64(after))
-	a.Writer.text("Ref", token)
-	a.Writer.end()
+	a.Writer.beginMessage("WakeAt", a.Instance)
+	a.Writer.intField("Span", int64(after))
+	a.Writer.stringField("Ref", token)
+	a.Writer.endMessage()
 }
 
 // Subscribe implements policy.Actions.
 func (a Actor) Subscribe() {
-	a.Writer.open("Track", a.Instance)
+	a.Writer.beginMessage("Track", a.Instance)
 	a.Writer.buf = append(a.Writer.buf, `,"Want":true`...)
-	a.Writer.end()
+	a.Writer.endMessage()
 }
 
 // Probe implements policy.Actions.
-func (a Actor) Probe(server string) { a.one("Ping", "Server", server) }
+func (a Actor) Probe(server string) { a.writeMessage("Ping", "Server", server) }
 
 // Log implements policy.Actions.
-func (a Actor) Log(text string) { a.one("Debug", "NoteText", text) }
+func (a Actor) Log(text string) { a.writeMessage("Debug", "NoteText", text) }
 
-// Crash reports that the instance's module failed.
-func (a Actor) Crash(text string) { a.one("Exception", "NoteText", text) }
+// Crash reports that the instance's balancer panicked.
+func (a Actor) Crash(text string) { a.writeMessage("Exception", "NoteText", text) }
 
-func (a Actor) one(kind, name, value string) {
-	a.Writer.open(kind, a.Instance)
-	a.Writer.text(name, value)
-	a.Writer.end()
+func (a Actor) writeMessage(kind, name, value string) {
+	a.Writer.beginMessage(kind, a.Instance)
+	a.Writer.stringField(name, value)
+	a.Writer.endMessage()
 }
