--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -151,7 +151,7 @@
 	}{{"FamilyInfo.Mode", w.FamilyInfo.Mode, cacheModes}, {"MembershipMode", w.MembershipMode, membershipModes},
 		{"Weights", w.Weights, weightModes}, {"Feedback.How", w.Feedback.How, feedbackModes}} {
 		if !slices.Contains(c.known, c.value) {
-			return fmt.Errorf("settings: %s: %q, or missing; known are %q", c.key, c.value, c.known)
+			return fmt.Errorf("settings: %s: %q, or missing; must be one of %q", c.key, c.value, c.known)
 		}
 	}
 	for _, c := range []struct {
@@ -187,7 +187,7 @@
 			return fmt.Errorf("%s.KeyTtl: %d, or missing; a keyed class needs a window", at, c.KeyTtl)
 		}
 		if _, known := scopes[c.DedupScope]; c.Effect == "dedup" && !known {
-			return fmt.Errorf("%s.DedupScope: %q, or missing; known are all, zone and cell", at, c.DedupScope)
+			return fmt.Errorf("%s.DedupScope: %q, or missing; must be all, zone or cell", at, c.DedupScope)
 		}
 		seen[c.Name] = true
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -41,7 +41,7 @@
 		"unknown effect": {`"retryable"`, `"maybe"`},
 		"no aim":         {`"Aim":600000000`, `"Aim":0`},
 		"past deadline":  {`"Deadline":600000000`, `"Deadline":-1`},
-		"a word for one": {`"Balancers":3`, `"Balancers":"three"`},
+		"string for int": {`"Balancers":3`, `"Balancers":"three"`},
 	} {
 		if _, _, err := DecodeAll([]byte(strings.Replace(validSettings, change[0], change[1], 1))); err == nil {
 			t.Errorf("%s: accepted", name)
