--- a/internal/node/capacity.go
+++ b/internal/node/capacity.go
@@ -146,7 +146,7 @@
 
 // atCapacity reports whether the node has no room for a request with a value of this size.
 func (n *Node) atCapacity(value int) bool {
-	limit := n.cfg.Transport.MostHeld
+	limit := n.cfg.Transport.MaxRequests
 	return limit > 0 && len(n.requests) >= limit || n.writeBytes+n.clientBytes+value > n.maxHeldBytes()
 }
 
