--- a/cmd/lapisshelf/main.go
+++ b/cmd/lapisshelf/main.go
@@ -133,7 +133,7 @@
 // tooMany warns of a fleet that its list's calls a second let know of a change too late, in one line with file and key: the
 // operator's file, which may be nil, where the list or the fleet's size is told there.
 func tooMany(cfg *node.Config, path string, op *operator.File) error {
-	why := cfg.TooMany()
+	why := cfg.FleetTooLarge()
 	switch {
 	case why == "":
 		return nil
--- a/cmd/lapisshelf/serve.go
+++ b/cmd/lapisshelf/serve.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	n.Limit(limitMemory)
+	n.OnMemoryLimit(limitMemory)
 	log.Printf("event=start name=%s listen=%s list=%s memory_mb=%d sockets=%d", cfg.Name, cfg.Listen, cfg.Registry.Endpoints,
 		cfg.MemoryMB, cfg.Sockets)
 	go func() {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -21,20 +21,20 @@
 
 // Config is what a node is told at its start.
 type Config struct {
-	Name      string
-	Listen    netip.AddrPort
-	Control   netip.AddrPort    // the operators' address; none if it is not valid
-	StateDir  string            // where the processes of this node know of each other; empty: they don't
-	Registry  registry.Config   // where the server list is
-	Announce  *Announce         // the node's own entry there; nil: none
-	Planners  *forwarder.Config // nil: there are none
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int
-	Known     registry.Saved
-	BadKnown  error // why the list known before is ignored
-	Settings  policy.Settings
-	Transport settings.Transport
+	Name         string
+	Listen       netip.AddrPort
+	Control      netip.AddrPort    // the operators' address; none if it is not valid
+	StateDir     string            // where the processes of this node know of each other; empty: they don't
+	Registry     registry.Config   // where the server list is
+	Announce     *Announce         // the node's own entry there; nil: none
+	Planners     *forwarder.Config // nil: there are none
+	Seed         uint64
+	MemoryMB     int
+	Sockets      int
+	SavedList    registry.Saved
+	SavedListErr error // why the list known before is ignored
+	Settings     policy.Settings
+	Transport    settings.Transport
 }
 
 // Announce is the entry that a node keeps of itself in the registry.
@@ -154,7 +154,7 @@
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
 		// A list as bad as it may be is no reason not to start: discovery tells a better one.
-		c.Known, c.BadKnown = registry.ParseSaved(file.Known)
+		c.SavedList, c.SavedListErr = registry.ParseSaved(file.Known)
 	}
 	if len(file.Settings) == 0 {
 		var told bool
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -45,8 +45,8 @@
 	return c
 }
 
-// TooMany says that the fleet is larger than the calls a second let know of a change before it counts; empty: it is not.
-func (cfg *Config) TooMany() string {
+// FleetTooLarge says that the fleet is larger than the calls a second let know of a change before it counts; empty: it is not.
+func (cfg *Config) FleetTooLarge() string {
 	c := cfg.followed()
 	c.Roster.Endpoints = len(c.Endpoints)
 	return operator.TooMany(c.Roster, "Balancers", cfg.Settings.Balancers)
@@ -56,7 +56,7 @@
 func (n *Node) follow() {
 	n.registry = registry.New(n.loop, n.cfg.followed(), n.cfg.Seed, n.told, n.listNote)
 	n.registry.Heard = n.listHeard
-	n.registry.Start(n.cfg.Known.Revision, n.cfg.Known.Entries)
+	n.registry.Start(n.cfg.SavedList.Revision, n.cfg.SavedList.Entries)
 	n.loop.After(readyWithin, n.nowReady)
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -161,9 +161,9 @@
 	if err := n.operate(); err != nil {
 		return nil, err
 	}
-	if cfg.BadKnown != nil {
+	if cfg.SavedListErr != nil {
 		n.count.knownBad++
-		log.Printf("event=bad_known why=%q", cfg.BadKnown)
+		log.Printf("event=bad_known why=%q", cfg.SavedListErr)
 	}
 	if n.cfg.Settings.MayProbe { // reads are sent unasked, as where probes are not allowed
 		n.cfg.Settings.MayProbe = false
@@ -171,7 +171,7 @@
 	}
 	n.guard("start", func() {
 		n.policy = policy.New(l.Now(), n.cfg.Settings, cfg.Seed, actions{n})
-		n.members(policy.ListSaved, cfg.Known.Entries)
+		n.members(policy.ListSaved, cfg.SavedList.Entries)
 	})
 	n.succession.begin()
 	n.follow()
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -252,8 +252,8 @@
 	}
 }
 
-// Limit has f called with the megabytes that the process may use, now and when that changes.
-func (n *Node) Limit(f func(mb int)) {
+// OnMemoryLimit has f called with the megabytes that the process may use, now and when that changes.
+func (n *Node) OnMemoryLimit(f func(mb int)) {
 	n.limit = f
 	n.tellMemory()
 }
