--- a/cmd/lapislab/lapislab_test.go
+++ b/cmd/lapislab/lapislab_test.go
@@ -195,7 +195,7 @@
 		{"and the effects of it", "decide/safety/safety.go", "		return MayHaveRun\n", "		return Allowed\n", spoilt,
 			"no_double", "doubled_effect"},
 		{"a refusal that is not true", "policy/policy.go", "return r.class.Effect == Safe || !slices", "return true || !slices", spoilt, "no_double", "false_refusal"},
-		{"two attempts at once", "internal/node/pool.go", "		l.over()\n	}\n	p.node.finished(t, end)\n",
+		{"two attempts at once", "internal/node/pool.go", "		l.closeAndFail()\n	}\n	p.node.finished(t, end)\n",
 			"	}\n	p.node.finished(t, end)\n", calm + "[[fault]]\nkind = \"hang\"\nat = \"10%\"\nservers = [\"c1\"]\n", "no_double", "two_at_once"},
 		{"a send after the drain's grace", "internal/registry/entry.go", `"DRAINING": policy.Draining`, `"DRAINING": policy.Ready`, drain, "drains", "sent_to_drained"},
 		{"a ban that is only said", "internal/node/operate.go", "	n.guard(\"ban\", func() { n.policy.Ban(n.loop.Now(), id, on) })\n", "", banned, "drains", "sent_to_banned"},
--- a/cmd/lapislab/planted_test.go
+++ b/cmd/lapislab/planted_test.go
@@ -50,8 +50,8 @@
 	{name: "a listener does not go on after a shortage", seeds: 12, edits: []replacement{
 		{"internal/loop/conn.go", "ln.resourceShortage = false", "ln.resourceShortage = true"}}},
 	{name: "a lost process is never replaced by one that is ready", seeds: 4, edits: []replacement{
-		{"internal/node/members.go", "readyWithin = 2 * time.Second", "readyWithin = 200 * time.Second"},
-		{"internal/node/members.go", "n.registry.Heard = n.listHeard", "n.registry.Heard = nil"}}},
+		{"internal/node/members.go", "readyTimeout       = 2 * time.Second", "readyTimeout       = 200 * time.Second"},
+		{"internal/node/members.go", "n.registry.Heard = n.onListAnswer", "n.registry.Heard = nil"}}},
 }
 
 // overlay writes a planted fault's files and gives the flag that builds with them. The place of each must be there once.
--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -19,7 +19,7 @@
 // body is a long value on its way from a server to a client: nothing of it is kept but what waits for its turn, and what
 // the client's connection has not handed to the system. While that is something, nothing is read from the server.
 type body struct {
-	link  *link
+	link  *serverConn
 	try   *try // nil once nobody waits: what comes is passed over
 	size  int
 	left  int    // bytes of the value to come
@@ -33,7 +33,7 @@
 
 // receive begins a long value: the request is bound to the attempt from here on. The module is told, so that it neither tries
 // again nor counts the attempt against the server, however long the client takes.
-func (l *link) receive(t *try, a answer) {
+func (l *serverConn) receive(t *try, a answer) {
 	n := l.pool.node
 	b := &body{link: l, try: t, size: a.long, left: a.long, tail: a.tail, close: a.close, heard: n.loop.Now()}
 	l.body = b
@@ -46,7 +46,7 @@
 	t.timer.Stop()
 	c.timer.Stop()
 	c.body = b
-	n.count.bodies++
+	n.count.longValues++
 	n.guard("begun", func() { n.policy.ResponseStarted(n.loop.Now(), c.id, t.n) })
 	c.client.flush() // its turn may have come
 }
@@ -111,7 +111,7 @@
 		b.heard = b.link.pool.node.loop.Now()
 	}
 	b.link.conn.SetPaused(stop)
-	b.link.paused = stop
+	b.link.readPaused = stop
 }
 
 // begin gives the client the beginning, at the answer's turn on its connection.
@@ -120,7 +120,7 @@
 	head := meta.AppendValueLine(make([]byte, 0, len(b.kept)+64), b.try.call.command.ID, b.size)
 	c.conn.Write(append(head, b.kept...))
 	b.kept = nil
-	b.link.account()
+	b.link.updateBuffered()
 	b.hasten()
 	b.flow()
 }
@@ -129,7 +129,7 @@
 // restart of that server under it: what it had given and nobody had read was lost (launceston-platform,
 // hand+leave+silent+bulk 8: 1 of 169, in one run of four).
 func (b *body) hasten() {
-	if b.try != nil && b.begun && !b.link.pool.open() {
+	if b.try != nil && b.begun && !b.link.pool.available() {
 		b.try.call.client.deepen()
 	}
 }
@@ -139,11 +139,11 @@
 	l := b.link
 	n := l.pool.node
 	silent := n.loop.Now() - b.heard
-	if l.paused {
+	if l.readPaused {
 		silent = 0
 	}
 	if silent >= bodyStall {
-		l.bad("a long value that stops in its midst")
+		l.closeMalformed("a long value that stops in its midst")
 		return
 	}
 	b.timer = n.loop.After(bodyStall-silent, b.look)
@@ -152,7 +152,7 @@
 // nobody has what comes passed over.
 func (b *body) nobody() {
 	b.try, b.kept = nil, nil
-	b.link.account()
+	b.link.updateBuffered()
 	b.flow()
 }
 
@@ -172,7 +172,7 @@
 		// Guards against an answer behind that one, which would be taken for the rest of the value.
 		n.count.brokenOff++
 		log.Printf("event=broken_off id=%s server=%s left=%d", c.id, b.link.pool.id, b.left)
-		n.end(c.class, failed)
+		n.countEnding(c.class, failed)
 		n.unclock(c)
 		c.client.breakOff()
 	}
--- a/internal/node/caches.go
+++ b/internal/node/caches.go
@@ -9,21 +9,21 @@
 )
 
 // cacheProtocol speaks the meta commands to a cache server.
-type cacheProtocol struct{ perConn int }
+type cacheProtocol struct{ maxPipelined int }
 
-func (p cacheProtocol) pipelines() bool { return p.perConn > 1 }
+func (p cacheProtocol) canPipeline() bool { return p.maxPipelined > 1 }
 
-// request is the client's command as it came, with the node's own wait.
-func (cacheProtocol) request(buf []byte, t *try, wait time.Duration) []byte {
-	return meta.AppendForwarded(buf, &t.call.command, told(wait))
+// appendRequest is the client's command as it came, with the node's own wait.
+func (cacheProtocol) appendRequest(buf []byte, t *try, wait time.Duration) []byte {
+	return meta.AppendForwarded(buf, &t.call.command, timeoutMillis(wait))
 }
 
-// told is how long the node waits, as an attempt tells it: in whole milliseconds, at least one.
-func told(wait time.Duration) int64 { return max(1, wait.Milliseconds()) }
+// timeoutMillis is how long the node waits, as an attempt tells it: in whole milliseconds, at least one.
+func timeoutMillis(wait time.Duration) int64 { return max(1, wait.Milliseconds()) }
 
-func (cacheProtocol) behind() string { return "\r\n" }
+func (cacheProtocol) bodySuffix() string { return "\r\n" }
 
-func (cacheProtocol) answer(data []byte, t *try, _ int, _ bool) (answer, int, error) {
+func (cacheProtocol) parseAnswer(data []byte, t *try, _ int, _ bool) (answer, int, error) {
 	m, used, err := meta.ParseResponse(data, meta.MaxValue, meta.MaxLongValue)
 	if err != nil || used == 0 {
 		return answer{}, 0, err
--- a/internal/node/capacity.go
+++ b/internal/node/capacity.go
@@ -14,14 +14,14 @@
 // was full of them for as long as others came, and nobody was served.
 func (s *clients) full() bool {
 	n := s.node
-	return n.open()-s.reserved-n.links >= n.room()-max(n.links, n.linkLeast())
+	return n.openConns()-s.reserved-n.links >= n.maxConns()-max(n.links, n.minServerConns())
 }
 
 // brimful reports whether not even the reserve has a descriptor left for a client: what servers must have and a call for
 // the list are none of theirs.
 func (s *clients) brimful() bool {
 	n := s.node
-	return n.open()-n.links >= n.brim()-max(n.links, n.linkLeast())-listSockets
+	return n.openConns()-n.links >= n.maxConnsWithReserve()-max(n.links, n.minServerConns())-listSockets
 }
 
 // crowded reports whether one more client would find no room, or no descriptor at all.
@@ -56,8 +56,8 @@
 		if oldest := front(s.idle); oldest != nil && oldest.rested() {
 			s.node.count.clientsShed++
 			oldest.finish(closedForRoom)
-		} else if s.node.links > s.node.linkLeast() {
-			s.node.shed()
+		} else if s.node.links > s.node.minServerConns() {
+			s.node.closeOldestIdle()
 		}
 	}
 	s.listener.SetPaused(s.brimful())
@@ -129,13 +129,13 @@
 	n := s.node
 	// With few descriptors servers, the reserve and the operators' address leave clients less than their part: a second
 	// process with places for two to five kept each idle for 2 s, and requests waited unread for over 10 s.
-	places := min(n.room(), n.brim()-listSockets) - max(n.links, n.linkLeast()) - listenSockets
-	most := max(1, min(n.sockets()/heldByClients, places))
+	places := min(n.maxConns(), n.maxConnsWithReserve()-listSockets) - max(n.links, n.minServerConns()) - listenSockets
+	most := max(1, min(n.maxSockets()/heldByClients, places))
 	used := float64(len(s.all)-s.owing.Len()) / float64(most)
 	switch {
 	case used > 0.5:
 		return max(idleLeast, time.Duration(float64(idleShort)*(0.875-used)/0.375))
-	case 2*n.open() > n.room():
+	case 2*n.openConns() > n.maxConns():
 		return idleShort
 	}
 	return idleFor
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -25,7 +25,7 @@
 // maySend asks whether an attempt that tells its server so much may be written now.
 func (n *Node) maySend(t *try, told time.Duration, gone bool) safety.Reason {
 	c, now := t.call, n.loop.Now()
-	reason := safety.CheckSend(safety.Attempt{Answered: c.answered, ClientGone: gone, Remaining: c.left(now), Timeout: told, ServerAccepts: t.pool.open()})
+	reason := safety.CheckSend(safety.Attempt{Answered: c.answered, ClientGone: gone, Remaining: c.left(now), Timeout: told, ServerAccepts: t.pool.available()})
 	if reason != safety.Allowed || c.class.effect == safety.Safe {
 		return reason
 	}
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -137,8 +137,8 @@
 	conn.WatchPeerClose()
 	s.all[c] = true
 	c.rest(s.owing)
-	s.node.count.clientsIn++
-	c.number = uint64(s.node.count.clientsIn)
+	s.node.count.clientsAccepted++
+	c.number = uint64(s.node.count.clientsAccepted)
 	s.node.recorder.add(record{at: now, transition: clientOpened, client: c.number})
 	s.thin()
 	c.seat(s.full())
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -132,13 +132,13 @@
 	}
 	// Whoever asks goes before those who may be about to.
 	if c.seat(c.excess && n.clients.full() && !n.clients.evict(0)); c.excess {
-		n.count.full++
+		n.count.refusedFull++
 		c.refuse(kind)
 		c.parting = true // its descriptor is wanted
 		return
 	}
 	if n.full(len(m.Value) + min(m.LongSize, bodyKept)) {
-		n.count.full++
+		n.count.refusedFull++
 		c.refuse(kind)
 		return
 	}
@@ -169,7 +169,7 @@
 	// Guards against one who sends the id of another's request: an open one would be taken for that request, and a
 	// refusal would be taken for that request's. Each request has an id of its own, also a retry.
 	if n.calls[string(id)] != nil || n.clients.seen.has(id) {
-		n.count.sameID++
+		n.count.duplicateIDs++
 		return errors.New("request id in use")
 	}
 	return nil
@@ -193,7 +193,7 @@
 
 // refuse turns a request away that the module has not seen.
 func (c *client) refuse(kind *class) {
-	c.node.end(kind, refused)
+	c.node.countEnding(kind, refused)
 	c.say(string(meta.AppendBusy(nil, 0)))
 }
 
@@ -213,7 +213,7 @@
 	if err != nil || ms <= 0 {
 		return nil, 0, errors.New("bad deadline")
 	}
-	return kind, min(time.Duration(ms)*time.Millisecond, kind.longest), nil
+	return kind, min(time.Duration(ms)*time.Millisecond, kind.maxDeadline), nil
 }
 
 // keep copies a command out of the buffer it was parsed from.
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -46,9 +46,9 @@
 
 // What a node takes its limits to be where it is not told.
 const (
-	usualMemoryMB = 192
-	usualSockets  = 1024
-	fewestSockets = 64 // with less there is no room for the fleet and its clients
+	defaultMemoryMB = 192
+	defaultSockets  = 1024
+	minSockets      = 64 // with less there is no room for the fleet and its clients
 )
 
 // ReadConfig reads the file that EDGE_CONFIG names. The single variables stand in for what the file leaves out, and the
@@ -87,38 +87,38 @@
 		Known    json.RawMessage
 		Settings json.RawMessage
 	}
-	bad := func(what string, err error) (Config, error) {
+	configError := func(what string, err error) (Config, error) {
 		return Config{}, fmt.Errorf("configuration: %s: %w", what, err)
 	}
 	if err := json.Unmarshal(text, &file); err != nil {
-		return bad("not JSON of the expected form", err)
+		return configError("not JSON of the expected form", err)
 	}
 	c := Config{Name: cmp.Or(file.Name, getenv("EDGE_NAME"), op.Node.Name), MemoryMB: cmp.Or(file.Limits.MemoryMB, op.Node.MemoryMB),
 		Sockets: cmp.Or(file.Limits.Sockets, op.Node.Sockets)}
 	var err error
 	if c.Listen, err = netip.ParseAddrPort(cmp.Or(file.Listen, getenv("EDGE_LISTEN"), op.Node.Listen)); err != nil {
-		return bad("listen", err)
+		return configError("listen", err)
 	}
 	if control := cmp.Or(file.Control, getenv("EDGE_CONTROL"), op.Node.Control); control != "" {
 		if c.Control, err = netip.ParseAddrPort(control); err != nil {
-			return bad("control", err)
+			return configError("control", err)
 		}
 		if file.Control != "" || getenv("EDGE_CONTROL") != "" { // a platform that tells it runs upgrades beside the old process
 			c.StateDir = getenv("TMPDIR")
 		}
 		if c.Control == c.Listen && c.Listen.Port() != 0 {
-			return bad("control", errors.New("the address is the one that clients connect to"))
+			return configError("control", errors.New("the address is the one that clients connect to"))
 		}
 	}
 	c.StateDir = cmp.Or(op.Node.StateDir, c.StateDir)
 	discovery := cmp.Or(file.Discovery, getenv("EDGE_DISCOVERY"), op.Node.Discovery)
-	if told, err := op.Registry(); err != nil {
+	if registryConfig, err := op.Registry(); err != nil {
 		return Config{}, err
-	} else if told != nil && discovery == "" {
-		c.Registry = *told
+	} else if registryConfig != nil && discovery == "" {
+		c.Registry = *registryConfig
 		if a := op.Announce; a != nil {
 			if c.Name == "" {
-				return bad("announce", errors.New("a node that announces itself needs a name"))
+				return configError("announce", errors.New("a node that announces itself needs a name"))
 			}
 			own := roster.Entry{Addr: c.Listen.String(), Server: policy.Server{ID: c.Name, Kind: "node", Weight: -1}}
 			c.Announce = &Announce{Key: a.Prefix + c.Name, Value: registry.FormatEntry(own), TTL: a.TTL.D()}
@@ -126,7 +126,7 @@
 	} else {
 		addr, err := netip.ParseAddrPort(discovery)
 		if err != nil {
-			return bad("discovery", err)
+			return configError("discovery", err)
 		}
 		c.Registry = registry.Config{Kind: registry.Discovery, Endpoints: []netip.AddrPort{addr}}
 	}
@@ -134,32 +134,32 @@
 		return Config{}, err
 	} else if c.Planners != nil {
 		if c.Planners.Name = c.Name; c.Name == "" {
-			return bad("planners", errors.New("a node that talks to planners needs a name"))
+			return configError("planners", errors.New("a node that talks to planners needs a name"))
 		}
 	}
-	if c.Seed, err = seed(file.Seed); err != nil {
-		return bad("seed", err)
+	if c.Seed, err = parseSeed(file.Seed); err != nil {
+		return configError("seed", err)
 	}
 	if len(file.Seed) == 0 {
 		c.Seed = cmp.Or(op.Node.Seed, rand.Uint64())
 	}
-	if c.MemoryMB < 0 || c.Sockets < 0 || c.Sockets > 0 && c.Sockets < fewestSockets {
-		return bad("limits", fmt.Errorf("memory_mb %d, sockets %d", c.MemoryMB, c.Sockets))
+	if c.MemoryMB < 0 || c.Sockets < 0 || c.Sockets > 0 && c.Sockets < minSockets {
+		return configError("limits", fmt.Errorf("memory_mb %d, sockets %d", c.MemoryMB, c.Sockets))
 	}
 	if c.MemoryMB == 0 {
-		c.MemoryMB = usualMemoryMB
+		c.MemoryMB = defaultMemoryMB
 	}
 	if c.Sockets == 0 {
-		c.Sockets = usualSockets
+		c.Sockets = defaultSockets
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
 		// A list as bad as it may be is no reason not to start: discovery tells a better one.
 		c.SavedList, c.SavedListErr = registry.ParseSaved(file.Known)
 	}
 	if len(file.Settings) == 0 {
-		var told bool
-		if c.Settings, c.Transport, told = op.Settings(); !told {
-			return bad("settings", errors.New("missing, and no operator's file has [service]"))
+		var found bool
+		if c.Settings, c.Transport, found = op.Settings(); !found {
+			return configError("settings", errors.New("missing, and no operator's file has [service]"))
 		}
 		return c, nil
 	}
@@ -169,14 +169,14 @@
 	return c, nil
 }
 
-// seed reads 64 bits in hexadecimal, or a plain number.
-func seed(text json.RawMessage) (uint64, error) {
+// parseSeed reads 64 bits in hexadecimal, or a plain number.
+func parseSeed(text json.RawMessage) (uint64, error) {
 	if len(text) == 0 {
 		return 0, nil
 	}
-	var word string
-	if json.Unmarshal(text, &word) == nil {
-		return strconv.ParseUint(word, 16, 64)
+	var hex string
+	if json.Unmarshal(text, &hex) == nil {
+		return strconv.ParseUint(hex, 16, 64)
 	}
 	var n uint64
 	err := json.Unmarshal(text, &n)
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -11,18 +11,18 @@
 
 // counters tell what has been taken in, sent and answered since the start.
 type counters struct {
-	taken, abandoned, overdue                                   int64
-	full, badLines, clientsIn, clientsShed, clientsSlow         int64
-	attempts, written, links, linksShed, pipelined, dialsFailed int64
-	badAnswers, knownBad, panics                                int64
-	surplus, reloads, reloadsBad                                int64
-	bodies, brokenOff, uploads                                  int64
-	clientsBad, clientsIdle, sameID                             int64
-	violations, tooLate                                         int64
-	outcomes                                                    [policy.NotSent + 1]int64
-	sendsRefused, violated                                      [safety.NumReasons]int64
-	closings                                                    [closings]int64
-	ended                                                       [endings]int64 // of the classes together
+	taken, abandoned, overdue                                               int64
+	refusedFull, badLines, clientsAccepted, clientsShed, clientsSlow        int64
+	attempts, written, serverConns, serverConnsShed, pipelined, dialsFailed int64
+	badAnswers, savedListsBad, panics                                       int64
+	surplusAnswers, reloads, reloadsFailed                                  int64
+	longValues, brokenOff, longWrites                                       int64
+	clientsBad, clientsIdle, duplicateIDs                                   int64
+	violations, tooLate                                                     int64
+	outcomes                                                                [policy.NotSent + 1]int64
+	sendsRefused, violated                                                  [safety.NumReasons]int64
+	closings                                                                [closings]int64
+	ended                                                                   [numEndings]int64 // of the classes together
 }
 
 // ending is how a request ended for its client.
@@ -32,23 +32,23 @@
 	served ending = iota
 	refused
 	failed
-	endings
+	numEndings
 )
 
-var endingNames = [endings]string{served: "served", refused: "refused", failed: "failed"}
+var endingNames = [numEndings]string{served: "served", refused: "refused", failed: "failed"}
 
 // class is what the node knows of a class of requests.
 type class struct {
-	name    string
-	longest time.Duration // the deadline that no request of it exceeds
-	aim     time.Duration // answers within it earn the full worth
-	effect  safety.Effect // of repeating a request of it
-	window  time.Duration // how long servers remember one, where the effect is keyed
-	ended   [endings]int64
+	name        string
+	maxDeadline time.Duration // the deadline that no request of it exceeds
+	aim         time.Duration // answers within it earn the full worth
+	effect      safety.Effect // of repeating a request of it
+	window      time.Duration // how long servers remember one, where the effect is keyed
+	ended       [numEndings]int64
 }
 
-// end counts a request's end, and is the one place that does.
-func (n *Node) end(c *class, how ending) {
+// countEnding counts a request's end, and is the one place that does.
+func (n *Node) countEnding(c *class, how ending) {
 	c.ended[how]++
 	n.count.ended[how]++
 }
@@ -57,7 +57,7 @@
 	policy.TimedOut: "timeout", policy.ConnectFailed: "connect_failed", policy.Reset: "reset",
 	policy.Cancelled: "cancelled", policy.NotSent: "moot"}
 
-func (c *counters) outcome(o policy.Outcome) { c.outcomes[o]++ }
+func (c *counters) addOutcome(o policy.Outcome) { c.outcomes[o]++ }
 
 // line is the counters as key=value text, with what is held now.
 func (c *counters) line(n *Node) string {
@@ -70,24 +70,24 @@
 	}
 	put("abandoned", c.abandoned)
 	put("overdue", c.overdue)
-	put("full_house", c.full)
+	put("full_house", c.refusedFull)
 	put("bad_lines", c.badLines)
-	put("same_id", c.sameID)
+	put("same_id", c.duplicateIDs)
 	put("attempts", c.attempts)
 	put("written", c.written)
 	for o, name := range outcomeNames {
 		put(name, c.outcomes[o])
 	}
 	put("bad_answers", c.badAnswers)
-	put("surplus_answers", c.surplus)
-	put("long_values", c.bodies)
+	put("surplus_answers", c.surplusAnswers)
+	put("long_values", c.longValues)
 	put("broken_off", c.brokenOff)
-	put("long_writes", c.uploads)
-	put("server_conns", c.links)
-	put("server_conns_shed", c.linksShed)
+	put("long_writes", c.longWrites)
+	put("server_conns", c.serverConns)
+	put("server_conns_shed", c.serverConnsShed)
 	put("pipelined", c.pipelined)
 	put("dials_failed", c.dialsFailed)
-	put("clients", c.clientsIn)
+	put("clients", c.clientsAccepted)
 	put("clients_shed", c.clientsShed)
 	put("clients_slow", c.clientsSlow)
 	put("clients_bad", c.clientsBad)
@@ -95,7 +95,7 @@
 	l := n.registry.Counts()
 	revision, servers, kept := n.registry.Held()
 	put("lists", l.Answers)
-	put("lists_bad", n.registry.Bad+c.knownBad)
+	put("lists_bad", n.registry.Bad+c.savedListsBad)
 	put("lists_failed", l.Failed)
 	put("lists_whole", l.Lists)
 	put("list_calls", l.Calls)
@@ -107,7 +107,7 @@
 	put("entries_left_out", l.LeftOut)
 	put("entries_held", l.Held)
 	put("reloads", c.reloads)
-	put("reloads_bad", c.reloadsBad)
+	put("reloads_bad", c.reloadsFailed)
 	put("panics", c.panics)
 	put("violations", c.violations)
 	put("too_late", c.tooLate)
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -10,22 +10,22 @@
 )
 
 // fill has clients connect, one by one, until a condition holds. They say nothing and stay, and nothing is closed for it.
-func (b *bench) fill(until func() bool) {
+func (b *harness) fill(until func() bool) {
 	b.t.Helper()
 	n := b.node
 	n.clients.closing = true // thin does nothing
 	defer func() { n.clients.closing = false }()
 	for i := 0; !until(); i++ {
-		if i > n.sockets() {
+		if i > n.maxSockets() {
 			b.t.Fatal("clients take more than there is")
 		}
-		conn, err := net.Dial("tcp", b.listens().String())
+		conn, err := net.Dial("tcp", b.clientAddr().String())
 		if err != nil {
 			b.t.Fatal(err)
 		}
 		b.t.Cleanup(func() { conn.Close() })
-		before := n.count.clientsIn
-		b.run("it is taken in", func() bool { return n.count.clientsIn > before })
+		before := n.count.clientsAccepted
+		b.runUntil("it is taken in", func() bool { return n.count.clientsAccepted > before })
 		for c := range n.clients.all { // and tidy does nothing, however slow the machine
 			c.since, c.used = n.loop.Now()+time.Hour, n.loop.Now()+time.Hour
 		}
@@ -33,7 +33,7 @@
 }
 
 // idle has all of them have asked, and been answered.
-func (b *bench) idle() {
+func (b *harness) idle() {
 	for c := range b.node.clients.all {
 		c.asked = true
 		c.rest(b.node.clients.idle)
@@ -43,17 +43,17 @@
 // Guards against clients who fill the room and the reserve: servers to whom no connection stands, and the call for the list,
 // still get their descriptors.
 func TestClientsLeaveServersAndTheListTheirs(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	n := b.node
 	n.cfg.Sockets = 64
 	b.fill(n.clients.brimful)
-	if left := n.brim() - n.open(); left < n.linkLeast()+listSockets {
-		t.Errorf("%d descriptors are left, of which servers must have %d and the list %d", left, n.linkLeast(), listSockets)
+	if left := n.maxConnsWithReserve() - n.openConns(); left < n.minServerConns()+listSockets {
+		t.Errorf("%d descriptors are left, of which servers must have %d and the list %d", left, n.minServerConns(), listSockets)
 	}
 	for c := range n.clients.all { // each has asked, and sent one away that had not
 		c.seat(false)
 	}
-	for i := range n.linkLeast() {
+	for i := range n.minServerConns() {
 		if !n.mayDial() || b.pool.dial() == nil {
 			t.Fatalf("connection %d to a server finds no room", i)
 		}
@@ -61,14 +61,14 @@
 	if n.mayDial() {
 		t.Error("servers take more than they must have from a full house")
 	}
-	if !n.clients.brimful() || n.open() > n.brim() {
-		t.Errorf("%d of %d descriptors are taken, and there is room for a client", n.open(), n.brim())
+	if !n.clients.brimful() || n.openConns() > n.maxConnsWithReserve() {
+		t.Errorf("%d of %d descriptors are taken, and there is room for a client", n.openConns(), n.maxConnsWithReserve())
 	}
 }
 
 // Guards against clients in the reserve, or refused and not yet gone, who are counted in the room: it would be full of them.
 func TestTheReserveTakesNoRoom(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	n := b.node
 	n.cfg.Sockets = 64
 	b.fill(n.clients.brimful)
@@ -96,7 +96,7 @@
 			c.finish(closedIdle)
 		}
 	}
-	b.run("those of the reserve are gone", func() bool { return n.clients.parted.Len() == 0 })
+	b.runUntil("those of the reserve are gone", func() bool { return n.clients.parted.Len() == 0 })
 	if n.clients.reserved != 0 {
 		t.Errorf("%d descriptors of the reserve are held by nobody", n.clients.reserved)
 	}
@@ -105,7 +105,7 @@
 // Guards against clients that don't close what the node has ended: in a full house they are waited for only until they have
 // acknowledged their answers.
 func TestAFullHouseWaitsForNobodyToFinish(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	n := b.node
 	n.cfg.Sockets = 64
 	b.fill(n.clients.brimful)
@@ -120,7 +120,7 @@
 	if first == nil || n.clients.part() {
 		t.Fatal("nobody is waited for, or no time at all")
 	}
-	b.run("a moment has passed", func() bool { return n.loop.Now()-first.used >= partShort })
+	b.runUntil("a moment has passed", func() bool { return n.loop.Now()-first.used >= partShort })
 	n.clients.closing = false
 	n.clients.thin()
 	if got := n.clients.parted.Len(); got == 5 || n.clients.brimful() {
@@ -130,7 +130,7 @@
 
 // Guards against a process with few descriptors, as one of two is, that keeps the few clients it has places for idle for long.
 func TestFewPlacesAreNotKeptIdle(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	n := b.node
 	n.cfg.Sockets = 30
 	var err error
@@ -149,10 +149,10 @@
 }
 
 // connect has so many clients connect without a word; the system takes them in its queue.
-func (b *bench) connect(clients int) (all []net.Conn) {
+func (b *harness) connect(clients int) (all []net.Conn) {
 	b.t.Helper()
 	for range clients {
-		conn, err := net.DialTimeout("tcp", b.listens().String(), 5*time.Second)
+		conn, err := net.DialTimeout("tcp", b.clientAddr().String(), 5*time.Second)
 		if err != nil {
 			b.t.Fatal(err)
 		}
@@ -172,21 +172,21 @@
 		"ending":  func(n *Node) { n.leaving, n.lastAnswer = true, n.loop.Now()+time.Hour },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
+			b := newHarness(t)
 			n := b.node
 			n.cfg.Sockets = 64
-			before := n.count.clientsIn
+			before := n.count.clientsAccepted
 			all := b.connect(2 * n.cfg.Sockets)
 			begin(n)
 			n.clients.empty()
 			for range 10 {
-				b.run("a look", func() bool { return true })
-				if left := n.brim() - n.open(); left < n.linkLeast()+listSockets {
-					t.Fatalf("%d descriptors are left, of which servers must have %d and the list %d", left, n.linkLeast(), listSockets)
+				b.runUntil("a look", func() bool { return true })
+				if left := n.maxConnsWithReserve() - n.openConns(); left < n.minServerConns()+listSockets {
+					t.Fatalf("%d descriptors are left, of which servers must have %d and the list %d", left, n.minServerConns(), listSockets)
 				}
 			}
-			if n.count.clientsIn == before || !n.leaving && !n.clients.brimful() {
-				t.Errorf("%d are taken in, where there is room", n.count.clientsIn-before)
+			if n.count.clientsAccepted == before || !n.leaving && !n.clients.brimful() {
+				t.Errorf("%d are taken in, where there is room", n.count.clientsAccepted-before)
 			}
 			if !n.leaving && n.count.clientsShed > 0 {
 				t.Errorf("%d are shut, who could wait", n.count.clientsShed)
@@ -201,11 +201,11 @@
 				return
 			}
 			for _, what := range []string{"in the drain", "behind it"} {
-				b.run("the crowd is gone", func() bool { return len(n.clients.all) == 0 && n.clients.parted.Len() == 0 })
-				before := n.count.clientsIn
+				b.runUntil("the crowd is gone", func() bool { return len(n.clients.all) == 0 && n.clients.parted.Len() == 0 })
+				before := n.count.clientsAccepted
 				b.connect(1)[0].Close()
-				b.run("one is taken in "+what, func() bool { return n.count.clientsIn > before })
-				b.run("it is gone", func() bool { return len(n.clients.all) == 0 && n.clients.parted.Len() == 0 })
+				b.runUntil("one is taken in "+what, func() bool { return n.count.clientsAccepted > before })
+				b.runUntil("it is gone", func() bool { return len(n.clients.all) == 0 && n.clients.parted.Len() == 0 })
 				n.clients.listener.SetPaused(true) // as in a full house, of which the last has gone
 				n.lame = false
 				n.clients.resume()
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -28,14 +28,14 @@
 func (n *Node) observe(t *try, a answer) {
 	if n.forwarder != nil {
 		took := n.loop.Now() - t.at
-		n.forwarder.Attempt(t.pool.id, t.pool.origin(), a.outcome, took, t.call.command.Kind == meta.Set || took <= t.call.class.aim/2, a.kept)
+		n.forwarder.Attempt(t.pool.id, t.pool.isOrigin(), a.outcome, took, t.call.command.Kind == meta.Set || took <= t.call.class.aim/2, a.kept)
 	}
 }
 
 // readyCaches are the caches that serve by the list.
 func (n *Node) readyCaches() (list []follow.Server) {
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
-		if p := n.pools[id]; p.ready && !p.origin() {
+		if p := n.pools[id]; p.ready && !p.isOrigin() {
 			list = append(list, follow.Server{ID: id, Weight: p.weight})
 		}
 	}
--- a/internal/node/holdup_test.go
+++ b/internal/node/holdup_test.go
@@ -47,7 +47,7 @@
 		for _, fresh := range []bool{false, true} {
 			s := newStage(t, false, answering)
 			conn := s.ask("first")
-			s.run("the first is served", func() bool { return s.outcomes(policy.OK) == 1 })
+			s.runUntil("the first is served", func() bool { return s.outcomes(policy.OK) == 1 })
 			hold(s, func() {
 				if fresh {
 					conn = s.ask("waits")
@@ -55,7 +55,7 @@
 					t.Error(err)
 				}
 			})
-			s.run("it is served", func() bool { return s.outcomes(policy.OK) == 2 })
+			s.runUntil("it is served", func() bool { return s.outcomes(policy.OK) == 2 })
 			if got := s.toldOf("waits"); got > asked-heldUp+allowed {
 				t.Errorf("%s, on a new connection %t: told %v with %v left", name, fresh, got, asked-heldUp)
 			}
@@ -70,12 +70,12 @@
 func TestARequestThatIsReadTooLateIsRefused(t *testing.T) {
 	s := newStage(t, false, answering)
 	conn := s.ask("first")
-	s.run("the first is served", func() bool { return s.outcomes(policy.OK) == 1 })
+	s.runUntil("the first is served", func() bool { return s.outcomes(policy.OK) == 1 })
 	if _, err := conn.Write([]byte("mg key v Olate Pc=read,d=300\r\n")); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(heldUp)
-	s.run("it is answered", func() bool { return s.node.count.ended[refused] == 1 })
+	s.runUntil("it is answered", func() bool { return s.node.count.ended[refused] == 1 })
 	for _, id := range s.came() {
 		if id == "late" {
 			t.Error("it was sent")
@@ -99,7 +99,7 @@
 	}
 	time.Sleep(heldUp)
 	s.node.cfg.Sockets = 4 * many
-	s.run("all are answered", func() bool { return s.node.count.ended[refused] == many })
+	s.runUntil("all are answered", func() bool { return s.node.count.ended[refused] == many })
 	if got := s.node.count.tooLate; got != many || len(s.came()) != 0 {
 		t.Errorf("%d of %d were too late, %d were sent", got, many, len(s.came()))
 	}
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// stage is a bench whose requests come from clients on sockets, through the module, to a stand-in cache.
+// stage is a harness whose requests come from clients on sockets, through the module, to a stand-in cache.
 type stage struct {
-	*bench
+	*harness
 	cache *standin.Cache
 }
 
@@ -52,15 +52,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	b := newBench(t)
+	b := newHarness(t)
 	n := b.node
 	// The quick class has the module expect quick answers: it holds what there is no room for, and refuses nothing.
 	set := policy.Settings{Classes: []policy.Class{{Name: "read", Aim: 20 * time.Second}, {Name: "quick", Aim: 10 * time.Millisecond}}, MaxAttempts: 3, MayCancel: cancel,
 		Tick: 5 * time.Millisecond, FallWindow: time.Second, FallMultiple: 3}
-	n.classes["read"] = &class{name: "read", longest: 25 * time.Second}
+	n.classes["read"] = &class{name: "read", maxDeadline: 25 * time.Second}
 	n.cfg.Transport.ConnectTimeout = 20 * time.Second
 	n.policy = policy.New(n.loop.Now(), set, 1, actions{n})
-	n.members(policy.ListComplete, []roster.Entry{{Server: policy.Server{ID: "c-1", Weight: -1}, Addr: c.Addr()}})
+	n.applyList(policy.ListComplete, []roster.Entry{{Server: policy.Server{ID: "c-1", Weight: -1}, Addr: c.Addr()}})
 	b.pool = n.pools["c-1"]
 	return &stage{b, c}
 }
@@ -68,7 +68,7 @@
 // ask sends requests from one new client.
 func (s *stage) ask(ids ...string) *net.TCPConn {
 	s.t.Helper()
-	conn, err := net.Dial("tcp", s.listens().String())
+	conn, err := net.Dial("tcp", s.clientAddr().String())
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 
 func (s *stage) taken(n int64) {
 	s.t.Helper()
-	s.run("the requests are taken", func() bool { return s.node.count.taken >= n })
+	s.runUntil("the requests are taken", func() bool { return s.node.count.taken >= n })
 }
 
 // came are the ids of the requests that the cache was sent, in order.
@@ -116,20 +116,20 @@
 		s.cache.Silence(true) // connections come up once it is back
 		gone := s.ask("gone")
 		s.taken(1)
-		if len(s.pool.links) != 1 || s.pool.links[0].up {
+		if len(s.pool.conns) != 1 || s.pool.conns[0].connected {
 			t.Fatal("the connection is up")
 		}
 		leave(gone)
-		s.run("it has left", func() bool { return s.node.count.abandoned == 1 })
-		s.run("its place is free", func() bool { return len(s.node.calls) == 0 })
-		if s.node.inFlight != 0 || len(s.node.calls) != 0 || len(s.pool.links[0].tries) != 0 {
-			t.Errorf("%d in flight, %d known, %d on the connection", s.node.inFlight, len(s.node.calls), len(s.pool.links[0].tries))
+		s.runUntil("it has left", func() bool { return s.node.count.abandoned == 1 })
+		s.runUntil("its place is free", func() bool { return len(s.node.calls) == 0 })
+		if s.node.inFlight != 0 || len(s.node.calls) != 0 || len(s.pool.conns[0].attempts) != 0 {
+			t.Errorf("%d in flight, %d known, %d on the connection", s.node.inFlight, len(s.node.calls), len(s.pool.conns[0].attempts))
 		}
-		l := s.pool.links[0]
+		l := s.pool.conns[0]
 		s.cache.Silence(false)
-		s.run("the connection is up", func() bool { return l.up })
+		s.runUntil("the connection is up", func() bool { return l.connected })
 		s.ask("stays")
-		s.run("the other is served", func() bool { return s.outcomes(policy.OK) == 1 })
+		s.runUntil("the other is served", func() bool { return s.outcomes(policy.OK) == 1 })
 		if got := s.came(); !slices.Equal(got, []string{"stays"}) {
 			t.Errorf("the cache was sent %q", got)
 		}
@@ -155,9 +155,9 @@
 			for _, c := range leaving {
 				c.Close()
 			}
-			s.run("they have left", func() bool { return s.node.count.abandoned == 10 })
+			s.runUntil("they have left", func() bool { return s.node.count.abandoned == 10 })
 			s.cache.Silence(false)
-			s.run("the others are served", func() bool { return s.outcomes(policy.OK) == 10 })
+			s.runUntil("the others are served", func() bool { return s.outcomes(policy.OK) == 10 })
 			for _, id := range s.came() {
 				if strings.HasPrefix(id, "gone-") {
 					t.Errorf("%s was sent", id)
@@ -183,16 +183,16 @@
 		c := s.ask(ids...)
 		s.taken(mostPipelined)
 		for range 3 { // what could be read has been
-			s.run("a look", func() bool { return true })
+			s.runUntil("a look", func() bool { return true })
 		}
 		leave(c)
-		s.run("it has left", func() bool { return s.node.count.abandoned == mostPipelined })
+		s.runUntil("it has left", func() bool { return s.node.count.abandoned == mostPipelined })
 		attempts := s.node.count.attempts
-		s.run("all places are free", func() bool { return s.node.inFlight == 0 })
+		s.runUntil("all places are free", func() bool { return s.node.inFlight == 0 })
 		s.ask("stays")
 		s.taken(mostPipelined + 1)
 		close(gate) // what was sent and may not be called off keeps its place until then
-		s.run("it is sent", func() bool { return slices.Contains(s.came(), "stays") })
+		s.runUntil("it is sent", func() bool { return slices.Contains(s.came(), "stays") })
 		if s.node.count.attempts != attempts+1 || s.node.count.taken != mostPipelined+1 {
 			t.Errorf("%d attempts, then %d; %d taken", attempts, s.node.count.attempts, s.node.count.taken)
 		}
@@ -203,20 +203,20 @@
 // behind it keep their answers.
 func TestAClientLeavesBehindOthersOnASharedConnection(t *testing.T) {
 	for _, cancel := range []bool{false, true} {
-		b := newBench(t)
+		b := newHarness(t)
 		b.node.policy = policy.New(b.node.loop.Now(), policy.Settings{MayCancel: cancel, Classes: []policy.Class{{Name: "read", Aim: time.Second}}}, 1, actions{b.node})
 		b.send("1")
-		b.run("it stands", func() bool { return b.pool.links[0].up })
-		b.node.links = b.node.linkMost() // what follows shares the connection
-		l := b.pool.links[0]
+		b.runUntil("it stands", func() bool { return b.pool.conns[0].connected })
+		b.node.links = b.node.maxServerConns() // what follows shares the connection
+		l := b.pool.conns[0]
 		filler := 32 << 20 // more than the system takes
 		l.conn.Write(append(make([]byte, filler-1), '\n'))
 		second, third := b.waiting("2"), b.waiting("3")
 		third.stuck.Stop() // which TestWhatWaitsBehindOthersBytesIsTakenBack is about
 		b.node.abandon(second.call)
-		b.run("it is taken back", func() bool { return second.done })
-		if !second.done || b.outcomes(policy.NotSent) != 1 || third.done || len(l.tries) != 2 {
-			t.Fatalf("%v, %d on the connection", b.node.count.outcomes, len(l.tries))
+		b.runUntil("it is taken back", func() bool { return second.done })
+		if !second.done || b.outcomes(policy.NotSent) != 1 || third.done || len(l.attempts) != 2 {
+			t.Fatalf("%v, %d on the connection", b.node.count.outcomes, len(l.attempts))
 		}
 		far, err := b.ln.Accept()
 		if err != nil {
@@ -237,7 +237,7 @@
 			lines <- text.String()
 			far.Close()
 		}()
-		b.run("the others are answered", func() bool { return b.outcomes(policy.OK) == 2 })
+		b.runUntil("the others are answered", func() bool { return b.outcomes(policy.OK) == 2 })
 		if got := <-lines; strings.Contains(got, "O2") || !strings.Contains(got, "O1") {
 			t.Errorf("sent %q", got)
 		}
@@ -250,16 +250,16 @@
 // Guards against an attempt that is written long after it was queued, with the time that it told then: behind bytes that a
 // server does not read it is taken back, as one that never ran, and what has begun to go out stays.
 func TestWhatWaitsBehindOthersBytesIsTakenBack(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	b.send("1")
-	b.run("it stands", func() bool { return b.pool.links[0].up })
-	b.node.links = b.node.linkMost() // what follows shares the connection
-	l := b.pool.links[0]
+	b.runUntil("it stands", func() bool { return b.pool.conns[0].connected })
+	b.node.links = b.node.maxServerConns() // what follows shares the connection
+	l := b.pool.conns[0]
 	l.conn.Write(make([]byte, 32<<20)) // more than the system takes
 	behind := b.waiting("2")
-	b.run("it is taken back", func() bool { return behind.done })
-	if b.outcomes(policy.ConnectFailed) != 1 || len(l.tries) != 1 || l.gone {
-		t.Errorf("%v, %d on the connection, gone %t", b.node.count.outcomes, len(l.tries), l.gone)
+	b.runUntil("it is taken back", func() bool { return behind.done })
+	if b.outcomes(policy.ConnectFailed) != 1 || len(l.attempts) != 1 || l.closed {
+		t.Errorf("%v, %d on the connection, gone %t", b.node.count.outcomes, len(l.attempts), l.closed)
 	}
 }
 
@@ -271,20 +271,20 @@
 	s.ask("late")
 	s.taken(1)
 	s.node.overdue(s.node.calls["late"])
-	l := s.pool.links[0]
-	s.run("its place is free", func() bool { return len(s.node.calls) == 0 })
+	l := s.pool.conns[0]
+	s.runUntil("its place is free", func() bool { return len(s.node.calls) == 0 })
 	s.cache.Silence(false)
-	s.run("the connection is up", func() bool { return l.up })
+	s.runUntil("the connection is up", func() bool { return l.connected })
 	s.ask("next")
-	s.run("the next is served", func() bool { return s.outcomes(policy.OK) == 1 })
+	s.runUntil("the next is served", func() bool { return s.outcomes(policy.OK) == 1 })
 	if got := s.came(); !slices.Equal(got, []string{"next"}) {
 		t.Errorf("the cache was sent %q", got)
 	}
 }
 
 // waiting starts an attempt of a request that somebody waits for.
-func (b *bench) waiting(id string) *try {
-	return b.attempt(&call{id: id, class: &class{name: "read"}, client: &client{node: b.node, gone: true}})
+func (b *harness) waiting(id string) *try {
+	return b.sendAttempt(&call{id: id, class: &class{name: "read"}, client: &client{node: b.node, gone: true}})
 }
 
 // wait is what a line that a cache was sent tells of the time that the node waits.
@@ -304,7 +304,7 @@
 	s.cache.Silence(true)
 	s.ask("one")
 	s.taken(1)
-	s.node.links = s.node.linkMost() // what follows shares the connection
+	s.node.links = s.node.maxServerConns() // what follows shares the connection
 	for _, id := range []string{"off", "two"} {
 		c := &call{id: id, class: s.node.classes["read"], client: &client{node: s.node, gone: true}, deadline: s.node.loop.Now() + 25*time.Second, end: s.node.loop.Now() + 25*time.Second, counted: true}
 		s.node.inFlight++
@@ -318,16 +318,16 @@
 		c.tries = []*try{x}
 		s.pool.send(x, 25*time.Second)
 	}
-	l, first := s.pool.links[0], s.node.calls["one"].tries[0]
-	if len(l.tries) != 3 || l.up {
-		t.Fatalf("%d wait on the connection, up %t", len(l.tries), l.up)
+	l, first := s.pool.conns[0], s.node.calls["one"].tries[0]
+	if len(l.attempts) != 3 || l.connected {
+		t.Fatalf("%d wait on the connection, up %t", len(l.attempts), l.connected)
 	}
 	s.pool.cancel(s.node.calls["off"].tries[0])
 	tries := []*try{first, s.node.calls["two"].tries[0]}
-	s.run("some time passes", func() bool { return s.node.loop.Now()-first.at > 300*time.Millisecond })
+	s.runUntil("some time passes", func() bool { return s.node.loop.Now()-first.at > 300*time.Millisecond })
 	since := s.node.loop.Now()
 	s.cache.Silence(false)
-	s.run("both are answered", func() bool { return s.outcomes(policy.OK) == 2 })
+	s.runUntil("both are answered", func() bool { return s.outcomes(policy.OK) == 2 })
 	if got := s.came(); !slices.Equal(got, []string{"one", "two"}) {
 		t.Fatalf("the cache was sent %q", got)
 	}
@@ -336,13 +336,13 @@
 			t.Errorf("%q, where %d ms were left before its connection came up", line, most)
 		}
 	}
-	s.run("the connection rests", func() bool { return len(s.pool.idle) == 1 })
+	s.runUntil("the connection rests", func() bool { return len(s.pool.idle) == 1 })
 	if x := &s.node.count; x.written != 2 || l.conn.Pending() > 0 || first.first != 0 || first.last == 0 || !first.whole {
 		t.Errorf("%d written whole, %d wait, the first from %d to %d", x.written, l.conn.Pending(), first.first, first.last)
 	}
-	s.node.links -= s.node.linkMost() - 1
+	s.node.links -= s.node.maxServerConns() - 1
 	s.ask("next")
-	s.run("the next is served", func() bool { return s.outcomes(policy.OK) == 3 })
+	s.runUntil("the next is served", func() bool { return s.outcomes(policy.OK) == 3 })
 }
 
 // A fetch begins when a cache has answered, or later: it tells the origin what is left then. Guards against one that tells what the
@@ -357,10 +357,10 @@
 	s.ask("1")
 	s.taken(1)
 	first := s.node.calls["1"].tries[0]
-	s.run("some time passes", func() bool { return s.node.loop.Now()-first.at > 300*time.Millisecond })
+	s.runUntil("some time passes", func() bool { return s.node.loop.Now()-first.at > 300*time.Millisecond })
 	most := (25*time.Second - (s.node.loop.Now() - first.at)).Milliseconds()
 	close(gate)
-	s.run("it is served", func() bool { return s.node.count.ended[served] == 1 })
+	s.runUntil("it is served", func() bool { return s.node.count.ended[served] == 1 })
 	info := <-infos
 	if got, err := strconv.ParseInt(meta.FieldValue([]byte(info), "d"), 10, 64); err != nil || got > most || got <= 0 || !strings.HasPrefix(info, "c=read,d=") {
 		t.Errorf("the origin was told %q, where %d ms were left before the cache had answered", info, most)
--- a/internal/node/leave_turn_test.go
+++ b/internal/node/leave_turn_test.go
@@ -57,7 +57,7 @@
 func (s *stage) rests() {
 	s.t.Helper()
 	for range 3 {
-		s.run("a look", func() bool { return true })
+		s.runUntil("a look", func() bool { return true })
 	}
 }
 
@@ -98,7 +98,7 @@
 	s.t.Helper()
 	ok := s.outcomes(policy.OK)
 	s.ask("stays")
-	s.run("the other is served", func() bool {
+	s.runUntil("the other is served", func() bool {
 		return s.outcomes(policy.OK) > ok && s.node.calls["stays"] == nil && slices.Contains(s.came(), "stays")
 	})
 }
@@ -116,7 +116,7 @@
 	set := policy.Settings{Classes: []policy.Class{{Name: "read", Aim: 20 * time.Second}, {Name: "quick", Aim: 10 * time.Millisecond}}, MaxAttempts: 6, MayCancel: cancel,
 		Mode: policy.Aside, OriginKind: "origin", Tick: 5 * time.Millisecond, FallWindow: time.Second, FallMultiple: 3}
 	n.policy = policy.New(n.loop.Now(), set, 1, actions{n})
-	n.members(policy.ListComplete, []roster.Entry{{Server: policy.Server{ID: "c-1", Weight: -1}, Addr: s.cache.Addr()},
+	n.applyList(policy.ListComplete, []roster.Entry{{Server: policy.Server{ID: "c-1", Weight: -1}, Addr: s.cache.Addr()},
 		{Server: policy.Server{ID: "o-1", Kind: "origin", Weight: -1}, Addr: o.Addr()}})
 	return func() (ids []string) {
 		for _, line := range o.Lines() {
@@ -145,7 +145,7 @@
 				gone(t, s.ask("gone", "gone-too"), leave)
 			} else {
 				c := s.ask()
-				s.run("it is accepted", func() bool { return len(s.node.clients.all) == 1 })
+				s.runUntil("it is accepted", func() bool { return len(s.node.clients.all) == 1 })
 				fmt.Fprintf(c, "mg key v Ogone Pc=read,d=25000\r\nmg key v Ogone-too Pc=read,d=25000\r\n")
 				gone(t, c, leave)
 			}
@@ -181,7 +181,7 @@
 		s.taken(1)
 		s.cache.Silence(false)
 		s.reached()
-		if s.pool.links[0].up {
+		if s.pool.conns[0].connected {
 			t.Fatal("the node knows")
 		}
 		gone(t, c, leave)
@@ -209,12 +209,12 @@
 		fmt.Fprint(w, "x")
 	})
 	s.ask("warm") // after which the origin may have two out
-	s.run("it is served", func() bool { return s.outcomes(policy.OK) == 1 })
+	s.runUntil("it is served", func() bool { return s.outcomes(policy.OK) == 1 })
 	s.ask("warm-1")
 	s.ask("warm-2")
-	s.run("both are out", func() bool { return len(all()) == 3 })
+	s.runUntil("both are out", func() bool { return len(all()) == 3 })
 	close(both)
-	s.run("both are served", func() bool { return s.outcomes(policy.OK) == 3 && len(s.node.pools["o-1"].idle) == 2 })
+	s.runUntil("both are served", func() bool { return s.outcomes(policy.OK) == 3 && len(s.node.pools["o-1"].idle) == 2 })
 	return s, func() []string { return all()[3:] }, gate
 }
 
@@ -234,7 +234,7 @@
 		for _, id := range []string{"lead", "w1", "w2"} {
 			c := s.ask()
 			s.hot(c, id)
-			s.run("the first asks the origin", func() bool { return len(asked()) == 1 })
+			s.runUntil("the first asks the origin", func() bool { return len(asked()) == 1 })
 			leaving = append(leaving, c)
 		}
 		s.hot(s.ask(), "stays")
@@ -242,9 +242,9 @@
 		for _, c := range leaving {
 			gone(t, c, leave)
 		}
-		s.run("they have left", func() bool { return s.node.count.abandoned == 3 })
+		s.runUntil("they have left", func() bool { return s.node.count.abandoned == 3 })
 		close(gate)
-		s.run("the other is served", func() bool { return s.node.count.ended[served] == 4 })
+		s.runUntil("the other is served", func() bool { return s.node.count.ended[served] == 4 })
 		if got := asked(); !slices.Equal(got, []string{"lead", "stays"}) || s.node.count.abandoned != 3 {
 			t.Errorf("the origin was asked by %q, %d abandoned", got, s.node.count.abandoned)
 		}
@@ -260,15 +260,15 @@
 			c := s.ask()
 			for _, id := range []string{"lead", "w1", "w2"} {
 				s.hot(c, id)
-				s.run("the first asks the origin", func() bool { return len(asked()) == 1 })
+				s.runUntil("the first asks the origin", func() bool { return len(asked()) == 1 })
 			}
 			if drains {
-				s.node.members(policy.ListChanges, []roster.Entry{{Server: policy.Server{ID: "o-1", Kind: "origin", Weight: -1, State: policy.Draining}, Addr: s.node.pools["o-1"].addr.String()}})
+				s.node.applyList(policy.ListChanges, []roster.Entry{{Server: policy.Server{ID: "o-1", Kind: "origin", Weight: -1, State: policy.Draining}, Addr: s.node.pools["o-1"].addr.String()}})
 			}
 			leave(c)
-			s.run("it has left", func() bool { return s.node.count.abandoned == 3 })
+			s.runUntil("it has left", func() bool { return s.node.count.abandoned == 3 })
 			close(gate)
-			s.run("all places are free", func() bool { return len(s.node.calls) == 0 })
+			s.runUntil("all places are free", func() bool { return len(s.node.calls) == 0 })
 			s.rests()
 			if got := asked(); !slices.Equal(got, []string{"lead"}) || s.node.count.ended[refused] != 0 {
 				t.Errorf("the origin was asked by %q, %d refused", got, s.node.count.ended[refused])
@@ -309,8 +309,8 @@
 			gone(t, c, leave)
 			s.served()
 			// One of which a byte had gone would have taken its connection with it.
-			if x := &s.node.count; x.abandoned != 1 || x.attempts != 2 || x.links != 1 {
-				t.Errorf("%d abandoned, %d attempts, %d connections", x.abandoned, x.attempts, x.links)
+			if x := &s.node.count; x.abandoned != 1 || x.attempts != 2 || x.serverConns != 1 {
+				t.Errorf("%d abandoned, %d attempts, %d connections", x.abandoned, x.attempts, x.serverConns)
 			}
 		})
 	}
@@ -364,7 +364,7 @@
 	s.taken(1)
 	gone(t, c, ways["close"])
 	s.node.loop.Defer(func() { actions{s.node}.Send("gone", "c-9", 0, 0) })
-	s.run("its place is free", func() bool { return len(s.node.calls) == 0 })
+	s.runUntil("its place is free", func() bool { return len(s.node.calls) == 0 })
 	if s.node.count.abandoned != 1 || s.outcomes(policy.ConnectFailed) != 1 {
 		t.Errorf("%d abandoned, %v", s.node.count.abandoned, s.node.count.outcomes)
 	}
@@ -378,7 +378,7 @@
 			s := newStage(t, false, answering)
 			far := s.ask()
 			fmt.Fprint(far, "mg key v Olate Pc=read")
-			s.run("half of it has come", func() bool {
+			s.runUntil("half of it has come", func() bool {
 				c := front(s.node.clients.owing)
 				return c != nil && len(c.input) > 0
 			})
@@ -390,10 +390,10 @@
 				t.Fatal("closed over what has come")
 			}
 			if !whole {
-				s.run("it is closed", func() bool { return c.gone })
+				s.runUntil("it is closed", func() bool { return c.gone })
 				return
 			}
-			s.run("it is served", func() bool { return s.node.count.ended[served] == 1 })
+			s.runUntil("it is served", func() bool { return s.node.count.ended[served] == 1 })
 		})
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -114,7 +114,7 @@
 	began time.Duration // as its request could first run: of a long value, when all of that had come
 	ran   bool          // it has ended, and may have run
 	wait  time.Duration // from then on the node waits for it
-	link  *link         // while it is out
+	link  *serverConn   // while it is out
 	first int64         // where its first byte stands on the link
 	last  int64         // and the byte behind its last
 	whole bool          // it has been written whole
@@ -142,7 +142,7 @@
 func New(cfg Config, l *loop.Loop) (*Node, error) {
 	n := &Node{cfg: cfg, loop: l, calls: map[string]*call{}, pools: map[string]*pool{}, classes: map[string]*class{}, bans: map[string]bool{}}
 	for name, longest := range cfg.Transport.Deadlines {
-		n.classes[name] = &class{name: name, longest: longest}
+		n.classes[name] = &class{name: name, maxDeadline: longest}
 	}
 	for _, c := range cfg.Settings.Classes {
 		if k := n.classes[c.Name]; k != nil {
@@ -153,16 +153,16 @@
 	n.listed = newListed(cfg.MemoryMB)
 	n.clients.init()
 	n.succession.join(n)
-	if len(n.succession.others()) == 0 {
+	if len(n.succession.peers()) == 0 {
 		if err := n.clients.listen(); err != nil {
 			return nil, fmt.Errorf("listen on %s: %w", cfg.Listen, err)
 		}
 	}
-	if err := n.operate(); err != nil {
+	if err := n.listenControl(); err != nil {
 		return nil, err
 	}
 	if cfg.SavedListErr != nil {
-		n.count.knownBad++
+		n.count.savedListsBad++
 		log.Printf("event=bad_known why=%q", cfg.SavedListErr)
 	}
 	if n.cfg.Settings.MayProbe { // reads are sent unasked, as where probes are not allowed
@@ -171,10 +171,10 @@
 	}
 	n.guard("start", func() {
 		n.policy = policy.New(l.Now(), n.cfg.Settings, cfg.Seed, actions{n})
-		n.members(policy.ListSaved, cfg.SavedList.Entries)
+		n.applyList(policy.ListSaved, cfg.SavedList.Entries)
 	})
-	n.succession.begin()
-	n.follow()
+	n.succession.start()
+	n.followList()
 	n.forward()
 	return n, nil
 }
@@ -235,8 +235,8 @@
 func (n *Node) within(wait, now time.Duration) time.Duration {
 	if n.leaving { // what is unanswered at the kill is lost, however long its client would wait
 		return min(wait, n.lastAnswer-now)
-	} else if n.lame && n.lameUntil-now < lameYoung { // a request as young as that may not be held any more then
-		return max(min(wait, n.lameUntil-now), lameLeast)
+	} else if n.lame && n.lameUntil-now < drainRequestAge { // a request as young as that may not be held any more then
+		return max(min(wait, n.lameUntil-now), drainMinWait)
 	}
 	return wait
 }
@@ -255,7 +255,7 @@
 }
 
 // endingTransitions are how a request's end is recorded.
-var endingTransitions = [endings]transition{served: requestServed, refused: requestRefused, failed: requestFailed}
+var endingTransitions = [numEndings]transition{served: requestServed, refused: requestRefused, failed: requestFailed}
 
 // overdue fails a request that the module has left unanswered. It should never be needed; it guards rule 1 against
 // what nobody has thought of.
@@ -278,7 +278,7 @@
 	if c.answered {
 		return
 	}
-	n.end(c.class, how)
+	n.countEnding(c.class, how)
 	n.note(endingTransitions[how], c)
 	n.unclock(c)
 	c.answer = text
@@ -345,7 +345,7 @@
 	t.stuck.Stop()
 	c := t.call
 	c.open--
-	n.count.outcome(a.outcome)
+	n.count.addOutcome(a.outcome)
 	n.observe(t, a)
 	if c.upload != nil {
 		c.upload.ended(t)
@@ -471,21 +471,21 @@
 	n.lastAnswer = n.loop.Now() + min(longest, mostGrace) + killAfter
 	n.hurry()
 	n.note(nodeLeaving, nil)
-	succeeded := n.succession.succeeded()
+	succeeded := n.succession.hasSuccessor()
 	log.Printf("event=leaving open=%d clients=%d succeeded=%t", len(n.calls), len(n.clients.all), succeeded)
 	if n.announcer != nil { // whoever follows the nodes knows before the listener closes
 		n.announcer.Stop(func() {})
 	}
 	n.clients.drain(succeeded)
 	n.forwarder.Close()
-	n.succession.settle()
+	n.succession.update()
 }
 
 // Reload takes the configuration as it is after a change of its file: where discovery is, and the limits. All else
 // stays as at the start, the list held included. It reports whether the new one is in force; a bad one is not.
 func (n *Node) Reload(cfg Config, err error) bool {
 	if err != nil {
-		n.count.reloadsBad++
+		n.count.reloadsFailed++
 		log.Printf("event=reload_failed why=%q", err)
 		return false
 	}
@@ -495,13 +495,13 @@
 		log.Printf("event=reload_ignored listen=%s why=%q", cfg.Listen, "the address is given up only at the end")
 	}
 	n.cfg.MemoryMB, n.cfg.Sockets = cfg.MemoryMB, cfg.Sockets
-	n.tellMemory()
+	n.updateMemoryLimit()
 	if cfg.Planners != nil {
 		n.forwarder.Reload(cfg.Planners.TLS)
 	}
 	if !cfg.Registry.Same(&n.cfg.Registry) {
 		n.cfg.Registry = cfg.Registry
-		n.registry.Move(n.cfg.followed())
+		n.registry.Move(n.cfg.registryConfig())
 	}
 	return true
 }
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -13,27 +13,27 @@
 // The operators' calls: internal/control says who may call, this says what a call does.
 
 const (
-	// lameAll is how long after the call a drained node still may hold a client's connection with nothing open, or with a
+	// drainIdleTimeout is how long after the call a drained node still may hold a client's connection with nothing open, or with a
 	// request from the last lameYoung. What is taken so late is answered by then, but has lameLeast.
-	lameAll   = 3500 * time.Millisecond
-	lameYoung = 2 * time.Second
-	lameLeast = 50 * time.Millisecond
+	drainIdleTimeout = 3500 * time.Millisecond
+	drainRequestAge  = 2 * time.Second
+	drainMinWait     = 50 * time.Millisecond
 )
 
-// operate opens the second address, if there is one.
-func (n *Node) operate() error {
+// listenControl opens the second address, if there is one.
+func (n *Node) listenControl() error {
 	if !n.cfg.Control.IsValid() {
 		return nil
 	}
 	routes := []control.Route{
 		{Method: "GET", Path: "/_ready", Do: func(string) control.Reply { return n.readiness() }},
-		{Method: "GET", Path: "/_vars", Do: func(string) control.Reply { return n.vars() }},
+		{Method: "GET", Path: "/_vars", Do: func(string) control.Reply { return n.metrics() }},
 		{Method: "GET", Path: "/_flight", Do: func(string) control.Reply { return n.flight() }},
 		{Method: "GET", Path: "/_view", Do: func(string) control.Reply { return n.view() }},
-		{Method: "POST", Path: "/_cache-servers/detach/", Do: func(id string) control.Reply { return n.ban(id, true) }},
-		{Method: "POST", Path: "/_cache-servers/attach/", Do: func(id string) control.Reply { return n.ban(id, false) }},
-		{Method: "POST", Path: "/_lameduck/on", Do: func(string) control.Reply { return n.lameduck(true) }},
-		{Method: "POST", Path: "/_lameduck/off", Do: func(string) control.Reply { return n.lameduck(false) }},
+		{Method: "POST", Path: "/_cache-servers/detach/", Do: func(id string) control.Reply { return n.setBan(id, true) }},
+		{Method: "POST", Path: "/_cache-servers/attach/", Do: func(id string) control.Reply { return n.setBan(id, false) }},
+		{Method: "POST", Path: "/_lameduck/on", Do: func(string) control.Reply { return n.setLameduck(true) }},
+		{Method: "POST", Path: "/_lameduck/off", Do: func(string) control.Reply { return n.setLameduck(false) }},
 	}
 	err := persist(func() (err error) {
 		n.control, err = control.Listen(n.loop, n.cfg.Control, routes)
@@ -58,50 +58,50 @@
 	return control.Say(200, "ready")
 }
 
-// banned reports whether a server is banned by hand, listed or not.
-func (n *Node) banned(id string) bool { return n.bans[id] }
+// isBanned reports whether a server is banned by hand, listed or not.
+func (n *Node) isBanned(id string) bool { return n.bans[id] }
 
-// ban has a server get nothing more, or lifts that. It is in force when the call is answered.
-func (n *Node) ban(id string, on bool) control.Reply {
+// setBan has a server get nothing more, or lifts that. It is in force when the call is answered.
+func (n *Node) setBan(id string, on bool) control.Reply {
 	if !n.listed.known[id] && !n.bans[id] {
 		return control.Say(404, "no cache server of this id was ever listed")
 	}
-	n.succession.look() // the word that this one replaces may be another process's
+	n.succession.refreshPeers() // the word that this one replaces may be another process's
 	n.guard("ban", func() { n.policy.Ban(n.loop.Now(), id, on) })
-	n.hands()
-	n.succession.settle() // it is made known before the call is answered
+	n.applyOverrides()
+	n.succession.update() // it is made known before the call is answered
 	log.Printf("event=ban server=%s on=%t", id, on)
-	done := "may serve"
+	result := "may serve"
 	if on {
-		done = "banned"
+		result = "banned"
 	}
-	if err := n.succession.unsaved(); err != nil {
+	if err := n.succession.saveError(); err != nil {
 		// Guards against a ban that is told as done and is gone with the process.
 		log.Printf("event=ban_unsaved server=%s on=%t why=%q", id, on, err)
-		return control.Say(503, done+" by this process; not saved for the next one yet, which is tried again")
+		return control.Say(503, result+" by this process; not saved for the next one yet, which is tried again")
 	}
-	return control.Say(200, done)
+	return control.Say(200, result)
 }
 
-// hands brings the pools in line with what the module has been told by hand.
-func (n *Node) hands() {
+// applyOverrides brings the pools in line with what the module has been told by hand.
+func (n *Node) applyOverrides() {
 	clear(n.bans)
 	for _, h := range n.policy.Overrides() {
 		n.bans[h.ID] = h.Banned
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
 		p := n.pools[id]
-		if was := p.banned; was != n.bans[id] {
+		if wasBanned := p.banned; wasBanned != n.bans[id] {
 			if p.banned = n.bans[id]; p.banned {
-				p.leave()
+				p.drain()
 			}
 		}
 	}
 }
 
-// drained has the node drain, or take clients again, as said to this process or, so long ago at most, to another of the node.
+// setDraining has the node drain, or take clients again, as said to this process or, so long ago at most, to another of the node.
 // The version orders what was said; it is no time of this process.
-func (n *Node) drained(on bool, version, ago time.Duration) {
+func (n *Node) setDraining(on bool, version, age time.Duration) {
 	was := n.lame
 	n.lameAt = version
 	if n.leaving || on == was {
@@ -111,22 +111,22 @@
 	n.note(nodeDrains, nil)
 	log.Printf("event=lameduck on=%t open=%d clients=%d", on, len(n.calls), len(n.clients.all))
 	if on {
-		n.lameUntil = n.loop.Now() - ago + lameAll
+		n.lameUntil = n.loop.Now() - age + drainIdleTimeout
 		n.clients.drain(false)
 	} else {
 		n.clients.resume()
 	}
 }
 
-// lameduck begins and ends a drain; a second call of a kind changes nothing.
-func (n *Node) lameduck(on bool) control.Reply {
+// setLameduck begins and ends a drain; a second call of a kind changes nothing.
+func (n *Node) setLameduck(on bool) control.Reply {
 	switch {
 	case n.leaving && !on:
 		return control.Say(409, "the process is ending")
 	default:
-		n.succession.look()
-		n.drained(on, max(n.loop.Now(), n.lameAt+1), 0)
-		n.succession.settle()
+		n.succession.refreshPeers()
+		n.setDraining(on, max(n.loop.Now(), n.lameAt+1), 0)
+		n.succession.update()
 	}
 	if n.lame {
 		return control.Say(200, "draining")
--- a/internal/node/origin.go
+++ b/internal/node/origin.go
@@ -14,15 +14,15 @@
 // originProtocol speaks HTTP/1.1 to the origin, one request at a time on a connection.
 type originProtocol struct{ host string }
 
-func (originProtocol) pipelines() bool { return false }
+func (originProtocol) canPipeline() bool { return false }
 
-// request asks for the key or writes it. The list of names and values goes on as it came, but for the time that the node waits:
+// appendRequest asks for the key or writes it. The list of names and values goes on as it came, but for the time that the node waits:
 // a fetch begins when a cache has answered, or later, and what the client had told would have the origin work for one who has
 // left.
-func (p originProtocol) request(buf []byte, t *try, wait time.Duration) []byte {
+func (p originProtocol) appendRequest(buf []byte, t *try, wait time.Duration) []byte {
 	c := &t.call.command
 	target := "/" + url.PathEscape(string(c.Key))
-	headers := []httpc.Header{{Name: "Request-Id", Value: string(c.ID)}, {Name: "Request-Info", Value: string(meta.AppendInfo(nil, c.Info, told(wait)))}}
+	headers := []httpc.Header{{Name: "Request-Id", Value: string(c.ID)}, {Name: "Request-Info", Value: string(meta.AppendInfo(nil, c.Info, timeoutMillis(wait)))}}
 	if c.LongSize > 0 {
 		headers = append(headers, httpc.Header{Name: "Content-Length", Value: strconv.Itoa(c.LongSize)})
 		return httpc.AppendRequest(buf, "PUT", target, p.host, headers, nil)
@@ -37,14 +37,14 @@
 	return httpc.AppendRequest(buf, "GET", target, p.host, headers, nil)
 }
 
-func (originProtocol) behind() string { return "" }
+func (originProtocol) bodySuffix() string { return "" }
 
-func (originProtocol) answer(data []byte, t *try, most int, ended bool) (answer, int, error) {
+func (originProtocol) parseAnswer(data []byte, t *try, maxValue int, eof bool) (answer, int, error) {
 	h, length, used, err := httpc.ResponseHead(data)
 	if err == nil && used > 0 && h.Status == 200 && length > meta.MaxValue && length <= meta.MaxLongValue && (t == nil || t.call.command.Kind == meta.Get) {
 		return answer{outcome: policy.OK, long: length, close: h.Close}, used, nil
 	}
-	if h, used, err = httpc.ParseResponse(data, most, ended); err != nil || used == 0 {
+	if h, used, err = httpc.ParseResponse(data, maxValue, eof); err != nil || used == 0 {
 		return answer{}, 0, err
 	}
 	a := answer{close: h.Close}
--- a/internal/node/override_test.go
+++ b/internal/node/override_test.go
@@ -11,7 +11,7 @@
 // A ban is answered as done only once the next process would know of it: while the directory can't be written it holds here, the
 // caller is told that it is not saved, and it is saved by itself as soon as that can be.
 func TestABanThatIsNotSavedIsToldAndSavedLater(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	n := b.node
 	dir := filepath.Join(t.TempDir(), "state")
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -19,25 +19,25 @@
 	}
 	n.cfg.StateDir, n.cfg.Name = dir, "n"
 	n.succession.join(n)
-	n.succession.begin()
+	n.succession.start()
 	n.listed.add("s-1")
 	n.listed.add("s-2")
-	if reply := n.ban("s-2", true); reply.Status != 200 {
+	if reply := n.setBan("s-2", true); reply.Status != 200 {
 		t.Fatalf("with the directory there: %d %s", reply.Status, reply.Body)
 	}
-	away := dir + ".away"
-	if err := os.Rename(dir, away); err != nil {
+	renamed := dir + ".away"
+	if err := os.Rename(dir, renamed); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 { // the second call finds all as it should be here, and nothing saved
-		if reply := n.ban("s-1", true); reply.Status != 503 || !n.banned("s-1") {
-			t.Errorf("with no directory: %d %s, banned here %t", reply.Status, reply.Body, n.banned("s-1"))
+		if reply := n.setBan("s-1", true); reply.Status != 503 || !n.isBanned("s-1") {
+			t.Errorf("with no directory: %d %s, banned here %t", reply.Status, reply.Body, n.isBanned("s-1"))
 		}
 	}
-	if err := os.Rename(away, dir); err != nil {
+	if err := os.Rename(renamed, dir); err != nil {
 		t.Fatal(err)
 	}
-	next := func() (banned map[string]bool) { // what a process that comes now hears
+	bansSeenByNext := func() (banned map[string]bool) { // what a process that comes now hears
 		banned = map[string]bool{}
 		m, err := handover.Join(n.loop, handover.Options{Dir: dir, Name: "n", Listen: n.cfg.Listen.String(), Note: func(string, string) {}, Changed: func() {}})
 		if err != nil {
@@ -50,11 +50,11 @@
 		}
 		return banned
 	}
-	b.run("it is saved", func() bool { return next()["s-1"] })
-	if banned := next(); !banned["s-2"] {
+	b.runUntil("it is saved", func() bool { return bansSeenByNext()["s-1"] })
+	if banned := bansSeenByNext(); !banned["s-2"] {
 		t.Error("the ban before it is lost")
 	}
-	if reply := n.ban("s-1", false); reply.Status != 200 {
+	if reply := n.setBan("s-1", false); reply.Status != 200 {
 		t.Errorf("the call back: %d %s", reply.Status, reply.Body)
 	}
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -16,68 +16,68 @@
 type protocol interface {
 	// request writes an attempt that the node will wait for so long; of one with a long value all that stands before that,
 	// and behind is what must follow it.
-	request(buf []byte, t *try, wait time.Duration) []byte
-	behind() string
+	appendRequest(buf []byte, t *try, wait time.Duration) []byte
+	bodySuffix() string
 	// answer takes the first answer, whose value may hold so many bytes, off what has come; used is 0 when more must
 	// come first.
 	// A value of over meta.MaxValue bytes is not waited for where its length is told: it follows what was used.
-	answer(data []byte, t *try, most int, ended bool) (a answer, used int, err error)
+	parseAnswer(data []byte, t *try, maxValue int, eof bool) (a answer, used int, err error)
 	// pipelines reports whether a request may be written behind another.
-	pipelines() bool
+	canPipeline() bool
 }
 
 const (
-	// mostAround is how many bytes may stand around an answer's value.
-	mostAround = 64 << 10
-	// writeWithin is how long an attempt may wait behind others' bytes on a connection that stands: it tells its server what was
+	// maxAnswerOverhead is how many bytes may stand around an answer's value.
+	maxAnswerOverhead = 64 << 10
+	// maxWriteDelay is how long an attempt may wait behind others' bytes on a connection that stands: it tells its server what was
 	// left as it was queued.
-	writeWithin = 50 * time.Millisecond
-	// usualStall is how long an answer may stop in its midst where the settings tell no connect time-out: what has
+	maxWriteDelay = 50 * time.Millisecond
+	// defaultStallTimeout is how long an answer may stop in its midst where the settings tell no connect time-out: what has
 	// begun to come goes on about as soon as a connection comes up.
-	usualStall = 250 * time.Millisecond
+	defaultStallTimeout = 250 * time.Millisecond
 )
 
 // pool holds the connections to one server. An attempt gets one to itself as long as descriptors last: giving it up
 // closes the connection, and an answer behind another comes late.
 type pool struct {
-	node   *Node
-	id     string
-	addr   netip.AddrPort
-	proto  protocol
-	ready  bool          // as far as the list tells
-	banned bool          // by hand
-	weight float64       // as listed
-	heard  time.Duration // when bytes last came from it
-	links  []*link
-	idle   []*link // of links, those that carry nothing, longest unused first
-}
-
-// link is one connection to a server. It is given back in drop alone.
-type link struct {
-	pool   *pool
-	conn   *loop.Conn
-	tries  []*try // written, in order; nil where an attempt was given up and only its answer is owed
-	input  []byte
-	held   int         // bytes of input, as counted by the node
-	timer  *loop.Timer // connecting: the time-out; idle: when to retire; in an answer's midst: when to give it up
-	since  time.Duration
-	up     bool
-	gone   bool
-	served bool    // an answer has come on it
-	body   *body   // a long value that is coming
-	going  *upload // a long value that is going
-	paused bool    // nothing is read, as its client takes nothing
-	old    bool    // the server has moved or the connection is ending: nothing new goes here
-}
-
-// pool brings the connections to a listed server in line with its entry.
-func (n *Node) pool(s policy.Server, addr netip.AddrPort) {
+	node         *Node
+	id           string
+	addr         netip.AddrPort
+	proto        protocol
+	ready        bool          // as far as the list tells
+	banned       bool          // by hand
+	weight       float64       // as listed
+	lastReceived time.Duration // when bytes last came from it
+	conns        []*serverConn
+	idle         []*serverConn // of links, those that carry nothing, longest unused first
+}
+
+// serverConn is one connection to a server. It is given back in drop alone.
+type serverConn struct {
+	pool           *pool
+	conn           *loop.Conn
+	attempts       []*try // written, in order; nil where an attempt was given up and only its answer is owed
+	input          []byte
+	accountedBytes int         // bytes of input, as counted by the node
+	timer          *loop.Timer // connecting: the time-out; idle: when to retire; in an answer's midst: when to give it up
+	idleSince      time.Duration
+	connected      bool
+	closed         bool
+	hasAnswered    bool    // an answer has come on it
+	body           *body   // a long value that is coming
+	upload         *upload // a long value that is going
+	readPaused     bool    // nothing is read, as its client takes nothing
+	retiring       bool    // the server has moved or the connection is ending: nothing new goes here
+}
+
+// updatePool brings the connections to a listed server in line with its entry.
+func (n *Node) updatePool(s policy.Server, addr netip.AddrPort) {
 	p := n.pools[s.ID]
 	if p == nil {
 		if s.State == policy.Gone {
 			return
 		}
-		p = &pool{node: n, id: s.ID, addr: addr, banned: n.banned(s.ID)}
+		p = &pool{node: n, id: s.ID, addr: addr, banned: n.isBanned(s.ID)}
 		n.pools[s.ID] = p
 	}
 	moved := s.State != policy.Gone && p.addr != addr
@@ -87,54 +87,54 @@
 	if kind := n.cfg.Settings.OriginKind; kind != "" && s.Kind == kind {
 		p.proto = originProtocol{host: p.addr.String()}
 	} else {
-		p.proto = cacheProtocol{perConn: n.cfg.Transport.PerConn}
+		p.proto = cacheProtocol{maxPipelined: n.cfg.Transport.PerConn}
 	}
 	p.ready, p.weight = s.State == policy.Ready, s.Weight
 	if moved {
-		for _, l := range slices.Clone(p.links) {
-			l.old = true
-			l.leave() // another server may have the address by now
+		for _, l := range slices.Clone(p.conns) {
+			l.retiring = true
+			l.drain() // another server may have the address by now
 		}
 	}
 }
 
-// origin reports whether the server is the origin.
-func (p *pool) origin() bool {
+// isOrigin reports whether the server is the origin.
+func (p *pool) isOrigin() bool {
 	_, is := p.proto.(originProtocol)
 	return is
 }
 
-// open reports whether anything new may go to the server.
-func (p *pool) open() bool { return p.ready && !p.banned }
+// available reports whether anything new may go to the server.
+func (p *pool) available() bool { return p.ready && !p.banned }
 
-// leave closes what is idle of a server that drains, is gone or is banned, and what has not come up: it must get nothing
+// drain closes what is idle of a server that drains, is gone or is banned, and what has not come up: it must get nothing
 // new, and a connection may come up only after the grace. What waits behind others and has not begun to be written is
 // taken back: it would be written when those have been answered. What is out goes on, a long value at once.
-func (p *pool) leave() {
-	for _, l := range slices.Clone(p.links) {
-		l.leave()
+func (p *pool) drain() {
+	for _, l := range slices.Clone(p.conns) {
+		l.drain()
 		if l.body != nil {
 			l.body.hasten()
 		}
 	}
 	for _, l := range slices.Clone(p.idle) {
-		l.drop()
+		l.close()
 	}
-	p.forget()
+	p.removeIfUnused()
 }
 
-// leave ends a connection that has not come up and takes back what waits on one, unless it has begun to be written.
-func (l *link) leave() {
-	if !l.up {
-		l.over()
+// drain ends a connection that has not come up and takes back what waits on one, unless it has begun to be written.
+func (l *serverConn) drain() {
+	if !l.connected {
+		l.closeAndFail()
 	}
-	l.takeBack()
-	l.rest()
+	l.withdrawUnwritten()
+	l.markIdle()
 }
 
-// forget lets go of a pool that nothing needs.
-func (p *pool) forget() {
-	if !p.ready && len(p.links) == 0 && p.node.pools[p.id] == p {
+// removeIfUnused lets go of a pool that nothing needs.
+func (p *pool) removeIfUnused() {
+	if !p.ready && len(p.conns) == 0 && p.node.pools[p.id] == p {
 		delete(p.node.pools, p.id)
 	}
 }
@@ -146,109 +146,109 @@
 		n.refuseLate(t, why)
 		return
 	}
-	l := p.fresh()
+	l := p.lastIdle()
 	switch {
 	case l != nil:
-	case n.mayDial() || n.shed():
+	case n.mayDial() || n.closeOldestIdle():
 		l = p.dial()
 	}
 	if l == nil && t.call.upload == nil { // a long value has a connection to itself: to give it up is to close that
-		l = p.shared()
+		l = p.leastLoaded()
 	}
 	if l == nil {
 		n.loop.Defer(func() { n.finished(t, answer{outcome: policy.ConnectFailed}) })
 		return
 	}
 	n.count.attempts++
-	l.unrest()
+	l.unmarkIdle()
 	t.link, t.wait = l, wait
-	l.tries = append(l.tries, t)
-	l.write(t, wait)
+	l.attempts = append(l.attempts, t)
+	l.writeRequest(t, wait)
 	if u := t.call.upload; u != nil {
-		t.last += int64(t.call.command.LongSize + len(p.proto.behind()))
+		t.last += int64(t.call.command.LongSize + len(p.proto.bodySuffix()))
 		u.sent(t)
 	}
-	l.wrote()
-	l.boundWait(t)
+	l.markWritten()
+	l.limitWriteDelay(t)
 }
 
-// boundWait takes an attempt back that waits behind others' bytes for too long. Guards against a server that has stopped reading and
+// limitWriteDelay takes an attempt back that waits behind others' bytes for too long. Guards against a server that has stopped reading and
 // goes on later: it would work for a client that has stopped waiting.
-func (l *link) boundWait(t *try) {
-	if l.up && !t.whole && t.call.upload == nil {
-		t.stuck = l.pool.node.loop.After(writeWithin, func() {
+func (l *serverConn) limitWriteDelay(t *try) {
+	if l.connected && !t.whole && t.call.upload == nil {
+		t.stuck = l.pool.node.loop.After(maxWriteDelay, func() {
 			if !t.done && t.link == l {
-				l.takeOut(t, policy.ConnectFailed)
+				l.withdrawAttempt(t, policy.ConnectFailed)
 			}
 		})
 	}
 }
 
-// write writes an attempt's request, which tells how long the node waits.
-func (l *link) write(t *try, wait time.Duration) {
-	text := l.pool.proto.request(nil, t, wait)
+// writeRequest writes an attempt's request, which tells how long the node waits.
+func (l *serverConn) writeRequest(t *try, wait time.Duration) {
+	text := l.pool.proto.appendRequest(nil, t, wait)
 	t.first = l.conn.WriteOffset()
 	t.last = t.first + int64(len(text)) // before writing: what a broken connection does not take was never written
 	l.conn.Write(text)
 	t.waits = l.conn.Written() <= t.first
 }
 
-// waitsStill is how long the node waits for an attempt that was queued and goes out now. A planned end may have cut that.
-func (t *try) waitsStill(now time.Duration) time.Duration {
+// remainingWait is how long the node waits for an attempt that was queued and goes out now. A planned end may have cut that.
+func (t *try) remainingWait(now time.Duration) time.Duration {
 	return min(t.wait-(now-t.at), t.call.end-now)
 }
 
-// retell writes anew what has waited for the connection to come up, lest it tells its server of time that has passed since: that
+// rewriteRequests writes anew what has waited for the connection to come up, lest it tells its server of time that has passed since: that
 // would work for those who have stopped waiting. What was called off meanwhile is not written at all.
-func (l *link) retell() {
-	now, old := l.pool.node.loop.Now(), l.conn.WriteOffset()
-	if len(l.tries) == 0 || slices.ContainsFunc(l.tries, func(t *try) bool { return t != nil && t.call.upload != nil }) {
+func (l *serverConn) rewriteRequests() {
+	now, oldEnd := l.pool.node.loop.Now(), l.conn.WriteOffset()
+	if len(l.attempts) == 0 || slices.ContainsFunc(l.attempts, func(t *try) bool { return t != nil && t.call.upload != nil }) {
 		return // of a long value not all may be kept; it has the connection to itself
 	}
-	l.tries = slices.DeleteFunc(l.tries, func(t *try) bool {
+	l.attempts = slices.DeleteFunc(l.attempts, func(t *try) bool {
 		if t == nil {
 			return true
 		}
-		why := l.pool.node.maySend(t, t.waitsStill(now), t.call.client == nil)
+		why := l.pool.node.maySend(t, t.remainingWait(now), t.call.client == nil)
 		if why != safety.Allowed {
 			t.link = nil
 			l.pool.node.refuseSend(t, why)
 		}
 		return why != safety.Allowed
 	})
-	for _, t := range l.tries {
-		l.write(t, t.waitsStill(now))
-		t.first, t.last = t.first-old, t.last-old
+	for _, t := range l.attempts {
+		l.writeRequest(t, t.remainingWait(now))
+		t.first, t.last = t.first-oldEnd, t.last-oldEnd
 	}
-	l.conn.CancelWrite(0, old) // nothing has been handed to the system yet
+	l.conn.CancelWrite(0, oldEnd) // nothing has been handed to the system yet
 }
 
-// takeBack takes back the attempts of which no byte has been written.
-func (l *link) takeBack() {
-	for i := len(l.tries) - 1; i >= 0 && !l.gone; i-- {
-		if t := l.tries[i]; t != nil && !l.takeOut(t, policy.ConnectFailed) {
+// withdrawUnwritten takes back the attempts of which no byte has been written.
+func (l *serverConn) withdrawUnwritten() {
+	for i := len(l.attempts) - 1; i >= 0 && !l.closed; i-- {
+		if t := l.attempts[i]; t != nil && !l.withdrawAttempt(t, policy.ConnectFailed) {
 			break
 		}
 	}
 }
 
-// takeOut takes one attempt back, with all that was written of its request, if no byte of that has been handed to the
+// withdrawAttempt takes one attempt back, with all that was written of its request, if no byte of that has been handed to the
 // system: it has never run, and its place is free for others. It reports whether it did.
-func (l *link) takeOut(t *try, o policy.Outcome) bool {
+func (l *serverConn) withdrawAttempt(t *try, o policy.Outcome) bool {
 	end := t.last
 	if t.call.upload != nil { // has a connection to itself, and not all of it has come
 		end = l.conn.WriteOffset()
 	}
-	i := slices.Index(l.tries, t)
-	if i < 0 || l.gone || !l.conn.CancelWrite(t.first, end) {
+	i := slices.Index(l.attempts, t)
+	if i < 0 || l.closed || !l.conn.CancelWrite(t.first, end) {
 		return false
 	}
-	for _, x := range l.tries[i+1:] {
+	for _, x := range l.attempts[i+1:] {
 		if x != nil {
 			x.first, x.last = x.first-(end-t.first), x.last-(end-t.first)
 		}
 	}
-	t.link, l.going, l.tries = nil, nil, slices.Delete(l.tries, i, i+1)
+	t.link, l.upload, l.attempts = nil, nil, slices.Delete(l.attempts, i, i+1)
 	l.pool.node.finished(t, answer{outcome: o})
 	return true
 }
@@ -258,18 +258,18 @@
 // off, since nothing has run. One half written, with nothing else on its connection, ends with that: nor has it run.
 func (p *pool) withdraw(t *try) {
 	l := t.link
-	if t.done || l == nil || l.gone || l.takeOut(t, policy.NotSent) {
+	if t.done || l == nil || l.closed || l.withdrawAttempt(t, policy.NotSent) {
 		return
 	}
-	if t.last > l.conn.Written() && len(l.tries) == 1 {
-		p.giveUp(t, answer{outcome: policy.NotSent})
+	if t.last > l.conn.Written() && len(l.attempts) == 1 {
+		p.abort(t, answer{outcome: policy.NotSent})
 	}
 }
 
-// wrote counts the attempts that have been written whole.
-func (l *link) wrote() {
-	for i := len(l.tries) - 1; i >= 0; i-- {
-		if t := l.tries[i]; t != nil && !t.whole && t.last <= l.conn.Written() {
+// markWritten counts the attempts that have been written whole.
+func (l *serverConn) markWritten() {
+	for i := len(l.attempts) - 1; i >= 0; i-- {
+		if t := l.attempts[i]; t != nil && !t.whole && t.last <= l.conn.Written() {
 			t.whole = true
 			l.pool.node.count.written++
 			l.pool.node.noteAttempt(attemptWritten, t, 0, 0)
@@ -280,81 +280,83 @@
 	}
 }
 
-// fresh takes the idle connection used last that still stands.
-func (p *pool) fresh() *link {
+// lastIdle takes the idle connection used last that still stands.
+func (p *pool) lastIdle() *serverConn {
 	for len(p.idle) > 0 {
 		l := p.idle[len(p.idle)-1]
 		if !l.conn.Stale() {
 			return l
 		}
-		l.drop() // guards against a request written to what the server has closed already, which may count as run
+		l.close() // guards against a request written to what the server has closed already, which may count as run
 	}
 	return nil
 }
 
 // dial opens a connection; nil where the system refuses at once.
-func (p *pool) dial() *link {
+func (p *pool) dial() *serverConn {
 	n := p.node
-	l := &link{pool: p}
+	l := &serverConn{pool: p}
 	conn, err := n.loop.Dial(p.addr, l)
 	if err != nil {
 		n.count.dialsFailed++
 		return nil
 	}
 	l.conn = conn
-	p.links = append(p.links, l)
+	p.conns = append(p.conns, l)
 	n.links++
-	n.count.links++
+	n.count.serverConns++
 	if limit := n.cfg.Transport.ConnectTimeout; limit > 0 {
-		l.timer = n.loop.After(limit, l.over)
+		l.timer = n.loop.After(limit, l.closeAndFail)
 	}
 	return l
 }
 
-// room is how many connections the node may have, of clients and to servers; open is how many descriptors they, and what
+// maxConns is how many connections the node may have, of clients and to servers; open is how many descriptors they, and what
 // is in reserve, hold. The operators' address has its own.
-func (n *Node) room() int { return n.sockets() - n.reserve() - n.control.Share() }
-func (n *Node) open() int { return n.loop.OpenSockets() - n.control.Open() }
+func (n *Node) maxConns() int  { return n.maxSockets() - n.reservedSockets() - n.control.Share() }
+func (n *Node) openConns() int { return n.loop.OpenSockets() - n.control.Open() }
 
-// brim is how many the node may have in all, with the reserve.
-func (n *Node) brim() int { return n.room() + n.reserve() - min(ownSockets, n.sockets()/4) }
+// maxConnsWithReserve is how many the node may have in all, with the reserve.
+func (n *Node) maxConnsWithReserve() int {
+	return n.maxConns() + n.reservedSockets() - min(ownSockets, n.maxSockets()/4)
+}
 
-// linkMost is how many of them may be to servers, linkLeast how many clients must leave to servers.
-func (n *Node) linkMost() int  { return max(n.linkLeast(), n.room()*2/5) }
-func (n *Node) linkLeast() int { return max(1, n.room()/8) }
+// maxServerConns is how many of them may be to servers, linkLeast how many clients must leave to servers.
+func (n *Node) maxServerConns() int { return max(n.minServerConns(), n.maxConns()*2/5) }
+func (n *Node) minServerConns() int { return max(1, n.maxConns()/8) }
 
 // mayDial reports whether there is room for one more connection to a server. Clients in the reserve take none of it.
 func (n *Node) mayDial() bool {
 	// Guards against clients who fill the room and the reserve: with no connection to any server left, as after a quiet
 	// time or a change of servers, each request was failed and each server skipped, for as long as they came.
-	most := n.links < n.linkMost() && n.open()-n.clients.reserved < n.room()
-	return n.open() < n.brim() && (most || n.links < n.linkLeast())
+	belowMax := n.links < n.maxServerConns() && n.openConns()-n.clients.reserved < n.maxConns()
+	return n.openConns() < n.maxConnsWithReserve() && (belowMax || n.links < n.minServerConns())
 }
 
-// shed closes the idle connection that has stood longest.
-func (n *Node) shed() bool {
-	var oldest *link
+// closeOldestIdle closes the idle connection that has stood longest.
+func (n *Node) closeOldestIdle() bool {
+	var oldest *serverConn
 	for _, p := range n.pools {
-		if len(p.idle) > 0 && (oldest == nil || p.idle[0].since < oldest.since) {
+		if len(p.idle) > 0 && (oldest == nil || p.idle[0].idleSince < oldest.idleSince) {
 			oldest = p.idle[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	n.count.linksShed++
-	oldest.drop()
+	n.count.serverConnsShed++
+	oldest.close()
 	return true
 }
 
-// shared finds the connection that carries least and may carry one more.
-func (p *pool) shared() *link {
-	if p.proto == nil || !p.proto.pipelines() {
+// leastLoaded finds the connection that carries least and may carry one more.
+func (p *pool) leastLoaded() *serverConn {
+	if p.proto == nil || !p.proto.canPipeline() {
 		return nil
 	}
-	var best *link
-	for _, l := range p.links {
-		if !l.old && l.body == nil && l.going == nil && len(l.tries) < p.node.cfg.Transport.PerConn && (best == nil || len(l.tries) < len(best.tries)) {
+	var best *serverConn
+	for _, l := range p.conns {
+		if !l.retiring && l.body == nil && l.upload == nil && len(l.attempts) < p.node.cfg.Transport.PerConn && (best == nil || len(l.attempts) < len(best.attempts)) {
 			best = l
 		}
 	}
@@ -364,118 +366,118 @@
 	return best
 }
 
-// carries reports whether an attempt waits for its answer on the connection.
-func (l *link) carries() bool {
-	return slices.ContainsFunc(l.tries, func(x *try) bool { return x != nil })
+// hasOutstanding reports whether an attempt waits for its answer on the connection.
+func (l *serverConn) hasOutstanding() bool {
+	return slices.ContainsFunc(l.attempts, func(x *try) bool { return x != nil })
 }
 
-// rest makes a connection that carries nothing idle, or closes it when nothing more should go there.
-func (l *link) rest() {
-	if l.gone || !l.up || len(l.tries) > 0 {
+// markIdle makes a connection that carries nothing idle, or closes it when nothing more should go there.
+func (l *serverConn) markIdle() {
+	if l.closed || !l.connected || len(l.attempts) > 0 {
 		return
 	}
 	p := l.pool
-	if l.old || !p.open() || len(l.input) > 0 {
-		l.drop()
+	if l.retiring || !p.available() || len(l.input) > 0 {
+		l.close()
 		return
 	}
 	if slices.Contains(p.idle, l) {
 		return
 	}
-	l.since = p.node.loop.Now()
+	l.idleSince = p.node.loop.Now()
 	p.idle = append(p.idle, l)
 	if limit := p.node.cfg.Transport.ConnIdle; limit > 0 { // well before the server's own limit
 		l.timer.Stop()
-		l.timer = p.node.loop.After(limit/2, l.drop)
+		l.timer = p.node.loop.After(limit/2, l.close)
 	}
 }
 
-// unrest takes a connection off the idle ones.
-func (l *link) unrest() {
+// unmarkIdle takes a connection off the idle ones.
+func (l *serverConn) unmarkIdle() {
 	if i := slices.Index(l.pool.idle, l); i >= 0 {
 		l.pool.idle = slices.Delete(l.pool.idle, i, i+1)
 		l.timer.Stop()
 	}
 }
 
-// drop gives the connection back.
-func (l *link) drop() {
-	if l.gone {
+// close gives the connection back.
+func (l *serverConn) close() {
+	if l.closed {
 		return
 	}
-	l.gone = true
+	l.closed = true
 	l.timer.Stop()
-	l.unrest()
+	l.unmarkIdle()
 	l.conn.Close()
 	l.input = nil
 	if l.body != nil {
 		l.body.kept = nil
 		l.body.timer.Stop()
 	}
-	l.account()
+	l.updateBuffered()
 	p := l.pool
-	p.links = slices.DeleteFunc(p.links, func(x *link) bool { return x == l })
+	p.conns = slices.DeleteFunc(p.conns, func(x *serverConn) bool { return x == l })
 	p.node.links--
-	p.forget()
+	p.removeIfUnused()
 }
 
-// account keeps the node's count of the bytes of answers that are not whole.
-func (l *link) account() {
+// updateBuffered keeps the node's count of the bytes of answers that are not whole.
+func (l *serverConn) updateBuffered() {
 	held := cap(l.input)
 	if l.body != nil {
 		held += cap(l.body.kept)
 	}
-	l.pool.node.coming += held - l.held
-	l.held = held
+	l.pool.node.coming += held - l.accountedBytes
+	l.accountedBytes = held
 }
 
-// over ends the connection and all that is out on it: what was not written whole has never run, the rest may have.
-func (l *link) over() {
-	if l.gone {
+// closeAndFail ends the connection and all that is out on it: what was not written whole has never run, the rest may have.
+func (l *serverConn) closeAndFail() {
+	if l.closed {
 		return
 	}
 	written := l.conn.Written()
-	l.drop()
-	for _, t := range l.tries {
+	l.close()
+	for _, t := range l.attempts {
 		if t == nil {
 			continue
 		}
-		end := answer{outcome: policy.Reset, kept: l.served}
+		end := answer{outcome: policy.Reset, kept: l.hasAnswered}
 		if t.last > written {
 			end.outcome = policy.ConnectFailed
 		}
 		l.pool.node.finished(t, end)
 	}
-	l.tries = nil
+	l.attempts = nil
 }
 
 // timeout ends an attempt that the node stops waiting for. Its connection goes with it, so that the server can tell.
 func (p *pool) timeout(t *try) {
 	l := t.link
-	if t.done || l == nil || l.gone {
+	if t.done || l == nil || l.closed {
 		return
 	}
 	end := answer{outcome: policy.TimedOut}
 	if t.last > l.conn.Written() { // it never went out
 		end.outcome = policy.ConnectFailed
 	}
-	if p.heard < t.at {
+	if p.lastReceived < t.at {
 		// Guards against a machine that vanished: its open connections stay silent and each would cost a time-out,
 		// while a new one that does not come up says soon, and surely, that nothing ran.
 		for _, l := range slices.Clone(p.idle) {
-			l.drop()
+			l.close()
 		}
 	}
-	p.giveUp(t, end)
+	p.abort(t, end)
 }
 
 // expire takes back a repeat that has not gone out whole when its servers begin to forget the request: it would run again.
 func (p *pool) expire(t *try) {
 	l := t.link
-	if t.done || l == nil || l.gone || t.last <= l.conn.Written() || l.takeOut(t, policy.ConnectFailed) {
+	if t.done || l == nil || l.closed || t.last <= l.conn.Written() || l.withdrawAttempt(t, policy.ConnectFailed) {
 		return
 	}
-	l.over() // half of it is on its way
+	l.closeAndFail() // half of it is on its way
 }
 
 // cancel calls an attempt off.
@@ -484,203 +486,205 @@
 		p.withdraw(t)
 	}
 	if !t.done && t.link != nil {
-		p.giveUp(t, answer{outcome: policy.Cancelled})
+		p.abort(t, answer{outcome: policy.Cancelled})
 	}
 }
 
-// giveUp ends an attempt before its answer. Where other attempts wait on the connection and the request is over, the
+// abort ends an attempt before its answer. Where other attempts wait on the connection and the request is over, the
 // connection stays for them and the answer is passed over when it comes.
-func (p *pool) giveUp(t *try, end answer) {
+func (p *pool) abort(t *try, end answer) {
 	l := t.link
 	t.link = nil
-	if i := slices.Index(l.tries, t); i >= 0 {
-		l.tries[i] = nil
+	if i := slices.Index(l.attempts, t); i >= 0 {
+		l.attempts[i] = nil
 	}
 	if l.body != nil && l.body.try == t {
 		l.body.nobody()
 	}
-	if other := l.body != nil && l.body.try != nil; !l.carries() || end.outcome != policy.Cancelled && !other {
-		l.over()
+	if otherBody := l.body != nil && l.body.try != nil; !l.hasOutstanding() || end.outcome != policy.Cancelled && !otherBody {
+		l.closeAndFail()
 	}
 	p.node.finished(t, end)
 }
 
 // Connected implements loop.Handler.
-func (l *link) Connected() {
-	l.up = true
-	l.pool.heard = l.pool.node.loop.Now()
+func (l *serverConn) Connected() {
+	l.connected = true
+	l.pool.lastReceived = l.pool.node.loop.Now()
 	l.timer.Stop()
-	l.retell()
-	l.wrote()
-	for _, t := range l.tries {
+	l.rewriteRequests()
+	l.markWritten()
+	for _, t := range l.attempts {
 		if t != nil {
-			l.boundWait(t)
+			l.limitWriteDelay(t)
 		}
 	}
-	l.rest()
+	l.markIdle()
 }
 
 // Flushed implements loop.Handler.
-func (l *link) Flushed() {
-	l.wrote()
-	if l.going != nil {
-		l.going.flow()
+func (l *serverConn) Flushed() {
+	l.markWritten()
+	if l.upload != nil {
+		l.upload.flow()
 	}
 }
 
 // End implements loop.Handler.
-func (l *link) End(error) {
-	l.old = true
-	if l.body == nil && len(l.tries) > 0 && l.tries[0] != nil && len(l.input) > 0 { // an answer may end with its connection
-		if a, used, err := l.pool.proto.answer(l.input, l.tries[0], l.pool.node.valueMost(), true); err == nil && used > 0 && a.long == 0 {
-			t := l.tries[0]
-			l.tries = l.tries[1:]
-			l.finish(t, a)
+func (l *serverConn) End(error) {
+	l.retiring = true
+	if l.body == nil && len(l.attempts) > 0 && l.attempts[0] != nil && len(l.input) > 0 { // an answer may end with its connection
+		if a, used, err := l.pool.proto.parseAnswer(l.input, l.attempts[0], l.pool.node.valueMost(), true); err == nil && used > 0 && a.long == 0 {
+			t := l.attempts[0]
+			l.attempts = l.attempts[1:]
+			l.finishAttempt(t, a)
 		}
 	}
-	l.over()
+	l.closeAndFail()
 }
 
 // Data implements loop.Handler.
-func (l *link) Data(data []byte) {
-	l.pool.heard = l.pool.node.loop.Now()
-	if len(l.tries) > 0 {
+func (l *serverConn) Data(data []byte) {
+	l.pool.lastReceived = l.pool.node.loop.Now()
+	if len(l.attempts) > 0 {
 		l.timer.Stop()
 	}
-	most, kept := l.pool.node.valueMost(), len(l.input) > 0
-	if kept {
+	maxValue, buffered := l.pool.node.valueMost(), len(l.input) > 0
+	if buffered {
 		l.input = append(l.input, data...)
 		data = l.input
 	}
-	for len(data) > 0 && !l.gone {
+	for len(data) > 0 && !l.closed {
 		if l.body != nil {
 			used, ok := l.body.take(data)
-			if l.gone { // its client's connection has broken under it
+			if l.closed { // its client's connection has broken under it
 				return
 			}
 			if !ok {
-				l.bad("a long value that does not end where it should")
+				l.closeMalformed("a long value that does not end where it should")
 				return
 			}
 			if data = data[used:]; l.body.whole() {
-				l.received(len(data) == 0)
+				l.finishBody(len(data) == 0)
 			}
 			continue
 		}
-		if len(l.tries) == 0 {
+		if len(l.attempts) == 0 {
 			// What comes behind a good answer does not spoil that one, but must never become the next request's answer.
-			l.pool.node.count.surplus++
-			l.over()
+			l.pool.node.count.surplusAnswers++
+			l.closeAndFail()
 			return
 		}
-		t := l.tries[0]
-		a, used, err := l.pool.proto.answer(data, t, most, false)
-		if err != nil || used == 0 && len(data) > most+mostAround {
-			l.bad("malformed answer")
+		t := l.attempts[0]
+		a, used, err := l.pool.proto.parseAnswer(data, t, maxValue, false)
+		if err != nil || used == 0 && len(data) > maxValue+maxAnswerOverhead {
+			l.closeMalformed("malformed answer")
 			return
 		}
 		if a.long > 0 && t != nil && len(data)-used < bodyFirst {
 			used = 0 // not enough of it to be believed; but its server gives it, and what stops is given up soon
 			t.timer.Stop()
 		}
-		if used > 0 && l.going != nil { // the server does not want the rest: not even a part of it has run
+		if used > 0 && l.upload != nil { // the server does not want the rest: not even a part of it has run
 			if a.outcome != policy.Full {
 				a.outcome = policy.ConnectFailed
 			}
-			l.tries = l.tries[1:]
-			l.drop()
-			l.finish(t, answer{outcome: a.outcome})
+			l.attempts = l.attempts[1:]
+			l.close()
+			l.finishAttempt(t, answer{outcome: a.outcome})
 			return
 		}
 		if used > 0 && t != nil && t.last > l.conn.Written() {
-			l.bad("an answer before its request") // surplus of the one before
+			l.closeMalformed("an answer before its request") // surplus of the one before
 			return
 		}
 		if used == 0 {
 			break
 		}
 		data = data[used:]
-		l.served = true
+		l.hasAnswered = true
 		if a.long > 0 {
-			l.input, kept = nil, false
+			l.input, buffered = nil, false
 			l.receive(t, a)
 			continue
 		}
-		l.tries = l.tries[1:]
-		l.old = l.old || a.close
+		l.attempts = l.attempts[1:]
+		l.retiring = l.retiring || a.close
 		if len(data) == 0 {
 			l.input = nil
 			if !a.close { // idle already when the module, told of the answer, sends the next attempt
-				l.rest()
+				l.markIdle()
 			}
 		}
 		if t != nil {
-			l.finish(t, a)
+			l.finishAttempt(t, a)
 		}
 		if a.close {
-			l.over()
+			l.closeAndFail()
 		}
 	}
-	if l.gone {
+	if l.closed {
 		return
 	}
 	switch {
 	case len(data) == 0:
 		l.input = nil
-	case kept:
+	case buffered:
 		l.input = l.input[:copy(l.input, data)]
 	default:
 		l.input = append([]byte(nil), data...)
 	}
-	l.account()
+	l.updateBuffered()
 	if l.pool.node.coming > l.pool.node.most() {
-		l.bad("no room for more answers at once")
+		l.closeMalformed("no room for more answers at once")
 		return
 	}
 	if len(l.input) > 0 && l.body == nil {
 		// Guards against an answer that says it is longer than it is: its connection stays open and silent, and without
 		// this the attempt would last until its time-out.
-		l.timer = l.pool.node.loop.After(l.pool.node.stall(), func() { l.bad("an answer that stops in its midst") })
+		l.timer = l.pool.node.loop.After(l.pool.node.stallTimeout(), func() { l.closeMalformed("an answer that stops in its midst") })
 	}
-	if len(l.tries) > 0 && !l.carries() && l.body == nil { // guards against a descriptor held for answers that nobody waits for
-		l.over()
+	if len(l.attempts) > 0 && !l.hasOutstanding() && l.body == nil { // guards against a descriptor held for answers that nobody waits for
+		l.closeAndFail()
 	}
-	l.rest()
+	l.markIdle()
 }
 
-// received ends a long value of which all has come.
-func (l *link) received(last bool) {
+// finishBody ends a long value of which all has come.
+func (l *serverConn) finishBody(last bool) {
 	b := l.body
 	l.body = nil
 	b.timer.Stop()
 	l.conn.SetPaused(false)
-	l.paused = false
-	t := l.tries[0]
-	l.tries = l.tries[1:]
-	l.old = l.old || b.close
+	l.readPaused = false
+	t := l.attempts[0]
+	l.attempts = l.attempts[1:]
+	l.retiring = l.retiring || b.close
 	if last && !b.close {
-		l.rest()
+		l.markIdle()
 	}
 	if t != nil {
-		l.finish(t, answer{outcome: policy.OK})
+		l.finishAttempt(t, answer{outcome: policy.OK})
 	}
 	if b.close {
-		l.over()
+		l.closeAndFail()
 	}
 }
 
-// stall is how long an answer may stop in its midst.
-func (n *Node) stall() time.Duration { return cmp.Or(n.cfg.Transport.ConnectTimeout, usualStall) }
+// stallTimeout is how long an answer may stop in its midst.
+func (n *Node) stallTimeout() time.Duration {
+	return cmp.Or(n.cfg.Transport.ConnectTimeout, defaultStallTimeout)
+}
 
-// finish ends an attempt with its answer.
-func (l *link) finish(t *try, a answer) {
+// finishAttempt ends an attempt with its answer.
+func (l *serverConn) finishAttempt(t *try, a answer) {
 	t.link = nil
 	l.pool.node.finished(t, a)
 }
 
-// bad ends a connection on which nothing can be trusted any more.
-func (l *link) bad(why string) {
+// closeMalformed ends a connection on which nothing can be trusted any more.
+func (l *serverConn) closeMalformed(why string) {
 	l.pool.node.count.badAnswers++
 	log.Printf("event=bad_answer server=%s why=%q", l.pool.id, why)
-	l.over()
+	l.closeAndFail()
 }
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -17,15 +17,15 @@
 	"lapisshelf/policy"
 )
 
-// bench is a node whose pools are driven by hand, with one stand-in server that says only what it is told to.
-type bench struct {
+// harness is a node whose pools are driven by hand, with one stand-in server that says only what it is told to.
+type harness struct {
 	t    *testing.T
 	node *Node
 	pool *pool
 	ln   net.Listener
 }
 
-func newBench(t *testing.T) *bench {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,19 +45,19 @@
 		t.Fatal(err)
 	}
 	n.registry.Close() // no list is asked for
-	n.pool(policy.Server{ID: "s-1", State: policy.Ready}, netip.MustParseAddrPort(ln.Addr().String()))
-	return &bench{t, n, n.pools["s-1"], ln}
+	n.updatePool(policy.Server{ID: "s-1", State: policy.Ready}, netip.MustParseAddrPort(ln.Addr().String()))
+	return &harness{t, n, n.pools["s-1"], ln}
 }
 
-// listens is where the node's clients connect to.
-func (b *bench) listens() netip.AddrPort { return b.node.clients.listener.Addr() }
+// clientAddr is where the node's clients connect to.
+func (b *harness) clientAddr() netip.AddrPort { return b.node.clients.listener.Addr() }
 
-// run lets the loop run until a condition holds.
-func (b *bench) run(what string, holds func() bool) {
+// runUntil lets the loop run until a condition holds.
+func (b *harness) runUntil(what string, holds func() bool) {
 	b.t.Helper()
 	end := time.Now().Add(10 * time.Second)
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		switch {
 		case holds():
 			b.node.loop.Stop()
@@ -65,22 +65,22 @@
 			b.t.Errorf("never: %s", what)
 			b.node.loop.Stop()
 		default:
-			b.node.loop.After(time.Millisecond, look)
+			b.node.loop.After(time.Millisecond, poll)
 		}
 	}
-	b.node.loop.Defer(look)
+	b.node.loop.Defer(poll)
 	if err := b.node.loop.Run(); err != nil {
 		b.t.Fatal(err)
 	}
 }
 
 // send starts an attempt of a request of its own, whose client takes no answer: its connection is over, which nobody has told.
-func (b *bench) send(id string) *try {
-	return b.attempt(&call{id: id, class: &class{name: "read"}, client: &client{node: b.node, gone: true}})
+func (b *harness) send(id string) *try {
+	return b.sendAttempt(&call{id: id, class: &class{name: "read"}, client: &client{node: b.node, gone: true}})
 }
 
-// attempt starts one of a request.
-func (b *bench) attempt(c *call) *try {
+// sendAttempt starts one of a request.
+func (b *harness) sendAttempt(c *call) *try {
 	b.t.Helper()
 	line := "mg key v O" + c.id + " Pc=read,d=1000"
 	m, _, err := meta.ParseCommand([]byte(line+"\r\n"), meta.MaxValue, meta.MaxLongValue)
@@ -102,14 +102,14 @@
 }
 
 // accept takes the node's next connection and reads the lines of its first attempts.
-func (b *bench) accept(lines int) net.Conn {
+func (b *harness) accept(lines int) net.Conn {
 	b.t.Helper()
 	conn, err := b.ln.Accept()
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	b.t.Cleanup(func() { conn.Close() })
-	b.run("the connection stands", func() bool { return b.pool.links[len(b.pool.links)-1].up })
+	b.runUntil("the connection stands", func() bool { return b.pool.conns[len(b.pool.conns)-1].connected })
 	in := bufio.NewReader(conn)
 	for range lines {
 		if _, err := in.ReadString('\n'); err != nil {
@@ -119,36 +119,36 @@
 	return conn
 }
 
-func (b *bench) outcomes(o policy.Outcome) int64 { return b.node.count.outcomes[o] }
+func (b *harness) outcomes(o policy.Outcome) int64 { return b.node.count.outcomes[o] }
 
 // An attempt called off behind another on a shared connection leaves that one alone, and when it is done the
 // connection is not kept for an answer that nobody waits for.
-func TestGhostsDoNotHoldAConnection(t *testing.T) {
-	b := newBench(t)
+func TestCancelledAttemptsDoNotHoldAConnection(t *testing.T) {
+	b := newHarness(t)
 	b.send("1")
-	far := b.accept(1)
-	b.node.links = b.node.linkMost() // no descriptor is left
+	peer := b.accept(1)
+	b.node.links = b.node.maxServerConns() // no descriptor is left
 	second := b.send("2")
-	if b.node.count.pipelined != 1 || len(b.pool.links) != 1 {
+	if b.node.count.pipelined != 1 || len(b.pool.conns) != 1 {
 		t.Fatal("the second attempt did not share the connection")
 	}
 	b.pool.cancel(second)
-	if b.outcomes(policy.Cancelled) != 1 || len(b.pool.links) != 1 {
+	if b.outcomes(policy.Cancelled) != 1 || len(b.pool.conns) != 1 {
 		t.Fatal("calling the second off ended the connection of the first")
 	}
-	io.WriteString(far, "VA 1 O1\r\nx\r\n")
-	b.run("the first is answered", func() bool { return b.outcomes(policy.OK) == 1 })
-	if len(b.pool.links) != 0 {
+	io.WriteString(peer, "VA 1 O1\r\nx\r\n")
+	b.runUntil("the first is answered", func() bool { return b.outcomes(policy.OK) == 1 })
+	if len(b.pool.conns) != 0 {
 		t.Error("the connection is kept though nobody waits for an answer on it")
 	}
 }
 
 // What a time-out costs the others on a shared connection is told honestly.
 func TestATimeOutOnASharedConnection(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	first := b.send("1")
 	b.accept(1)
-	b.node.links = b.node.linkMost()
+	b.node.links = b.node.maxServerConns()
 	b.send("2")
 	b.pool.timeout(first)
 	if b.outcomes(policy.TimedOut) != 1 || b.outcomes(policy.Reset) != 1 {
@@ -158,40 +158,40 @@
 
 // A time-out behind a long value that flows leaves the connection alone: closing it would cut the value off.
 func TestATimeOutBehindALongValue(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	first := b.send("1")
 	b.accept(1)
-	b.node.links = b.node.linkMost()
+	b.node.links = b.node.maxServerConns()
 	second := b.send("2")
-	l := b.pool.links[0]
+	l := b.pool.conns[0]
 	l.body = &body{link: l, try: first, left: 1}
 	b.pool.timeout(second)
-	if b.outcomes(policy.TimedOut) != 1 || l.gone || first.done {
-		t.Errorf("%v, gone %v", b.node.count.outcomes, l.gone)
+	if b.outcomes(policy.TimedOut) != 1 || l.closed || first.done {
+		t.Errorf("%v, gone %v", b.node.count.outcomes, l.closed)
 	}
 }
 
 // What a connection that is breaking did not take has never run; what it took may have.
-func TestNotWrittenIsCouldNotConnect(t *testing.T) {
-	b := newBench(t)
+func TestUnwrittenAttemptsCountAsConnectFailed(t *testing.T) {
+	b := newHarness(t)
 	b.send("1")
 	b.accept(1)
-	b.node.links = b.node.linkMost()
-	l := b.pool.links[0]
+	b.node.links = b.node.maxServerConns()
+	l := b.pool.conns[0]
 	l.conn.Close() // as far as writing goes, it is broken
 	b.send("2")
-	l.over()
+	l.closeAndFail()
 	if b.outcomes(policy.Reset) != 1 || b.outcomes(policy.ConnectFailed) != 1 {
 		t.Errorf("%v", b.node.count.outcomes)
 	}
 }
 
 // A server that stops being ready gets nothing from a connection that comes up later.
-func TestDrainGivesUpWhatIsComingUp(t *testing.T) {
-	b := newBench(t)
+func TestDrainEndsConnectingAttempts(t *testing.T) {
+	b := newHarness(t)
 	b.send("1")
 	b.pool.ready = false
-	b.pool.leave()
+	b.pool.drain()
 	if b.outcomes(policy.ConnectFailed) != 1 || b.node.links != 0 || b.node.pools["s-1"] != nil {
 		t.Errorf("%v, %d connections", b.node.count.outcomes, b.node.links)
 	}
@@ -200,19 +200,19 @@
 // An attempt that waits unwritten behind another is no send yet: written after the grace it would be one to a server that
 // drains or is banned.
 func TestABanTakesBackWhatIsNotWritten(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	b.send("1")
 	b.accept(1)
-	b.run("it stands", func() bool { return b.pool.links[0].up })
-	b.node.links = b.node.linkMost() // what follows shares the connection
-	b.pool.links[0].conn.Write(make([]byte, 32<<20))
+	b.runUntil("it stands", func() bool { return b.pool.conns[0].connected })
+	b.node.links = b.node.maxServerConns() // what follows shares the connection
+	b.pool.conns[0].conn.Write(make([]byte, 32<<20))
 	second, third := b.send("2"), b.send("3")
 	b.node.listed.add("s-1")
-	if r := b.node.ban("s-1", true); r.Status != 200 {
+	if r := b.node.setBan("s-1", true); r.Status != 200 {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
-	if !second.done || !third.done || b.outcomes(policy.ConnectFailed) != 2 || len(b.pool.links) != 1 || len(b.pool.links[0].tries) != 1 {
-		t.Errorf("%v, %d connections", b.node.count.outcomes, len(b.pool.links))
+	if !second.done || !third.done || b.outcomes(policy.ConnectFailed) != 2 || len(b.pool.conns) != 1 || len(b.pool.conns[0].attempts) != 1 {
+		t.Errorf("%v, %d connections", b.node.count.outcomes, len(b.pool.conns))
 	}
 	if b.node.count.written != 1 {
 		t.Errorf("%d attempts count as written", b.node.count.written)
@@ -222,19 +222,19 @@
 // A machine that vanished leaves its idle connections silent: the first time-out with nothing heard gives them back.
 func TestASilentServersIdleConnectionsAreGivenBack(t *testing.T) {
 	for _, heard := range []bool{false, true} {
-		b := newBench(t)
+		b := newHarness(t)
 		b.send("1")
 		b.send("2")
 		for i := range 2 {
 			io.WriteString(b.accept(1), fmt.Sprintf("VA 1 O%d\r\nx\r\n", i+1))
 		}
-		b.run("both are answered", func() bool { return b.outcomes(policy.OK) == 2 })
+		b.runUntil("both are answered", func() bool { return b.outcomes(policy.OK) == 2 })
 		if len(b.pool.idle) != 2 {
 			t.Fatalf("%d idle connections", len(b.pool.idle))
 		}
 		third := b.send("3")
 		if heard {
-			b.pool.heard = third.at + 1
+			b.pool.lastReceived = third.at + 1
 		}
 		b.pool.timeout(third)
 		if want := map[bool]int{false: 0, true: 1}[heard]; len(b.pool.idle) != want {
@@ -245,22 +245,22 @@
 
 // A server that moved gets new connections at its new address.
 func TestAServerThatMoved(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	b.send("1")
 	io.WriteString(b.accept(1), "VA 1 O1\r\nx\r\n")
-	b.run("it is answered", func() bool { return b.outcomes(policy.OK) == 1 })
+	b.runUntil("it is answered", func() bool { return b.outcomes(policy.OK) == 1 })
 	other, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.Close()
-	b.node.pool(policy.Server{ID: "s-1", State: policy.Ready}, netip.MustParseAddrPort(other.Addr().String()))
+	b.node.updatePool(policy.Server{ID: "s-1", State: policy.Ready}, netip.MustParseAddrPort(other.Addr().String()))
 	b.ln = other
 	b.send("2")
 	io.WriteString(b.accept(1), "VA 1 O2\r\nx\r\n")
-	b.run("the new address answers", func() bool { return b.outcomes(policy.OK) == 2 })
-	if len(b.pool.links) != 1 {
-		t.Errorf("%d connections", len(b.pool.links))
+	b.runUntil("the new address answers", func() bool { return b.outcomes(policy.OK) == 2 })
+	if len(b.pool.conns) != 1 {
+		t.Errorf("%d connections", len(b.pool.conns))
 	}
 }
 
@@ -268,18 +268,18 @@
 // or while the request stood behind others.
 func TestAServerThatMovesUnderARequest(t *testing.T) {
 	for _, shared := range []bool{false, true} {
-		b := newBench(t)
+		b := newHarness(t)
 		if shared {
 			b.send("1")
-			b.run("it stands", func() bool { return b.pool.links[0].up })
-			b.node.links = b.node.linkMost()
-			b.pool.links[0].conn.Write(make([]byte, 32<<20))
+			b.runUntil("it stands", func() bool { return b.pool.conns[0].connected })
+			b.node.links = b.node.maxServerConns()
+			b.pool.conns[0].conn.Write(make([]byte, 32<<20))
 		}
 		second := b.send("2")
-		b.node.pool(policy.Server{ID: "s-1", State: policy.Ready}, netip.MustParseAddrPort("127.0.0.1:2"))
-		b.run("it is taken back", func() bool { return second.done })
-		if b.outcomes(policy.ConnectFailed) != 1 || len(b.pool.links) != map[bool]int{false: 0, true: 1}[shared] {
-			t.Errorf("shared %v: %v, %d connections", shared, b.node.count.outcomes, len(b.pool.links))
+		b.node.updatePool(policy.Server{ID: "s-1", State: policy.Ready}, netip.MustParseAddrPort("127.0.0.1:2"))
+		b.runUntil("it is taken back", func() bool { return second.done })
+		if b.outcomes(policy.ConnectFailed) != 1 || len(b.pool.conns) != map[bool]int{false: 0, true: 1}[shared] {
+			t.Errorf("shared %v: %v, %d connections", shared, b.node.count.outcomes, len(b.pool.conns))
 		}
 	}
 }
@@ -287,33 +287,33 @@
 // Guards against a keyed write that runs twice: a repeat whose connection comes up when its servers have forgotten the first
 // try. What has gone out by then stays.
 func TestARepeatThatIsLateForItsWindow(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	late := b.send("1")
 	b.pool.expire(late)
-	if !late.done || b.outcomes(policy.ConnectFailed) != 1 || len(b.pool.links) != 1 {
-		t.Fatalf("%v, %d connections", b.node.count.outcomes, len(b.pool.links))
+	if !late.done || b.outcomes(policy.ConnectFailed) != 1 || len(b.pool.conns) != 1 {
+		t.Fatalf("%v, %d connections", b.node.count.outcomes, len(b.pool.conns))
 	}
-	b.run("the connection is up, and idle", func() bool { return len(b.pool.idle) == 1 })
+	b.runUntil("the connection is up, and idle", func() bool { return len(b.pool.idle) == 1 })
 	whole := b.send("2")
 	b.pool.expire(whole)
 	if whole.done {
 		t.Error("what had gone out was ended")
 	}
-	far, err := b.ln.Accept()
+	peer, err := b.ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
-	if line, err := bufio.NewReader(far).ReadString('\n'); err != nil || !strings.Contains(line, "O2") {
+	defer peer.Close()
+	if line, err := bufio.NewReader(peer).ReadString('\n'); err != nil || !strings.Contains(line, "O2") {
 		t.Errorf("the server was sent %q, %v", line, err)
 	}
-	b.node.links = b.node.linkMost()
-	b.pool.links[0].conn.Write(make([]byte, 32<<20))
+	b.node.links = b.node.maxServerConns()
+	b.pool.conns[0].conn.Write(make([]byte, 32<<20))
 	half := b.send("3")
-	half.first = b.pool.links[0].conn.Written() - 1 // as if its first byte had gone
+	half.first = b.pool.conns[0].conn.Written() - 1 // as if its first byte had gone
 	b.pool.expire(half)
-	if !half.done || len(b.pool.links) != 0 || b.outcomes(policy.ConnectFailed) != 2 || b.outcomes(policy.Reset) != 1 {
-		t.Errorf("half of it gone: %v, %d connections", b.node.count.outcomes, len(b.pool.links))
+	if !half.done || len(b.pool.conns) != 0 || b.outcomes(policy.ConnectFailed) != 2 || b.outcomes(policy.Reset) != 1 {
+		t.Errorf("half of it gone: %v, %d connections", b.node.count.outcomes, len(b.pool.conns))
 	}
 }
 
@@ -326,44 +326,44 @@
 	c := s.node.calls["1"]
 	actions{s.node}.Send("1", "c-1", 0, s.node.loop.Now()+20*time.Millisecond)
 	last := c.tries[len(c.tries)-1]
-	s.run("it is taken back", func() bool { return last.done })
+	s.runUntil("it is taken back", func() bool { return last.done })
 	if s.outcomes(policy.ConnectFailed) != 1 {
 		t.Errorf("%v", s.node.count.outcomes)
 	}
 }
 
-// client connects one to the node.
-func (b *bench) client() (far net.Conn, c *client) {
+// connectClient connects one to the node.
+func (b *harness) connectClient() (peer net.Conn, c *client) {
 	b.t.Helper()
-	far, err := net.Dial("tcp", b.listens().String())
+	peer, err := net.Dial("tcp", b.clientAddr().String())
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.t.Cleanup(func() { far.Close() })
-	b.run("it is taken", func() bool { return len(b.node.clients.all) == 1 })
+	b.t.Cleanup(func() { peer.Close() })
+	b.runUntil("it is taken", func() bool { return len(b.node.clients.all) == 1 })
 	for c = range b.node.clients.all {
 	}
 	c.asked = true
-	return far, c
+	return peer, c
 }
 
 // What a banned server has yet to give of a long value is fetched however slow its reader: it will be restarted.
 func TestABanFetchesWhatIsLeftOfALongValue(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	first := b.send("1")
 	b.accept(1)
-	_, c := b.client()
+	_, c := b.connectClient()
 	first.call.client = c
-	l := b.pool.links[0]
+	l := b.pool.conns[0]
 	l.body = &body{link: l, try: first, left: 1 << 20, begun: true}
 	first.call.body, c.calls = l.body, []*call{first.call}
-	b.pool.leave()
+	b.pool.drain()
 	if c.deep != 0 {
 		t.Error("hastened at a server that is open")
 	}
 	b.node.listed.add("s-1")
-	b.node.ban("s-1", true)
-	if c.deep != 1<<20 || b.node.deep != c.deep || l.gone {
+	b.node.setBan("s-1", true)
+	if c.deep != 1<<20 || b.node.deep != c.deep || l.closed {
 		t.Errorf("room for %d bytes, %d in all", c.deep, b.node.deep)
 	}
 	c.drop()
@@ -376,9 +376,9 @@
 // connection seems to have rested.
 func TestADrainWaitsForASlowReader(t *testing.T) {
 	const size = 12 << 20 // more than the system keeps
-	b := newBench(t)
+	b := newHarness(t)
 	n := b.node
-	far, c := b.client()
+	peer, c := b.connectClient()
 	c.conn.Write(make([]byte, size))
 	c.flush()
 	n.clients.empty()
@@ -389,25 +389,25 @@
 	}
 	got := make(chan int64, 1)
 	go func() {
-		m, _ := io.Copy(io.Discard, far)
+		m, _ := io.Copy(io.Discard, peer)
 		got <- m
 	}()
-	var all int64
-	b.run("it is closed", func() bool {
+	var total int64
+	b.runUntil("it is closed", func() bool {
 		select {
-		case all = <-got:
+		case total = <-got:
 			return true
 		default:
 			return false
 		}
 	})
-	if all != size {
-		t.Errorf("%d bytes of %d", all, size)
+	if total != size {
+		t.Errorf("%d bytes of %d", total, size)
 	}
 }
 
 func TestCountersNameEveryOutcome(t *testing.T) {
-	line := newBench(t).node.count.line(newBench(t).node)
+	line := newHarness(t).node.count.line(newHarness(t).node)
 	for _, name := range outcomeNames {
 		if name == "" || !strings.Contains(line, " "+name+"=0") {
 			t.Errorf("%q is not in %s", name, line)
--- a/internal/node/protocol_test.go
+++ b/internal/node/protocol_test.go
@@ -10,7 +10,7 @@
 	"lapisshelf/policy"
 )
 
-func tryOf(t *testing.T, line string) *try {
+func parsedAttempt(t *testing.T, line string) *try {
 	t.Helper()
 	m, _, err := meta.ParseCommand([]byte(line), meta.MaxValue, meta.MaxLongValue)
 	if err != nil {
@@ -21,7 +21,7 @@
 
 // What the origin says, as outcomes: only Not-Started proves that nothing ran.
 func TestOriginAnswers(t *testing.T) {
-	read, write := tryOf(t, "mg k v O1 Pc=read\r\n"), tryOf(t, "ms k 1 O1 Pc=put\r\nx\r\n")
+	read, write := parsedAttempt(t, "mg k v O1 Pc=read\r\n"), parsedAttempt(t, "ms k 1 O1 Pc=put\r\nx\r\n")
 	for _, c := range []struct {
 		name    string
 		try     *try
@@ -45,7 +45,7 @@
 		{"moved", read, "302 Found", "", "", policy.Errored, "", false},
 	} {
 		text := fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", c.status, c.header, len(c.body), c.body)
-		a, used, err := originProtocol{}.answer([]byte(text), c.try, meta.MaxValue, false)
+		a, used, err := originProtocol{}.parseAnswer([]byte(text), c.try, meta.MaxValue, false)
 		if c.bad != (err != nil) || !c.bad && (used != len(text) || a.outcome != c.outcome) ||
 			string(a.value)+string(a.receipt) != c.text {
 			t.Errorf("%s: %+v, used %d, %v", c.name, a, used, err)
@@ -55,18 +55,18 @@
 
 func TestOriginRequests(t *testing.T) {
 	p := originProtocol{host: "o:1"}
-	got := string(p.request(nil, tryOf(t, "mg a/b?c v O1 Pc=read,d=50,t=x\r\n"), 7*time.Millisecond))
+	got := string(p.appendRequest(nil, parsedAttempt(t, "mg a/b?c v O1 Pc=read,d=50,t=x\r\n"), 7*time.Millisecond))
 	if want := "GET /a%2Fb%3Fc HTTP/1.1\r\nHost: o:1\r\nRequest-Id: 1\r\nRequest-Info: c=read,d=7,t=x\r\n\r\n"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
-	got = string(p.request(nil, tryOf(t, "ms k 0 O1 Pc=put\r\n\r\n"), 0))
+	got = string(p.appendRequest(nil, parsedAttempt(t, "ms k 0 O1 Pc=put\r\n\r\n"), 0))
 	if !strings.HasSuffix(got, "Content-Length: 0\r\n\r\n") {
 		t.Errorf("an empty value goes without its length: %q", got)
 	}
 }
 
 func TestCacheAnswers(t *testing.T) {
-	read := tryOf(t, "mg k v O1 Pc=read\r\n")
+	read := parsedAttempt(t, "mg k v O1 Pc=read\r\n")
 	for _, c := range []struct {
 		in      string
 		outcome policy.Outcome
@@ -84,7 +84,7 @@
 		{"VA 1 O2\r\nx\r\n", 0, 0, true},
 		{"EN O2\r\n", 0, 0, true},
 	} {
-		a, _, err := cacheProtocol{}.answer([]byte(c.in), read, meta.MaxValue, false)
+		a, _, err := cacheProtocol{}.parseAnswer([]byte(c.in), read, meta.MaxValue, false)
 		if c.bad != (err != nil) || a.outcome != c.outcome || a.note != c.note {
 			t.Errorf("%q: %+v, %v", c.in, a, err)
 		}
--- a/internal/node/recorder_test.go
+++ b/internal/node/recorder_test.go
@@ -43,7 +43,7 @@
 func TestARequestIsRecorded(t *testing.T) {
 	s := newStage(t, false, answering)
 	s.ask("one")
-	s.run("it is served", func() bool { return s.outcomes(policy.OK) == 1 })
+	s.runUntil("it is served", func() bool { return s.outcomes(policy.OK) == 1 })
 	text := strings.Join(s.node.recorder.story("one"), "\n")
 	for _, want := range []string{`what=taken request="one" client=1`, `what=sent request="one" client=1 attempt=0 server="c-1"`,
 		`what=written request="one" client=1 attempt=0 server="c-1"`, `what=ended request="one" client=1 attempt=0 server="c-1" outcome=ok`,
@@ -63,13 +63,13 @@
 // What a failed guard lets through is counted by its reason: a send for a request that has its answer, one to a server that leaves,
 // and a close over an open request.
 func TestViolationsAreCounted(t *testing.T) {
-	for why, break_ := range map[safety.Reason]func(b *bench, x *try){
-		safety.Answered:          func(b *bench, x *try) { x.call.answered = true; b.pool.send(x, 1) },
-		safety.ClientGone:        func(b *bench, x *try) { x.call.client = nil; b.pool.send(x, 1) },
-		safety.ServerUnavailable: func(b *bench, x *try) { b.pool.ready = false; b.pool.send(x, 1) },
-		safety.Unanswered:        func(b *bench, x *try) { b.node.checkClose(&client{node: b.node, calls: []*call{x.call}}) },
+	for why, break_ := range map[safety.Reason]func(b *harness, x *try){
+		safety.Answered:          func(b *harness, x *try) { x.call.answered = true; b.pool.send(x, 1) },
+		safety.ClientGone:        func(b *harness, x *try) { x.call.client = nil; b.pool.send(x, 1) },
+		safety.ServerUnavailable: func(b *harness, x *try) { b.pool.ready = false; b.pool.send(x, 1) },
+		safety.Unanswered:        func(b *harness, x *try) { b.node.checkClose(&client{node: b.node, calls: []*call{x.call}}) },
 	} {
-		b := newBench(t)
+		b := newHarness(t)
 		x := b.send("1")
 		if b.node.count.violations != 0 {
 			t.Fatalf("%v before anything is broken", why)
@@ -89,14 +89,14 @@
 
 // Time that has passed since an attempt was chosen has it refused, and is no violation.
 func TestAnAttemptThatComesTooLateIsRefused(t *testing.T) {
-	for why, late := range map[safety.Reason]func(b *bench, x *try){
-		safety.DeadlineExceeded: func(b *bench, x *try) { x.call.deadline = b.node.loop.Now(); b.pool.send(x, 1) },
-		safety.TimeoutTooLong: func(b *bench, x *try) {
+	for why, late := range map[safety.Reason]func(b *harness, x *try){
+		safety.DeadlineExceeded: func(b *harness, x *try) { x.call.deadline = b.node.loop.Now(); b.pool.send(x, 1) },
+		safety.TimeoutTooLong: func(b *harness, x *try) {
 			x.call.deadline = b.node.loop.Now() + safety.StallAllowance
 			b.pool.send(x, 3*safety.StallAllowance)
 		},
 	} {
-		b := newBench(t)
+		b := newHarness(t)
 		x := b.send("1")
 		late(b, &try{call: x.call, pool: b.pool, n: 1})
 		if c := &b.node.count; c.violations != 0 || c.sendsRefused[why] != 1 || c.attempts != 1 {
@@ -115,7 +115,7 @@
 	c.class = &class{name: "once", effect: safety.Unsafe}
 	attempts := s.node.count.attempts
 	s.node.loop.Defer(func() { actions{s.node}.Send("one", "c-1", 0, 0) })
-	s.run("it is refused", func() bool { return s.node.count.sendsRefused[safety.InFlight] == 1 })
+	s.runUntil("it is refused", func() bool { return s.node.count.sendsRefused[safety.InFlight] == 1 })
 	if s.node.count.attempts != attempts || s.node.count.violated[safety.InFlight] != 1 {
 		t.Errorf("%d attempts, then %d; %v violated", attempts, s.node.count.attempts, s.node.count.violated)
 	}
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -44,7 +44,7 @@
 	b.Cleanup(func() {
 		n.clients.listener.Close()
 		for _, p := range n.pools {
-			p.leave()
+			p.drain()
 		}
 	})
 	return n
@@ -58,7 +58,7 @@
 			b.ReportAllocs()
 			size := 0
 			for range b.N {
-				size = len(n.vars().Body)
+				size = len(n.metrics().Body)
 			}
 			b.ReportMetric(float64(size), "bytes/scrape")
 		})
@@ -101,7 +101,7 @@
 			addr := netip.MustParseAddrPort(ln.Addr().String())
 			before := heap()
 			for i := range many {
-				n.pool(policy.Server{ID: fmt.Sprint("s", i), State: policy.Ready}, addr)
+				n.updatePool(policy.Server{ID: fmt.Sprint("s", i), State: policy.Ready}, addr)
 				if n.pools[fmt.Sprint("s", i)].dial() == nil {
 					b.Fatal("not dialled")
 				}
--- a/internal/node/succession_test.go
+++ b/internal/node/succession_test.go
@@ -26,8 +26,8 @@
 			t.Errorf("%+v: %t", c.l, got)
 		}
 	}
-	b := newBench(t)
-	if l := b.node.succession.list(); l.Source != b.node.succession.source().Source || l.Source == "" {
+	b := newHarness(t)
+	if l := b.node.succession.publishedList(); l.Source != b.node.succession.listSource().Source || l.Source == "" {
 		t.Errorf("tells %q", l.Source)
 	}
 }
@@ -36,7 +36,7 @@
 // written anew only when what it takes, or its stage, changes. Guards against 20 writes a second on the loop, each of which
 // waits for the directory's disk.
 func TestConnectionsAloneAreNoNewsToOtherProcesses(t *testing.T) {
-	b, dir := newBench(t), t.TempDir()
+	b, dir := newHarness(t), t.TempDir()
 	n := b.node
 	s := &n.succession
 	join := func() *handover.Member {
@@ -47,8 +47,8 @@
 		return m
 	}
 	s.member = join()
-	s.settle()
-	own := func() os.FileInfo { // of the earliest process
+	s.update()
+	stateFile := func() os.FileInfo { // of the earliest process
 		names, _ := filepath.Glob(filepath.Join(dir, "*.json"))
 		if len(names) == 0 {
 			t.Fatal("no file")
@@ -59,24 +59,24 @@
 		}
 		return info
 	}
-	settle := func() (written bool) {
-		before := own()
-		s.told = n.loop.Now() - 2*tellEvery
-		s.settle()
-		return !os.SameFile(before, own())
+	updated := func() (written bool) {
+		before := stateFile()
+		s.publishedAt = n.loop.Now() - 2*publishInterval
+		s.update()
+		return !os.SameFile(before, stateFile())
 	}
-	young := join()
-	if err := young.Publish(young.Self()); err != nil {
+	successor := join()
+	if err := successor.Publish(successor.Self()); err != nil {
 		t.Fatal(err)
 	}
 	s.member.Look()
-	if len(s.others()) != 1 || !settle() || s.room != 32 {
-		t.Fatalf("beside %d others it takes %d of 64 descriptors", len(s.others()), s.room)
+	if len(s.peers()) != 1 || !updated() || s.fdLimit != 32 {
+		t.Fatalf("beside %d others it takes %d of 64 descriptors", len(s.peers()), s.fdLimit)
 	}
 	writes := 0
 	for range 20 {
 		b.pool.dial()
-		if settle() {
+		if updated() {
 			writes++
 		}
 	}
@@ -84,11 +84,11 @@
 		t.Errorf("written anew %d times for 20 connections; it holds %d", writes, n.loop.OpenSockets())
 	}
 	n.leaving = true // its stage is news, and what it takes is less: what it holds is told with them
-	if !settle() {
+	if !updated() {
 		t.Error("its stage is not told")
 	}
-	young.Look()
-	if p := young.Peers()[0].Process; p.Stage != decide.Leaving || p.OpenFDs != n.loop.OpenSockets() || p.FDLimit != s.room {
-		t.Errorf("tells %+v, holds %d and takes %d", p, n.loop.OpenSockets(), s.room)
+	successor.Look()
+	if p := successor.Peers()[0].Process; p.Stage != decide.Leaving || p.OpenFDs != n.loop.OpenSockets() || p.FDLimit != s.fdLimit {
+		t.Errorf("tells %+v, holds %d and takes %d", p, n.loop.OpenSockets(), s.fdLimit)
 	}
 }
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -40,7 +40,7 @@
 	now := c.node.loop.Now()
 	c.up = &upload{client: c, call: k, wait: wait, left: size, end: "\r\n", begun: now, heard: now}
 	k.upload = c.up
-	c.node.count.uploads++
+	c.node.count.longWrites++
 	c.up.look()
 }
 
@@ -108,7 +108,7 @@
 func (u *upload) sent(t *try) {
 	now := u.client.node.loop.Now()
 	u.try, u.gone, u.moved = t, 0, now
-	t.link.going = u
+	t.link.upload = u
 	t.link.conn.Write(u.kept)
 	u.spare()
 	if u.whole {
@@ -120,9 +120,9 @@
 // finish writes the end of the value: from here on the write may run.
 func (u *upload) finish() {
 	l := u.try.link
-	l.going = nil
-	l.conn.Write(append(u.last, l.pool.proto.behind()...))
-	l.wrote()
+	l.upload = nil
+	l.conn.Write(append(u.last, l.pool.proto.bodySuffix()...))
+	l.markWritten()
 }
 
 // came notes that all has come: the request is taken, and its time counts.
@@ -173,7 +173,7 @@
 
 // holds is how many bytes it keeps.
 func (u *upload) holds() int {
-	if u.try != nil && !u.try.link.gone {
+	if u.try != nil && !u.try.link.closed {
 		return cap(u.kept) + u.try.link.conn.Pending()
 	}
 	return cap(u.kept)
