--- a/internal/node/caches.go
+++ b/internal/node/caches.go
@@ -8,17 +8,17 @@
 	"lapisshelf/policy"
 )
 
-// cacheProtocol speaks the meta commands to a cache server.
+// cacheProtocol is the text protocol of cache servers (package meta).
 type cacheProtocol struct{ maxPipelined int }
 
 func (p cacheProtocol) canPipeline() bool { return p.maxPipelined > 1 }
 
-// appendRequest is the client's command as it came, with the node's own wait.
+// appendRequest forwards the client's command unchanged but for the timeout, which is how long the node waits.
 func (cacheProtocol) appendRequest(buf []byte, t *try, wait time.Duration) []byte {
 	return meta.AppendForwarded(buf, &t.call.command, timeoutMillis(wait))
 }
 
-// timeoutMillis is how long the node waits, as an attempt tells it: in whole milliseconds, at least one.
+// timeoutMillis converts how long the node waits to the timeout stated in requests: whole milliseconds, at least one.
 func timeoutMillis(wait time.Duration) int64 { return max(1, wait.Milliseconds()) }
 
 func (cacheProtocol) bodySuffix() string { return "\r\n" }
@@ -34,7 +34,7 @@
 		case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID): // another request's answer
 			return answer{}, 0, meta.ErrResponse
 		case m.Status == meta.Value && c.Kind != meta.Get, m.Status == meta.Stored && c.Kind != meta.Set:
-			return answer{}, 0, meta.ErrResponse // an answer to another kind of request
+			return answer{}, 0, meta.ErrResponse // answer to another kind of request
 		}
 	}
 	a := answer{value: m.Value, receipt: m.Receipt, long: m.LongSize, tail: "\r\n"}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -19,40 +19,40 @@
 	"lapisshelf/policy"
 )
 
-// Config is what a node is told at its start.
+// Config is the configuration of a node.
 type Config struct {
 	Name         string
 	Listen       netip.AddrPort
-	Control      netip.AddrPort    // the operators' address; none if it is not valid
-	StateDir     string            // where the processes of this node know of each other; empty: they don't
-	Registry     registry.Config   // where the server list is
-	Announce     *Announce         // the node's own entry there; nil: none
-	Planners     *forwarder.Config // nil: there are none
+	Control      netip.AddrPort    // control address for operators; none if invalid
+	StateDir     string            // shared by the processes of this node for handovers; empty if there are none
+	Registry     registry.Config   // source of the server list
+	Announce     *Announce         // the node's own entry in the registry; nil if there is none
+	Planners     *forwarder.Config // nil if there are no planners
 	Seed         uint64
 	MemoryMB     int
 	Sockets      int
 	SavedList    registry.Saved
-	SavedListErr error // why the list known before is ignored
+	SavedListErr error // why the saved list is ignored
 	Settings     policy.Settings
 	Transport    settings.Transport
 }
 
-// Announce is the entry that a node keeps of itself in the registry.
+// Announce is the entry that a node keeps for itself in the registry.
 type Announce struct {
 	Key   string
 	Value []byte
-	TTL   time.Duration // of its lease
+	TTL   time.Duration // of the lease
 }
 
-// What a node takes its limits to be where it is not told.
+// Limits that apply if the configuration has none, and the minimum of a configured one.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	minSockets      = 64 // with less there is no room for the fleet and its clients
+	minSockets      = 64 // fewer do not suffice for servers and clients together
 )
 
-// ReadConfig reads the file that EDGE_CONFIG names. The single variables stand in for what the file leaves out, and the
-// operator's file, where there is one, for what neither tells; with it EDGE_CONFIG may be missing.
+// ReadConfig reads the configuration file that EDGE_CONFIG names. What the file leaves out is taken from the other environment
+// variables, then from the operator's file op, if there is one; with an operator's file EDGE_CONFIG is optional.
 func ReadConfig(getenv func(string) string, op *operator.File) (Config, error) {
 	path := getenv("EDGE_CONFIG")
 	text := []byte("{}")
@@ -72,7 +72,7 @@
 	return c, err
 }
 
-// ParseConfig reads a configuration as EDGE_CONFIG names one; op may be nil.
+// ParseConfig parses the text of a configuration file; op may be nil.
 func ParseConfig(text []byte, getenv func(string) string, op *operator.File) (Config, error) {
 	if op == nil {
 		op = &operator.File{}
@@ -91,7 +91,7 @@
 		return Config{}, fmt.Errorf("configuration: %s: %w", what, err)
 	}
 	if err := json.Unmarshal(text, &file); err != nil {
-		return configError("not JSON of the expected form", err)
+		return configError("invalid JSON", err)
 	}
 	c := Config{Name: cmp.Or(file.Name, getenv("EDGE_NAME"), op.Node.Name), MemoryMB: cmp.Or(file.Limits.MemoryMB, op.Node.MemoryMB),
 		Sockets: cmp.Or(file.Limits.Sockets, op.Node.Sockets)}
@@ -103,11 +103,11 @@
 		if c.Control, err = netip.ParseAddrPort(control); err != nil {
 			return configError("control", err)
 		}
-		if file.Control != "" || getenv("EDGE_CONTROL") != "" { // a platform that tells it runs upgrades beside the old process
+		if file.Control != "" || getenv("EDGE_CONTROL") != "" { // the platform runs the new process of an upgrade beside the old one
 			c.StateDir = getenv("TMPDIR")
 		}
 		if c.Control == c.Listen && c.Listen.Port() != 0 {
-			return configError("control", errors.New("the address is the one that clients connect to"))
+			return configError("control", errors.New("same address as listen"))
 		}
 	}
 	c.StateDir = cmp.Or(op.Node.StateDir, c.StateDir)
@@ -153,13 +153,13 @@
 		c.Sockets = defaultSockets
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		// A list as bad as it may be is no reason not to start: discovery tells a better one.
+		// An invalid saved list does not prevent the start: discovery provides a current one.
 		c.SavedList, c.SavedListErr = registry.ParseSaved(file.Known)
 	}
 	if len(file.Settings) == 0 {
 		var found bool
 		if c.Settings, c.Transport, found = op.Settings(); !found {
-			return configError("settings", errors.New("missing, and no operator's file has [service]"))
+			return configError("settings", errors.New("missing, and there is no [service] in an operator's file"))
 		}
 		return c, nil
 	}
@@ -169,7 +169,7 @@
 	return c, nil
 }
 
-// parseSeed reads 64 bits in hexadecimal, or a plain number.
+// parseSeed parses a JSON string of up to 64 bits in hexadecimal, or a JSON number.
 func parseSeed(text json.RawMessage) (uint64, error) {
 	if len(text) == 0 {
 		return 0, nil
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -9,7 +9,7 @@
 	"lapisshelf/policy"
 )
 
-// counters tell what has been taken in, sent and answered since the start.
+// counters count events since the process started.
 type counters struct {
 	taken, abandoned, overdue                                               int64
 	refusedFull, badLines, clientsAccepted, clientsShed, clientsSlow        int64
@@ -22,7 +22,7 @@
 	outcomes                                                                [policy.NotSent + 1]int64
 	sendsRefused, violated                                                  [safety.NumReasons]int64
 	closings                                                                [closings]int64
-	ended                                                                   [numEndings]int64 // of the classes together
+	ended                                                                   [numEndings]int64 // of all classes
 }
 
 // ending is how a request ended for its client.
@@ -37,17 +37,17 @@
 
 var endingNames = [numEndings]string{served: "served", refused: "refused", failed: "failed"}
 
-// class is what the node knows of a class of requests.
+// class is what the node knows about a class of requests.
 type class struct {
 	name        string
-	maxDeadline time.Duration // the deadline that no request of it exceeds
+	maxDeadline time.Duration // maximum deadline of its requests
 	aim         time.Duration // answers within it earn the full worth
-	effect      safety.Effect // of repeating a request of it
-	window      time.Duration // how long servers remember one, where the effect is keyed
+	effect      safety.Effect // of repeating a request
+	window      time.Duration // how long servers remember a request if the effect is keyed
 	ended       [numEndings]int64
 }
 
-// countEnding counts a request's end, and is the one place that does.
+// countEnding counts how a request ended. Nothing else changes these counters.
 func (n *Node) countEnding(c *class, how ending) {
 	c.ended[how]++
 	n.count.ended[how]++
@@ -59,7 +59,7 @@
 
 func (c *counters) addOutcome(o policy.Outcome) { c.outcomes[o]++ }
 
-// line is the counters as key=value text, with what is held now.
+// line formats the counters, and gauges of the current state, as a log line of key=value pairs.
 func (c *counters) line(n *Node) string {
 	var b strings.Builder
 	b.WriteString("event=counters")
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -11,7 +11,7 @@
 	"lapisshelf/internal/control"
 )
 
-// metricsWriter writes Prometheus' text form, version 0.0.4.
+// metricsWriter writes the Prometheus text exposition format, version 0.0.4.
 type metricsWriter struct{ strings.Builder }
 
 func (f *metricsWriter) writeHeader(name, kind, help string) {
@@ -23,12 +23,12 @@
 	fmt.Fprintf(f, "app_%s %d\n", name, value)
 }
 
-// escapeLabel escapes a label's value.
+// escapeLabel escapes a label value.
 func escapeLabel(value string) string {
 	return strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`).Replace(strings.ToValidUTF8(value, "?"))
 }
 
-// metrics gives the figures, from the same counts as the log's counters.
+// metrics answers a scrape. The values come from the same counters as the log line.
 func (n *Node) metrics() control.Reply {
 	var f metricsWriter
 	f.writeHeader("requests_total", "counter", "Requests ended, by class and how.")
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	minWatchTimeout    = 5 * time.Second         // how long a watch may wait for news; with it, how long a cut stays unseen
-	fleetWatchInterval = time.Second             // all nodes together begin no more than a watch in so long
-	maxWatchTimeout    = 60 * time.Second        // the longest that discovery allows
-	callTimeout        = 1500 * time.Millisecond // how long a call may take besides
-	readyTimeout       = 2 * time.Second         // a node that knows a list serves by then, heard or not
-	maxListBytes       = 8 << 20                 // bytes of a list
-	maxEntriesPerMB    = 512                     // entries of a list, for each megabyte of memory
-	defaultDrainGrace  = 400 * time.Millisecond  // for servers that drain, where it is not told
-	drainGraceDivisor  = 4                       // of it, a node without a watch on a pushed list waits so much
+	minWatchTimeout    = 5 * time.Second         // also how long a broken watch connection may go unnoticed in a small fleet
+	fleetWatchInterval = time.Second             // minimum mean interval between the watches that all nodes together start
+	maxWatchTimeout    = 60 * time.Second        // maximum that discovery allows
+	callTimeout        = 1500 * time.Millisecond // of a call to the registry, in addition to the wait of a watch
+	readyTimeout       = 2 * time.Second         // a node with a saved list starts serving by then even if the registry is silent
+	maxListBytes       = 8 << 20                 // of an answer with the server list
+	maxEntriesPerMB    = 512                     // list entries for each megabyte of the memory limit
+	defaultDrainGrace  = 400 * time.Millisecond  // of draining servers, if the settings have none
+	drainGraceDivisor  = 4                       // the retry delay of a node without a watch on a pushed list is this fraction of the drain grace
 )
 
-// registryConfig is the registry's configuration with what follows from the node's own.
+// registryConfig returns the registry configuration completed with what follows from the node's settings and limits.
 func (cfg *Config) registryConfig() registry.Config {
 	c := cfg.Registry
 	r := &c.Roster
@@ -45,14 +45,15 @@
 	return c
 }
 
-// FleetTooLarge says that the fleet is larger than the calls a second let know of a change before it counts; empty: it is not.
+// FleetTooLarge explains that the fleet is too large for the registry's call rate: a change would count before all nodes can have
+// learned of it. It returns "" if the fleet is not too large.
 func (cfg *Config) FleetTooLarge() string {
 	c := cfg.registryConfig()
 	c.Roster.Endpoints = len(c.Endpoints)
 	return operator.TooMany(c.Roster, "Balancers", cfg.Settings.Balancers)
 }
 
-// followList begins to follow the list, from the one known before.
+// followList starts following the server list, beginning with the saved one.
 func (n *Node) followList() {
 	n.registry = registry.New(n.loop, n.cfg.registryConfig(), n.cfg.Seed, n.onListUpdate, n.logRegistryEvent)
 	n.registry.Heard = n.onListAnswer
@@ -60,8 +61,8 @@
 	n.loop.After(readyTimeout, n.becomeReady)
 }
 
-// onListAnswer notes an answer about the list. The first one, though it may tell of no change, begins the time in which the
-// module takes each new start for one that it has seen.
+// onListAnswer handles any answer of the registry. The first one, even without a change, starts the period in which the policy
+// treats every server that becomes ready as one whose start it has observed.
 func (n *Node) onListAnswer() {
 	if !n.watched {
 		n.watched = true
@@ -70,7 +71,7 @@
 	n.becomeReady()
 }
 
-// becomeReady lets clients in; a node without any list goes on waiting for one.
+// becomeReady accepts clients and announces the node. A node without any list continues to wait for one.
 func (n *Node) becomeReady() {
 	if !n.ready && len(n.pools) > 0 {
 		n.ready = true
@@ -84,10 +85,10 @@
 	}
 }
 
-// logRegistryEvent logs what the follower of the list, or the keeper of the node's own entry, has to say.
+// logRegistryEvent logs an event of the list follower, the announcer or the handover between processes.
 func (n *Node) logRegistryEvent(event, why string) { log.Printf("event=%s %s", event, why) }
 
-// onListUpdate takes list news.
+// onListUpdate applies a list or a change from the registry.
 func (n *Node) onListUpdate(u roster.Update) {
 	kind := policy.ListChanges
 	if u.Complete {
@@ -96,15 +97,16 @@
 	n.applyList(kind, u.Entries)
 }
 
-// applyList tells the module of list news and brings the pools in line with it: before, with what may be sent to from
-// now on, and after, with what may not, lest the module sends again what ends with a server that it takes for ready.
+// applyList updates the policy and the pools according to a list or a change. Pools of ready servers are updated before the policy
+// is notified, those of unavailable servers are drained after it: draining ends attempts, which the policy could otherwise retry at
+// a server that it still considers ready.
 func (n *Node) applyList(kind policy.ListKind, entries []roster.Entry) {
 	servers := make([]policy.Server, len(entries))
 	readyByID := map[string]bool{}
 	for i, e := range entries {
 		addr, err := netip.ParseAddrPort(e.Addr)
 		if err != nil && e.State != policy.Gone {
-			log.Printf("event=bad_address server=%s addr=%q", e.ID, e.Addr) // the parsers let none through
+			log.Printf("event=bad_address server=%s addr=%q", e.ID, e.Addr) // should not happen: the list parsers reject such entries
 			e.State = policy.Gone
 		}
 		n.updatePool(e.Server, addr)
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -10,17 +10,18 @@
 	"lapisshelf/internal/control"
 )
 
-// The operators' calls: internal/control says who may call, this says what a call does.
+// The control address for operators. Package internal/control handles connections and routing; this file implements the calls.
 
 const (
-	// drainIdleTimeout is how long after the call a drained node still may hold a client's connection with nothing open, or with a
-	// request from the last lameYoung. What is taken so late is answered by then, but has lameLeast.
+	// drainIdleTimeout is how long after the call a draining node may keep a client's connection without an open request, or with
+	// one that is younger than drainRequestAge. Requests accepted in the last drainRequestAge before that must end by then, but
+	// get at least drainMinWait.
 	drainIdleTimeout = 3500 * time.Millisecond
 	drainRequestAge  = 2 * time.Second
 	drainMinWait     = 50 * time.Millisecond
 )
 
-// listenControl opens the second address, if there is one.
+// listenControl listens on the control address, if there is one.
 func (n *Node) listenControl() error {
 	if !n.cfg.Control.IsValid() {
 		return nil
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// readiness says whether this process takes clients.
+// readiness reports whether this process accepts clients.
 func (n *Node) readiness() control.Reply {
 	switch {
 	case n.leaving:
@@ -58,32 +59,32 @@
 	return control.Say(200, "ready")
 }
 
-// isBanned reports whether a server is banned by hand, listed or not.
+// isBanned reports whether an operator has banned a server, listed or not.
 func (n *Node) isBanned(id string) bool { return n.bans[id] }
 
-// setBan has a server get nothing more, or lifts that. It is in force when the call is answered.
+// setBan bans a server from getting attempts, or lifts a ban. The change is in force when the call is answered.
 func (n *Node) setBan(id string, on bool) control.Reply {
 	if !n.listed.known[id] && !n.bans[id] {
 		return control.Say(404, "no cache server of this id was ever listed")
 	}
-	n.succession.refreshPeers() // the word that this one replaces may be another process's
+	n.succession.refreshPeers() // another process may hold a later override of this server
 	n.guard("ban", func() { n.policy.Ban(n.loop.Now(), id, on) })
 	n.applyOverrides()
-	n.succession.update() // it is made known before the call is answered
+	n.succession.update() // publishes the ban before the call is answered
 	log.Printf("event=ban server=%s on=%t", id, on)
 	result := "may serve"
 	if on {
 		result = "banned"
 	}
 	if err := n.succession.saveError(); err != nil {
-		// Guards against a ban that is told as done and is gone with the process.
+		// Guards against reporting a ban as done that would be lost with the process.
 		log.Printf("event=ban_unsaved server=%s on=%t why=%q", id, on, err)
 		return control.Say(503, result+" by this process; not saved for the next one yet, which is tried again")
 	}
 	return control.Say(200, result)
 }
 
-// applyOverrides brings the pools in line with what the module has been told by hand.
+// applyOverrides updates the pools according to the operators' overrides that the policy holds.
 func (n *Node) applyOverrides() {
 	clear(n.bans)
 	for _, h := range n.policy.Overrides() {
@@ -99,8 +100,8 @@
 	}
 }
 
-// setDraining has the node drain, or take clients again, as said to this process or, so long ago at most, to another of the node.
-// The version orders what was said; it is no time of this process.
+// setDraining starts or ends draining of the node, as an operator told this process or another process of the node, then at most age
+// ago. version orders these calls across processes; it is not a time of this process's clock.
 func (n *Node) setDraining(on bool, version, age time.Duration) {
 	was := n.lame
 	n.lameAt = version
@@ -118,7 +119,7 @@
 	}
 }
 
-// setLameduck begins and ends a drain; a second call of a kind changes nothing.
+// setLameduck handles an operator's call to start or end draining. Repeating a call changes nothing.
 func (n *Node) setLameduck(on bool) control.Reply {
 	switch {
 	case n.leaving && !on:
--- a/internal/node/origin.go
+++ b/internal/node/origin.go
@@ -11,14 +11,14 @@
 	"lapisshelf/policy"
 )
 
-// originProtocol speaks HTTP/1.1 to the origin, one request at a time on a connection.
+// originProtocol is HTTP/1.1 without pipelining, for the origin.
 type originProtocol struct{ host string }
 
 func (originProtocol) canPipeline() bool { return false }
 
-// appendRequest asks for the key or writes it. The list of names and values goes on as it came, but for the time that the node waits:
-// a fetch begins when a cache has answered, or later, and what the client had told would have the origin work for one who has
-// left.
+// appendRequest appends a GET or PUT of the key. The request's name=value fields are forwarded unchanged but for the timeout, which is
+// how long the node waits: a fetch begins only after a cache has answered, and with the client's own timeout the origin would work
+// for clients that have left.
 func (p originProtocol) appendRequest(buf []byte, t *try, wait time.Duration) []byte {
 	c := &t.call.command
 	target := "/" + url.PathEscape(string(c.Key))
@@ -50,17 +50,17 @@
 	a := answer{close: h.Close}
 	switch {
 	case h.Status == 200 && !h.SelfDelimited:
-		return answer{}, 0, meta.ErrResponse // guards against a value cut short by the connection's end
+		return answer{}, 0, meta.ErrResponse // guards against a value that is truncated because the connection broke
 	case h.Status == 200 && t != nil && t.call.command.Kind == meta.Set:
 		a.outcome, a.stored, a.receipt = policy.OK, true, bytes.TrimSpace(h.Body)
 		if bytes.ContainsFunc(a.receipt, func(r rune) bool { return r <= ' ' || r == 0x7f }) {
-			return answer{}, 0, meta.ErrResponse // it could not stand in the answer's line
+			return answer{}, 0, meta.ErrResponse // a receipt with spaces or control characters would break the answer line to the client
 		}
 	case h.Status == 200:
 		a.outcome, a.value = policy.OK, h.Body
 	case (h.Status == 503 || h.Status == 504) && string(h.Header("Not-Started")) == "1":
 		a.outcome = policy.Full
-	default: // 500, and what nobody has promised anything of
+	default: // 500 and all others: no promise that nothing ran
 		a.outcome = policy.Errored
 	}
 	return a, used, nil
--- a/internal/node/override_test.go
+++ b/internal/node/override_test.go
@@ -8,8 +8,8 @@
 	"lapisshelf/internal/handover"
 )
 
-// A ban is answered as done only once the next process would know of it: while the directory can't be written it holds here, the
-// caller is told that it is not saved, and it is saved by itself as soon as that can be.
+// A ban is reported as done only once a successor process would learn of it. While the state directory cannot be written, the ban is in
+// force in this process, the caller is notified that it is not saved, and it is saved automatically as soon as possible.
 func TestABanThatIsNotSavedIsToldAndSavedLater(t *testing.T) {
 	b := newHarness(t)
 	n := b.node
@@ -23,13 +23,13 @@
 	n.listed.add("s-1")
 	n.listed.add("s-2")
 	if reply := n.setBan("s-2", true); reply.Status != 200 {
-		t.Fatalf("with the directory there: %d %s", reply.Status, reply.Body)
+		t.Fatalf("with a writable directory: %d %s", reply.Status, reply.Body)
 	}
 	renamed := dir + ".away"
 	if err := os.Rename(dir, renamed); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // the second call finds all as it should be here, and nothing saved
+	for range 2 { // the second call changes nothing in this process, but must not report the ban as saved
 		if reply := n.setBan("s-1", true); reply.Status != 503 || !n.isBanned("s-1") {
 			t.Errorf("with no directory: %d %s, banned here %t", reply.Status, reply.Body, n.isBanned("s-1"))
 		}
@@ -37,7 +37,7 @@
 	if err := os.Rename(renamed, dir); err != nil {
 		t.Fatal(err)
 	}
-	bansSeenByNext := func() (banned map[string]bool) { // what a process that comes now hears
+	bansSeenByNext := func() (banned map[string]bool) { // the bans that a process learns of that starts now
 		banned = map[string]bool{}
 		m, err := handover.Join(n.loop, handover.Options{Dir: dir, Name: "n", Listen: n.cfg.Listen.String(), Note: func(string, string) {}, Changed: func() {}})
 		if err != nil {
@@ -52,9 +52,9 @@
 	}
 	b.runUntil("it is saved", func() bool { return bansSeenByNext()["s-1"] })
 	if banned := bansSeenByNext(); !banned["s-2"] {
-		t.Error("the ban before it is lost")
+		t.Error("the earlier ban is lost")
 	}
 	if reply := n.setBan("s-1", false); reply.Status != 200 {
-		t.Errorf("the call back: %d %s", reply.Status, reply.Body)
+		t.Errorf("lifting the ban: %d %s", reply.Status, reply.Body)
 	}
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -12,65 +12,64 @@
 	"lapisshelf/policy"
 )
 
-// protocol is how a server is spoken to: caches.go and origin.go have one each.
+// protocol encodes requests to a server and decodes its answers; caches.go and origin.go implement one each.
 type protocol interface {
-	// request writes an attempt that the node will wait for so long; of one with a long value all that stands before that,
-	// and behind is what must follow it.
+	// appendRequest appends the request of an attempt that the node will wait for as long as wait. For a long value it appends
+	// only what precedes the value; bodySuffix returns what must follow it.
 	appendRequest(buf []byte, t *try, wait time.Duration) []byte
 	bodySuffix() string
-	// answer takes the first answer, whose value may hold so many bytes, off what has come; used is 0 when more must
-	// come first.
-	// A value of over meta.MaxValue bytes is not waited for where its length is told: it follows what was used.
+	// parseAnswer parses the first answer in data, whose value may have at most maxValue bytes. used is 0 if the answer is incomplete.
+	// If the answer states a value length of more than meta.MaxValue, the value is not waited for: it follows the used bytes.
 	parseAnswer(data []byte, t *try, maxValue int, eof bool) (a answer, used int, err error)
-	// pipelines reports whether a request may be written behind another.
+	// canPipeline reports whether a request may be written while another on the same connection is unanswered.
 	canPipeline() bool
 }
 
 const (
-	// maxAnswerOverhead is how many bytes may stand around an answer's value.
+	// maxAnswerOverhead is the maximum number of bytes of an answer besides its value.
 	maxAnswerOverhead = 64 << 10
-	// maxWriteDelay is how long an attempt may wait behind others' bytes on a connection that stands: it tells its server what was
-	// left as it was queued.
+	// maxWriteDelay is how long an attempt may wait in the write buffer of an established connection: the timeout in its request
+	// was computed when it was queued.
 	maxWriteDelay = 50 * time.Millisecond
-	// defaultStallTimeout is how long an answer may stop in its midst where the settings tell no connect time-out: what has
-	// begun to come goes on about as soon as a connection comes up.
+	// defaultStallTimeout is how long an incomplete answer may make no progress if the settings have no connect timeout: the rest of
+	// an answer takes about as long to arrive as a connection takes to be established.
 	defaultStallTimeout = 250 * time.Millisecond
 )
 
-// pool holds the connections to one server. An attempt gets one to itself as long as descriptors last: giving it up
-// closes the connection, and an answer behind another comes late.
+// pool holds the connections to one server. Each attempt has a connection to itself as long as there are file descriptors: to
+// abort an attempt its connection is closed, and an answer queued behind another one is late.
 type pool struct {
 	node         *Node
 	id           string
 	addr         netip.AddrPort
 	proto        protocol
-	ready        bool          // as far as the list tells
-	banned       bool          // by hand
-	weight       float64       // as listed
-	lastReceived time.Duration // when bytes last came from it
+	ready        bool          // by the server list and the lists of the node's other processes
+	banned       bool          // by an operator
+	weight       float64       // from the server list
+	lastReceived time.Duration // when a connection was last established or bytes were last received
 	conns        []*serverConn
-	idle         []*serverConn // of links, those that carry nothing, longest unused first
+	idle         []*serverConn // those of conns without attempts, longest idle first
 }
 
-// serverConn is one connection to a server. It is given back in drop alone.
+// serverConn is one connection to a server. Only close releases it.
 type serverConn struct {
 	pool           *pool
 	conn           *loop.Conn
-	attempts       []*try // written, in order; nil where an attempt was given up and only its answer is owed
+	attempts       []*try // in the order of their requests; nil for an aborted attempt whose answer is still to come
 	input          []byte
-	accountedBytes int         // bytes of input, as counted by the node
-	timer          *loop.Timer // connecting: the time-out; idle: when to retire; in an answer's midst: when to give it up
+	accountedBytes int         // buffered bytes that are included in Node.coming
+	timer          *loop.Timer // connect timeout, idle timeout or stall timeout of an answer
 	idleSince      time.Duration
 	connected      bool
 	closed         bool
-	hasAnswered    bool    // an answer has come on it
-	body           *body   // a long value that is coming
-	upload         *upload // a long value that is going
-	readPaused     bool    // nothing is read, as its client takes nothing
-	retiring       bool    // the server has moved or the connection is ending: nothing new goes here
+	hasAnswered    bool    // an answer has been received on it
+	body           *body   // long value being received
+	upload         *upload // long value being sent
+	readPaused     bool    // backpressure: the client of the long value does not read
+	retiring       bool    // the server has moved or the connection is ending: it gets no new attempts
 }
 
-// updatePool brings the connections to a listed server in line with its entry.
+// updatePool creates or updates the pool of a listed server according to its list entry.
 func (n *Node) updatePool(s policy.Server, addr netip.AddrPort) {
 	p := n.pools[s.ID]
 	if p == nil {
@@ -93,23 +92,22 @@
 	if moved {
 		for _, l := range slices.Clone(p.conns) {
 			l.retiring = true
-			l.drain() // another server may have the address by now
+			l.drain() // the old address may belong to another server by now
 		}
 	}
 }
 
-// isOrigin reports whether the server is the origin.
 func (p *pool) isOrigin() bool {
 	_, is := p.proto.(originProtocol)
 	return is
 }
 
-// available reports whether anything new may go to the server.
+// available reports whether the server may get new attempts.
 func (p *pool) available() bool { return p.ready && !p.banned }
 
-// drain closes what is idle of a server that drains, is gone or is banned, and what has not come up: it must get nothing
-// new, and a connection may come up only after the grace. What waits behind others and has not begun to be written is
-// taken back: it would be written when those have been answered. What is out goes on, a long value at once.
+// drain closes the idle connections to a server that is draining, gone or banned, and those still being established: the server
+// must not get new attempts, and a connection may be established only after the drain grace. Queued attempts of which nothing has
+// been written are withdrawn, since they would be written later. Outstanding attempts continue; long values are fetched at once.
 func (p *pool) drain() {
 	for _, l := range slices.Clone(p.conns) {
 		l.drain()
@@ -123,7 +121,8 @@
 	p.removeIfUnused()
 }
 
-// drain ends a connection that has not come up and takes back what waits on one, unless it has begun to be written.
+// drain ends a connection that is still being established, and withdraws the attempts on an established one of which nothing has
+// been written.
 func (l *serverConn) drain() {
 	if !l.connected {
 		l.closeAndFail()
@@ -132,14 +131,14 @@
 	l.markIdle()
 }
 
-// removeIfUnused lets go of a pool that nothing needs.
+// removeIfUnused removes the pool of an unavailable server once it has no connections.
 func (p *pool) removeIfUnused() {
 	if !p.ready && len(p.conns) == 0 && p.node.pools[p.id] == p {
 		delete(p.node.pools, p.id)
 	}
 }
 
-// send writes an attempt to a connection: an idle one, else a new one, else, with no descriptor left, behind another.
+// send writes an attempt to an idle connection, else to a new one, else, if no file descriptor is left, to one that other attempts use.
 func (p *pool) send(t *try, wait time.Duration) {
 	n := p.node
 	if why := n.maySend(t, wait, t.call.client == nil); why != safety.Allowed {
@@ -152,7 +151,7 @@
 	case n.mayDial() || n.closeOldestIdle():
 		l = p.dial()
 	}
-	if l == nil && t.call.upload == nil { // a long value has a connection to itself: to give it up is to close that
+	if l == nil && t.call.upload == nil { // a long value needs a connection to itself, since aborting it closes the connection
 		l = p.leastLoaded()
 	}
 	if l == nil {
@@ -172,8 +171,8 @@
 	l.limitWriteDelay(t)
 }
 
-// limitWriteDelay takes an attempt back that waits behind others' bytes for too long. Guards against a server that has stopped reading and
-// goes on later: it would work for a client that has stopped waiting.
+// limitWriteDelay withdraws an attempt that stays in the write buffer for longer than maxWriteDelay. Guards against a server that
+// stops reading and resumes later: it would work for a client that has stopped waiting.
 func (l *serverConn) limitWriteDelay(t *try) {
 	if l.connected && !t.whole && t.call.upload == nil {
 		t.stuck = l.pool.node.loop.After(maxWriteDelay, func() {
@@ -184,26 +183,27 @@
 	}
 }
 
-// writeRequest writes an attempt's request, which tells how long the node waits.
+// writeRequest writes an attempt's request, which states how long the node waits for the answer.
 func (l *serverConn) writeRequest(t *try, wait time.Duration) {
 	text := l.pool.proto.appendRequest(nil, t, wait)
 	t.first = l.conn.WriteOffset()
-	t.last = t.first + int64(len(text)) // before writing: what a broken connection does not take was never written
+	t.last = t.first + int64(len(text)) // set before Write, so that bytes discarded by a broken connection count as unwritten
 	l.conn.Write(text)
 	t.waits = l.conn.Written() <= t.first
 }
 
-// remainingWait is how long the node waits for an attempt that was queued and goes out now. A planned end may have cut that.
+// remainingWait returns how long the node still waits for an attempt that was queued earlier. A planned shutdown may have shortened it.
 func (t *try) remainingWait(now time.Duration) time.Duration {
 	return min(t.wait-(now-t.at), t.call.end-now)
 }
 
-// rewriteRequests writes anew what has waited for the connection to come up, lest it tells its server of time that has passed since: that
-// would work for those who have stopped waiting. What was called off meanwhile is not written at all.
+// rewriteRequests replaces the requests that were queued while the connection was being established by ones that state the time
+// that remains now: with the old timeouts the server would work for clients that have stopped waiting. Requests that may not be
+// sent any more are dropped.
 func (l *serverConn) rewriteRequests() {
 	now, oldEnd := l.pool.node.loop.Now(), l.conn.WriteOffset()
 	if len(l.attempts) == 0 || slices.ContainsFunc(l.attempts, func(t *try) bool { return t != nil && t.call.upload != nil }) {
-		return // of a long value not all may be kept; it has the connection to itself
+		return // a long value may not be kept in full, so it cannot be rewritten; it has the connection to itself
 	}
 	l.attempts = slices.DeleteFunc(l.attempts, func(t *try) bool {
 		if t == nil {
@@ -220,10 +220,10 @@
 		l.writeRequest(t, t.remainingWait(now))
 		t.first, t.last = t.first-oldEnd, t.last-oldEnd
 	}
-	l.conn.CancelWrite(0, oldEnd) // nothing has been handed to the system yet
+	l.conn.CancelWrite(0, oldEnd) // nothing has been passed to the kernel yet
 }
 
-// withdrawUnwritten takes back the attempts of which no byte has been written.
+// withdrawUnwritten withdraws the attempts of which no byte has been written.
 func (l *serverConn) withdrawUnwritten() {
 	for i := len(l.attempts) - 1; i >= 0 && !l.closed; i-- {
 		if t := l.attempts[i]; t != nil && !l.withdrawAttempt(t, policy.ConnectFailed) {
@@ -232,11 +232,11 @@
 	}
 }
 
-// withdrawAttempt takes one attempt back, with all that was written of its request, if no byte of that has been handed to the
-// system: it has never run, and its place is free for others. It reports whether it did.
+// withdrawAttempt removes an attempt and its request from the connection if no byte of the request has been passed to the kernel:
+// the attempt has never run. It reports whether it did so.
 func (l *serverConn) withdrawAttempt(t *try, o policy.Outcome) bool {
 	end := t.last
-	if t.call.upload != nil { // has a connection to itself, and not all of it has come
+	if t.call.upload != nil { // it has the connection to itself, and its value may be incomplete
 		end = l.conn.WriteOffset()
 	}
 	i := slices.Index(l.attempts, t)
@@ -253,9 +253,10 @@
 	return true
 }
 
-// withdraw takes back an attempt for which nobody waits any more, if it has not gone out: from a connection that is yet to
-// come up or from behind others it would be sent on long after its client left. That needs no leave to call attempts
-// off, since nothing has run. One half written, with nothing else on its connection, ends with that: nor has it run.
+// withdraw removes an attempt that nobody waits for any more, if it has not been sent: queued on a connection that is being
+// established or behind other attempts, it would be sent long after its client left. This is allowed even where settings forbid
+// cancelling, since nothing has run. A partly written attempt that is alone on its connection is ended by closing that: it has
+// not run either.
 func (p *pool) withdraw(t *try) {
 	l := t.link
 	if t.done || l == nil || l.closed || l.withdrawAttempt(t, policy.NotSent) {
@@ -266,7 +267,7 @@
 	}
 }
 
-// markWritten counts the attempts that have been written whole.
+// markWritten marks and counts the attempts whose requests have been written completely.
 func (l *serverConn) markWritten() {
 	for i := len(l.attempts) - 1; i >= 0; i-- {
 		if t := l.attempts[i]; t != nil && !t.whole && t.last <= l.conn.Written() {
@@ -280,19 +281,19 @@
 	}
 }
 
-// lastIdle takes the idle connection used last that still stands.
+// lastIdle returns the most recently used idle connection that the server has not closed, or nil. It closes the stale ones it finds.
 func (p *pool) lastIdle() *serverConn {
 	for len(p.idle) > 0 {
 		l := p.idle[len(p.idle)-1]
 		if !l.conn.Stale() {
 			return l
 		}
-		l.close() // guards against a request written to what the server has closed already, which may count as run
+		l.close() // guards against a request on a connection that the server has already closed, which may count as run
 	}
 	return nil
 }
 
-// dial opens a connection; nil where the system refuses at once.
+// dial opens a connection. It returns nil if that fails immediately.
 func (p *pool) dial() *serverConn {
 	n := p.node
 	l := &serverConn{pool: p}
@@ -311,29 +312,29 @@
 	return l
 }
 
-// maxConns is how many connections the node may have, of clients and to servers; open is how many descriptors they, and what
-// is in reserve, hold. The operators' address has its own.
+// maxConns returns how many connections the node may have, of clients and to servers; openConns returns how many descriptors they and
+// the ones in the reserve use. The control address has descriptors of its own.
 func (n *Node) maxConns() int  { return n.maxSockets() - n.reservedSockets() - n.control.Share() }
 func (n *Node) openConns() int { return n.loop.OpenSockets() - n.control.Open() }
 
-// maxConnsWithReserve is how many the node may have in all, with the reserve.
+// maxConnsWithReserve returns how many connections the node may have including the reserve.
 func (n *Node) maxConnsWithReserve() int {
 	return n.maxConns() + n.reservedSockets() - min(ownSockets, n.maxSockets()/4)
 }
 
-// maxServerConns is how many of them may be to servers, linkLeast how many clients must leave to servers.
+// maxServerConns returns how many of the connections may be to servers, minServerConns how many are kept free of clients for servers.
 func (n *Node) maxServerConns() int { return max(n.minServerConns(), n.maxConns()*2/5) }
 func (n *Node) minServerConns() int { return max(1, n.maxConns()/8) }
 
-// mayDial reports whether there is room for one more connection to a server. Clients in the reserve take none of it.
+// mayDial reports whether one more connection to a server may be opened. Clients in the reserve do not reduce what servers may have.
 func (n *Node) mayDial() bool {
-	// Guards against clients who fill the room and the reserve: with no connection to any server left, as after a quiet
-	// time or a change of servers, each request was failed and each server skipped, for as long as they came.
+	// Guards against clients that use up all connections including the reserve: when no server connection was left, as after an
+	// idle period or a change of servers, every request failed and every server was skipped for as long as the clients came.
 	belowMax := n.links < n.maxServerConns() && n.openConns()-n.clients.reserved < n.maxConns()
 	return n.openConns() < n.maxConnsWithReserve() && (belowMax || n.links < n.minServerConns())
 }
 
-// closeOldestIdle closes the idle connection that has stood longest.
+// closeOldestIdle closes the server connection that has been idle longest. It reports whether there was one.
 func (n *Node) closeOldestIdle() bool {
 	var oldest *serverConn
 	for _, p := range n.pools {
@@ -349,7 +350,7 @@
 	return true
 }
 
-// leastLoaded finds the connection that carries least and may carry one more.
+// leastLoaded returns the connection with the fewest attempts that may take one more, or nil.
 func (p *pool) leastLoaded() *serverConn {
 	if p.proto == nil || !p.proto.canPipeline() {
 		return nil
@@ -366,12 +367,12 @@
 	return best
 }
 
-// hasOutstanding reports whether an attempt waits for its answer on the connection.
+// hasOutstanding reports whether an attempt on the connection waits for its answer.
 func (l *serverConn) hasOutstanding() bool {
 	return slices.ContainsFunc(l.attempts, func(x *try) bool { return x != nil })
 }
 
-// markIdle makes a connection that carries nothing idle, or closes it when nothing more should go there.
+// markIdle adds a connection without attempts to the idle ones, or closes it if it must get no new attempts.
 func (l *serverConn) markIdle() {
 	if l.closed || !l.connected || len(l.attempts) > 0 {
 		return
@@ -386,13 +387,13 @@
 	}
 	l.idleSince = p.node.loop.Now()
 	p.idle = append(p.idle, l)
-	if limit := p.node.cfg.Transport.ConnIdle; limit > 0 { // well before the server's own limit
+	if limit := p.node.cfg.Transport.ConnIdle; limit > 0 { // half of it, so that the node closes well before the server does
 		l.timer.Stop()
 		l.timer = p.node.loop.After(limit/2, l.close)
 	}
 }
 
-// unmarkIdle takes a connection off the idle ones.
+// unmarkIdle removes a connection from the idle ones.
 func (l *serverConn) unmarkIdle() {
 	if i := slices.Index(l.pool.idle, l); i >= 0 {
 		l.pool.idle = slices.Delete(l.pool.idle, i, i+1)
@@ -400,7 +401,7 @@
 	}
 }
 
-// close gives the connection back.
+// close closes the connection and releases its buffers; its attempts are left to the caller.
 func (l *serverConn) close() {
 	if l.closed {
 		return
@@ -421,7 +422,7 @@
 	p.removeIfUnused()
 }
 
-// updateBuffered keeps the node's count of the bytes of answers that are not whole.
+// updateBuffered updates the node's count of the bytes buffered for incomplete answers.
 func (l *serverConn) updateBuffered() {
 	held := cap(l.input)
 	if l.body != nil {
@@ -431,7 +432,8 @@
 	l.accountedBytes = held
 }
 
-// closeAndFail ends the connection and all that is out on it: what was not written whole has never run, the rest may have.
+// closeAndFail closes the connection and ends its attempts. Those whose requests were not written completely have never run; the
+// others may have.
 func (l *serverConn) closeAndFail() {
 	if l.closed {
 		return
@@ -451,19 +453,20 @@
 	l.attempts = nil
 }
 
-// timeout ends an attempt that the node stops waiting for. Its connection goes with it, so that the server can tell.
+// timeout ends an attempt that the node stops waiting for, and its connection, so that the server notices; a connection that
+// delivers the long value of another attempt stays.
 func (p *pool) timeout(t *try) {
 	l := t.link
 	if t.done || l == nil || l.closed {
 		return
 	}
 	end := answer{outcome: policy.TimedOut}
-	if t.last > l.conn.Written() { // it never went out
+	if t.last > l.conn.Written() { // never sent completely
 		end.outcome = policy.ConnectFailed
 	}
 	if p.lastReceived < t.at {
-		// Guards against a machine that vanished: its open connections stay silent and each would cost a time-out,
-		// while a new one that does not come up says soon, and surely, that nothing ran.
+		// Guards against a machine that has disappeared: its open connections stay silent, and each would cost a timeout,
+		// whereas a new connection that is not established soon proves that nothing ran.
 		for _, l := range slices.Clone(p.idle) {
 			l.close()
 		}
@@ -471,16 +474,17 @@
 	p.abort(t, end)
 }
 
-// expire takes back a repeat that has not gone out whole when its servers begin to forget the request: it would run again.
+// expire ends a retry that has not been sent completely when its dedup window closes: the servers begin to forget the request, and
+// it would run a second time.
 func (p *pool) expire(t *try) {
 	l := t.link
 	if t.done || l == nil || l.closed || t.last <= l.conn.Written() || l.withdrawAttempt(t, policy.ConnectFailed) {
 		return
 	}
-	l.closeAndFail() // half of it is on its way
+	l.closeAndFail() // it has been sent in part
 }
 
-// cancel calls an attempt off.
+// cancel ends an attempt whose answer is not needed any more.
 func (p *pool) cancel(t *try) {
 	if t.call.answered {
 		p.withdraw(t)
@@ -490,8 +494,8 @@
 	}
 }
 
-// abort ends an attempt before its answer. Where other attempts wait on the connection and the request is over, the
-// connection stays for them and the answer is passed over when it comes.
+// abort ends an attempt before its answer. If the attempt was cancelled and others wait on the connection, or the connection is
+// delivering another attempt's long value, it stays open and the answer is discarded when it arrives.
 func (p *pool) abort(t *try, end answer) {
 	l := t.link
 	t.link = nil
@@ -533,7 +537,7 @@
 // End implements loop.Handler.
 func (l *serverConn) End(error) {
 	l.retiring = true
-	if l.body == nil && len(l.attempts) > 0 && l.attempts[0] != nil && len(l.input) > 0 { // an answer may end with its connection
+	if l.body == nil && len(l.attempts) > 0 && l.attempts[0] != nil && len(l.input) > 0 { // end of stream may delimit an answer
 		if a, used, err := l.pool.proto.parseAnswer(l.input, l.attempts[0], l.pool.node.valueMost(), true); err == nil && used > 0 && a.long == 0 {
 			t := l.attempts[0]
 			l.attempts = l.attempts[1:]
@@ -557,11 +561,11 @@
 	for len(data) > 0 && !l.closed {
 		if l.body != nil {
 			used, ok := l.body.take(data)
-			if l.closed { // its client's connection has broken under it
+			if l.closed { // passing the value on has closed the client's connection and cancelled the attempt
 				return
 			}
 			if !ok {
-				l.closeMalformed("a long value that does not end where it should")
+				l.closeMalformed("long value does not end where it should")
 				return
 			}
 			if data = data[used:]; l.body.whole() {
@@ -570,7 +574,7 @@
 			continue
 		}
 		if len(l.attempts) == 0 {
-			// What comes behind a good answer does not spoil that one, but must never become the next request's answer.
+			// Bytes after a valid answer do not invalidate it, but must never be taken as the answer to the next request.
 			l.pool.node.count.surplusAnswers++
 			l.closeAndFail()
 			return
@@ -582,10 +586,10 @@
 			return
 		}
 		if a.long > 0 && t != nil && len(data)-used < bodyFirst {
-			used = 0 // not enough of it to be believed; but its server gives it, and what stops is given up soon
+			used = 0 // wait for more before the request is bound to this value; the stall timeout replaces that of the attempt
 			t.timer.Stop()
 		}
-		if used > 0 && l.upload != nil { // the server does not want the rest: not even a part of it has run
+		if used > 0 && l.upload != nil { // the server answers before it has the whole value, so nothing has run
 			if a.outcome != policy.Full {
 				a.outcome = policy.ConnectFailed
 			}
@@ -595,7 +599,7 @@
 			return
 		}
 		if used > 0 && t != nil && t.last > l.conn.Written() {
-			l.closeMalformed("an answer before its request") // surplus of the one before
+			l.closeMalformed("answer before its request") // surplus bytes after the previous answer
 			return
 		}
 		if used == 0 {
@@ -612,7 +616,7 @@
 		l.retiring = l.retiring || a.close
 		if len(data) == 0 {
 			l.input = nil
-			if !a.close { // idle already when the module, told of the answer, sends the next attempt
+			if !a.close { // before the policy is notified of the answer, so that the next attempt can use the connection
 				l.markIdle()
 			}
 		}
@@ -636,21 +640,21 @@
 	}
 	l.updateBuffered()
 	if l.pool.node.coming > l.pool.node.most() {
-		l.closeMalformed("no room for more answers at once")
+		l.closeMalformed("too many bytes of incomplete answers")
 		return
 	}
 	if len(l.input) > 0 && l.body == nil {
-		// Guards against an answer that says it is longer than it is: its connection stays open and silent, and without
-		// this the attempt would last until its time-out.
-		l.timer = l.pool.node.loop.After(l.pool.node.stallTimeout(), func() { l.closeMalformed("an answer that stops in its midst") })
+		// Guards against an answer that is shorter than the length it states: its connection stays open and silent, and without
+		// this timer the attempt would last until its timeout.
+		l.timer = l.pool.node.loop.After(l.pool.node.stallTimeout(), func() { l.closeMalformed("incomplete answer makes no progress") })
 	}
-	if len(l.attempts) > 0 && !l.hasOutstanding() && l.body == nil { // guards against a descriptor held for answers that nobody waits for
+	if len(l.attempts) > 0 && !l.hasOutstanding() && l.body == nil { // guards against keeping a descriptor for answers that nobody waits for
 		l.closeAndFail()
 	}
 	l.markIdle()
 }
 
-// finishBody ends a long value of which all has come.
+// finishBody ends the attempt whose long value has been received completely. last reports that no bytes follow the value.
 func (l *serverConn) finishBody(last bool) {
 	b := l.body
 	l.body = nil
@@ -671,18 +675,18 @@
 	}
 }
 
-// stallTimeout is how long an answer may stop in its midst.
+// stallTimeout returns how long an incomplete answer may make no progress.
 func (n *Node) stallTimeout() time.Duration {
 	return cmp.Or(n.cfg.Transport.ConnectTimeout, defaultStallTimeout)
 }
 
-// finishAttempt ends an attempt with its answer.
+// finishAttempt ends an attempt with the answer received on this connection.
 func (l *serverConn) finishAttempt(t *try, a answer) {
 	t.link = nil
 	l.pool.node.finished(t, a)
 }
 
-// closeMalformed ends a connection on which nothing can be trusted any more.
+// closeMalformed closes a connection after a malformed answer: later bytes cannot be attributed to requests any more.
 func (l *serverConn) closeMalformed(why string) {
 	l.pool.node.count.badAnswers++
 	log.Printf("event=bad_answer server=%s why=%q", l.pool.id, why)
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -17,7 +17,7 @@
 	"lapisshelf/policy"
 )
 
-// harness is a node whose pools are driven by hand, with one stand-in server that says only what it is told to.
+// harness is a node whose connection pools are driven directly, with one stand-in server that only sends what the test writes.
 type harness struct {
 	t    *testing.T
 	node *Node
@@ -44,15 +44,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.registry.Close() // no list is asked for
+	n.registry.Close() // the test provides the list
 	n.updatePool(policy.Server{ID: "s-1", State: policy.Ready}, netip.MustParseAddrPort(ln.Addr().String()))
 	return &harness{t, n, n.pools["s-1"], ln}
 }
 
-// clientAddr is where the node's clients connect to.
+// clientAddr returns the address that the node's clients connect to.
 func (b *harness) clientAddr() netip.AddrPort { return b.node.clients.listener.Addr() }
 
-// runUntil lets the loop run until a condition holds.
+// runUntil runs the event loop until a condition holds.
 func (b *harness) runUntil(what string, holds func() bool) {
 	b.t.Helper()
 	end := time.Now().Add(10 * time.Second)
@@ -74,12 +74,12 @@
 	}
 }
 
-// send starts an attempt of a request of its own, whose client takes no answer: its connection is over, which nobody has told.
+// send starts an attempt of a new request whose client gets no answer: its connection has ended, which the node does not know yet.
 func (b *harness) send(id string) *try {
 	return b.sendAttempt(&call{id: id, class: &class{name: "read"}, client: &client{node: b.node, gone: true}})
 }
 
-// sendAttempt starts one of a request.
+// sendAttempt starts an attempt of a request.
 func (b *harness) sendAttempt(c *call) *try {
 	b.t.Helper()
 	line := "mg key v O" + c.id + " Pc=read,d=1000"
@@ -101,7 +101,7 @@
 	return t
 }
 
-// accept takes the node's next connection and reads the lines of its first attempts.
+// accept accepts the node's next connection and reads the lines of its first attempts.
 func (b *harness) accept(lines int) net.Conn {
 	b.t.Helper()
 	conn, err := b.ln.Accept()
@@ -109,7 +109,7 @@
 		b.t.Fatal(err)
 	}
 	b.t.Cleanup(func() { conn.Close() })
-	b.runUntil("the connection stands", func() bool { return b.pool.conns[len(b.pool.conns)-1].connected })
+	b.runUntil("the connection is established", func() bool { return b.pool.conns[len(b.pool.conns)-1].connected })
 	in := bufio.NewReader(conn)
 	for range lines {
 		if _, err := in.ReadString('\n'); err != nil {
@@ -121,29 +121,29 @@
 
 func (b *harness) outcomes(o policy.Outcome) int64 { return b.node.count.outcomes[o] }
 
-// An attempt called off behind another on a shared connection leaves that one alone, and when it is done the
-// connection is not kept for an answer that nobody waits for.
+// Cancelling an attempt that shares a connection does not affect the other attempt, and once that is answered the connection is not
+// kept for an answer that nobody waits for.
 func TestCancelledAttemptsDoNotHoldAConnection(t *testing.T) {
 	b := newHarness(t)
 	b.send("1")
 	peer := b.accept(1)
-	b.node.links = b.node.maxServerConns() // no descriptor is left
+	b.node.links = b.node.maxServerConns() // no more connections may be opened
 	second := b.send("2")
 	if b.node.count.pipelined != 1 || len(b.pool.conns) != 1 {
 		t.Fatal("the second attempt did not share the connection")
 	}
 	b.pool.cancel(second)
 	if b.outcomes(policy.Cancelled) != 1 || len(b.pool.conns) != 1 {
-		t.Fatal("calling the second off ended the connection of the first")
+		t.Fatal("cancelling the second attempt ended the connection of the first")
 	}
 	io.WriteString(peer, "VA 1 O1\r\nx\r\n")
 	b.runUntil("the first is answered", func() bool { return b.outcomes(policy.OK) == 1 })
 	if len(b.pool.conns) != 0 {
-		t.Error("the connection is kept though nobody waits for an answer on it")
+		t.Error("the connection is kept although nobody waits for an answer on it")
 	}
 }
 
-// What a time-out costs the others on a shared connection is told honestly.
+// A timeout on a shared connection ends the other attempts as reset, since they may have run.
 func TestATimeOutOnASharedConnection(t *testing.T) {
 	b := newHarness(t)
 	first := b.send("1")
@@ -156,7 +156,7 @@
 	}
 }
 
-// A time-out behind a long value that flows leaves the connection alone: closing it would cut the value off.
+// A timeout of an attempt queued behind a long value does not close the connection: that would truncate the value.
 func TestATimeOutBehindALongValue(t *testing.T) {
 	b := newHarness(t)
 	first := b.send("1")
@@ -171,14 +171,14 @@
 	}
 }
 
-// What a connection that is breaking did not take has never run; what it took may have.
+// When a connection breaks, attempts that it had not accepted have never run; the others may have.
 func TestUnwrittenAttemptsCountAsConnectFailed(t *testing.T) {
 	b := newHarness(t)
 	b.send("1")
 	b.accept(1)
 	b.node.links = b.node.maxServerConns()
 	l := b.pool.conns[0]
-	l.conn.Close() // as far as writing goes, it is broken
+	l.conn.Close() // from now on it discards writes like a broken one
 	b.send("2")
 	l.closeAndFail()
 	if b.outcomes(policy.Reset) != 1 || b.outcomes(policy.ConnectFailed) != 1 {
@@ -186,7 +186,7 @@
 	}
 }
 
-// A server that stops being ready gets nothing from a connection that comes up later.
+// A server that is no longer ready gets nothing on a connection that is established later.
 func TestDrainEndsConnectingAttempts(t *testing.T) {
 	b := newHarness(t)
 	b.send("1")
@@ -197,14 +197,14 @@
 	}
 }
 
-// An attempt that waits unwritten behind another is no send yet: written after the grace it would be one to a server that
-// drains or is banned.
+// A ban withdraws an attempt that is queued behind another and not written yet: after the drain grace it would be sent to a server
+// that is draining or banned.
 func TestABanTakesBackWhatIsNotWritten(t *testing.T) {
 	b := newHarness(t)
 	b.send("1")
 	b.accept(1)
-	b.runUntil("it stands", func() bool { return b.pool.conns[0].connected })
-	b.node.links = b.node.maxServerConns() // what follows shares the connection
+	b.runUntil("it is established", func() bool { return b.pool.conns[0].connected })
+	b.node.links = b.node.maxServerConns() // later attempts share the connection
 	b.pool.conns[0].conn.Write(make([]byte, 32<<20))
 	second, third := b.send("2"), b.send("3")
 	b.node.listed.add("s-1")
@@ -219,7 +219,8 @@
 	}
 }
 
-// A machine that vanished leaves its idle connections silent: the first time-out with nothing heard gives them back.
+// Idle connections to a machine that has disappeared stay silent: they are closed at the first timeout of an attempt during which
+// nothing was received from the server.
 func TestASilentServersIdleConnectionsAreGivenBack(t *testing.T) {
 	for _, heard := range []bool{false, true} {
 		b := newHarness(t)
@@ -243,7 +244,7 @@
 	}
 }
 
-// A server that moved gets new connections at its new address.
+// A server that has moved gets new connections at its new address.
 func TestAServerThatMoved(t *testing.T) {
 	b := newHarness(t)
 	b.send("1")
@@ -264,28 +265,28 @@
 	}
 }
 
-// Guards against a request written to whatever server has an address by now, its own having moved while the connection came up
-// or while the request stood behind others.
+// Guards against a request sent to another server that has taken over an address, because the intended one moved while the connection
+// was being established or while the request was queued behind others.
 func TestAServerThatMovesUnderARequest(t *testing.T) {
 	for _, shared := range []bool{false, true} {
 		b := newHarness(t)
 		if shared {
 			b.send("1")
-			b.runUntil("it stands", func() bool { return b.pool.conns[0].connected })
+			b.runUntil("it is established", func() bool { return b.pool.conns[0].connected })
 			b.node.links = b.node.maxServerConns()
 			b.pool.conns[0].conn.Write(make([]byte, 32<<20))
 		}
 		second := b.send("2")
 		b.node.updatePool(policy.Server{ID: "s-1", State: policy.Ready}, netip.MustParseAddrPort("127.0.0.1:2"))
-		b.runUntil("it is taken back", func() bool { return second.done })
+		b.runUntil("it is withdrawn", func() bool { return second.done })
 		if b.outcomes(policy.ConnectFailed) != 1 || len(b.pool.conns) != map[bool]int{false: 0, true: 1}[shared] {
 			t.Errorf("shared %v: %v, %d connections", shared, b.node.count.outcomes, len(b.pool.conns))
 		}
 	}
 }
 
-// Guards against a keyed write that runs twice: a repeat whose connection comes up when its servers have forgotten the first
-// try. What has gone out by then stays.
+// Guards against a keyed write that runs twice: a retry whose connection is established only after the servers have forgotten the
+// first attempt. A retry that has been sent by then continues.
 func TestARepeatThatIsLateForItsWindow(t *testing.T) {
 	b := newHarness(t)
 	late := b.send("1")
@@ -297,7 +298,7 @@
 	whole := b.send("2")
 	b.pool.expire(whole)
 	if whole.done {
-		t.Error("what had gone out was ended")
+		t.Error("an attempt that had been sent was ended")
 	}
 	peer, err := b.ln.Accept()
 	if err != nil {
@@ -310,14 +311,14 @@
 	b.node.links = b.node.maxServerConns()
 	b.pool.conns[0].conn.Write(make([]byte, 32<<20))
 	half := b.send("3")
-	half.first = b.pool.conns[0].conn.Written() - 1 // as if its first byte had gone
+	half.first = b.pool.conns[0].conn.Written() - 1 // as if its first byte had been sent
 	b.pool.expire(half)
 	if !half.done || len(b.pool.conns) != 0 || b.outcomes(policy.ConnectFailed) != 2 || b.outcomes(policy.Reset) != 1 {
-		t.Errorf("half of it gone: %v, %d connections", b.node.count.outcomes, len(b.pool.conns))
+		t.Errorf("sent in part: %v, %d connections", b.node.count.outcomes, len(b.pool.conns))
 	}
 }
 
-// The module's time by which a repeat must have gone out is kept, on a connection that never comes up.
+// A retry is withdrawn at the time by which the policy wants it sent, even if its connection is never established.
 func TestSendsKeepTheirLatestTime(t *testing.T) {
 	s := newStage(t, false, answering)
 	s.cache.Silence(true)
@@ -326,13 +327,13 @@
 	c := s.node.calls["1"]
 	actions{s.node}.Send("1", "c-1", 0, s.node.loop.Now()+20*time.Millisecond)
 	last := c.tries[len(c.tries)-1]
-	s.runUntil("it is taken back", func() bool { return last.done })
+	s.runUntil("it is withdrawn", func() bool { return last.done })
 	if s.outcomes(policy.ConnectFailed) != 1 {
 		t.Errorf("%v", s.node.count.outcomes)
 	}
 }
 
-// connectClient connects one to the node.
+// connectClient connects a client to the node and returns both ends.
 func (b *harness) connectClient() (peer net.Conn, c *client) {
 	b.t.Helper()
 	peer, err := net.Dial("tcp", b.clientAddr().String())
@@ -340,14 +341,15 @@
 		b.t.Fatal(err)
 	}
 	b.t.Cleanup(func() { peer.Close() })
-	b.runUntil("it is taken", func() bool { return len(b.node.clients.all) == 1 })
+	b.runUntil("it is accepted", func() bool { return len(b.node.clients.all) == 1 })
 	for c = range b.node.clients.all {
 	}
 	c.asked = true
 	return peer, c
 }
 
-// What a banned server has yet to give of a long value is fetched however slow its reader: it will be restarted.
+// The rest of a long value is fetched from a banned server at once, however slowly the client reads, because the server is going to be
+// restarted.
 func TestABanFetchesWhatIsLeftOfALongValue(t *testing.T) {
 	b := newHarness(t)
 	first := b.send("1")
@@ -359,23 +361,23 @@
 	first.call.body, c.calls = l.body, []*call{first.call}
 	b.pool.drain()
 	if c.deep != 0 {
-		t.Error("hastened at a server that is open")
+		t.Error("fetched at once from a server that is available")
 	}
 	b.node.listed.add("s-1")
 	b.node.setBan("s-1", true)
 	if c.deep != 1<<20 || b.node.deep != c.deep || l.closed {
-		t.Errorf("room for %d bytes, %d in all", c.deep, b.node.deep)
+		t.Errorf("send buffer grown by %d bytes, %d in total", c.deep, b.node.deep)
 	}
 	c.drop()
 	if b.node.deep != 0 {
-		t.Errorf("%d bytes are not given back", b.node.deep)
+		t.Errorf("%d bytes are not released", b.node.deep)
 	}
 }
 
-// A drain does not end the connection of a slow reader while the node holds the end of its answer, however long the
-// connection seems to have rested.
+// A drain does not close the connection of a slow reader while the node still buffers the end of an answer, however long the
+// connection has been inactive.
 func TestADrainWaitsForASlowReader(t *testing.T) {
-	const size = 12 << 20 // more than the system keeps
+	const size = 12 << 20 // more than the kernel buffers
 	b := newHarness(t)
 	n := b.node
 	peer, c := b.connectClient()
@@ -385,7 +387,7 @@
 	c.used -= time.Hour
 	n.clients.retire()
 	if c.gone || c.conn.Pending() == 0 {
-		t.Fatalf("gone %v with %d bytes to be handed over", c.gone, c.conn.Pending())
+		t.Fatalf("gone %v with %d bytes unwritten", c.gone, c.conn.Pending())
 	}
 	got := make(chan int64, 1)
 	go func() {
--- a/internal/node/protocol_test.go
+++ b/internal/node/protocol_test.go
@@ -19,7 +19,7 @@
 	return &try{call: &call{command: keep(m)}}
 }
 
-// What the origin says, as outcomes: only Not-Started proves that nothing ran.
+// Outcomes of the origin's answers: only Not-Started proves that nothing ran.
 func TestOriginAnswers(t *testing.T) {
 	read, write := parsedAttempt(t, "mg k v O1 Pc=read\r\n"), parsedAttempt(t, "ms k 1 O1 Pc=put\r\nx\r\n")
 	for _, c := range []struct {
@@ -38,10 +38,10 @@
 		{"receipt that would break the answer's line", write, "200 OK", "", "R1\r\nVA", 0, "", true},
 		{"error", read, "500 No", "", "", policy.Errored, "", false},
 		{"error that claims not to have run", read, "500 No", "Not-Started: 1\r\n", "", policy.Errored, "", false},
-		{"turned away", write, "503 No", "Not-Started: 1\r\n", "", policy.Full, "", false},
-		{"turned away late", write, "504 No", "not-started: 1\r\n", "", policy.Full, "", false},
+		{"refused", write, "503 No", "Not-Started: 1\r\n", "", policy.Full, "", false},
+		{"refused after a wait", write, "504 No", "not-started: 1\r\n", "", policy.Full, "", false},
 		{"may have run", write, "503 No", "", "", policy.Errored, "", false},
-		{"may have run, in so many words", write, "503 No", "Not-Started: 0\r\n", "", policy.Errored, "", false},
+		{"may have run, stated explicitly", write, "503 No", "Not-Started: 0\r\n", "", policy.Errored, "", false},
 		{"moved", read, "302 Found", "", "", policy.Errored, "", false},
 	} {
 		text := fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", c.status, c.header, len(c.body), c.body)
@@ -61,7 +61,7 @@
 	}
 	got = string(p.appendRequest(nil, parsedAttempt(t, "ms k 0 O1 Pc=put\r\n\r\n"), 0))
 	if !strings.HasSuffix(got, "Content-Length: 0\r\n\r\n") {
-		t.Errorf("an empty value goes without its length: %q", got)
+		t.Errorf("an empty value is sent without its length: %q", got)
 	}
 }
 
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -11,38 +11,38 @@
 	"lapisshelf/policy"
 )
 
-// An upgrade: another process of this node comes up beside this one and takes its place. decide/handover says what each
-// may take, internal/handover how they hear of each other; here it is carried out.
+// In an upgrade a successor process of this node starts beside this one and replaces it. decide/handover decides how they share
+// resources and internal/handover exchanges their states through files; this file applies both to the node.
 
 const (
-	publishInterval     = 50 * time.Millisecond  // how often a process tells what it holds while another lives
-	minRetryDelay       = 50 * time.Millisecond  // before what could not be written is written again, the first time
-	maxRetryDelay       = time.Second            // and at most
-	maxDrainNewsAge     = 250 * time.Millisecond // how old another process's word on draining may be when it is heard
-	predecessorTimeout  = time.Second            // how long a new process that could serve waits for the elder to make room
-	departedTTL         = 10 * time.Second       // how long servers that left the list are told to other processes
-	maxDeparted         = 256                    // of these, and of servers no longer listed
-	listenRetryInterval = 20 * time.Millisecond
+	publishInterval     = 50 * time.Millisecond  // of the state and of looking for changes while other processes run
+	minRetryDelay       = 50 * time.Millisecond  // before a state that could not be written is written again
+	maxRetryDelay       = time.Second            // the delay doubles up to this
+	maxDrainNewsAge     = 250 * time.Millisecond // assumed age of another process's drain call when this one learns of it
+	predecessorTimeout  = time.Second            // how long a process that is ready waits for its predecessors to make room
+	departedTTL         = 10 * time.Second       // how long servers that left the list are reported to other processes
+	maxDeparted         = 256                    // maximum number of these, and of reported servers that are no longer listed
+	listenRetryInterval = 20 * time.Millisecond  // while the listen address is in use
 )
 
-// succession is this process among those of its node.
+// succession is the state of this process among the processes of its node.
 type succession struct {
 	node         *Node
-	member       *handover.Member // nil: nobody can come beside this one
-	fdLimit      int              // descriptors that it takes while others live
-	roomMade     bool             // elders have made room for it
-	readyAt      time.Duration    // when it could first have served
+	member       *handover.Member // nil: no other process can run beside this one
+	fdLimit      int              // file descriptors that it may use while others run
+	roomMade     bool             // its predecessors have made room for it
+	readyAt      time.Duration    // when it first could have accepted clients
 	publishTimer *loop.Timer
-	departed     map[string]time.Duration // servers that get nothing new, by the list, and since when that is known
-	joinErr      error                    // why the state directory is not used at all
-	retryDelay   time.Duration            // before the next attempt to write what is owed; 0: the last one held
-	retryTimer   *loop.Timer              // that attempt
-	publishedAt  time.Duration            // when the others were told last
-	memoryMB     int                      // megabytes that limit was called with last
-	addressInUse bool                     // the address is taken, and the log says so
+	departed     map[string]time.Duration // servers that are draining or gone by the list, and since when that is known
+	joinErr      error                    // why the state directory is not used
+	retryDelay   time.Duration            // before the next attempt to write the state; 0 if the last write succeeded
+	retryTimer   *loop.Timer              // of that attempt
+	publishedAt  time.Duration            // when the state was last published
+	memoryMB     int                      // last argument of Node.limit
+	addressInUse bool                     // listening has failed and that has been logged
 }
 
-// join looks for other processes of the node, and takes over what was said by hand.
+// join looks for other processes of the node in the state directory.
 func (s *succession) join(n *Node) {
 	s.node, s.departed = n, map[string]time.Duration{}
 	if n.cfg.StateDir == "" {
@@ -51,7 +51,7 @@
 	var err error
 	s.member, err = handover.Join(n.loop, handover.Options{Dir: n.cfg.StateDir, Name: n.cfg.Name, Listen: n.cfg.Listen.String(),
 		Note: n.logRegistryEvent, Changed: s.onPeersChanged})
-	if err != nil { // it serves all the same; an upgrade finds the address taken
+	if err != nil { // the node serves nevertheless, but a successor will find the listen address in use
 		s.joinErr = err
 		log.Printf("event=handover_off why=%q", err)
 		return
@@ -61,7 +61,7 @@
 	}
 }
 
-// start takes over what was said by hand, and makes this process known.
+// start takes over the operators' overrides and publishes the state of this process.
 func (s *succession) start() {
 	if s.member != nil {
 		s.adoptPeerState()
@@ -70,7 +70,7 @@
 	}
 }
 
-// peers are the other processes that live.
+// peers returns the states of the other running processes.
 func (s *succession) peers() []handover.State {
 	if s.member == nil {
 		return nil
@@ -85,14 +85,15 @@
 	return list
 }
 
-// onPeersChanged takes news of the other processes.
+// onPeersChanged handles changed states of the other processes.
 func (s *succession) onPeersChanged() {
 	s.adoptPeerState()
 	s.update()
 	s.node.acceptClients()
 }
 
-// adoptPeerState takes what was said by hand to others, those that have ended included, and what their lists say.
+// adoptPeerState takes over the operators' overrides that other processes hold or held before they ended, and drains and newer lists
+// of running ones.
 func (s *succession) adoptPeerState() {
 	n, now, overridden := s.node, s.node.loop.Now(), false
 	for _, p := range slices.Concat(s.member.Left(), s.member.Peers()) {
@@ -108,7 +109,7 @@
 	if overridden {
 		n.applyOverrides()
 	}
-	for _, p := range s.member.Peers() { // a drain is the node's, and a process that has ended took it along
+	for _, p := range s.member.Peers() { // draining applies to the whole node, but ends with the process that got the call
 		if p.Lame.At > n.lameAt {
 			n.setDraining(p.Lame.On, p.Lame.At, maxDrainNewsAge)
 		}
@@ -116,7 +117,7 @@
 	s.adoptPeerLists()
 }
 
-// adoptPeerLists keeps off servers that leave by the list of another process, which is newer than the own one.
+// adoptPeerLists drains servers that are leaving by the list of another process if that list is newer than this process's own.
 func (s *succession) adoptPeerLists() {
 	n := s.node
 	if n.registry == nil {
@@ -138,13 +139,13 @@
 	}
 }
 
-// newer reports whether a list tells more than the own one. Guards against comparing the revisions of two registries, where
-// discovery was moved between two processes: servers that are ready by the own list would get nothing for good.
+// newer reports whether list l is newer than this process's own. Guards against comparing revisions of different registries, if
+// discovery was moved between the starts of two processes: servers that are ready by the own list would never get attempts.
 func newer(l, own handover.List) bool {
 	return l.Revision > own.Revision && (l.Source == "" || own.Source == "" || l.Source == own.Source)
 }
 
-// listSource is a list that says only which registry this process follows.
+// listSource returns a list with only its Source set: the registry that this process follows.
 func (s *succession) listSource() (l handover.List) {
 	r := &s.node.cfg.Registry
 	for _, e := range r.Endpoints {
@@ -154,14 +155,14 @@
 	return l
 }
 
-// refreshPeers hears what the other processes say now.
+// refreshPeers reads the current states of the other processes.
 func (s *succession) refreshPeers() {
 	if s.member != nil {
 		s.member.Look()
 	}
 }
 
-// update settles what this process takes, and tells the others.
+// update settles which resources this process may use, and publishes its state.
 func (s *succession) update() {
 	if s.member == nil {
 		return
@@ -189,14 +190,14 @@
 	}
 }
 
-// publish makes the own state known: what is said by hand or settles who serves at once, figures that change all the time
-// every so often, or two processes would have each other tell them without end.
+// publish publishes the state of this process. Overrides, drains and what settles which process serves are published at once.
+// Frequently changing values are published at most every publishInterval; otherwise two processes would trigger each other endlessly.
 func (s *succession) publish(self decide.Process) {
 	n := s.node
 	state := s.member.Self()
 	previous := state
-	// Guards against a file written anew every 50 ms, on the loop, for what no other process decides upon. Where the directory
-	// lies on a disk that others keep busy, one such write took up to 0.15 s.
+	// Guards against rewriting the file every 50 ms, on the event loop, for a number that no other process uses. If the directory is
+	// on a busy disk, one such write took up to 0.15 s.
 	openFDs := self.OpenFDs
 	if self.OpenFDs = previous.Process.OpenFDs; self != previous.Process {
 		self.OpenFDs = openFDs
@@ -212,7 +213,7 @@
 	s.handlePublishResult(s.member.Publish(state))
 }
 
-// handlePublishResult notes whether the state was written. One that was not is written again, with growing pauses, until it holds.
+// handlePublishResult schedules another attempt, with exponential backoff, if the state could not be written.
 func (s *succession) handlePublishResult(err error) {
 	if err == nil {
 		if s.retryDelay > 0 {
@@ -227,7 +228,7 @@
 		log.Printf("event=handover_failed why=%q", err)
 	}
 	if s.retryTimer != nil {
-		return // it is due already
+		return // already scheduled
 	}
 	s.retryDelay = min(max(2*s.retryDelay, minRetryDelay), maxRetryDelay)
 	s.retryTimer = s.node.loop.After(s.retryDelay, func() {
@@ -236,7 +237,8 @@
 	})
 }
 
-// saveError says why what was said by hand would not outlast this process; nil: it would, or nothing here is to.
+// saveError returns why the operators' overrides would be lost with this process. It is nil if they are saved, or if there is no state
+// directory to save them in.
 func (s *succession) saveError() error {
 	if s.member == nil {
 		return s.joinErr
@@ -244,7 +246,7 @@
 	return s.member.Owed()
 }
 
-// updateMemoryLimit has the collector know how much this process may use.
+// updateMemoryLimit reports a changed memory limit to the callback set with OnMemoryLimit.
 func (n *Node) updateMemoryLimit() {
 	if mb := n.memoryMB(); n.limit != nil && mb != n.succession.memoryMB {
 		n.succession.memoryMB = mb
@@ -252,7 +254,7 @@
 	}
 }
 
-// OnMemoryLimit has f called with the megabytes that the process may use, now and when that changes.
+// OnMemoryLimit calls f with the memory limit of this process in megabytes, now and whenever it changes.
 func (n *Node) OnMemoryLimit(f func(mb int)) {
 	n.limit = f
 	n.updateMemoryLimit()
@@ -268,7 +270,7 @@
 	return decide.Starting
 }
 
-// publishedList is what other processes need to know of this one's list.
+// publishedList returns what other processes need to know about this process's list.
 func (s *succession) publishedList() (l handover.List) {
 	n := s.node
 	if n.registry == nil {
@@ -293,7 +295,7 @@
 	return l
 }
 
-// recordServerState keeps which servers get nothing new by the list.
+// recordServerState records whether a server is draining or gone by the list.
 func (s *succession) recordServerState(id string, state policy.State) {
 	if state == policy.Ready {
 		delete(s.departed, id)
@@ -302,7 +304,7 @@
 	}
 }
 
-// acceptClients opens the clients' address, for a process that comes beside another once it could serve and there is room.
+// acceptClients opens the listener for clients once the node is ready and, in an upgrade, its predecessors have made room.
 func (n *Node) acceptClients() {
 	s := &n.succession
 	if n.clients.listener != nil || n.leaving || !n.ready {
@@ -313,10 +315,10 @@
 	}
 	others := s.peers()
 	if s.update(); len(others) > 0 && s.fdLimit == 0 {
-		return // the next news, or tick, comes here
+		return // onPeersChanged calls this again
 	}
 	if len(others) > 0 && !s.roomMade {
-		log.Printf("event=handover_deaf why=%q room=%d", "an older process does not answer", s.fdLimit)
+		log.Printf("event=handover_deaf why=%q room=%d", "predecessor process does not respond", s.fdLimit)
 	}
 	serving := 0
 	for _, o := range others {
@@ -336,7 +338,7 @@
 	s.update()
 }
 
-// hasSuccessor reports whether a younger process serves in this one's place.
+// hasSuccessor reports whether a successor process serves in place of this one.
 func (s *succession) hasSuccessor() bool {
 	if s.member == nil {
 		return false
@@ -345,7 +347,7 @@
 	return decide.HasSuccessor(s.member.Self().Process, processes(s.peers()))
 }
 
-// maxSockets is how many descriptors this process may hold; memoryMB how many megabytes.
+// maxSockets returns how many file descriptors this process may use.
 func (n *Node) maxSockets() int {
 	if len(n.succession.peers()) == 0 {
 		return n.cfg.Sockets
@@ -353,14 +355,16 @@
 	return n.succession.fdLimit
 }
 
+// memoryMB returns how many megabytes of memory this process may use.
 func (n *Node) memoryMB() int { return decide.MemoryShare(n.cfg.MemoryMB, len(n.succession.peers())) }
 
-// reservedSockets is how many of them are kept for what is no pool's and no client's, and for clients of a full house.
+// reservedSockets returns how many descriptors are kept for files and sockets other than server and client connections, and for clients
+// beyond the limit, whose requests are refused.
 func (n *Node) reservedSockets() int {
 	if n.leaving && len(n.succession.peers()) > 0 {
-		return 0 // no new client comes
+		return 0 // there are no new clients
 	}
-	// Guards against a half of few descriptors of which the operators' address and the reserve took all: with 64 in all no
+	// Guards against a reserve that, with the control address, uses up a process's share of few descriptors: with 64 in total no
 	// request was served while two processes ran.
 	return max(0, min(reserve, (n.maxSockets()-n.control.Share())/2))
 }
--- a/internal/node/succession_test.go
+++ b/internal/node/succession_test.go
@@ -9,7 +9,8 @@
 	"lapisshelf/internal/handover"
 )
 
-// The list of another process counts where it is newer, by the same registry: revisions of two compare with nothing.
+// The list of another process is used if it is newer and comes from the same registry: revisions of different registries cannot be
+// compared.
 func TestWhichListOfTwoProcessesIsNewer(t *testing.T) {
 	own := handover.List{Source: "a", Revision: 7}
 	for _, c := range []struct {
@@ -20,7 +21,7 @@
 		{handover.List{Source: "a", Revision: 7}, false},
 		{handover.List{Source: "a", Revision: 6}, false},
 		{handover.List{Source: "b", Revision: 900}, false}, // discovery was moved between the two
-		{handover.List{Revision: 8}, true},                 // a process of a version that does not tell
+		{handover.List{Revision: 8}, true},                 // from a version that does not publish the source
 	} {
 		if got := newer(c.l, own); got != c.want {
 			t.Errorf("%+v: %t", c.l, got)
@@ -28,13 +29,13 @@
 	}
 	b := newHarness(t)
 	if l := b.node.succession.publishedList(); l.Source != b.node.succession.listSource().Source || l.Source == "" {
-		t.Errorf("tells %q", l.Source)
+		t.Errorf("publishes source %q", l.Source)
 	}
 }
 
-// What a process holds changes with each connection, and no other process decides upon it: beside another one, its file is
-// written anew only when what it takes, or its stage, changes. Guards against 20 writes a second on the loop, each of which
-// waits for the directory's disk.
+// While another process runs, the state file is rewritten only if the limit or the stage of this process changes, not for each change of
+// the number of open descriptors, which no other process uses. Guards against 20 writes a second on the event loop, each of which waits
+// for the disk.
 func TestConnectionsAloneAreNoNewsToOtherProcesses(t *testing.T) {
 	b, dir := newHarness(t), t.TempDir()
 	n := b.node
@@ -48,7 +49,7 @@
 	}
 	s.member = join()
 	s.update()
-	stateFile := func() os.FileInfo { // of the earliest process
+	stateFile := func() os.FileInfo { // of the oldest process
 		names, _ := filepath.Glob(filepath.Join(dir, "*.json"))
 		if len(names) == 0 {
 			t.Fatal("no file")
@@ -71,7 +72,7 @@
 	}
 	s.member.Look()
 	if len(s.peers()) != 1 || !updated() || s.fdLimit != 32 {
-		t.Fatalf("beside %d others it takes %d of 64 descriptors", len(s.peers()), s.fdLimit)
+		t.Fatalf("beside %d others it may use %d of 64 descriptors", len(s.peers()), s.fdLimit)
 	}
 	writes := 0
 	for range 20 {
@@ -81,14 +82,14 @@
 		}
 	}
 	if writes != 0 || n.loop.OpenSockets() < 20 {
-		t.Errorf("written anew %d times for 20 connections; it holds %d", writes, n.loop.OpenSockets())
+		t.Errorf("rewritten %d times for 20 connections; %d descriptors open", writes, n.loop.OpenSockets())
 	}
-	n.leaving = true // its stage is news, and what it takes is less: what it holds is told with them
+	n.leaving = true // changes the stage and lowers the limit; the open descriptors are published with them
 	if !updated() {
-		t.Error("its stage is not told")
+		t.Error("the stage is not published")
 	}
 	successor.Look()
 	if p := successor.Peers()[0].Process; p.Stage != decide.Leaving || p.OpenFDs != n.loop.OpenSockets() || p.FDLimit != s.fdLimit {
-		t.Errorf("tells %+v, holds %d and takes %d", p, n.loop.OpenSockets(), s.fdLimit)
+		t.Errorf("publishes %+v, with %d descriptors open and a limit of %d", p, n.loop.OpenSockets(), s.fdLimit)
 	}
 }
