--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -29,10 +29,10 @@
 	Announce     *Announce         // the node's own entry in the registry; nil if there is none
 	Planners     *forwarder.Config // nil if there are no planners
 	Seed         uint64
-	MemoryMB     int
-	Sockets      int
-	SavedList    registry.Saved
-	SavedListErr error // why the saved list is ignored
+	MemoryMB     int            // memory limit
+	Sockets      int            // limit of file descriptors
+	SavedList    registry.Saved // server list to start with, until the registry answers
+	SavedListErr error          // why the saved list is ignored
 	Settings     policy.Settings
 	Transport    settings.Transport
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -23,7 +23,7 @@
 	maxListBytes       = 8 << 20                 // of an answer with the server list
 	maxEntriesPerMB    = 512                     // list entries for each megabyte of the memory limit
 	defaultDrainGrace  = 400 * time.Millisecond  // of draining servers, if the settings have none
-	drainGraceDivisor  = 4                       // the retry delay of a node without a watch on a pushed list is this fraction of the drain grace
+	drainGraceDivisor  = 4                       // retry delay without a watch on a pushed list, as a fraction of the drain grace
 )
 
 // registryConfig returns the registry configuration completed with what follows from the node's settings and limits.
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -57,7 +57,7 @@
 	conn           *loop.Conn
 	attempts       []*try // in the order of their requests; nil for an aborted attempt whose answer is still to come
 	input          []byte
-	accountedBytes int         // buffered bytes that are included in Node.coming
+	accountedBytes int         // buffered bytes that are included in the count for the node
 	timer          *loop.Timer // connect timeout, idle timeout or stall timeout of an answer
 	idleSince      time.Duration
 	connected      bool
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -38,7 +38,7 @@
 	retryDelay   time.Duration            // before the next attempt to write the state; 0 if the last write succeeded
 	retryTimer   *loop.Timer              // of that attempt
 	publishedAt  time.Duration            // when the state was last published
-	memoryMB     int                      // last argument of Node.limit
+	memoryMB     int                      // last limit reported to the OnMemoryLimit callback
 	addressInUse bool                     // listening has failed and that has been logged
 }
 
@@ -78,6 +78,7 @@
 	return s.member.Peers()
 }
 
+// processes returns what decide/handover needs of the given states.
 func processes(states []handover.State) (list []decide.Process) {
 	for _, s := range states {
 		list = append(list, s.Process)
@@ -246,7 +247,7 @@
 	return s.member.Owed()
 }
 
-// updateMemoryLimit reports a changed memory limit to the callback set with OnMemoryLimit.
+// updateMemoryLimit reports a changed memory limit to the OnMemoryLimit callback.
 func (n *Node) updateMemoryLimit() {
 	if mb := n.memoryMB(); n.limit != nil && mb != n.succession.memoryMB {
 		n.succession.memoryMB = mb
