--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -19,7 +19,7 @@
 // body is a long value that is streamed from a server to a client. Only the part that waits for the answer's turn, or that the
 // system has not yet taken for the client, is buffered; while there is such a part, nothing is read from the server.
 type body struct {
-	link         *link
+	link         *serverConn
 	attempt      *attempt // nil if nobody waits for the value: it is discarded
 	size         int
 	remaining    int    // bytes of the value still to arrive
@@ -33,7 +33,7 @@
 
 // receiveBody starts to receive a long value and binds the request to this attempt. The policy is notified, so that it neither
 // retries nor counts the attempt against the server, however slowly the client reads.
-func (l *link) receiveBody(t *attempt, a response) {
+func (l *serverConn) receiveBody(t *attempt, a response) {
 	n := l.pool.node
 	b := &body{link: l, attempt: t, size: a.longSize, remaining: a.longSize, trailer: a.trailer, close: a.close, lastProgress: n.loop.Now()}
 	l.body = b
@@ -46,7 +46,7 @@
 	t.timer.Stop()
 	c.timer.Stop()
 	c.body = b
-	n.count.bodies++
+	n.count.longValues++
 	n.guard("begun", func() { n.policy.ResponseStarted(n.loop.Now(), c.id, t.number) })
 	c.client.flush() // the answer may be next in order
 }
@@ -112,7 +112,7 @@
 		b.lastProgress = b.link.pool.node.loop.Now()
 	}
 	b.link.conn.SetPaused(pause)
-	b.link.paused = pause
+	b.link.readPaused = pause
 }
 
 // startAnswer writes the beginning of the value to the client, when the answer is next in order.
@@ -121,7 +121,7 @@
 	head := meta.AppendValueLine(make([]byte, 0, len(b.buffered)+64), b.attempt.request.command.ID, b.size)
 	c.conn.Write(append(head, b.buffered...))
 	b.buffered = nil
-	b.link.account()
+	b.link.updateBuffered()
 	b.growSendBuffer()
 	b.updatePaused()
 }
@@ -130,7 +130,7 @@
 // Guards against a restart of that server, which loses what it has sent and nobody has read (1 of 169 values, in one run of
 // four).
 func (b *body) growSendBuffer() {
-	if b.attempt != nil && b.started && !b.link.pool.open() {
+	if b.attempt != nil && b.started && !b.link.pool.available() {
 		b.attempt.request.client.growSendBuffer()
 	}
 }
@@ -140,11 +140,11 @@
 	l := b.link
 	n := l.pool.node
 	stalled := n.loop.Now() - b.lastProgress
-	if l.paused {
+	if l.readPaused {
 		stalled = 0
 	}
 	if stalled >= bodyStallTimeout {
-		l.bad("long value stopped before its end")
+		l.closeMalformed("long value stopped before its end")
 		return
 	}
 	b.timer = n.loop.After(bodyStallTimeout-stalled, b.checkStalled)
@@ -153,7 +153,7 @@
 // discard drops the rest of the value as it arrives.
 func (b *body) discard() {
 	b.attempt, b.buffered = nil, nil
-	b.link.account()
+	b.link.updateBuffered()
 	b.updatePaused()
 }
 
@@ -173,7 +173,7 @@
 		// Guards against a further answer on the connection: the client would take it for the rest of the value.
 		n.count.brokenOff++
 		log.Printf("event=broken_off id=%s server=%s left=%d", c.id, b.link.pool.id, b.remaining)
-		n.end(c.class, failed)
+		n.countEnding(c.class, failed)
 		n.stopClock(c)
 		c.client.breakOffAnswer()
 	}
--- a/internal/node/caches.go
+++ b/internal/node/caches.go
@@ -8,22 +8,22 @@
 	"lapisshelf/policy"
 )
 
-// cacheProtocol speaks the meta commands to a cache server.
-type cacheProtocol struct{ perConn int }
+// cacheProtocol is the text protocol of cache servers (package meta).
+type cacheProtocol struct{ maxPipelined int }
 
-func (p cacheProtocol) pipelines() bool { return p.perConn > 1 }
+func (p cacheProtocol) canPipeline() bool { return p.maxPipelined > 1 }
 
-// request is the client's command as it came, with the node's own wait.
-func (cacheProtocol) request(buf []byte, t *attempt, wait time.Duration) []byte {
-	return meta.AppendForwarded(buf, &t.request.command, told(wait))
+// appendRequest forwards the client's command unchanged but for the timeout, which is how long the node waits.
+func (cacheProtocol) appendRequest(buf []byte, t *attempt, wait time.Duration) []byte {
+	return meta.AppendForwarded(buf, &t.request.command, timeoutMillis(wait))
 }
 
-// told is how long the node waits, as an attempt tells it: in whole milliseconds, at least one.
-func told(wait time.Duration) int64 { return max(1, wait.Milliseconds()) }
+// timeoutMillis converts how long the node waits to the timeout stated in requests: whole milliseconds, at least one.
+func timeoutMillis(wait time.Duration) int64 { return max(1, wait.Milliseconds()) }
 
-func (cacheProtocol) behind() string { return "\r\n" }
+func (cacheProtocol) bodySuffix() string { return "\r\n" }
 
-func (cacheProtocol) answer(data []byte, t *attempt, _ int, _ bool) (response, int, error) {
+func (cacheProtocol) parseAnswer(data []byte, t *attempt, _ int, _ bool) (response, int, error) {
 	m, used, err := meta.ParseResponse(data, meta.MaxValue, meta.MaxLongValue)
 	if err != nil || used == 0 {
 		return response{}, 0, err
@@ -34,7 +34,7 @@
 		case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID): // another request's answer
 			return response{}, 0, meta.ErrResponse
 		case m.Status == meta.Value && c.Kind != meta.Get, m.Status == meta.Stored && c.Kind != meta.Set:
-			return response{}, 0, meta.ErrResponse // an answer to another kind of request
+			return response{}, 0, meta.ErrResponse // answer to another kind of request
 		}
 	}
 	a := response{value: m.Value, receipt: m.Receipt, longSize: m.LongSize, trailer: "\r\n"}
--- a/internal/node/capacity.go
+++ b/internal/node/capacity.go
@@ -17,14 +17,14 @@
 // counted, the node was full of them for as long as others came, and nobody was served.
 func (s *clients) full() bool {
 	n := s.node
-	return n.open()-s.reserved-n.serverConns >= n.room()-max(n.serverConns, n.linkLeast())
+	return n.openConns()-s.reserved-n.serverConns >= n.maxConns()-max(n.serverConns, n.minServerConns())
 }
 
 // reserveFull reports whether not even the reserve has a descriptor for a client. Those that servers must be left and those of a
 // discovery call are not available to clients.
 func (s *clients) reserveFull() bool {
 	n := s.node
-	return n.open()-n.serverConns >= n.brim()-max(n.serverConns, n.linkLeast())-discoverySockets
+	return n.openConns()-n.serverConns >= n.maxConnsWithReserve()-max(n.serverConns, n.minServerConns())-discoverySockets
 }
 
 // overCapacity reports whether one more client would find no room or no descriptor at all.
@@ -59,8 +59,8 @@
 		if oldest := front(s.idle); oldest != nil && oldest.quiet() {
 			s.node.count.clientsShed++
 			oldest.closeGracefully(closedForCapacity)
-		} else if s.node.serverConns > s.node.linkLeast() {
-			s.node.shed()
+		} else if s.node.serverConns > s.node.minServerConns() {
+			s.node.closeOldestIdle()
 		}
 	}
 	s.listener.SetPaused(s.reserveFull())
@@ -132,13 +132,13 @@
 	n := s.node
 	// With few descriptors, what servers, the reserve and the control address take leaves clients less than their fraction: a
 	// second process with places for two to five clients kept each idle one for 2 s, and requests waited unread for over 10 s.
-	places := min(n.room(), n.brim()-discoverySockets) - max(n.serverConns, n.linkLeast()) - overheadSockets
-	limit := max(1, min(n.sockets()/clientSocketsDivisor, places))
+	places := min(n.maxConns(), n.maxConnsWithReserve()-discoverySockets) - max(n.serverConns, n.minServerConns()) - overheadSockets
+	limit := max(1, min(n.maxSockets()/clientSocketsDivisor, places))
 	used := float64(len(s.all)-s.incomplete.Len()) / float64(limit)
 	switch {
 	case used > 0.5:
 		return max(minIdleTimeout, time.Duration(float64(shortIdleTimeout)*(0.875-used)/0.375))
-	case 2*n.open() > n.room():
+	case 2*n.openConns() > n.maxConns():
 		return shortIdleTimeout
 	}
 	return maxIdleTimeout
--- a/internal/node/check.go
+++ b/internal/node/check.go
@@ -25,7 +25,7 @@
 // maySend checks whether an attempt that tells its server this timeout may be written now.
 func (n *Node) maySend(t *attempt, timeout time.Duration, gone bool) safety.Reason {
 	c, now := t.request, n.loop.Now()
-	reason := safety.CheckSend(safety.Attempt{Answered: c.answered, ClientGone: gone, Remaining: c.remaining(now), Timeout: timeout, ServerAccepts: t.pool.open()})
+	reason := safety.CheckSend(safety.Attempt{Answered: c.answered, ClientGone: gone, Remaining: c.remaining(now), Timeout: timeout, ServerAccepts: t.pool.available()})
 	if reason != safety.Allowed || c.class.effect == safety.Safe {
 		return reason
 	}
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -132,13 +132,13 @@
 	}
 	// A connection with a request takes precedence over one that may send a request.
 	if c.setInReserve(c.inReserve && n.clients.full() && !n.clients.evictIncomplete(0)); c.inReserve {
-		n.count.full++
+		n.count.refusedFull++
 		c.refuse(class)
 		c.closeWhenIdle = true // to free its descriptor
 		return
 	}
 	if n.atCapacity(len(m.Value) + min(m.LongSize, maxBufferedBody)) {
-		n.count.full++
+		n.count.refusedFull++
 		c.refuse(class)
 		return
 	}
@@ -169,7 +169,7 @@
 	// Guards against a client that sends the id of another's request: servers would take an open one for that request, and a
 	// refusal would count for it. Each request has its own id, also a retry by the client.
 	if n.requests[string(id)] != nil || n.clients.recentIDs.has(id) {
-		n.count.sameID++
+		n.count.duplicateIDs++
 		return errors.New("request id in use")
 	}
 	return nil
@@ -193,7 +193,7 @@
 
 // refuse answers a request that the policy has not seen with a refusal.
 func (c *client) refuse(class *class) {
-	c.node.end(class, refused)
+	c.node.countEnding(class, refused)
 	c.queueAnswer(string(meta.AppendBusy(nil, 0)))
 }
 
@@ -213,7 +213,7 @@
 	if err != nil || ms <= 0 {
 		return nil, 0, errors.New("bad deadline")
 	}
-	return class, min(time.Duration(ms)*time.Millisecond, class.longest), nil
+	return class, min(time.Duration(ms)*time.Millisecond, class.maxDeadline), nil
 }
 
 // copyCommand copies a command out of the input buffer.
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -11,22 +11,22 @@
 
 // fillWithClients connects clients one by one until a condition holds. They send nothing and stay, and none of them is closed for
 // that.
-func (b *bench) fillWithClients(until func() bool) {
+func (b *harness) fillWithClients(until func() bool) {
 	b.t.Helper()
 	n := b.node
 	n.clients.closing = true // enforceLimits then closes nothing
 	defer func() { n.clients.closing = false }()
 	for i := 0; !until(); i++ {
-		if i > n.sockets() {
+		if i > n.maxSockets() {
 			b.t.Fatal("more clients connected than there are descriptors")
 		}
-		conn, err := net.Dial("tcp", b.listens().String())
+		conn, err := net.Dial("tcp", b.clientAddr().String())
 		if err != nil {
 			b.t.Fatal(err)
 		}
 		b.t.Cleanup(func() { conn.Close() })
-		before := n.count.clientsIn
-		b.run("the client is accepted", func() bool { return n.count.clientsIn > before })
+		before := n.count.clientsAccepted
+		b.runUntil("the client is accepted", func() bool { return n.count.clientsAccepted > before })
 		for c := range n.clients.all { // nor does closeTimedOut, however slow the machine
 			c.incompleteSince, c.lastActive = n.loop.Now()+time.Hour, n.loop.Now()+time.Hour
 		}
@@ -34,7 +34,7 @@
 }
 
 // markAllIdle makes all clients idle ones that have sent a request.
-func (b *bench) markAllIdle() {
+func (b *harness) markAllIdle() {
 	for c := range b.node.clients.all {
 		c.sentCommand = true
 		c.moveTo(b.node.clients.idle)
@@ -44,17 +44,17 @@
 // Guards against clients that fill the room and the reserve: servers without a connection, and the call to discovery, must still
 // get their descriptors.
 func TestClientsLeaveDescriptorsForServersAndDiscovery(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	n := b.node
 	n.cfg.Sockets = 64
 	b.fillWithClients(n.clients.reserveFull)
-	if left := n.brim() - n.open(); left < n.linkLeast()+discoverySockets {
-		t.Errorf("%d descriptors are left, but servers must be left %d and discovery %d", left, n.linkLeast(), discoverySockets)
+	if left := n.maxConnsWithReserve() - n.openConns(); left < n.minServerConns()+discoverySockets {
+		t.Errorf("%d descriptors are left, but servers must be left %d and discovery %d", left, n.minServerConns(), discoverySockets)
 	}
 	for c := range n.clients.all { // as if each had sent a request and had evicted one that had not
 		c.setInReserve(false)
 	}
-	for i := range n.linkLeast() {
+	for i := range n.minServerConns() {
 		if !n.mayDial() || b.pool.dial() == nil {
 			t.Fatalf("no room for connection %d to a server", i)
 		}
@@ -62,14 +62,14 @@
 	if n.mayDial() {
 		t.Error("a full node lets servers have more than they must be left")
 	}
-	if !n.clients.reserveFull() || n.open() > n.brim() {
-		t.Errorf("%d of %d descriptors are in use, and there is room for a client", n.open(), n.brim())
+	if !n.clients.reserveFull() || n.openConns() > n.maxConnsWithReserve() {
+		t.Errorf("%d of %d descriptors are in use, and there is room for a client", n.openConns(), n.maxConnsWithReserve())
 	}
 }
 
 // Guards against counting clients of the reserve, or refused ones that linger, in the room: they would fill it.
 func TestReservedClientsDoNotCountAgainstTheRoom(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	n := b.node
 	n.cfg.Sockets = 64
 	b.fillWithClients(n.clients.reserveFull)
@@ -97,7 +97,7 @@
 			c.closeGracefully(closedIdle)
 		}
 	}
-	b.run("the clients of the reserve are gone", func() bool { return n.clients.lingering.Len() == 0 })
+	b.runUntil("the clients of the reserve are gone", func() bool { return n.clients.lingering.Len() == 0 })
 	if n.clients.reserved != 0 {
 		t.Errorf("%d descriptors of the reserve are counted after all clients have gone", n.clients.reserved)
 	}
@@ -106,7 +106,7 @@
 // Guards against clients that don't close a connection that the node has ended: a full node waits for them only until they have
 // acknowledged their answers.
 func TestFullNodeClosesLingeringConnections(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	n := b.node
 	n.cfg.Sockets = 64
 	b.fillWithClients(n.clients.reserveFull)
@@ -121,7 +121,7 @@
 	if first == nil || n.clients.evictLingering() {
 		t.Fatal("no connection lingers, or it was closed at once")
 	}
-	b.run("shortLingerTimeout has passed", func() bool { return n.loop.Now()-first.lastActive >= shortLingerTimeout })
+	b.runUntil("shortLingerTimeout has passed", func() bool { return n.loop.Now()-first.lastActive >= shortLingerTimeout })
 	n.clients.closing = false
 	n.clients.enforceLimits()
 	if got := n.clients.lingering.Len(); got == 5 || n.clients.reserveFull() {
@@ -132,7 +132,7 @@
 // Guards against a process with few descriptors, such as one of two during an upgrade, that keeps idle connections for long in
 // the few places it has for clients.
 func TestIdleTimeoutShrinksWithFewDescriptors(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	n := b.node
 	n.cfg.Sockets = 30
 	var err error
@@ -151,10 +151,10 @@
 }
 
 // connectClients connects clients that send nothing; the system keeps them in the listen queue.
-func (b *bench) connectClients(clients int) (all []net.Conn) {
+func (b *harness) connectClients(clients int) (all []net.Conn) {
 	b.t.Helper()
 	for range clients {
-		conn, err := net.DialTimeout("tcp", b.listens().String(), 5*time.Second)
+		conn, err := net.DialTimeout("tcp", b.clientAddr().String(), 5*time.Second)
 		if err != nil {
 			b.t.Fatal(err)
 		}
@@ -174,21 +174,21 @@
 		"ending":  func(n *Node) { n.shuttingDown, n.answerDeadline = true, n.loop.Now()+time.Hour },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
+			b := newHarness(t)
 			n := b.node
 			n.cfg.Sockets = 64
-			before := n.count.clientsIn
+			before := n.count.clientsAccepted
 			all := b.connectClients(2 * n.cfg.Sockets)
 			begin(n)
 			n.clients.startClosing()
 			for range 10 {
-				b.run("a turn of the loop", func() bool { return true })
-				if left := n.brim() - n.open(); left < n.linkLeast()+discoverySockets {
-					t.Fatalf("%d descriptors are left, but servers must be left %d and discovery %d", left, n.linkLeast(), discoverySockets)
+				b.runUntil("a turn of the loop", func() bool { return true })
+				if left := n.maxConnsWithReserve() - n.openConns(); left < n.minServerConns()+discoverySockets {
+					t.Fatalf("%d descriptors are left, but servers must be left %d and discovery %d", left, n.minServerConns(), discoverySockets)
 				}
 			}
-			if n.count.clientsIn == before || !n.shuttingDown && !n.clients.reserveFull() {
-				t.Errorf("%d clients accepted, where there is room", n.count.clientsIn-before)
+			if n.count.clientsAccepted == before || !n.shuttingDown && !n.clients.reserveFull() {
+				t.Errorf("%d clients accepted, where there is room", n.count.clientsAccepted-before)
 			}
 			if !n.shuttingDown && n.count.clientsShed > 0 {
 				t.Errorf("%d connections closed that could have waited", n.count.clientsShed)
@@ -203,11 +203,11 @@
 				return
 			}
 			for _, what := range []string{"in the drain", "after it"} {
-				b.run("all clients are gone", func() bool { return len(n.clients.all) == 0 && n.clients.lingering.Len() == 0 })
-				before := n.count.clientsIn
+				b.runUntil("all clients are gone", func() bool { return len(n.clients.all) == 0 && n.clients.lingering.Len() == 0 })
+				before := n.count.clientsAccepted
 				b.connectClients(1)[0].Close()
-				b.run("a client is accepted "+what, func() bool { return n.count.clientsIn > before })
-				b.run("that client is gone", func() bool { return len(n.clients.all) == 0 && n.clients.lingering.Len() == 0 })
+				b.runUntil("a client is accepted "+what, func() bool { return n.count.clientsAccepted > before })
+				b.runUntil("that client is gone", func() bool { return len(n.clients.all) == 0 && n.clients.lingering.Len() == 0 })
 				n.clients.listener.SetPaused(true) // as in a full node whose last client has gone
 				n.draining = false
 				n.clients.stopDrain()
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -28,14 +28,14 @@
 func (n *Node) reportAttempt(t *attempt, a response) {
 	if n.forwarder != nil {
 		took := n.loop.Now() - t.startedAt
-		n.forwarder.Attempt(t.pool.id, t.pool.origin(), a.outcome, took, t.request.command.Kind == meta.Set || took <= t.request.class.aim/2, a.reusedConn)
+		n.forwarder.Attempt(t.pool.id, t.pool.isOrigin(), a.outcome, took, t.request.command.Kind == meta.Set || took <= t.request.class.aim/2, a.reusedConn)
 	}
 }
 
 // readyCaches returns the caches that are ready by the server list.
 func (n *Node) readyCaches() (list []follow.Server) {
 	for _, id := range slices.Sorted(maps.Keys(n.pools)) {
-		if p := n.pools[id]; p.ready && !p.origin() {
+		if p := n.pools[id]; p.ready && !p.isOrigin() {
 			list = append(list, follow.Server{ID: id, Weight: p.weight})
 		}
 	}
--- a/internal/node/holdup_test.go
+++ b/internal/node/holdup_test.go
@@ -48,7 +48,7 @@
 		for _, fresh := range []bool{false, true} {
 			s := newFixture(t, false, answerHit)
 			conn := s.sendReads("first")
-			s.run("the first is served", func() bool { return s.outcomes(policy.OK) == 1 })
+			s.runUntil("the first is served", func() bool { return s.outcomes(policy.OK) == 1 })
 			hold(s, func() {
 				if fresh {
 					conn = s.sendReads("waits")
@@ -56,7 +56,7 @@
 					t.Error(err)
 				}
 			})
-			s.run("it is served", func() bool { return s.outcomes(policy.OK) == 2 })
+			s.runUntil("it is served", func() bool { return s.outcomes(policy.OK) == 2 })
 			if got := s.timeoutSent("waits"); got > timeout-stallTime+tolerance {
 				t.Errorf("%s, on a new connection %t: forwarded a timeout of %v with %v left", name, fresh, got, timeout-stallTime)
 			}
@@ -71,12 +71,12 @@
 func TestARequestThatIsReadTooLateIsRefused(t *testing.T) {
 	s := newFixture(t, false, answerHit)
 	conn := s.sendReads("first")
-	s.run("the first is served", func() bool { return s.outcomes(policy.OK) == 1 })
+	s.runUntil("the first is served", func() bool { return s.outcomes(policy.OK) == 1 })
 	if _, err := conn.Write([]byte("mg key v Olate Pc=read,d=300\r\n")); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(stallTime)
-	s.run("it is answered", func() bool { return s.node.count.ended[refused] == 1 })
+	s.runUntil("it is answered", func() bool { return s.node.count.ended[refused] == 1 })
 	for _, id := range s.idsAtCache() {
 		if id == "late" {
 			t.Error("it was sent")
@@ -100,7 +100,7 @@
 	}
 	time.Sleep(stallTime)
 	s.node.cfg.Sockets = 4 * many
-	s.run("all are answered", func() bool { return s.node.count.ended[refused] == many })
+	s.runUntil("all are answered", func() bool { return s.node.count.ended[refused] == many })
 	if got := s.node.count.tooLate; got != many || len(s.idsAtCache()) != 0 {
 		t.Errorf("%d of %d were too late, %d were sent", got, many, len(s.idsAtCache()))
 	}
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// fixture is a bench whose requests come from clients on sockets and go through the policy to a stand-in cache.
+// fixture is a harness whose requests come from clients on sockets and go through the policy to a stand-in cache.
 type fixture struct {
-	*bench
+	*harness
 	cache *standin.Cache
 }
 
@@ -53,15 +53,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	b := newBench(t)
+	b := newHarness(t)
 	n := b.node
 	// The quick class makes the policy expect quick answers: it queues requests for which there is no room, and refuses none.
 	set := policy.Settings{Classes: []policy.Class{{Name: "read", Aim: 20 * time.Second}, {Name: "quick", Aim: 10 * time.Millisecond}}, MaxAttempts: 3, MayCancel: cancel,
 		Tick: 5 * time.Millisecond, FallWindow: time.Second, FallMultiple: 3}
-	n.classes["read"] = &class{name: "read", longest: 25 * time.Second}
+	n.classes["read"] = &class{name: "read", maxDeadline: 25 * time.Second}
 	n.cfg.Transport.ConnectTimeout = 20 * time.Second
 	n.policy = policy.New(n.loop.Now(), set, 1, actions{n})
-	n.members(policy.ListComplete, []roster.Entry{{Server: policy.Server{ID: "c-1", Weight: -1}, Addr: c.Addr()}})
+	n.applyList(policy.ListComplete, []roster.Entry{{Server: policy.Server{ID: "c-1", Weight: -1}, Addr: c.Addr()}})
 	b.pool = n.pools["c-1"]
 	return &fixture{b, c}
 }
@@ -69,7 +69,7 @@
 // sendReads sends read requests from one new client.
 func (s *fixture) sendReads(ids ...string) *net.TCPConn {
 	s.t.Helper()
-	conn, err := net.Dial("tcp", s.listens().String())
+	conn, err := net.Dial("tcp", s.clientAddr().String())
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 
 func (s *fixture) waitTaken(n int64) {
 	s.t.Helper()
-	s.run("the requests are taken", func() bool { return s.node.count.taken >= n })
+	s.runUntil("the requests are taken", func() bool { return s.node.count.taken >= n })
 }
 
 // idsAtCache returns the ids of the requests that the cache received, in order.
@@ -117,20 +117,20 @@
 		s.cache.Silence(true) // connections are established when this ends
 		gone := s.sendReads("gone")
 		s.waitTaken(1)
-		if len(s.pool.links) != 1 || s.pool.links[0].up {
+		if len(s.pool.conns) != 1 || s.pool.conns[0].connected {
 			t.Fatal("the connection is up")
 		}
 		leave(gone)
-		s.run("its end is seen", func() bool { return s.node.count.abandoned == 1 })
-		s.run("the request is removed", func() bool { return len(s.node.requests) == 0 })
-		if s.node.inFlight != 0 || len(s.node.requests) != 0 || len(s.pool.links[0].tries) != 0 {
-			t.Errorf("%d in flight, %d requests, %d on the connection", s.node.inFlight, len(s.node.requests), len(s.pool.links[0].tries))
+		s.runUntil("its end is seen", func() bool { return s.node.count.abandoned == 1 })
+		s.runUntil("the request is removed", func() bool { return len(s.node.requests) == 0 })
+		if s.node.inFlight != 0 || len(s.node.requests) != 0 || len(s.pool.conns[0].attempts) != 0 {
+			t.Errorf("%d in flight, %d requests, %d on the connection", s.node.inFlight, len(s.node.requests), len(s.pool.conns[0].attempts))
 		}
-		l := s.pool.links[0]
+		l := s.pool.conns[0]
 		s.cache.Silence(false)
-		s.run("the connection is up", func() bool { return l.up })
+		s.runUntil("the connection is up", func() bool { return l.connected })
 		s.sendReads("stays")
-		s.run("the other is served", func() bool { return s.outcomes(policy.OK) == 1 })
+		s.runUntil("the other is served", func() bool { return s.outcomes(policy.OK) == 1 })
 		if got := s.idsAtCache(); !slices.Equal(got, []string{"stays"}) {
 			t.Errorf("the cache was sent %q", got)
 		}
@@ -157,9 +157,9 @@
 			for _, c := range leaving {
 				c.Close()
 			}
-			s.run("their ends are seen", func() bool { return s.node.count.abandoned == 10 })
+			s.runUntil("their ends are seen", func() bool { return s.node.count.abandoned == 10 })
 			s.cache.Silence(false)
-			s.run("the others are served", func() bool { return s.outcomes(policy.OK) == 10 })
+			s.runUntil("the others are served", func() bool { return s.outcomes(policy.OK) == 10 })
 			for _, id := range s.idsAtCache() {
 				if strings.HasPrefix(id, "gone-") {
 					t.Errorf("%s was sent", id)
@@ -185,16 +185,16 @@
 		c := s.sendReads(ids...)
 		s.waitTaken(maxPipelined)
 		for range 3 { // lets the loop read what it may
-			s.run("a turn of the loop", func() bool { return true })
+			s.runUntil("a turn of the loop", func() bool { return true })
 		}
 		leave(c)
-		s.run("its end is seen", func() bool { return s.node.count.abandoned == maxPipelined })
+		s.runUntil("its end is seen", func() bool { return s.node.count.abandoned == maxPipelined })
 		attempts := s.node.count.attempts
-		s.run("no request is in flight", func() bool { return s.node.inFlight == 0 })
+		s.runUntil("no request is in flight", func() bool { return s.node.inFlight == 0 })
 		s.sendReads("stays")
 		s.waitTaken(maxPipelined + 1)
 		close(gate) // attempts that were sent and may not be cancelled keep their places until then
-		s.run("it is sent", func() bool { return slices.Contains(s.idsAtCache(), "stays") })
+		s.runUntil("it is sent", func() bool { return slices.Contains(s.idsAtCache(), "stays") })
 		if s.node.count.attempts != attempts+1 || s.node.count.taken != maxPipelined+1 {
 			t.Errorf("%d attempts, then %d; %d taken", attempts, s.node.count.attempts, s.node.count.taken)
 		}
@@ -205,20 +205,20 @@
 // behind it keep their answers.
 func TestAClientLeavesBehindOthersOnASharedConnection(t *testing.T) {
 	for _, cancel := range []bool{false, true} {
-		b := newBench(t)
+		b := newHarness(t)
 		b.node.policy = policy.New(b.node.loop.Now(), policy.Settings{MayCancel: cancel, Classes: []policy.Class{{Name: "read", Aim: time.Second}}}, 1, actions{b.node})
 		b.send("1")
-		b.run("the connection is up", func() bool { return b.pool.links[0].up })
-		b.node.serverConns = b.node.linkMost() // what follows shares the connection
-		l := b.pool.links[0]
+		b.runUntil("the connection is up", func() bool { return b.pool.conns[0].connected })
+		b.node.serverConns = b.node.maxServerConns() // what follows shares the connection
+		l := b.pool.conns[0]
 		filler := 32 << 20 // more than the system takes
 		l.conn.Write(append(make([]byte, filler-1), '\n'))
 		second, third := b.sendWaitedFor("2"), b.sendWaitedFor("3")
 		third.writeTimer.Stop() // see TestAnAttemptQueuedBehindOtherBytesIsWithdrawn
 		b.node.abandon(second.request)
-		b.run("it is withdrawn", func() bool { return second.done })
-		if !second.done || b.outcomes(policy.NotSent) != 1 || third.done || len(l.tries) != 2 {
-			t.Fatalf("%v, %d on the connection", b.node.count.outcomes, len(l.tries))
+		b.runUntil("it is withdrawn", func() bool { return second.done })
+		if !second.done || b.outcomes(policy.NotSent) != 1 || third.done || len(l.attempts) != 2 {
+			t.Fatalf("%v, %d on the connection", b.node.count.outcomes, len(l.attempts))
 		}
 		far, err := b.ln.Accept()
 		if err != nil {
@@ -239,7 +239,7 @@
 			lines <- text.String()
 			far.Close()
 		}()
-		b.run("the others are answered", func() bool { return b.outcomes(policy.OK) == 2 })
+		b.runUntil("the others are answered", func() bool { return b.outcomes(policy.OK) == 2 })
 		if got := <-lines; strings.Contains(got, "O2") || !strings.Contains(got, "O1") {
 			t.Errorf("sent %q", got)
 		}
@@ -252,16 +252,16 @@
 // Guards against writing an attempt long after it was queued, with the timeout of that time: behind bytes that a server does not
 // read, it is withdrawn as one that never ran. What has begun to be sent stays.
 func TestAnAttemptQueuedBehindOtherBytesIsWithdrawn(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	b.send("1")
-	b.run("the connection is up", func() bool { return b.pool.links[0].up })
-	b.node.serverConns = b.node.linkMost() // what follows shares the connection
-	l := b.pool.links[0]
+	b.runUntil("the connection is up", func() bool { return b.pool.conns[0].connected })
+	b.node.serverConns = b.node.maxServerConns() // what follows shares the connection
+	l := b.pool.conns[0]
 	l.conn.Write(make([]byte, 32<<20)) // more than the system takes
 	behind := b.sendWaitedFor("2")
-	b.run("it is withdrawn", func() bool { return behind.done })
-	if b.outcomes(policy.ConnectFailed) != 1 || len(l.tries) != 1 || l.gone {
-		t.Errorf("%v, %d on the connection, gone %t", b.node.count.outcomes, len(l.tries), l.gone)
+	b.runUntil("it is withdrawn", func() bool { return behind.done })
+	if b.outcomes(policy.ConnectFailed) != 1 || len(l.attempts) != 1 || l.closed {
+		t.Errorf("%v, %d on the connection, gone %t", b.node.count.outcomes, len(l.attempts), l.closed)
 	}
 }
 
@@ -272,20 +272,20 @@
 	s.sendReads("late")
 	s.waitTaken(1)
 	s.node.failOverdue(s.node.requests["late"])
-	l := s.pool.links[0]
-	s.run("the request is removed", func() bool { return len(s.node.requests) == 0 })
+	l := s.pool.conns[0]
+	s.runUntil("the request is removed", func() bool { return len(s.node.requests) == 0 })
 	s.cache.Silence(false)
-	s.run("the connection is up", func() bool { return l.up })
+	s.runUntil("the connection is up", func() bool { return l.connected })
 	s.sendReads("next")
-	s.run("the next is served", func() bool { return s.outcomes(policy.OK) == 1 })
+	s.runUntil("the next is served", func() bool { return s.outcomes(policy.OK) == 1 })
 	if got := s.idsAtCache(); !slices.Equal(got, []string{"next"}) {
 		t.Errorf("the cache was sent %q", got)
 	}
 }
 
 // sendWaitedFor starts an attempt of a request that has a client.
-func (b *bench) sendWaitedFor(id string) *attempt {
-	return b.attempt(&request{id: id, class: &class{name: "read"}, client: &client{node: b.node, closed: true}})
+func (b *harness) sendWaitedFor(id string) *attempt {
+	return b.sendAttempt(&request{id: id, class: &class{name: "read"}, client: &client{node: b.node, closed: true}})
 }
 
 // timeoutOf returns the timeout in a line that a cache received.
@@ -305,7 +305,7 @@
 	s.cache.Silence(true)
 	s.sendReads("one")
 	s.waitTaken(1)
-	s.node.serverConns = s.node.linkMost() // what follows shares the connection
+	s.node.serverConns = s.node.maxServerConns() // what follows shares the connection
 	for _, id := range []string{"off", "two"} {
 		c := &request{id: id, class: s.node.classes["read"], client: &client{node: s.node, closed: true}, deadline: s.node.loop.Now() + 25*time.Second, attemptsUntil: s.node.loop.Now() + 25*time.Second, received: true}
 		s.node.inFlight++
@@ -319,16 +319,16 @@
 		c.attempts = []*attempt{x}
 		s.pool.send(x, 25*time.Second)
 	}
-	l, first := s.pool.links[0], s.node.requests["one"].attempts[0]
-	if len(l.tries) != 3 || l.up {
-		t.Fatalf("%d wait on the connection, up %t", len(l.tries), l.up)
+	l, first := s.pool.conns[0], s.node.requests["one"].attempts[0]
+	if len(l.attempts) != 3 || l.connected {
+		t.Fatalf("%d wait on the connection, up %t", len(l.attempts), l.connected)
 	}
 	s.pool.cancel(s.node.requests["off"].attempts[0])
 	tries := []*attempt{first, s.node.requests["two"].attempts[0]}
-	s.run("some time passes", func() bool { return s.node.loop.Now()-first.startedAt > 300*time.Millisecond })
+	s.runUntil("some time passes", func() bool { return s.node.loop.Now()-first.startedAt > 300*time.Millisecond })
 	since := s.node.loop.Now()
 	s.cache.Silence(false)
-	s.run("both are answered", func() bool { return s.outcomes(policy.OK) == 2 })
+	s.runUntil("both are answered", func() bool { return s.outcomes(policy.OK) == 2 })
 	if got := s.idsAtCache(); !slices.Equal(got, []string{"one", "two"}) {
 		t.Fatalf("the cache was sent %q", got)
 	}
@@ -337,13 +337,13 @@
 			t.Errorf("%q, where %d ms were left before its connection came up", line, most)
 		}
 	}
-	s.run("the connection is idle", func() bool { return len(s.pool.idle) == 1 })
+	s.runUntil("the connection is idle", func() bool { return len(s.pool.idle) == 1 })
 	if x := &s.node.count; x.written != 2 || l.conn.Pending() > 0 || first.startOffset != 0 || first.endOffset == 0 || !first.written {
 		t.Errorf("%d attempts written, %d bytes pending, the first from %d to %d", x.written, l.conn.Pending(), first.startOffset, first.endOffset)
 	}
-	s.node.serverConns -= s.node.linkMost() - 1
+	s.node.serverConns -= s.node.maxServerConns() - 1
 	s.sendReads("next")
-	s.run("the next is served", func() bool { return s.outcomes(policy.OK) == 3 })
+	s.runUntil("the next is served", func() bool { return s.outcomes(policy.OK) == 3 })
 }
 
 // A fetch begins when a cache has answered or later, and tells the origin what is left then. Guards against a fetch with the
@@ -358,10 +358,10 @@
 	s.sendReads("1")
 	s.waitTaken(1)
 	first := s.node.requests["1"].attempts[0]
-	s.run("some time passes", func() bool { return s.node.loop.Now()-first.startedAt > 300*time.Millisecond })
+	s.runUntil("some time passes", func() bool { return s.node.loop.Now()-first.startedAt > 300*time.Millisecond })
 	most := (25*time.Second - (s.node.loop.Now() - first.startedAt)).Milliseconds()
 	close(gate)
-	s.run("it is served", func() bool { return s.node.count.ended[served] == 1 })
+	s.runUntil("it is served", func() bool { return s.node.count.ended[served] == 1 })
 	info := <-infos
 	if got, err := strconv.ParseInt(meta.FieldValue([]byte(info), "d"), 10, 64); err != nil || got > most || got <= 0 || !strings.HasPrefix(info, "c=read,d=") {
 		t.Errorf("the origin was told %q, where %d ms were left before the cache had answered", info, most)
--- a/internal/node/leave_turn_test.go
+++ b/internal/node/leave_turn_test.go
@@ -58,7 +58,7 @@
 func (s *fixture) pollIdle() {
 	s.t.Helper()
 	for range 3 {
-		s.run("a turn of the loop", func() bool { return true })
+		s.runUntil("a turn of the loop", func() bool { return true })
 	}
 }
 
@@ -99,7 +99,7 @@
 	s.t.Helper()
 	ok := s.outcomes(policy.OK)
 	s.sendReads("stays")
-	s.run("the other is served", func() bool {
+	s.runUntil("the other is served", func() bool {
 		return s.outcomes(policy.OK) > ok && s.node.requests["stays"] == nil && slices.Contains(s.idsAtCache(), "stays")
 	})
 }
@@ -118,7 +118,7 @@
 	set := policy.Settings{Classes: []policy.Class{{Name: "read", Aim: 20 * time.Second}, {Name: "quick", Aim: 10 * time.Millisecond}}, MaxAttempts: 6, MayCancel: cancel,
 		Mode: policy.Aside, OriginKind: "origin", Tick: 5 * time.Millisecond, FallWindow: time.Second, FallMultiple: 3}
 	n.policy = policy.New(n.loop.Now(), set, 1, actions{n})
-	n.members(policy.ListComplete, []roster.Entry{{Server: policy.Server{ID: "c-1", Weight: -1}, Addr: s.cache.Addr()},
+	n.applyList(policy.ListComplete, []roster.Entry{{Server: policy.Server{ID: "c-1", Weight: -1}, Addr: s.cache.Addr()},
 		{Server: policy.Server{ID: "o-1", Kind: "origin", Weight: -1}, Addr: o.Addr()}})
 	return func() (ids []string) {
 		for _, line := range o.Lines() {
@@ -147,7 +147,7 @@
 				leaveAndWait(t, s.sendReads("gone", "gone-too"), leave)
 			} else {
 				c := s.sendReads()
-				s.run("it is accepted", func() bool { return len(s.node.clients.all) == 1 })
+				s.runUntil("it is accepted", func() bool { return len(s.node.clients.all) == 1 })
 				fmt.Fprintf(c, "mg key v Ogone Pc=read,d=25000\r\nmg key v Ogone-too Pc=read,d=25000\r\n")
 				leaveAndWait(t, c, leave)
 			}
@@ -185,7 +185,7 @@
 		s.waitTaken(1)
 		s.cache.Silence(false)
 		s.waitConnected()
-		if s.pool.links[0].up {
+		if s.pool.conns[0].connected {
 			t.Fatal("the node has been notified")
 		}
 		leaveAndWait(t, c, leave)
@@ -213,12 +213,12 @@
 		fmt.Fprint(w, "x")
 	})
 	s.sendReads("warm") // after this the origin may have two reads outstanding
-	s.run("it is served", func() bool { return s.outcomes(policy.OK) == 1 })
+	s.runUntil("it is served", func() bool { return s.outcomes(policy.OK) == 1 })
 	s.sendReads("warm-1")
 	s.sendReads("warm-2")
-	s.run("both are outstanding", func() bool { return len(all()) == 3 })
+	s.runUntil("both are outstanding", func() bool { return len(all()) == 3 })
 	close(both)
-	s.run("both are served", func() bool { return s.outcomes(policy.OK) == 3 && len(s.node.pools["o-1"].idle) == 2 })
+	s.runUntil("both are served", func() bool { return s.outcomes(policy.OK) == 3 && len(s.node.pools["o-1"].idle) == 2 })
 	return s, func() []string { return all()[3:] }, gate
 }
 
@@ -239,7 +239,7 @@
 		for _, id := range []string{"lead", "w1", "w2"} {
 			c := s.sendReads()
 			s.readHot(c, id)
-			s.run("the first asks the origin", func() bool { return len(asked()) == 1 })
+			s.runUntil("the first asks the origin", func() bool { return len(asked()) == 1 })
 			leaving = append(leaving, c)
 		}
 		s.readHot(s.sendReads(), "stays")
@@ -247,9 +247,9 @@
 		for _, c := range leaving {
 			leaveAndWait(t, c, leave)
 		}
-		s.run("their ends are seen", func() bool { return s.node.count.abandoned == 3 })
+		s.runUntil("their ends are seen", func() bool { return s.node.count.abandoned == 3 })
 		close(gate)
-		s.run("the other is served", func() bool { return s.node.count.ended[served] == 4 })
+		s.runUntil("the other is served", func() bool { return s.node.count.ended[served] == 4 })
 		if got := asked(); !slices.Equal(got, []string{"lead", "stays"}) || s.node.count.abandoned != 3 {
 			t.Errorf("the origin was asked by %q, %d abandoned", got, s.node.count.abandoned)
 		}
@@ -265,15 +265,15 @@
 			c := s.sendReads()
 			for _, id := range []string{"lead", "w1", "w2"} {
 				s.readHot(c, id)
-				s.run("the first asks the origin", func() bool { return len(asked()) == 1 })
+				s.runUntil("the first asks the origin", func() bool { return len(asked()) == 1 })
 			}
 			if drains {
-				s.node.members(policy.ListChanges, []roster.Entry{{Server: policy.Server{ID: "o-1", Kind: "origin", Weight: -1, State: policy.Draining}, Addr: s.node.pools["o-1"].addr.String()}})
+				s.node.applyList(policy.ListChanges, []roster.Entry{{Server: policy.Server{ID: "o-1", Kind: "origin", Weight: -1, State: policy.Draining}, Addr: s.node.pools["o-1"].addr.String()}})
 			}
 			leave(c)
-			s.run("its end is seen", func() bool { return s.node.count.abandoned == 3 })
+			s.runUntil("its end is seen", func() bool { return s.node.count.abandoned == 3 })
 			close(gate)
-			s.run("all requests are removed", func() bool { return len(s.node.requests) == 0 })
+			s.runUntil("all requests are removed", func() bool { return len(s.node.requests) == 0 })
 			s.pollIdle()
 			if got := asked(); !slices.Equal(got, []string{"lead"}) || s.node.count.ended[refused] != 0 {
 				t.Errorf("the origin was asked by %q, %d refused", got, s.node.count.ended[refused])
@@ -314,8 +314,8 @@
 			leaveAndWait(t, c, leave)
 			s.serveAnother()
 			// An attempt of which a byte was sent would have closed its connection.
-			if x := &s.node.count; x.abandoned != 1 || x.attempts != 2 || x.links != 1 {
-				t.Errorf("%d abandoned, %d attempts, %d connections", x.abandoned, x.attempts, x.links)
+			if x := &s.node.count; x.abandoned != 1 || x.attempts != 2 || x.serverConns != 1 {
+				t.Errorf("%d abandoned, %d attempts, %d connections", x.abandoned, x.attempts, x.serverConns)
 			}
 		})
 	}
@@ -369,7 +369,7 @@
 	s.waitTaken(1)
 	leaveAndWait(t, c, leaveWays["close"])
 	s.node.loop.Defer(func() { actions{s.node}.Send("gone", "c-9", 0, 0) })
-	s.run("the request is removed", func() bool { return len(s.node.requests) == 0 })
+	s.runUntil("the request is removed", func() bool { return len(s.node.requests) == 0 })
 	if s.node.count.abandoned != 1 || s.outcomes(policy.ConnectFailed) != 1 {
 		t.Errorf("%d abandoned, %v", s.node.count.abandoned, s.node.count.outcomes)
 	}
@@ -383,7 +383,7 @@
 			s := newFixture(t, false, answerHit)
 			far := s.sendReads()
 			fmt.Fprint(far, "mg key v Olate Pc=read")
-			s.run("half of the command has arrived", func() bool {
+			s.runUntil("half of the command has arrived", func() bool {
 				c := front(s.node.clients.incomplete)
 				return c != nil && len(c.input) > 0
 			})
@@ -395,10 +395,10 @@
 				t.Fatal("closed with unread input")
 			}
 			if !whole {
-				s.run("it is closed", func() bool { return c.closed })
+				s.runUntil("it is closed", func() bool { return c.closed })
 				return
 			}
-			s.run("it is served", func() bool { return s.node.count.ended[served] == 1 })
+			s.runUntil("it is served", func() bool { return s.node.count.ended[served] == 1 })
 		})
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -119,7 +119,7 @@
 	runnableAt  time.Duration // when the server could first run it; with a long value, when all of that had arrived
 	mayHaveRun  bool          // it has ended, and the server may have run it
 	timeout     time.Duration // how long the node waits for it, as the server is told
-	link        *link         // while it is outstanding
+	link        *serverConn   // while it is outstanding
 	startOffset int64         // position of its first byte in the connection's output
 	endOffset   int64         // position after its last byte
 	written     bool          // the system has taken all of it
@@ -147,7 +147,7 @@
 func New(cfg Config, l *loop.Loop) (*Node, error) {
 	n := &Node{cfg: cfg, loop: l, requests: map[string]*request{}, pools: map[string]*pool{}, classes: map[string]*class{}, bans: map[string]bool{}}
 	for name, longest := range cfg.Transport.Deadlines {
-		n.classes[name] = &class{name: name, longest: longest}
+		n.classes[name] = &class{name: name, maxDeadline: longest}
 	}
 	for _, c := range cfg.Settings.Classes {
 		if k := n.classes[c.Name]; k != nil {
@@ -158,17 +158,17 @@
 	n.everListed = newServerHistory(cfg.MemoryMB)
 	n.clients.init()
 	n.succession.join(n)
-	if len(n.succession.others()) == 0 {
+	if len(n.succession.peers()) == 0 {
 		if err := n.clients.listen(); err != nil {
 			return nil, fmt.Errorf("listen on %s: %w", cfg.Listen, err)
 		}
 	}
-	if err := n.operate(); err != nil {
+	if err := n.listenControl(); err != nil {
 		return nil, err
 	}
-	if cfg.BadKnown != nil {
-		n.count.knownBad++
-		log.Printf("event=bad_known why=%q", cfg.BadKnown)
+	if cfg.SavedListErr != nil {
+		n.count.savedListsBad++
+		log.Printf("event=bad_known why=%q", cfg.SavedListErr)
 	}
 	if n.cfg.Settings.MayProbe { // reads are then sent without a probe, as where settings don't allow probes
 		n.cfg.Settings.MayProbe = false
@@ -176,10 +176,10 @@
 	}
 	n.guard("start", func() {
 		n.policy = policy.New(l.Now(), n.cfg.Settings, cfg.Seed, actions{n})
-		n.members(policy.ListSaved, cfg.Known.Entries)
+		n.applyList(policy.ListSaved, cfg.SavedList.Entries)
 	})
-	n.succession.begin()
-	n.follow()
+	n.succession.start()
+	n.followList()
 	n.startForwarder()
 	return n, nil
 }
@@ -240,8 +240,8 @@
 func (n *Node) capTimeout(timeout, now time.Duration) time.Duration {
 	if n.shuttingDown { // what is unanswered when the process is killed is lost, however long its client would wait
 		return min(timeout, n.answerDeadline-now)
-	} else if n.draining && n.drainDeadline-now < lameYoung { // at the drain deadline no request that is younger than lameYoung may be left
-		return max(min(timeout, n.drainDeadline-now), lameLeast)
+	} else if n.draining && n.drainDeadline-now < drainRequestAge { // at the drain deadline no request that is younger than lameYoung may be left
+		return max(min(timeout, n.drainDeadline-now), drainMinWait)
 	}
 	return timeout
 }
@@ -260,7 +260,7 @@
 }
 
 // endingTransitions maps how a request ended to its transition in the flight recorder.
-var endingTransitions = [endings]transition{served: requestServed, refused: requestRefused, failed: requestFailed}
+var endingTransitions = [numEndings]transition{served: requestServed, refused: requestRefused, failed: requestFailed}
 
 // failOverdue fails a request that the policy has left unanswered. It should never be needed; it ensures that every request is
 // answered even after an unforeseen fault.
@@ -283,7 +283,7 @@
 	if c.answered {
 		return
 	}
-	n.end(c.class, how)
+	n.countEnding(c.class, how)
 	n.recordTransition(endingTransitions[how], c)
 	n.stopClock(c)
 	c.answer = text
@@ -351,7 +351,7 @@
 	t.writeTimer.Stop()
 	c := t.request
 	c.openAttempts--
-	n.count.outcome(a.outcome)
+	n.count.addOutcome(a.outcome)
 	n.reportAttempt(t, a)
 	if c.upload != nil {
 		c.upload.attemptDone(t)
@@ -478,21 +478,21 @@
 	n.answerDeadline = n.loop.Now() + min(longest, maxDeadlineGrace) + killDelay
 	n.shortenDeadlines()
 	n.recordTransition(nodeLeaving, nil)
-	succeeded := n.succession.succeeded()
+	succeeded := n.succession.hasSuccessor()
 	log.Printf("event=leaving open=%d clients=%d succeeded=%t", len(n.requests), len(n.clients.all), succeeded)
 	if n.announcer != nil { // so that those who follow the list of nodes know before the listener closes
 		n.announcer.Stop(func() {})
 	}
 	n.clients.drain(succeeded)
 	n.forwarder.Close()
-	n.succession.settle()
+	n.succession.update()
 }
 
 // Reload applies a changed configuration file: the address of discovery, and the limits. All else stays as at the start,
 // including the server list. It reports whether the new configuration is in force; an invalid one is rejected.
 func (n *Node) Reload(cfg Config, err error) bool {
 	if err != nil {
-		n.count.reloadsBad++
+		n.count.reloadsFailed++
 		log.Printf("event=reload_failed why=%q", err)
 		return false
 	}
@@ -502,13 +502,13 @@
 		log.Printf("event=reload_ignored listen=%s why=%q", cfg.Listen, "the listen address cannot change while the process runs")
 	}
 	n.cfg.MemoryMB, n.cfg.Sockets = cfg.MemoryMB, cfg.Sockets
-	n.tellMemory()
+	n.updateMemoryLimit()
 	if cfg.Planners != nil {
 		n.forwarder.Reload(cfg.Planners.TLS)
 	}
 	if !cfg.Registry.Equal(&n.cfg.Registry) {
 		n.cfg.Registry = cfg.Registry
-		n.registry.ChangeRegistry(n.cfg.followed())
+		n.registry.ChangeRegistry(n.cfg.registryConfig())
 	}
 	return true
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -12,72 +12,71 @@
 	"lapisshelf/policy"
 )
 
-// protocol is how a server is spoken to: caches.go and origin.go have one each.
+// protocol encodes requests to a server and decodes its answers; caches.go and origin.go implement one each.
 type protocol interface {
-	// request writes an attempt that the node will wait for so long; of one with a long value all that stands before that,
-	// and behind is what must follow it.
-	request(buf []byte, t *attempt, wait time.Duration) []byte
-	behind() string
-	// answer takes the first answer, whose value may hold so many bytes, off what has come; used is 0 when more must
-	// come first.
-	// A value of over meta.MaxValue bytes is not waited for where its length is told: it follows what was used.
-	answer(data []byte, t *attempt, most int, ended bool) (a response, used int, err error)
-	// pipelines reports whether a request may be written behind another.
-	pipelines() bool
+	// appendRequest appends the request of an attempt that the node will wait for as long as wait. For a long value it appends
+	// only what precedes the value; bodySuffix returns what must follow it.
+	appendRequest(buf []byte, t *attempt, wait time.Duration) []byte
+	bodySuffix() string
+	// parseAnswer parses the first answer in data, whose value may have at most maxValue bytes. used is 0 if the answer is incomplete.
+	// If the answer states a value length of more than meta.MaxValue, the value is not waited for: it follows the used bytes.
+	parseAnswer(data []byte, t *attempt, maxValue int, eof bool) (a response, used int, err error)
+	// canPipeline reports whether a request may be written while another on the same connection is unanswered.
+	canPipeline() bool
 }
 
 const (
-	// mostAround is how many bytes may stand around an answer's value.
-	mostAround = 64 << 10
-	// writeWithin is how long an attempt may wait behind others' bytes on a connection that stands: it tells its server what was
-	// left as it was queued.
-	writeWithin = 50 * time.Millisecond
-	// usualStall is how long an answer may stop in its midst where the settings tell no connect time-out: what has
-	// begun to come goes on about as soon as a connection comes up.
-	usualStall = 250 * time.Millisecond
+	// maxAnswerOverhead is the maximum number of bytes of an answer besides its value.
+	maxAnswerOverhead = 64 << 10
+	// maxWriteDelay is how long an attempt may wait in the write buffer of an established connection: the timeout in its request
+	// was computed when it was queued.
+	maxWriteDelay = 50 * time.Millisecond
+	// defaultStallTimeout is how long an incomplete answer may make no progress if the settings have no connect timeout: the rest of
+	// an answer takes about as long to arrive as a connection takes to be established.
+	defaultStallTimeout = 250 * time.Millisecond
 )
 
-// pool holds the connections to one server. An attempt gets one to itself as long as descriptors last: giving it up
-// closes the connection, and an answer behind another comes late.
+// pool holds the connections to one server. Each attempt has a connection to itself as long as there are file descriptors: to
+// abort an attempt its connection is closed, and an answer queued behind another one is late.
 type pool struct {
-	node   *Node
-	id     string
-	addr   netip.AddrPort
-	proto  protocol
-	ready  bool          // as far as the list tells
-	banned bool          // by hand
-	weight float64       // as listed
-	heard  time.Duration // when bytes last came from it
-	links  []*link
-	idle   []*link // of links, those that carry nothing, longest unused first
-}
-
-// link is one connection to a server. It is given back in drop alone.
-type link struct {
-	pool   *pool
-	conn   *loop.Conn
-	tries  []*attempt // written, in order; nil where an attempt was given up and only its answer is owed
-	input  []byte
-	held   int         // bytes of input, as counted by the node
-	timer  *loop.Timer // connecting: the time-out; idle: when to retire; in an answer's midst: when to give it up
-	since  time.Duration
-	up     bool
-	gone   bool
-	served bool    // an answer has come on it
-	body   *body   // a long value that is coming
-	going  *upload // a long value that is going
-	paused bool    // nothing is read, as its client takes nothing
-	old    bool    // the server has moved or the connection is ending: nothing new goes here
-}
-
-// pool brings the connections to a listed server in line with its entry.
-func (n *Node) pool(s policy.Server, addr netip.AddrPort) {
+	node         *Node
+	id           string
+	addr         netip.AddrPort
+	proto        protocol
+	ready        bool          // by the server list and the lists of the node's other processes
+	banned       bool          // by an operator
+	weight       float64       // from the server list
+	lastReceived time.Duration // when a connection was last established or bytes were last received
+	conns        []*serverConn
+	idle         []*serverConn // those of conns without attempts, longest idle first
+}
+
+// serverConn is one connection to a server. Only close releases it.
+type serverConn struct {
+	pool           *pool
+	conn           *loop.Conn
+	attempts       []*attempt // in the order of their requests; nil for an aborted attempt whose answer is still to come
+	input          []byte
+	accountedBytes int         // buffered bytes that are included in the count for the node
+	timer          *loop.Timer // connect timeout, idle timeout or stall timeout of an answer
+	idleSince      time.Duration
+	connected      bool
+	closed         bool
+	hasAnswered    bool    // an answer has been received on it
+	body           *body   // long value being received
+	upload         *upload // long value being sent
+	readPaused     bool    // backpressure: the client of the long value does not read
+	retiring       bool    // the server has moved or the connection is ending: it gets no new attempts
+}
+
+// updatePool creates or updates the pool of a listed server according to its list entry.
+func (n *Node) updatePool(s policy.Server, addr netip.AddrPort) {
 	p := n.pools[s.ID]
 	if p == nil {
 		if s.State == policy.Gone {
 			return
 		}
-		p = &pool{node: n, id: s.ID, addr: addr, banned: n.banned(s.ID)}
+		p = &pool{node: n, id: s.ID, addr: addr, banned: n.isBanned(s.ID)}
 		n.pools[s.ID] = p
 	}
 	moved := s.State != policy.Gone && p.addr != addr
@@ -87,189 +86,191 @@
 	if kind := n.cfg.Settings.OriginKind; kind != "" && s.Kind == kind {
 		p.proto = originProtocol{host: p.addr.String()}
 	} else {
-		p.proto = cacheProtocol{perConn: n.cfg.Transport.MaxRequestsPerConn}
+		p.proto = cacheProtocol{maxPipelined: n.cfg.Transport.MaxRequestsPerConn}
 	}
 	p.ready, p.weight = s.State == policy.Ready, s.Weight
 	if moved {
-		for _, l := range slices.Clone(p.links) {
-			l.old = true
-			l.leave() // another server may have the address by now
+		for _, l := range slices.Clone(p.conns) {
+			l.retiring = true
+			l.drain() // the old address may belong to another server by now
 		}
 	}
 }
 
-// origin reports whether the server is the origin.
-func (p *pool) origin() bool {
+func (p *pool) isOrigin() bool {
 	_, is := p.proto.(originProtocol)
 	return is
 }
 
-// open reports whether anything new may go to the server.
-func (p *pool) open() bool { return p.ready && !p.banned }
+// available reports whether the server may get new attempts.
+func (p *pool) available() bool { return p.ready && !p.banned }
 
-// leave closes what is idle of a server that drains, is gone or is banned, and what has not come up: it must get nothing
-// new, and a connection may come up only after the grace. What waits behind others and has not begun to be written is
-// taken back: it would be written when those have been answered. What is out goes on, a long value at once.
-func (p *pool) leave() {
-	for _, l := range slices.Clone(p.links) {
-		l.leave()
+// drain closes the idle connections to a server that is draining, gone or banned, and those still being established: the server
+// must not get new attempts, and a connection may be established only after the drain grace. Queued attempts of which nothing has
+// been written are withdrawn, since they would be written later. Outstanding attempts continue; long values are fetched at once.
+func (p *pool) drain() {
+	for _, l := range slices.Clone(p.conns) {
+		l.drain()
 		if l.body != nil {
 			l.body.growSendBuffer()
 		}
 	}
 	for _, l := range slices.Clone(p.idle) {
-		l.drop()
+		l.close()
 	}
-	p.forget()
+	p.removeIfUnused()
 }
 
-// leave ends a connection that has not come up and takes back what waits on one, unless it has begun to be written.
-func (l *link) leave() {
-	if !l.up {
-		l.over()
+// drain ends a connection that is still being established, and withdraws the attempts on an established one of which nothing has
+// been written.
+func (l *serverConn) drain() {
+	if !l.connected {
+		l.closeAndFail()
 	}
-	l.takeBack()
-	l.rest()
+	l.withdrawUnwritten()
+	l.markIdle()
 }
 
-// forget lets go of a pool that nothing needs.
-func (p *pool) forget() {
-	if !p.ready && len(p.links) == 0 && p.node.pools[p.id] == p {
+// removeIfUnused removes the pool of an unavailable server once it has no connections.
+func (p *pool) removeIfUnused() {
+	if !p.ready && len(p.conns) == 0 && p.node.pools[p.id] == p {
 		delete(p.node.pools, p.id)
 	}
 }
 
-// send writes an attempt to a connection: an idle one, else a new one, else, with no descriptor left, behind another.
+// send writes an attempt to an idle connection, else to a new one, else, if no file descriptor is left, to one that other attempts use.
 func (p *pool) send(t *attempt, wait time.Duration) {
 	n := p.node
 	if why := n.maySend(t, wait, t.request.client == nil); why != safety.Allowed {
 		n.refuseLate(t, why)
 		return
 	}
-	l := p.fresh()
+	l := p.lastIdle()
 	switch {
 	case l != nil:
-	case n.mayDial() || n.shed():
+	case n.mayDial() || n.closeOldestIdle():
 		l = p.dial()
 	}
-	if l == nil && t.request.upload == nil { // a long value has a connection to itself: to give it up is to close that
-		l = p.shared()
+	if l == nil && t.request.upload == nil { // a long value needs a connection to itself, since aborting it closes the connection
+		l = p.leastLoaded()
 	}
 	if l == nil {
 		n.loop.Defer(func() { n.attemptFinished(t, response{outcome: policy.ConnectFailed}) })
 		return
 	}
 	n.count.attempts++
-	l.unrest()
+	l.unmarkIdle()
 	t.link, t.timeout = l, wait
-	l.tries = append(l.tries, t)
-	l.write(t, wait)
+	l.attempts = append(l.attempts, t)
+	l.writeRequest(t, wait)
 	if u := t.request.upload; u != nil {
-		t.endOffset += int64(t.request.command.LongSize + len(p.proto.behind()))
+		t.endOffset += int64(t.request.command.LongSize + len(p.proto.bodySuffix()))
 		u.sendTo(t)
 	}
-	l.wrote()
-	l.boundWait(t)
+	l.markWritten()
+	l.limitWriteDelay(t)
 }
 
-// boundWait takes an attempt back that waits behind others' bytes for too long. Guards against a server that has stopped reading and
-// goes on later: it would work for a client that has stopped waiting.
-func (l *link) boundWait(t *attempt) {
-	if l.up && !t.written && t.request.upload == nil {
-		t.writeTimer = l.pool.node.loop.After(writeWithin, func() {
+// limitWriteDelay withdraws an attempt that stays in the write buffer for longer than maxWriteDelay. Guards against a server that
+// stops reading and resumes later: it would work for a client that has stopped waiting.
+func (l *serverConn) limitWriteDelay(t *attempt) {
+	if l.connected && !t.written && t.request.upload == nil {
+		t.writeTimer = l.pool.node.loop.After(maxWriteDelay, func() {
 			if !t.done && t.link == l {
-				l.takeOut(t, policy.ConnectFailed)
+				l.withdrawAttempt(t, policy.ConnectFailed)
 			}
 		})
 	}
 }
 
-// write writes an attempt's request, which tells how long the node waits.
-func (l *link) write(t *attempt, wait time.Duration) {
-	text := l.pool.proto.request(nil, t, wait)
+// writeRequest writes an attempt's request, which states how long the node waits for the answer.
+func (l *serverConn) writeRequest(t *attempt, wait time.Duration) {
+	text := l.pool.proto.appendRequest(nil, t, wait)
 	t.startOffset = l.conn.WriteOffset()
-	t.endOffset = t.startOffset + int64(len(text)) // before writing: what a broken connection does not take was never written
+	t.endOffset = t.startOffset + int64(len(text)) // set before Write, so that bytes discarded by a broken connection count as unwritten
 	l.conn.Write(text)
 	t.queued = l.conn.Written() <= t.startOffset
 }
 
-// waitsStill is how long the node waits for an attempt that was queued and goes out now. A planned end may have cut that.
-func (t *attempt) waitsStill(now time.Duration) time.Duration {
+// remainingWait returns how long the node still waits for an attempt that was queued earlier. A planned shutdown may have shortened it.
+func (t *attempt) remainingWait(now time.Duration) time.Duration {
 	return min(t.timeout-(now-t.startedAt), t.request.attemptsUntil-now)
 }
 
-// retell writes anew what has waited for the connection to come up, lest it tells its server of time that has passed since: that
-// would work for those who have stopped waiting. What was called off meanwhile is not written at all.
-func (l *link) retell() {
-	now, old := l.pool.node.loop.Now(), l.conn.WriteOffset()
-	if len(l.tries) == 0 || slices.ContainsFunc(l.tries, func(t *attempt) bool { return t != nil && t.request.upload != nil }) {
-		return // of a long value not all may be kept; it has the connection to itself
+// rewriteRequests replaces the requests that were queued while the connection was being established by ones that state the time
+// that remains now: with the old timeouts the server would work for clients that have stopped waiting. Requests that may not be
+// sent any more are dropped.
+func (l *serverConn) rewriteRequests() {
+	now, oldEnd := l.pool.node.loop.Now(), l.conn.WriteOffset()
+	if len(l.attempts) == 0 || slices.ContainsFunc(l.attempts, func(t *attempt) bool { return t != nil && t.request.upload != nil }) {
+		return // a long value may not be kept in full, so it cannot be rewritten; it has the connection to itself
 	}
-	l.tries = slices.DeleteFunc(l.tries, func(t *attempt) bool {
+	l.attempts = slices.DeleteFunc(l.attempts, func(t *attempt) bool {
 		if t == nil {
 			return true
 		}
-		why := l.pool.node.maySend(t, t.waitsStill(now), t.request.client == nil)
+		why := l.pool.node.maySend(t, t.remainingWait(now), t.request.client == nil)
 		if why != safety.Allowed {
 			t.link = nil
 			l.pool.node.refuseSend(t, why)
 		}
 		return why != safety.Allowed
 	})
-	for _, t := range l.tries {
-		l.write(t, t.waitsStill(now))
-		t.startOffset, t.endOffset = t.startOffset-old, t.endOffset-old
+	for _, t := range l.attempts {
+		l.writeRequest(t, t.remainingWait(now))
+		t.startOffset, t.endOffset = t.startOffset-oldEnd, t.endOffset-oldEnd
 	}
-	l.conn.CancelWrite(0, old) // nothing has been handed to the system yet
+	l.conn.CancelWrite(0, oldEnd) // nothing has been passed to the kernel yet
 }
 
-// takeBack takes back the attempts of which no byte has been written.
-func (l *link) takeBack() {
-	for i := len(l.tries) - 1; i >= 0 && !l.gone; i-- {
-		if t := l.tries[i]; t != nil && !l.takeOut(t, policy.ConnectFailed) {
+// withdrawUnwritten withdraws the attempts of which no byte has been written.
+func (l *serverConn) withdrawUnwritten() {
+	for i := len(l.attempts) - 1; i >= 0 && !l.closed; i-- {
+		if t := l.attempts[i]; t != nil && !l.withdrawAttempt(t, policy.ConnectFailed) {
 			break
 		}
 	}
 }
 
-// takeOut takes one attempt back, with all that was written of its request, if no byte of that has been handed to the
-// system: it has never run, and its place is free for others. It reports whether it did.
-func (l *link) takeOut(t *attempt, o policy.Outcome) bool {
+// withdrawAttempt removes an attempt and its request from the connection if no byte of the request has been passed to the kernel:
+// the attempt has never run. It reports whether it did so.
+func (l *serverConn) withdrawAttempt(t *attempt, o policy.Outcome) bool {
 	end := t.endOffset
-	if t.request.upload != nil { // has a connection to itself, and not all of it has come
+	if t.request.upload != nil { // it has the connection to itself, and its value may be incomplete
 		end = l.conn.WriteOffset()
 	}
-	i := slices.Index(l.tries, t)
-	if i < 0 || l.gone || !l.conn.CancelWrite(t.startOffset, end) {
+	i := slices.Index(l.attempts, t)
+	if i < 0 || l.closed || !l.conn.CancelWrite(t.startOffset, end) {
 		return false
 	}
-	for _, x := range l.tries[i+1:] {
+	for _, x := range l.attempts[i+1:] {
 		if x != nil {
 			x.startOffset, x.endOffset = x.startOffset-(end-t.startOffset), x.endOffset-(end-t.startOffset)
 		}
 	}
-	t.link, l.going, l.tries = nil, nil, slices.Delete(l.tries, i, i+1)
+	t.link, l.upload, l.attempts = nil, nil, slices.Delete(l.attempts, i, i+1)
 	l.pool.node.attemptFinished(t, response{outcome: o})
 	return true
 }
 
-// withdraw takes back an attempt for which nobody waits any more, if it has not gone out: from a connection that is yet to
-// come up or from behind others it would be sent on long after its client left. That needs no leave to call attempts
-// off, since nothing has run. One half written, with nothing else on its connection, ends with that: nor has it run.
+// withdraw removes an attempt that nobody waits for any more, if it has not been sent: queued on a connection that is being
+// established or behind other attempts, it would be sent long after its client left. This is allowed even where settings forbid
+// cancelling, since nothing has run. A partly written attempt that is alone on its connection is ended by closing that: it has
+// not run either.
 func (p *pool) withdraw(t *attempt) {
 	l := t.link
-	if t.done || l == nil || l.gone || l.takeOut(t, policy.NotSent) {
+	if t.done || l == nil || l.closed || l.withdrawAttempt(t, policy.NotSent) {
 		return
 	}
-	if t.endOffset > l.conn.Written() && len(l.tries) == 1 {
-		p.giveUp(t, response{outcome: policy.NotSent})
+	if t.endOffset > l.conn.Written() && len(l.attempts) == 1 {
+		p.abort(t, response{outcome: policy.NotSent})
 	}
 }
 
-// wrote counts the attempts that have been written whole.
-func (l *link) wrote() {
-	for i := len(l.tries) - 1; i >= 0; i-- {
-		if t := l.tries[i]; t != nil && !t.written && t.endOffset <= l.conn.Written() {
+// markWritten marks and counts the attempts whose requests have been written completely.
+func (l *serverConn) markWritten() {
+	for i := len(l.attempts) - 1; i >= 0; i-- {
+		if t := l.attempts[i]; t != nil && !t.written && t.endOffset <= l.conn.Written() {
 			t.written = true
 			l.pool.node.count.written++
 			l.pool.node.recordAttempt(attemptWritten, t, 0, 0)
@@ -280,81 +281,85 @@
 	}
 }
 
-// fresh takes the idle connection used last that still stands.
-func (p *pool) fresh() *link {
+// lastIdle returns the most recently used idle connection that the server has not closed, or nil. It closes the stale ones it finds.
+func (p *pool) lastIdle() *serverConn {
 	for len(p.idle) > 0 {
 		l := p.idle[len(p.idle)-1]
 		if !l.conn.Stale() {
 			return l
 		}
-		l.drop() // guards against a request written to what the server has closed already, which may count as run
+		l.close() // guards against a request on a connection that the server has already closed, which may count as run
 	}
 	return nil
 }
 
-// dial opens a connection; nil where the system refuses at once.
-func (p *pool) dial() *link {
+// dial opens a connection. It returns nil if that fails immediately.
+func (p *pool) dial() *serverConn {
 	n := p.node
-	l := &link{pool: p}
+	l := &serverConn{pool: p}
 	conn, err := n.loop.Dial(p.addr, l)
 	if err != nil {
 		n.count.dialsFailed++
 		return nil
 	}
 	l.conn = conn
-	p.links = append(p.links, l)
+	p.conns = append(p.conns, l)
 	n.serverConns++
-	n.count.links++
+	n.count.serverConns++
 	if limit := n.cfg.Transport.ConnectTimeout; limit > 0 {
-		l.timer = n.loop.After(limit, l.over)
+		l.timer = n.loop.After(limit, l.closeAndFail)
 	}
 	return l
 }
 
-// room is how many connections the node may have, of clients and to servers; open is how many descriptors they, and what
-// is in reserve, hold. The operators' address has its own.
-func (n *Node) room() int { return n.sockets() - n.reserve() - n.control.ReservedDescriptors() }
-func (n *Node) open() int { return n.loop.OpenSockets() - n.control.OpenDescriptors() }
+// maxConns returns how many connections the node may have, of clients and to servers; openConns returns how many descriptors they and
+// the ones in the reserve use. The control address has descriptors of its own.
+func (n *Node) maxConns() int {
+	return n.maxSockets() - n.reservedSockets() - n.control.ReservedDescriptors()
+}
+func (n *Node) openConns() int { return n.loop.OpenSockets() - n.control.OpenDescriptors() }
 
-// brim is how many the node may have in all, with the reserve.
-func (n *Node) brim() int { return n.room() + n.reserve() - min(internalSockets, n.sockets()/4) }
+// maxConnsWithReserve returns how many connections the node may have including the reserve.
+func (n *Node) maxConnsWithReserve() int {
+	return n.maxConns() + n.reservedSockets() - min(internalSockets, n.maxSockets()/4)
+}
 
-// linkMost is how many of them may be to servers, linkLeast how many clients must leave to servers.
-func (n *Node) linkMost() int  { return max(n.linkLeast(), n.room()*2/5) }
-func (n *Node) linkLeast() int { return max(1, n.room()/8) }
+// maxServerConns returns how many of the connections may be to servers, minServerConns how many are kept free of clients for servers.
+func (n *Node) maxServerConns() int { return max(n.minServerConns(), n.maxConns()*2/5) }
+func (n *Node) minServerConns() int { return max(1, n.maxConns()/8) }
 
-// mayDial reports whether there is room for one more connection to a server. Clients in the reserve take none of it.
+// mayDial reports whether one more connection to a server may be opened. Clients in the reserve do not reduce what servers may have.
 func (n *Node) mayDial() bool {
-	// Guards against clients who fill the room and the reserve: with no connection to any server left, as after a quiet
-	// time or a change of servers, each request was failed and each server skipped, for as long as they came.
-	most := n.serverConns < n.linkMost() && n.open()-n.clients.reserved < n.room()
-	return n.open() < n.brim() && (most || n.serverConns < n.linkLeast())
+	// Guards against clients that use up all connections including the reserve: when no server connection was left, as after an
+	// idle period or a change of servers, every request failed and every server was skipped for as long as the clients came.
+	belowMax := n.serverConns < n.maxServerConns() && n.openConns()-n.clients.reserved < n.maxConns()
+	return n.openConns() < n.maxConnsWithReserve() && (belowMax || n.serverConns < n.minServerConns())
 }
 
-// shed closes the idle connection that has stood longest.
-func (n *Node) shed() bool {
-	var oldest *link
+// closeOldestIdle closes the server connection that has been idle longest. It reports whether there was one.
+func (n *Node) closeOldestIdle() bool {
+	var oldest *serverConn
 	for _, p := range n.pools {
-		if len(p.idle) > 0 && (oldest == nil || p.idle[0].since < oldest.since) {
+		if len(p.idle) > 0 && (oldest == nil || p.idle[0].idleSince < oldest.idleSince) {
 			oldest = p.idle[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	n.count.linksShed++
-	oldest.drop()
+	n.count.serverConnsShed++
+	oldest.close()
 	return true
 }
 
-// shared finds the connection that carries least and may carry one more.
-func (p *pool) shared() *link {
-	if p.proto == nil || !p.proto.pipelines() {
+// leastLoaded returns the connection with the fewest attempts that may take one more, or nil.
+func (p *pool) leastLoaded() *serverConn {
+	if p.proto == nil || !p.proto.canPipeline() {
 		return nil
 	}
-	var best *link
-	for _, l := range p.links {
-		if !l.old && l.body == nil && l.going == nil && len(l.tries) < p.node.cfg.Transport.MaxRequestsPerConn && (best == nil || len(l.tries) < len(best.tries)) {
+	var best *serverConn
+	for _, l := range p.conns {
+		if !l.retiring && l.body == nil && l.upload == nil && len(l.attempts) < p.node.cfg.Transport.MaxRequestsPerConn && (best == nil || len(l.attempts) < len(best.attempts)) {
 			best = l
 		}
 	}
@@ -364,323 +369,328 @@
 	return best
 }
 
-// carries reports whether an attempt waits for its answer on the connection.
-func (l *link) carries() bool {
-	return slices.ContainsFunc(l.tries, func(x *attempt) bool { return x != nil })
+// hasOutstanding reports whether an attempt on the connection waits for its answer.
+func (l *serverConn) hasOutstanding() bool {
+	return slices.ContainsFunc(l.attempts, func(x *attempt) bool { return x != nil })
 }
 
-// rest makes a connection that carries nothing idle, or closes it when nothing more should go there.
-func (l *link) rest() {
-	if l.gone || !l.up || len(l.tries) > 0 {
+// markIdle adds a connection without attempts to the idle ones, or closes it if it must get no new attempts.
+func (l *serverConn) markIdle() {
+	if l.closed || !l.connected || len(l.attempts) > 0 {
 		return
 	}
 	p := l.pool
-	if l.old || !p.open() || len(l.input) > 0 {
-		l.drop()
+	if l.retiring || !p.available() || len(l.input) > 0 {
+		l.close()
 		return
 	}
 	if slices.Contains(p.idle, l) {
 		return
 	}
-	l.since = p.node.loop.Now()
+	l.idleSince = p.node.loop.Now()
 	p.idle = append(p.idle, l)
-	if limit := p.node.cfg.Transport.ConnIdle; limit > 0 { // well before the server's own limit
+	if limit := p.node.cfg.Transport.ConnIdle; limit > 0 { // half of it, so that the node closes well before the server does
 		l.timer.Stop()
-		l.timer = p.node.loop.After(limit/2, l.drop)
+		l.timer = p.node.loop.After(limit/2, l.close)
 	}
 }
 
-// unrest takes a connection off the idle ones.
-func (l *link) unrest() {
+// unmarkIdle removes a connection from the idle ones.
+func (l *serverConn) unmarkIdle() {
 	if i := slices.Index(l.pool.idle, l); i >= 0 {
 		l.pool.idle = slices.Delete(l.pool.idle, i, i+1)
 		l.timer.Stop()
 	}
 }
 
-// drop gives the connection back.
-func (l *link) drop() {
-	if l.gone {
+// close closes the connection and releases its buffers; its attempts are left to the caller.
+func (l *serverConn) close() {
+	if l.closed {
 		return
 	}
-	l.gone = true
+	l.closed = true
 	l.timer.Stop()
-	l.unrest()
+	l.unmarkIdle()
 	l.conn.Close()
 	l.input = nil
 	if l.body != nil {
 		l.body.buffered = nil
 		l.body.timer.Stop()
 	}
-	l.account()
+	l.updateBuffered()
 	p := l.pool
-	p.links = slices.DeleteFunc(p.links, func(x *link) bool { return x == l })
+	p.conns = slices.DeleteFunc(p.conns, func(x *serverConn) bool { return x == l })
 	p.node.serverConns--
-	p.forget()
+	p.removeIfUnused()
 }
 
-// account keeps the node's count of the bytes of answers that are not whole.
-func (l *link) account() {
+// updateBuffered updates the node's count of the bytes buffered for incomplete answers.
+func (l *serverConn) updateBuffered() {
 	held := cap(l.input)
 	if l.body != nil {
 		held += cap(l.body.buffered)
 	}
-	l.pool.node.responseBytes += held - l.held
-	l.held = held
+	l.pool.node.responseBytes += held - l.accountedBytes
+	l.accountedBytes = held
 }
 
-// over ends the connection and all that is out on it: what was not written whole has never run, the rest may have.
-func (l *link) over() {
-	if l.gone {
+// closeAndFail closes the connection and ends its attempts. Those whose requests were not written completely have never run; the
+// others may have.
+func (l *serverConn) closeAndFail() {
+	if l.closed {
 		return
 	}
 	written := l.conn.Written()
-	l.drop()
-	for _, t := range l.tries {
+	l.close()
+	for _, t := range l.attempts {
 		if t == nil {
 			continue
 		}
-		end := response{outcome: policy.Reset, reusedConn: l.served}
+		end := response{outcome: policy.Reset, reusedConn: l.hasAnswered}
 		if t.endOffset > written {
 			end.outcome = policy.ConnectFailed
 		}
 		l.pool.node.attemptFinished(t, end)
 	}
-	l.tries = nil
+	l.attempts = nil
 }
 
-// timeout ends an attempt that the node stops waiting for. Its connection goes with it, so that the server can tell.
+// timeout ends an attempt that the node stops waiting for, and its connection, so that the server notices; a connection that
+// delivers the long value of another attempt stays.
 func (p *pool) timeout(t *attempt) {
 	l := t.link
-	if t.done || l == nil || l.gone {
+	if t.done || l == nil || l.closed {
 		return
 	}
 	end := response{outcome: policy.TimedOut}
-	if t.endOffset > l.conn.Written() { // it never went out
+	if t.endOffset > l.conn.Written() { // never sent completely
 		end.outcome = policy.ConnectFailed
 	}
-	if p.heard < t.startedAt {
-		// Guards against a machine that vanished: its open connections stay silent and each would cost a time-out,
-		// while a new one that does not come up says soon, and surely, that nothing ran.
+	if p.lastReceived < t.startedAt {
+		// Guards against a machine that has disappeared: its open connections stay silent, and each would cost a timeout,
+		// whereas a new connection that is not established soon proves that nothing ran.
 		for _, l := range slices.Clone(p.idle) {
-			l.drop()
+			l.close()
 		}
 	}
-	p.giveUp(t, end)
+	p.abort(t, end)
 }
 
-// expire takes back a repeat that has not gone out whole when its servers begin to forget the request: it would run again.
+// expire ends a retry that has not been sent completely when its dedup window closes: the servers begin to forget the request, and
+// it would run a second time.
 func (p *pool) expire(t *attempt) {
 	l := t.link
-	if t.done || l == nil || l.gone || t.endOffset <= l.conn.Written() || l.takeOut(t, policy.ConnectFailed) {
+	if t.done || l == nil || l.closed || t.endOffset <= l.conn.Written() || l.withdrawAttempt(t, policy.ConnectFailed) {
 		return
 	}
-	l.over() // half of it is on its way
+	l.closeAndFail() // it has been sent in part
 }
 
-// cancel calls an attempt off.
+// cancel ends an attempt whose answer is not needed any more.
 func (p *pool) cancel(t *attempt) {
 	if t.request.answered {
 		p.withdraw(t)
 	}
 	if !t.done && t.link != nil {
-		p.giveUp(t, response{outcome: policy.Cancelled})
+		p.abort(t, response{outcome: policy.Cancelled})
 	}
 }
 
-// giveUp ends an attempt before its answer. Where other attempts wait on the connection and the request is over, the
-// connection stays for them and the answer is passed over when it comes.
-func (p *pool) giveUp(t *attempt, end response) {
+// abort ends an attempt before its answer. If the attempt was cancelled and others wait on the connection, or the connection is
+// delivering another attempt's long value, it stays open and the answer is discarded when it arrives.
+func (p *pool) abort(t *attempt, end response) {
 	l := t.link
 	t.link = nil
-	if i := slices.Index(l.tries, t); i >= 0 {
-		l.tries[i] = nil
+	if i := slices.Index(l.attempts, t); i >= 0 {
+		l.attempts[i] = nil
 	}
 	if l.body != nil && l.body.attempt == t {
 		l.body.discard()
 	}
-	if other := l.body != nil && l.body.attempt != nil; !l.carries() || end.outcome != policy.Cancelled && !other {
-		l.over()
+	if otherBody := l.body != nil && l.body.attempt != nil; !l.hasOutstanding() || end.outcome != policy.Cancelled && !otherBody {
+		l.closeAndFail()
 	}
 	p.node.attemptFinished(t, end)
 }
 
 // Connected implements loop.Handler.
-func (l *link) Connected() {
-	l.up = true
-	l.pool.heard = l.pool.node.loop.Now()
+func (l *serverConn) Connected() {
+	l.connected = true
+	l.pool.lastReceived = l.pool.node.loop.Now()
 	l.timer.Stop()
-	l.retell()
-	l.wrote()
-	for _, t := range l.tries {
+	l.rewriteRequests()
+	l.markWritten()
+	for _, t := range l.attempts {
 		if t != nil {
-			l.boundWait(t)
+			l.limitWriteDelay(t)
 		}
 	}
-	l.rest()
+	l.markIdle()
 }
 
 // Flushed implements loop.Handler.
-func (l *link) Flushed() {
-	l.wrote()
-	if l.going != nil {
-		l.going.updatePaused()
+func (l *serverConn) Flushed() {
+	l.markWritten()
+	if l.upload != nil {
+		l.upload.updatePaused()
 	}
 }
 
 // End implements loop.Handler.
-func (l *link) End(error) {
-	l.old = true
-	if l.body == nil && len(l.tries) > 0 && l.tries[0] != nil && len(l.input) > 0 { // an answer may end with its connection
-		if a, used, err := l.pool.proto.answer(l.input, l.tries[0], l.pool.node.maxResponseSize(), true); err == nil && used > 0 && a.longSize == 0 {
-			t := l.tries[0]
-			l.tries = l.tries[1:]
-			l.finish(t, a)
+func (l *serverConn) End(error) {
+	l.retiring = true
+	if l.body == nil && len(l.attempts) > 0 && l.attempts[0] != nil && len(l.input) > 0 { // end of stream may delimit an answer
+		if a, used, err := l.pool.proto.parseAnswer(l.input, l.attempts[0], l.pool.node.maxResponseSize(), true); err == nil && used > 0 && a.longSize == 0 {
+			t := l.attempts[0]
+			l.attempts = l.attempts[1:]
+			l.finishAttempt(t, a)
 		}
 	}
-	l.over()
+	l.closeAndFail()
 }
 
 // Data implements loop.Handler.
-func (l *link) Data(data []byte) {
-	l.pool.heard = l.pool.node.loop.Now()
-	if len(l.tries) > 0 {
+func (l *serverConn) Data(data []byte) {
+	l.pool.lastReceived = l.pool.node.loop.Now()
+	if len(l.attempts) > 0 {
 		l.timer.Stop()
 	}
-	most, kept := l.pool.node.maxResponseSize(), len(l.input) > 0
-	if kept {
+	maxValue, buffered := l.pool.node.maxResponseSize(), len(l.input) > 0
+	if buffered {
 		l.input = append(l.input, data...)
 		data = l.input
 	}
-	for len(data) > 0 && !l.gone {
+	for len(data) > 0 && !l.closed {
 		if l.body != nil {
 			used, ok := l.body.consume(data)
-			if l.gone { // its client's connection has broken under it
+			if l.closed { // passing the value on has closed the client's connection and cancelled the attempt
 				return
 			}
 			if !ok {
-				l.bad("a long value that does not end where it should")
+				l.closeMalformed("long value does not end where it should")
 				return
 			}
 			if data = data[used:]; l.body.complete() {
-				l.received(len(data) == 0)
+				l.finishBody(len(data) == 0)
 			}
 			continue
 		}
-		if len(l.tries) == 0 {
-			// What comes behind a good answer does not spoil that one, but must never become the next request's answer.
-			l.pool.node.count.surplus++
-			l.over()
+		if len(l.attempts) == 0 {
+			// Bytes after a valid answer do not invalidate it, but must never be taken as the answer to the next request.
+			l.pool.node.count.surplusAnswers++
+			l.closeAndFail()
 			return
 		}
-		t := l.tries[0]
-		a, used, err := l.pool.proto.answer(data, t, most, false)
-		if err != nil || used == 0 && len(data) > most+mostAround {
-			l.bad("malformed answer")
+		t := l.attempts[0]
+		a, used, err := l.pool.proto.parseAnswer(data, t, maxValue, false)
+		if err != nil || used == 0 && len(data) > maxValue+maxAnswerOverhead {
+			l.closeMalformed("malformed answer")
 			return
 		}
 		if a.longSize > 0 && t != nil && len(data)-used < minBodyPrefix {
-			used = 0 // not enough of it to be believed; but its server gives it, and what stops is given up soon
+			used = 0 // wait for more before the request is bound to this value; the stall timeout replaces that of the attempt
 			t.timer.Stop()
 		}
-		if used > 0 && l.going != nil { // the server does not want the rest: not even a part of it has run
+		if used > 0 && l.upload != nil { // the server answers before it has the whole value, so nothing has run
 			if a.outcome != policy.Full {
 				a.outcome = policy.ConnectFailed
 			}
-			l.tries = l.tries[1:]
-			l.drop()
-			l.finish(t, response{outcome: a.outcome})
+			l.attempts = l.attempts[1:]
+			l.close()
+			l.finishAttempt(t, response{outcome: a.outcome})
 			return
 		}
 		if used > 0 && t != nil && t.endOffset > l.conn.Written() {
-			l.bad("an answer before its request") // surplus of the one before
+			l.closeMalformed("answer before its request") // surplus bytes after the previous answer
 			return
 		}
 		if used == 0 {
 			break
 		}
 		data = data[used:]
-		l.served = true
+		l.hasAnswered = true
 		if a.longSize > 0 {
-			l.input, kept = nil, false
+			l.input, buffered = nil, false
 			l.receiveBody(t, a)
 			continue
 		}
-		l.tries = l.tries[1:]
-		l.old = l.old || a.close
+		l.attempts = l.attempts[1:]
+		l.retiring = l.retiring || a.close
 		if len(data) == 0 {
 			l.input = nil
-			if !a.close { // idle already when the module, told of the answer, sends the next attempt
-				l.rest()
+			if !a.close { // before the policy is notified of the answer, so that the next attempt can use the connection
+				l.markIdle()
 			}
 		}
 		if t != nil {
-			l.finish(t, a)
+			l.finishAttempt(t, a)
 		}
 		if a.close {
-			l.over()
+			l.closeAndFail()
 		}
 	}
-	if l.gone {
+	if l.closed {
 		return
 	}
 	switch {
 	case len(data) == 0:
 		l.input = nil
-	case kept:
+	case buffered:
 		l.input = l.input[:copy(l.input, data)]
 	default:
 		l.input = append([]byte(nil), data...)
 	}
-	l.account()
+	l.updateBuffered()
 	if l.pool.node.responseBytes > l.pool.node.maxHeldBytes() {
-		l.bad("no room for more answers at once")
+		l.closeMalformed("too many bytes of incomplete answers")
 		return
 	}
 	if len(l.input) > 0 && l.body == nil {
-		// Guards against an answer that says it is longer than it is: its connection stays open and silent, and without
-		// this the attempt would last until its time-out.
-		l.timer = l.pool.node.loop.After(l.pool.node.stall(), func() { l.bad("an answer that stops in its midst") })
+		// Guards against an answer that is shorter than the length it states: its connection stays open and silent, and without
+		// this timer the attempt would last until its timeout.
+		l.timer = l.pool.node.loop.After(l.pool.node.stallTimeout(), func() { l.closeMalformed("incomplete answer makes no progress") })
 	}
-	if len(l.tries) > 0 && !l.carries() && l.body == nil { // guards against a descriptor held for answers that nobody waits for
-		l.over()
+	if len(l.attempts) > 0 && !l.hasOutstanding() && l.body == nil { // guards against keeping a descriptor for answers that nobody waits for
+		l.closeAndFail()
 	}
-	l.rest()
+	l.markIdle()
 }
 
-// received ends a long value of which all has come.
-func (l *link) received(last bool) {
+// finishBody ends the attempt whose long value has been received completely. last reports that no bytes follow the value.
+func (l *serverConn) finishBody(last bool) {
 	b := l.body
 	l.body = nil
 	b.timer.Stop()
 	l.conn.SetPaused(false)
-	l.paused = false
-	t := l.tries[0]
-	l.tries = l.tries[1:]
-	l.old = l.old || b.close
+	l.readPaused = false
+	t := l.attempts[0]
+	l.attempts = l.attempts[1:]
+	l.retiring = l.retiring || b.close
 	if last && !b.close {
-		l.rest()
+		l.markIdle()
 	}
 	if t != nil {
-		l.finish(t, response{outcome: policy.OK})
+		l.finishAttempt(t, response{outcome: policy.OK})
 	}
 	if b.close {
-		l.over()
+		l.closeAndFail()
 	}
 }
 
-// stall is how long an answer may stop in its midst.
-func (n *Node) stall() time.Duration { return cmp.Or(n.cfg.Transport.ConnectTimeout, usualStall) }
+// stallTimeout returns how long an incomplete answer may make no progress.
+func (n *Node) stallTimeout() time.Duration {
+	return cmp.Or(n.cfg.Transport.ConnectTimeout, defaultStallTimeout)
+}
 
-// finish ends an attempt with its answer.
-func (l *link) finish(t *attempt, a response) {
+// finishAttempt ends an attempt with the answer received on this connection.
+func (l *serverConn) finishAttempt(t *attempt, a response) {
 	t.link = nil
 	l.pool.node.attemptFinished(t, a)
 }
 
-// bad ends a connection on which nothing can be trusted any more.
-func (l *link) bad(why string) {
+// closeMalformed closes a connection after a malformed answer: later bytes cannot be attributed to requests any more.
+func (l *serverConn) closeMalformed(why string) {
 	l.pool.node.count.badAnswers++
 	log.Printf("event=bad_answer server=%s why=%q", l.pool.id, why)
-	l.over()
+	l.closeAndFail()
 }
--- a/internal/node/protocol_test.go
+++ b/internal/node/protocol_test.go
@@ -10,7 +10,7 @@
 	"lapisshelf/policy"
 )
 
-func tryOf(t *testing.T, line string) *attempt {
+func parsedAttempt(t *testing.T, line string) *attempt {
 	t.Helper()
 	m, _, err := meta.ParseCommand([]byte(line), meta.MaxValue, meta.MaxLongValue)
 	if err != nil {
@@ -19,9 +19,9 @@
 	return &attempt{request: &request{command: copyCommand(m)}}
 }
 
-// What the origin says, as outcomes: only Not-Started proves that nothing ran.
+// Outcomes of the origin's answers: only Not-Started proves that nothing ran.
 func TestOriginAnswers(t *testing.T) {
-	read, write := tryOf(t, "mg k v O1 Pc=read\r\n"), tryOf(t, "ms k 1 O1 Pc=put\r\nx\r\n")
+	read, write := parsedAttempt(t, "mg k v O1 Pc=read\r\n"), parsedAttempt(t, "ms k 1 O1 Pc=put\r\nx\r\n")
 	for _, c := range []struct {
 		name    string
 		try     *attempt
@@ -38,14 +38,14 @@
 		{"receipt that would break the answer's line", write, "200 OK", "", "R1\r\nVA", 0, "", true},
 		{"error", read, "500 No", "", "", policy.Errored, "", false},
 		{"error that claims not to have run", read, "500 No", "Not-Started: 1\r\n", "", policy.Errored, "", false},
-		{"turned away", write, "503 No", "Not-Started: 1\r\n", "", policy.Full, "", false},
-		{"turned away late", write, "504 No", "not-started: 1\r\n", "", policy.Full, "", false},
+		{"refused", write, "503 No", "Not-Started: 1\r\n", "", policy.Full, "", false},
+		{"refused after a wait", write, "504 No", "not-started: 1\r\n", "", policy.Full, "", false},
 		{"may have run", write, "503 No", "", "", policy.Errored, "", false},
-		{"may have run, in so many words", write, "503 No", "Not-Started: 0\r\n", "", policy.Errored, "", false},
+		{"may have run, stated explicitly", write, "503 No", "Not-Started: 0\r\n", "", policy.Errored, "", false},
 		{"moved", read, "302 Found", "", "", policy.Errored, "", false},
 	} {
 		text := fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", c.status, c.header, len(c.body), c.body)
-		a, used, err := originProtocol{}.answer([]byte(text), c.try, meta.MaxValue, false)
+		a, used, err := originProtocol{}.parseAnswer([]byte(text), c.try, meta.MaxValue, false)
 		if c.bad != (err != nil) || !c.bad && (used != len(text) || a.outcome != c.outcome) ||
 			string(a.value)+string(a.receipt) != c.text {
 			t.Errorf("%s: %+v, used %d, %v", c.name, a, used, err)
@@ -55,18 +55,18 @@
 
 func TestOriginRequests(t *testing.T) {
 	p := originProtocol{host: "o:1"}
-	got := string(p.request(nil, tryOf(t, "mg a/b?c v O1 Pc=read,d=50,t=x\r\n"), 7*time.Millisecond))
+	got := string(p.appendRequest(nil, parsedAttempt(t, "mg a/b?c v O1 Pc=read,d=50,t=x\r\n"), 7*time.Millisecond))
 	if want := "GET /a%2Fb%3Fc HTTP/1.1\r\nHost: o:1\r\nRequest-Id: 1\r\nRequest-Info: c=read,d=7,t=x\r\n\r\n"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
-	got = string(p.request(nil, tryOf(t, "ms k 0 O1 Pc=put\r\n\r\n"), 0))
+	got = string(p.appendRequest(nil, parsedAttempt(t, "ms k 0 O1 Pc=put\r\n\r\n"), 0))
 	if !strings.HasSuffix(got, "Content-Length: 0\r\n\r\n") {
-		t.Errorf("an empty value goes without its length: %q", got)
+		t.Errorf("an empty value is sent without its length: %q", got)
 	}
 }
 
 func TestCacheAnswers(t *testing.T) {
-	read := tryOf(t, "mg k v O1 Pc=read\r\n")
+	read := parsedAttempt(t, "mg k v O1 Pc=read\r\n")
 	for _, c := range []struct {
 		in      string
 		outcome policy.Outcome
@@ -84,7 +84,7 @@
 		{"VA 1 O2\r\nx\r\n", 0, 0, true},
 		{"EN O2\r\n", 0, 0, true},
 	} {
-		a, _, err := cacheProtocol{}.answer([]byte(c.in), read, meta.MaxValue, false)
+		a, _, err := cacheProtocol{}.parseAnswer([]byte(c.in), read, meta.MaxValue, false)
 		if c.bad != (err != nil) || a.outcome != c.outcome || a.cacheStatus != c.note {
 			t.Errorf("%q: %+v, %v", c.in, a, err)
 		}
--- a/internal/node/recorder_test.go
+++ b/internal/node/recorder_test.go
@@ -44,7 +44,7 @@
 func TestARequestIsRecorded(t *testing.T) {
 	s := newFixture(t, false, answerHit)
 	s.sendReads("one")
-	s.run("it is served", func() bool { return s.outcomes(policy.OK) == 1 })
+	s.runUntil("it is served", func() bool { return s.outcomes(policy.OK) == 1 })
 	text := strings.Join(s.node.recorder.history("one"), "\n")
 	for _, want := range []string{`what=taken request="one" client=1`, `what=sent request="one" client=1 attempt=0 server="c-1"`,
 		`what=written request="one" client=1 attempt=0 server="c-1"`, `what=ended request="one" client=1 attempt=0 server="c-1" outcome=ok`,
@@ -64,13 +64,15 @@
 // What passes a failed guard is counted by reason: a send for an answered request or one without a client, a send to a server
 // that drains, and a close with an open request.
 func TestViolationsAreCounted(t *testing.T) {
-	for why, break_ := range map[safety.Reason]func(b *bench, x *attempt){
-		safety.Answered:          func(b *bench, x *attempt) { x.request.answered = true; b.pool.send(x, 1) },
-		safety.ClientGone:        func(b *bench, x *attempt) { x.request.client = nil; b.pool.send(x, 1) },
-		safety.ServerUnavailable: func(b *bench, x *attempt) { b.pool.ready = false; b.pool.send(x, 1) },
-		safety.Unanswered:        func(b *bench, x *attempt) { b.node.checkClose(&client{node: b.node, requests: []*request{x.request}}) },
+	for why, break_ := range map[safety.Reason]func(b *harness, x *attempt){
+		safety.Answered:          func(b *harness, x *attempt) { x.request.answered = true; b.pool.send(x, 1) },
+		safety.ClientGone:        func(b *harness, x *attempt) { x.request.client = nil; b.pool.send(x, 1) },
+		safety.ServerUnavailable: func(b *harness, x *attempt) { b.pool.ready = false; b.pool.send(x, 1) },
+		safety.Unanswered: func(b *harness, x *attempt) {
+			b.node.checkClose(&client{node: b.node, requests: []*request{x.request}})
+		},
 	} {
-		b := newBench(t)
+		b := newHarness(t)
 		x := b.send("1")
 		if b.node.count.violations != 0 {
 			t.Fatalf("%v: a violation before anything is broken", why)
@@ -90,14 +92,14 @@
 
 // An attempt whose time has run out since it was chosen is refused, which is no violation.
 func TestAnAttemptThatComesTooLateIsRefused(t *testing.T) {
-	for why, late := range map[safety.Reason]func(b *bench, x *attempt){
-		safety.DeadlineExceeded: func(b *bench, x *attempt) { x.request.deadline = b.node.loop.Now(); b.pool.send(x, 1) },
-		safety.TimeoutTooLong: func(b *bench, x *attempt) {
+	for why, late := range map[safety.Reason]func(b *harness, x *attempt){
+		safety.DeadlineExceeded: func(b *harness, x *attempt) { x.request.deadline = b.node.loop.Now(); b.pool.send(x, 1) },
+		safety.TimeoutTooLong: func(b *harness, x *attempt) {
 			x.request.deadline = b.node.loop.Now() + safety.StallAllowance
 			b.pool.send(x, 3*safety.StallAllowance)
 		},
 	} {
-		b := newBench(t)
+		b := newHarness(t)
 		x := b.send("1")
 		late(b, &attempt{request: x.request, pool: b.pool, number: 1})
 		if c := &b.node.count; c.violations != 0 || c.sendsRefused[why] != 1 || c.attempts != 1 {
@@ -116,7 +118,7 @@
 	c.class = &class{name: "once", effect: safety.Unsafe}
 	attempts := s.node.count.attempts
 	s.node.loop.Defer(func() { actions{s.node}.Send("one", "c-1", 0, 0) })
-	s.run("it is refused", func() bool { return s.node.count.sendsRefused[safety.InFlight] == 1 })
+	s.runUntil("it is refused", func() bool { return s.node.count.sendsRefused[safety.InFlight] == 1 })
 	if s.node.count.attempts != attempts || s.node.count.violated[safety.InFlight] != 1 {
 		t.Errorf("%d attempts, then %d; %v violated", attempts, s.node.count.attempts, s.node.count.violated)
 	}
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -11,47 +11,47 @@
 	"lapisshelf/policy"
 )
 
-// An upgrade: another process of this node comes up beside this one and takes its place. decide/handover says what each
-// may take, internal/handover how they hear of each other; here it is carried out.
+// In an upgrade a successor process of this node starts beside this one and replaces it. decide/handover decides how they share
+// resources and internal/handover exchanges their states through files; this file applies both to the node.
 
 const (
-	tellEvery   = 50 * time.Millisecond  // how often a process tells what it holds while another lives
-	leastRetry  = 50 * time.Millisecond  // before what could not be written is written again, the first time
-	mostRetry   = time.Second            // and at most
-	adoptLame   = 250 * time.Millisecond // how old another process's word on draining may be when it is heard
-	deafFor     = time.Second            // how long a new process that could serve waits for the elder to make room
-	goneFor     = 10 * time.Second       // how long servers that left the list are told to other processes
-	mostGone    = 256                    // of these, and of servers no longer listed
-	listenAgain = 20 * time.Millisecond
+	publishInterval    = 50 * time.Millisecond  // of the state and of looking for changes while other processes run
+	minRetryDelay      = 50 * time.Millisecond  // before a state that could not be written is written again
+	maxRetryDelay      = time.Second            // the delay doubles up to this
+	maxDrainNewsAge    = 250 * time.Millisecond // assumed age of another process's drain call when this one learns of it
+	predecessorTimeout = time.Second            // how long a process that is ready waits for its predecessors to make room
+	departedTTL        = 10 * time.Second       // how long servers that left the list are reported to other processes
+	maxDeparted        = 256                    // maximum number of these, and of reported servers that are no longer listed
+	bindRetryInterval  = 20 * time.Millisecond  // while the listen address is in use
 )
 
-// succession is this process among those of its node.
+// succession is the state of this process among the processes of its node.
 type succession struct {
-	node    *Node
-	member  *handover.Member // nil: nobody can come beside this one
-	room    int              // descriptors that it takes while others live
-	made    bool             // elders have made room for it
-	readyAt time.Duration    // when it could first have served
-	tick    *loop.Timer
-	gone    map[string]time.Duration // servers that get nothing new, by the list, and since when that is known
-	joinErr error                    // why the state directory is not used at all
-	pause   time.Duration            // before the next attempt to write what is owed; 0: the last one held
-	retry   *loop.Timer              // that attempt
-	told    time.Duration            // when the others were told last
-	memory  int                      // megabytes that limit was called with last
-	waits   bool                     // the address is taken, and the log says so
+	node         *Node
+	member       *handover.Member // nil: no other process can run beside this one
+	fdLimit      int              // file descriptors that it may use while others run
+	roomMade     bool             // its predecessors have made room for it
+	readyAt      time.Duration    // when it first could have accepted clients
+	publishTimer *loop.Timer
+	departed     map[string]time.Duration // servers that are draining or gone by the list, and since when that is known
+	joinErr      error                    // why the state directory is not used
+	retryDelay   time.Duration            // before the next attempt to write the state; 0 if the last write succeeded
+	retryTimer   *loop.Timer              // of that attempt
+	publishedAt  time.Duration            // when the state was last published
+	memoryMB     int                      // last limit reported to the OnMemoryLimit callback
+	addressInUse bool                     // listening has failed and that has been logged
 }
 
-// join looks for other processes of the node, and takes over what was said by hand.
+// join looks for other processes of the node in the state directory.
 func (s *succession) join(n *Node) {
-	s.node, s.gone = n, map[string]time.Duration{}
+	s.node, s.departed = n, map[string]time.Duration{}
 	if n.cfg.StateDir == "" {
 		return
 	}
 	var err error
 	s.member, err = handover.Join(n.loop, handover.Options{Dir: n.cfg.StateDir, Name: n.cfg.Name, Listen: n.cfg.Listen.String(),
-		Note: n.listNote, OnChange: s.changed})
-	if err != nil { // it serves all the same; an upgrade finds the address taken
+		Note: n.logRegistryEvent, OnChange: s.onPeersChanged})
+	if err != nil { // the node serves nevertheless, but a successor will find the listen address in use
 		s.joinErr = err
 		log.Printf("event=handover_off why=%q", err)
 		return
@@ -61,23 +61,24 @@
 	}
 }
 
-// begin takes over what was said by hand, and makes this process known.
-func (s *succession) begin() {
+// start takes over the operators' overrides and publishes the state of this process.
+func (s *succession) start() {
 	if s.member != nil {
-		s.heed()
-		s.settle()
+		s.adoptPeerState()
+		s.update()
 		s.member.Start()
 	}
 }
 
-// others are the other processes that live.
-func (s *succession) others() []handover.State {
+// peers returns the states of the other running processes.
+func (s *succession) peers() []handover.State {
 	if s.member == nil {
 		return nil
 	}
 	return s.member.Peers()
 }
 
+// processes returns what decide/handover needs of the given states.
 func processes(states []handover.State) (list []decide.Process) {
 	for _, s := range states {
 		list = append(list, s.Process)
@@ -85,46 +86,47 @@
 	return list
 }
 
-// changed takes news of the other processes.
-func (s *succession) changed() {
-	s.heed()
-	s.settle()
-	s.node.takeClients()
+// onPeersChanged handles changed states of the other processes.
+func (s *succession) onPeersChanged() {
+	s.adoptPeerState()
+	s.update()
+	s.node.acceptClients()
 }
 
-// heed takes what was said by hand to others, those that have ended included, and what their lists say.
-func (s *succession) heed() {
-	n, now, news := s.node, s.node.loop.Now(), false
+// adoptPeerState takes over the operators' overrides that other processes hold or held before they ended, and drains and newer lists
+// of running ones.
+func (s *succession) adoptPeerState() {
+	n, now, overridden := s.node, s.node.loop.Now(), false
 	for _, p := range slices.Concat(s.member.Ended(), s.member.Peers()) {
 		for _, h := range p.Overrides {
 			n.everListed.add(h.ID)
 			n.guard("hand", func() { n.policy.Override(now, h) })
-			news = true
+			overridden = true
 		}
 		for _, id := range p.List.Listed {
 			n.everListed.add(id)
 		}
 	}
-	if news {
-		n.hands()
+	if overridden {
+		n.applyOverrides()
 	}
-	for _, p := range s.member.Peers() { // a drain is the node's, and a process that has ended took it along
+	for _, p := range s.member.Peers() { // draining applies to the whole node, but ends with the process that got the call
 		if p.LameDuck.Version > n.drainVersion {
-			n.drained(p.LameDuck.On, p.LameDuck.Version, adoptLame)
+			n.setDraining(p.LameDuck.On, p.LameDuck.Version, maxDrainNewsAge)
 		}
 	}
-	s.heedLists()
+	s.adoptPeerLists()
 }
 
-// heedLists keeps off servers that leave by the list of another process, which is newer than the own one.
-func (s *succession) heedLists() {
+// adoptPeerLists drains servers that are leaving by the list of another process if that list is newer than this process's own.
+func (s *succession) adoptPeerLists() {
 	n := s.node
 	if n.registry == nil {
 		return
 	}
-	own := s.source()
+	own := s.listSource()
 	own.Revision, _, _ = n.registry.ListStatus()
-	for _, p := range s.others() {
+	for _, p := range s.peers() {
 		if !newer(p.List, own) {
 			continue
 		}
@@ -132,20 +134,20 @@
 			if pool := n.pools[id]; pool != nil && pool.ready {
 				n.guard("drains", func() { n.policy.MarkDraining(n.loop.Now(), id) })
 				pool.ready = false
-				pool.leave()
+				pool.drain()
 			}
 		}
 	}
 }
 
-// newer reports whether a list tells more than the own one. Guards against comparing the revisions of two registries, where
-// discovery was moved between two processes: servers that are ready by the own list would get nothing for good.
+// newer reports whether list l is newer than this process's own. Guards against comparing revisions of different registries, if
+// discovery was moved between the starts of two processes: servers that are ready by the own list would never get attempts.
 func newer(l, own handover.ServerList) bool {
 	return l.Revision > own.Revision && (l.Source == "" || own.Source == "" || l.Source == own.Source)
 }
 
-// source is a list that says only which registry this process follows.
-func (s *succession) source() (l handover.ServerList) {
+// listSource returns a list with only its Source set: the registry that this process follows.
+func (s *succession) listSource() (l handover.ServerList) {
 	r := &s.node.cfg.Registry
 	for _, e := range r.Endpoints {
 		l.Source += e.String() + " "
@@ -154,108 +156,109 @@
 	return l
 }
 
-// look hears what the other processes say now.
-func (s *succession) look() {
+// refreshPeers reads the current states of the other processes.
+func (s *succession) refreshPeers() {
 	if s.member != nil {
 		s.member.Refresh()
 	}
 }
 
-// settle settles what this process takes, and tells the others.
-func (s *succession) settle() {
+// update settles which resources this process may use, and publishes its state.
+func (s *succession) update() {
 	if s.member == nil {
 		return
 	}
-	n, others := s.node, processes(s.others())
+	n, others := s.node, processes(s.peers())
 	self := s.member.Self().Process
 	self.OpenFDs, self.Stage = n.loop.OpenSockets(), s.stage()
-	waited := s.readyAt > 0 && n.loop.Now()-s.readyAt > deafFor
-	was := self.FDLimit
-	self, s.made = decide.AllocateFDs(n.cfg.Sockets, self, others, waited)
-	s.room = self.FDLimit
+	waited := s.readyAt > 0 && n.loop.Now()-s.readyAt > predecessorTimeout
+	oldLimit := self.FDLimit
+	self, s.roomMade = decide.AllocateFDs(n.cfg.Sockets, self, others, waited)
+	s.fdLimit = self.FDLimit
 	if n.clients.listener != nil {
 		n.clients.listener.SetShared(slices.ContainsFunc(others, func(o decide.Process) bool { return o.Order > self.Order }))
 	}
-	if was != self.FDLimit && len(others) > 0 && was > 0 && self.Stage == decide.Serving {
+	if oldLimit != self.FDLimit && len(others) > 0 && oldLimit > 0 && self.Stage == decide.Serving {
 		n.clients.enforceLimits()
 	}
-	s.tell(self)
-	n.tellMemory()
-	if len(others) > 0 && s.tick == nil {
-		s.tick = n.loop.After(tellEvery, func() {
-			s.tick = nil
-			s.changed()
+	s.publish(self)
+	n.updateMemoryLimit()
+	if len(others) > 0 && s.publishTimer == nil {
+		s.publishTimer = n.loop.After(publishInterval, func() {
+			s.publishTimer = nil
+			s.onPeersChanged()
 		})
 	}
 }
 
-// tell makes the own state known: what is said by hand or settles who serves at once, figures that change all the time
-// every so often, or two processes would have each other tell them without end.
-func (s *succession) tell(self decide.Process) {
+// publish publishes the state of this process. Overrides, drains and what settles which process serves are published at once.
+// Frequently changing values are published at most every publishInterval; otherwise two processes would trigger each other endlessly.
+func (s *succession) publish(self decide.Process) {
 	n := s.node
-	x := s.member.Self()
-	was := x
-	// Guards against a file written anew every 50 ms, on the loop, for what no other process decides upon. Where the directory
-	// lies on a disk that others keep busy, one such write took up to 0.15 s.
-	held := self.OpenFDs
-	if self.OpenFDs = was.Process.OpenFDs; self != was.Process {
-		self.OpenFDs = held
-	}
-	x.Process, x.Overrides, x.List = self, n.policy.Overrides(), s.list()
-	x.LameDuck = handover.LameDuck{On: n.draining, Version: n.drainVersion}
-	if now := n.loop.Now(); s.member.PublishErr() == nil && now-s.told < tellEvery && self.Stage == was.Process.Stage && self.SettledFor == was.Process.SettledFor &&
-		slices.Equal(x.Overrides, was.Overrides) && x.LameDuck == was.LameDuck && slices.Equal(x.List.Leaving, was.List.Leaving) {
+	state := s.member.Self()
+	previous := state
+	// Guards against rewriting the file every 50 ms, on the event loop, for a number that no other process uses. If the directory is
+	// on a busy disk, one such write took up to 0.15 s.
+	openFDs := self.OpenFDs
+	if self.OpenFDs = previous.Process.OpenFDs; self != previous.Process {
+		self.OpenFDs = openFDs
+	}
+	state.Process, state.Overrides, state.List = self, n.policy.Overrides(), s.publishedList()
+	state.LameDuck = handover.LameDuck{On: n.draining, Version: n.drainVersion}
+	if now := n.loop.Now(); s.member.PublishErr() == nil && now-s.publishedAt < publishInterval && self.Stage == previous.Process.Stage && self.SettledFor == previous.Process.SettledFor &&
+		slices.Equal(state.Overrides, previous.Overrides) && state.LameDuck == previous.LameDuck && slices.Equal(state.List.Leaving, previous.List.Leaving) {
 		return
 	} else {
-		s.told = now
+		s.publishedAt = now
 	}
-	s.published(s.member.Publish(x))
+	s.handlePublishResult(s.member.Publish(state))
 }
 
-// published notes whether the state was written. One that was not is written again, with growing pauses, until it holds.
-func (s *succession) published(err error) {
+// handlePublishResult schedules another attempt, with exponential backoff, if the state could not be written.
+func (s *succession) handlePublishResult(err error) {
 	if err == nil {
-		if s.pause > 0 {
+		if s.retryDelay > 0 {
 			log.Printf("event=handover_saved")
 		}
-		s.pause = 0
-		s.retry.Stop()
-		s.retry = nil
+		s.retryDelay = 0
+		s.retryTimer.Stop()
+		s.retryTimer = nil
 		return
 	}
-	if s.pause == 0 {
+	if s.retryDelay == 0 {
 		log.Printf("event=handover_failed why=%q", err)
 	}
-	if s.retry != nil {
-		return // it is due already
+	if s.retryTimer != nil {
+		return // already scheduled
 	}
-	s.pause = min(max(2*s.pause, leastRetry), mostRetry)
-	s.retry = s.node.loop.After(s.pause, func() {
-		s.retry = nil
-		s.settle()
+	s.retryDelay = min(max(2*s.retryDelay, minRetryDelay), maxRetryDelay)
+	s.retryTimer = s.node.loop.After(s.retryDelay, func() {
+		s.retryTimer = nil
+		s.update()
 	})
 }
 
-// unsaved says why what was said by hand would not outlast this process; nil: it would, or nothing here is to.
-func (s *succession) unsaved() error {
+// saveError returns why the operators' overrides would be lost with this process. It is nil if they are saved, or if there is no state
+// directory to save them in.
+func (s *succession) saveError() error {
 	if s.member == nil {
 		return s.joinErr
 	}
 	return s.member.PublishErr()
 }
 
-// tellMemory has the collector know how much this process may use.
-func (n *Node) tellMemory() {
-	if mb := n.memoryMB(); n.setMemoryLimit != nil && mb != n.succession.memory {
-		n.succession.memory = mb
+// updateMemoryLimit reports a changed memory limit to the OnMemoryLimit callback.
+func (n *Node) updateMemoryLimit() {
+	if mb := n.memoryMB(); n.setMemoryLimit != nil && mb != n.succession.memoryMB {
+		n.succession.memoryMB = mb
 		n.setMemoryLimit(mb)
 	}
 }
 
-// Limit has f called with the megabytes that the process may use, now and when that changes.
-func (n *Node) Limit(f func(mb int)) {
+// OnMemoryLimit calls f with the memory limit of this process in megabytes, now and whenever it changes.
+func (n *Node) OnMemoryLimit(f func(mb int)) {
 	n.setMemoryLimit = f
-	n.tellMemory()
+	n.updateMemoryLimit()
 }
 
 func (s *succession) stage() decide.Stage {
@@ -268,42 +271,42 @@
 	return decide.Starting
 }
 
-// list is what other processes need to know of this one's list.
-func (s *succession) list() (l handover.ServerList) {
+// publishedList returns what other processes need to know about this process's list.
+func (s *succession) publishedList() (l handover.ServerList) {
 	n := s.node
 	if n.registry == nil {
 		return l
 	}
-	l = s.source()
+	l = s.listSource()
 	l.Revision, _, _ = n.registry.ListStatus()
 	now := n.loop.Now()
-	for id, at := range s.gone {
-		if now-at > goneFor {
-			delete(s.gone, id)
+	for id, at := range s.departed {
+		if now-at > departedTTL {
+			delete(s.departed, id)
 		} else {
 			l.Leaving = append(l.Leaving, id)
 		}
 	}
 	slices.Sort(l.Leaving)
 	for _, id := range slices.Backward(n.everListed.order) {
-		if n.pools[id] == nil && len(l.Listed) < mostGone {
+		if n.pools[id] == nil && len(l.Listed) < maxDeparted {
 			l.Listed = append(l.Listed, id)
 		}
 	}
 	return l
 }
 
-// noteState keeps which servers get nothing new by the list.
-func (s *succession) noteState(id string, state policy.State) {
+// recordServerState records whether a server is draining or gone by the list.
+func (s *succession) recordServerState(id string, state policy.State) {
 	if state == policy.Ready {
-		delete(s.gone, id)
-	} else if _, known := s.gone[id]; !known && len(s.gone) < mostGone {
-		s.gone[id] = s.node.loop.Now()
+		delete(s.departed, id)
+	} else if _, known := s.departed[id]; !known && len(s.departed) < maxDeparted {
+		s.departed[id] = s.node.loop.Now()
 	}
 }
 
-// takeClients opens the clients' address, for a process that comes beside another once it could serve and there is room.
-func (n *Node) takeClients() {
+// acceptClients opens the listener for clients once the node is ready and, in an upgrade, its predecessors have made room.
+func (n *Node) acceptClients() {
 	s := &n.succession
 	if n.clients.listener != nil || n.shuttingDown || !n.ready {
 		return
@@ -311,12 +314,12 @@
 	if s.readyAt == 0 {
 		s.readyAt = n.loop.Now()
 	}
-	others := s.others()
-	if s.settle(); len(others) > 0 && s.room == 0 {
-		return // the next news, or tick, comes here
+	others := s.peers()
+	if s.update(); len(others) > 0 && s.fdLimit == 0 {
+		return // onPeersChanged calls this again
 	}
-	if len(others) > 0 && !s.made {
-		log.Printf("event=handover_deaf why=%q room=%d", "an older process does not answer", s.room)
+	if len(others) > 0 && !s.roomMade {
+		log.Printf("event=handover_deaf why=%q room=%d", "predecessor process does not respond", s.fdLimit)
 	}
 	serving := 0
 	for _, o := range others {
@@ -325,42 +328,44 @@
 		}
 	}
 	if err := n.clients.listenBeside(serving); err != nil {
-		if !s.waits {
-			s.waits = true
+		if !s.addressInUse {
+			s.addressInUse = true
 			log.Printf("event=handover_waits why=%q", err)
 		}
-		n.loop.After(listenAgain, n.takeClients)
+		n.loop.After(bindRetryInterval, n.acceptClients)
 		return
 	}
-	log.Printf("event=handover_taken beside=%d room=%d steers=%t", serving, s.room, n.clients.listener.SteersConnections())
-	s.settle()
+	log.Printf("event=handover_taken beside=%d room=%d steers=%t", serving, s.fdLimit, n.clients.listener.SteersConnections())
+	s.update()
 }
 
-// succeeded reports whether a younger process serves in this one's place.
-func (s *succession) succeeded() bool {
+// hasSuccessor reports whether a successor process serves in place of this one.
+func (s *succession) hasSuccessor() bool {
 	if s.member == nil {
 		return false
 	}
-	s.look()
-	return decide.HasSuccessor(s.member.Self().Process, processes(s.others()))
+	s.refreshPeers()
+	return decide.HasSuccessor(s.member.Self().Process, processes(s.peers()))
 }
 
-// sockets is how many descriptors this process may hold; memoryMB how many megabytes.
-func (n *Node) sockets() int {
-	if len(n.succession.others()) == 0 {
+// maxSockets returns how many file descriptors this process may use.
+func (n *Node) maxSockets() int {
+	if len(n.succession.peers()) == 0 {
 		return n.cfg.Sockets
 	}
-	return n.succession.room
+	return n.succession.fdLimit
 }
 
-func (n *Node) memoryMB() int { return decide.MemoryShare(n.cfg.MemoryMB, len(n.succession.others())) }
+// memoryMB returns how many megabytes of memory this process may use.
+func (n *Node) memoryMB() int { return decide.MemoryShare(n.cfg.MemoryMB, len(n.succession.peers())) }
 
-// reserve is how many of them are kept for what is no pool's and no client's, and for clients of a full house.
-func (n *Node) reserve() int {
-	if n.shuttingDown && len(n.succession.others()) > 0 {
-		return 0 // no new client comes
+// reservedSockets returns how many descriptors are kept for files and sockets other than server and client connections, and for clients
+// beyond the limit, whose requests are refused.
+func (n *Node) reservedSockets() int {
+	if n.shuttingDown && len(n.succession.peers()) > 0 {
+		return 0 // there are no new clients
 	}
-	// Guards against a half of few descriptors of which the operators' address and the reserve took all: with 64 in all no
+	// Guards against a reserve that, with the control address, uses up a process's share of few descriptors: with 64 in total no
 	// request was served while two processes ran.
-	return max(0, min(reservedSockets, (n.sockets()-n.control.ReservedDescriptors())/2))
+	return max(0, min(reservedSockets, (n.maxSockets()-n.control.ReservedDescriptors())/2))
 }
--- a/internal/node/succession_test.go
+++ b/internal/node/succession_test.go
@@ -9,7 +9,8 @@
 	"lapisshelf/internal/handover"
 )
 
-// The list of another process counts where it is newer, by the same registry: revisions of two compare with nothing.
+// The list of another process is used if it is newer and comes from the same registry: revisions of different registries cannot be
+// compared.
 func TestWhichListOfTwoProcessesIsNewer(t *testing.T) {
 	own := handover.ServerList{Source: "a", Revision: 7}
 	for _, c := range []struct {
@@ -20,23 +21,23 @@
 		{handover.ServerList{Source: "a", Revision: 7}, false},
 		{handover.ServerList{Source: "a", Revision: 6}, false},
 		{handover.ServerList{Source: "b", Revision: 900}, false}, // discovery was moved between the two
-		{handover.ServerList{Revision: 8}, true},                 // a process of a version that does not tell
+		{handover.ServerList{Revision: 8}, true},                 // from a version that does not publish the source
 	} {
 		if got := newer(c.l, own); got != c.want {
 			t.Errorf("%+v: %t", c.l, got)
 		}
 	}
-	b := newBench(t)
-	if l := b.node.succession.list(); l.Source != b.node.succession.source().Source || l.Source == "" {
-		t.Errorf("tells %q", l.Source)
+	b := newHarness(t)
+	if l := b.node.succession.publishedList(); l.Source != b.node.succession.listSource().Source || l.Source == "" {
+		t.Errorf("publishes source %q", l.Source)
 	}
 }
 
-// What a process holds changes with each connection, and no other process decides upon it: beside another one, its file is
-// written anew only when what it takes, or its stage, changes. Guards against 20 writes a second on the loop, each of which
-// waits for the directory's disk.
+// While another process runs, the state file is rewritten only if the limit or the stage of this process changes, not for each change of
+// the number of open descriptors, which no other process uses. Guards against 20 writes a second on the event loop, each of which waits
+// for the disk.
 func TestConnectionsAloneAreNoNewsToOtherProcesses(t *testing.T) {
-	b, dir := newBench(t), t.TempDir()
+	b, dir := newHarness(t), t.TempDir()
 	n := b.node
 	s := &n.succession
 	join := func() *handover.Member {
@@ -47,8 +48,8 @@
 		return m
 	}
 	s.member = join()
-	s.settle()
-	own := func() os.FileInfo { // of the earliest process
+	s.update()
+	stateFile := func() os.FileInfo { // of the oldest process
 		names, _ := filepath.Glob(filepath.Join(dir, "*.json"))
 		if len(names) == 0 {
 			t.Fatal("no file")
@@ -59,36 +60,36 @@
 		}
 		return info
 	}
-	settle := func() (written bool) {
-		before := own()
-		s.told = n.loop.Now() - 2*tellEvery
-		s.settle()
-		return !os.SameFile(before, own())
+	updated := func() (written bool) {
+		before := stateFile()
+		s.publishedAt = n.loop.Now() - 2*publishInterval
+		s.update()
+		return !os.SameFile(before, stateFile())
 	}
-	young := join()
-	if err := young.Publish(young.Self()); err != nil {
+	successor := join()
+	if err := successor.Publish(successor.Self()); err != nil {
 		t.Fatal(err)
 	}
 	s.member.Refresh()
-	if len(s.others()) != 1 || !settle() || s.room != 32 {
-		t.Fatalf("beside %d others it takes %d of 64 descriptors", len(s.others()), s.room)
+	if len(s.peers()) != 1 || !updated() || s.fdLimit != 32 {
+		t.Fatalf("beside %d others it may use %d of 64 descriptors", len(s.peers()), s.fdLimit)
 	}
 	writes := 0
 	for range 20 {
 		b.pool.dial()
-		if settle() {
+		if updated() {
 			writes++
 		}
 	}
 	if writes != 0 || n.loop.OpenSockets() < 20 {
-		t.Errorf("written anew %d times for 20 connections; it holds %d", writes, n.loop.OpenSockets())
+		t.Errorf("rewritten %d times for 20 connections; %d descriptors open", writes, n.loop.OpenSockets())
 	}
-	n.shuttingDown = true // its stage is news, and what it takes is less: what it holds is told with them
-	if !settle() {
-		t.Error("its stage is not told")
+	n.shuttingDown = true // changes the stage and lowers the limit; the open descriptors are published with them
+	if !updated() {
+		t.Error("the stage is not published")
 	}
-	young.Refresh()
-	if p := young.Peers()[0].Process; p.Stage != decide.Leaving || p.OpenFDs != n.loop.OpenSockets() || p.FDLimit != s.room {
-		t.Errorf("tells %+v, holds %d and takes %d", p, n.loop.OpenSockets(), s.room)
+	successor.Refresh()
+	if p := successor.Peers()[0].Process; p.Stage != decide.Leaving || p.OpenFDs != n.loop.OpenSockets() || p.FDLimit != s.fdLimit {
+		t.Errorf("publishes %+v, with %d descriptors open and a limit of %d", p, n.loop.OpenSockets(), s.fdLimit)
 	}
 }
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -40,7 +40,7 @@
 	now := c.node.loop.Now()
 	c.upload = &upload{client: c, request: k, timeout: timeout, remaining: size, trailer: "\r\n", startedAt: now, lastProgress: now}
 	k.upload = c.upload
-	c.node.count.uploads++
+	c.node.count.longWrites++
 	c.upload.checkStalled()
 }
 
@@ -109,7 +109,7 @@
 func (u *upload) sendTo(t *attempt) {
 	now := u.client.node.loop.Now()
 	u.attempt, u.writtenBytes, u.writeProgressAt = t, 0, now
-	t.link.going = u
+	t.link.upload = u
 	t.link.conn.Write(u.buffered)
 	u.dropLargeBuffer()
 	if u.complete {
@@ -121,9 +121,9 @@
 // finish writes the end of the value. From here on the server may run the write.
 func (u *upload) finish() {
 	l := u.attempt.link
-	l.going = nil
-	l.conn.Write(append(u.finalBytes, l.pool.proto.behind()...))
-	l.wrote()
+	l.upload = nil
+	l.conn.Write(append(u.finalBytes, l.pool.proto.bodySuffix()...))
+	l.markWritten()
 }
 
 // received handles the end of the value: the request counts as taken, and its time budget starts.
@@ -174,7 +174,7 @@
 
 // bufferedBytes is the number of bytes held for the value.
 func (u *upload) bufferedBytes() int {
-	if u.attempt != nil && !u.attempt.link.gone {
+	if u.attempt != nil && !u.attempt.link.closed {
 		return cap(u.buffered) + u.attempt.link.conn.Pending()
 	}
 	return cap(u.buffered)
