--- a/cmd/lapislab/lapislab_test.go
+++ b/cmd/lapislab/lapislab_test.go
@@ -127,7 +127,7 @@
 			t.Parallel()
 			if r := verdictOf(t, file, "--short"); r.Verdict != report.Holds {
 				for _, b := range r.Breaches {
-					t.Logf("%s\n  %s", b.Summary(), strings.Join(b.Story, "\n  "))
+					t.Logf("%s\n  %s", b.Summary(), strings.Join(b.Timeline, "\n  "))
 				}
 				t.Errorf("%s: %q", r.Verdict, r.Misses)
 			}
@@ -221,7 +221,7 @@
 			}))
 			once.(func())()
 			r := verdictOf(t, file, "--node", plant(t, dir, c.file, c.from, c.to))
-			if !slices.ContainsFunc(r.Breaches, func(b judge.Breach) bool { return b.Rule == c.rule && b.What == c.what }) || r.Verdict != report.FallsShort {
+			if !slices.ContainsFunc(r.Breaches, func(b judge.Violation) bool { return b.Rule == c.rule && b.Kind == c.what }) || r.Verdict != report.FallsShort {
 				t.Errorf("not found: %s, %v", r.Verdict, r.Rules)
 			}
 		})
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -697,9 +697,9 @@
 	for _, name := range judge.RuleNames {
 		want := slices.Contains(x.Broken, name)
 		switch {
-		case v.Broken[name] > 0 && !want:
+		case v.ViolationCounts[name] > 0 && !want:
 			broken = append(broken, name+" was broken")
-		case v.Broken[name] == 0 && want:
+		case v.ViolationCounts[name] == 0 && want:
 			broken = append(broken, name+" was kept, though it is to be broken")
 		}
 	}
@@ -714,16 +714,16 @@
 // Rules are the judge's.
 func (x *Experiment) Rules() judge.Rules {
 	s := &x.Service
-	r := judge.Rules{Seed: x.Seed, Classes: x.Classes, Tenants: x.Tenants, Members: map[string]world.Member{}, Parallel: *s.Parallel,
-		MostTries: s.Attempts, AnswerSlack: s.AnswerSlack.D(), DrainGrace: s.DrainGrace.D(), AskWithin: s.AskWithin.D(),
-		OverWorth: s.OverWorth, Tolerance: x.Fleet.Tolerance.D(), ColdFrom: s.ColdFrom, WarmUp: s.WarmUp.D(),
-		FallMultiple: s.FallMultiple, FallWindow: s.FallWindow.D(), OriginFor: x.Origin.FallFor.D(), OriginKind: originKind,
+	r := judge.Rules{Seed: x.Seed, Classes: x.Classes, Tenants: x.Tenants, Servers: map[string]world.Member{}, ParallelAttempts: *s.Parallel,
+		MaxAttempts: s.Attempts, AnswerSlack: s.AnswerSlack.D(), DrainGrace: s.DrainGrace.D(), AskWithin: s.AskWithin.D(),
+		OverQuotaWorth: s.OverWorth, Tolerance: x.Fleet.Tolerance.D(), ColdFrom: s.ColdFrom, WarmUp: s.WarmUp.D(),
+		FallMultiple: s.FallMultiple, FallWindow: s.FallWindow.D(), OriginOverloadWindow: x.Origin.FallFor.D(), OriginKind: originKind,
 		Length: x.Length.D()}
 	if x.List.Registry() {
-		r.Hold, r.HoldPart = x.List.Hold.D(), x.List.HoldPart
+		r.HoldTime, r.HoldPart = x.List.Hold.D(), x.List.HoldPart
 	}
 	for _, v := range x.Servers {
-		r.Members[v.ID] = v.Member
+		r.Servers[v.ID] = v.Member
 	}
 	return r
 }
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -122,13 +122,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &judge.Verdict{Broken: map[string]int{judge.Cold: 1, judge.Drains: 2}, Figures: map[string]float64{"service": 0.8}}
+	v := &judge.Verdict{ViolationCounts: map[string]int{judge.Cold: 1, judge.Drains: 2}, Figures: map[string]float64{"service": 0.8}}
 	misses, broken := x.Falls(v)
 	if len(misses) != 2 || len(broken) != 1 || !strings.Contains(misses[1].String(), "service was 0.8, at least 0.9 is wanted") ||
 		!strings.Contains(misses[0].String(), `no figure "p99_ms"`) || broken[0] != "drains was broken" {
 		t.Errorf("%v %v", misses, broken)
 	}
-	v = &judge.Verdict{Broken: map[string]int{}, Figures: map[string]float64{"service": 0.9, "p99_ms": 100}}
+	v = &judge.Verdict{ViolationCounts: map[string]int{}, Figures: map[string]float64{"service": 0.9, "p99_ms": 100}}
 	if misses, broken = x.Falls(v); len(misses) != 0 || len(broken) != 1 || !strings.Contains(broken[0], "cold was kept") {
 		t.Errorf("%v %v", misses, broken)
 	}
--- a/lab/fleet/planners_test.go
+++ b/lab/fleet/planners_test.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Verdict.Breaches {
+	for _, b := range r.Verdict.Violations {
 		t.Errorf("%s", b.Summary())
 	}
 	for _, l := range r.Logs {
--- a/lab/judge/judge.go
+++ b/lab/judge/judge.go
@@ -18,26 +18,26 @@
 
 // Rules are the figures of the rules and of the service, as the nodes are told them.
 type Rules struct {
-	Seed        uint64
-	Classes     []world.Class
-	Tenants     []world.Tenant
-	Members     map[string]world.Member // every server that ever was, by id
-	Parallel    bool                    // a request may have two attempts out
-	MostTries   int                     // attempts for a request
-	AnswerSlack time.Duration           // after the client's deadline, in which a final answer still counts
-	DrainGrace  time.Duration
-	AskWithin   time.Duration // a node that has not asked for so long counts as told; 0: never
-	Hold        time.Duration // servers that vanish in a mass without draining count as told only after it; 0: at once
-	HoldPart    float64
-	OverWorth   float64 // part of its worth that a request beyond its tenant's quota keeps
-	Tolerance   time.Duration
-
-	ColdFrom     float64
-	WarmUp       time.Duration
-	FallMultiple float64 // 0: cold servers don't fall over
-	FallWindow   time.Duration
-	OriginFor    time.Duration // what was asked in so long before the origin stopped made it stop
-	OriginKind   string
+	Seed             uint64
+	Classes          []world.Class
+	Tenants          []world.Tenant
+	Servers          map[string]world.Member // every server that ever was, by id
+	ParallelAttempts bool                    // a request may have two attempts out
+	MaxAttempts      int                     // attempts for a request
+	AnswerSlack      time.Duration           // after the client's deadline, in which a final answer still counts
+	DrainGrace       time.Duration
+	AskWithin        time.Duration // a node that has not asked for so long counts as told; 0: never
+	HoldTime         time.Duration // servers that vanish in a mass without draining count as told only after it; 0: at once
+	HoldPart         float64
+	OverQuotaWorth   float64 // part of its worth that a request beyond its tenant's quota keeps
+	Tolerance        time.Duration
+
+	ColdFrom             float64
+	WarmUp               time.Duration
+	FallMultiple         float64 // 0: cold servers don't fall over
+	FallWindow           time.Duration
+	OriginOverloadWindow time.Duration // what was asked in so long before the origin stopped made it stop
+	OriginKind           string
 
 	Length time.Duration
 }
@@ -53,51 +53,51 @@
 // RuleNames are the four, in order.
 var RuleNames = []string{OneAnswer, NoDouble, Drains, Cold}
 
-// Breach is one way in which a rule was broken.
-type Breach struct {
-	Rule    string        `json:"rule"`
-	What    string        `json:"what"` // its name: one of the words below
-	Why     string        `json:"why"`
-	At      time.Duration `json:"at_ns"`
-	Node    int           `json:"node"` // from 1; 0: none or several
-	Request string        `json:"request,omitempty"`
-	Server  string        `json:"server,omitempty"`
-	Story   []string      `json:"story,omitempty"` // all that was seen of the request, in order
+// Violation is one way in which a rule was broken.
+type Violation struct {
+	Rule     string        `json:"rule"`
+	Kind     string        `json:"what"` // its name: one of the words below
+	Reason   string        `json:"why"`
+	At       time.Duration `json:"at_ns"`
+	Node     int           `json:"node"` // from 1; 0: none or several
+	Request  string        `json:"request,omitempty"`
+	Server   string        `json:"server,omitempty"`
+	Timeline []string      `json:"story,omitempty"` // all that was seen of the request, in order
 }
 
 // What can be broken.
 const (
-	Lost         = "lost"            // no whole answer
-	Late         = "late"            // the final answer came after the deadline and its slack
-	Twice        = "twice"           // more than one answer
-	WrongValue   = "wrong_value"     // served with what was not made for this request
-	SentAfterEnd = "sent_after_end"  // an attempt begun after the final answer
-	Altered      = "altered"         // a server was sent what no client had asked in this form
-	MayRepeat    = "repeat_may_run"  // sent again though an earlier attempt may have run
-	PastWindow   = "past_window"     // a keyed repeat after its window, or outside its group
-	AtOnce       = "two_at_once"     // two attempts out where one is allowed
-	FalseRefusal = "false_refusal"   // a refusal though an attempt may have run
-	Doubled      = "doubled_effect"  // one wish took effect twice
-	ToDraining   = "sent_to_drained" // a new attempt after the grace
-	ToBanned     = "sent_to_banned"  // a new attempt after the grace at a server banned by hand
-	NotDrained   = "not_drained"     // a node that was drained by hand keeps its clients
-	ToldTooMuch  = "told_too_much"   // an attempt told its server of more time than its client had left
-	PushedOver   = "cold_pushed"     // a cold server fell over
-	OriginStop   = "origin_stopped"  // by misses at cold servers
+	Lost                = "lost"            // no whole answer
+	Late                = "late"            // the final answer came after the deadline and its slack
+	ExtraAnswer         = "twice"           // more than one answer
+	WrongValue          = "wrong_value"     // served with what was not made for this request
+	SentAfterEnd        = "sent_after_end"  // an attempt begun after the final answer
+	Altered             = "altered"         // a server was sent what no client had asked in this form
+	UnsafeRepeat        = "repeat_may_run"  // sent again though an earlier attempt may have run
+	PastWindow          = "past_window"     // a keyed repeat after its window, or outside its group
+	ConcurrentAttempts  = "two_at_once"     // two attempts out where one is allowed
+	FalseRefusal        = "false_refusal"   // a refusal though an attempt may have run
+	DoubledEffect       = "doubled_effect"  // one wish took effect twice
+	SentToDraining      = "sent_to_drained" // a new attempt after the grace
+	SentToBanned        = "sent_to_banned"  // a new attempt after the grace at a server banned by hand
+	NotDrained          = "not_drained"     // a node that was drained by hand keeps its clients
+	ExcessRemainingTime = "told_too_much"   // an attempt told its server of more time than its client had left
+	ColdOverload        = "cold_pushed"     // a cold server fell over
+	OriginStopped       = "origin_stopped"  // by misses at cold servers
 )
 
 // Verdict is what the judge says of a run.
 type Verdict struct {
-	Breaches []Breach
-	Broken   map[string]int // by rule; every rule stands in it
-	Figures  map[string]float64
-	Classes  map[string]Service
-	Tenants  map[string]Service
-	Seconds  []Second
+	Violations      []Violation
+	ViolationCounts map[string]int // by rule; every rule stands in it
+	Figures         map[string]float64
+	Classes         map[string]Service
+	Tenants         map[string]Service
+	Seconds         []Second
 }
 
-// Kept reports whether no rule was broken.
-func (v *Verdict) Kept() bool { return len(v.Breaches) == 0 }
+// Passed reports whether no rule was broken.
+func (v *Verdict) Passed() bool { return len(v.Violations) == 0 }
 
 // mostBreaches bounds how many breaches of one kind are told in full.
 const mostBreaches = 20
@@ -118,10 +118,10 @@
 func Judge(rec *seen.Record, rules Rules, arrivals []world.Arrival) *Verdict {
 	c := &court{rules: rules, rec: rec, classes: map[string]*world.Class{}, tries: map[string]*seen.Try{},
 		attempts: map[string][]*seen.Attempt{}, wishes: map[int][]*seen.Try{}, kinds: map[string]int{},
-		v: &Verdict{Broken: map[string]int{}, Figures: map[string]float64{}, Classes: map[string]Service{},
+		v: &Verdict{ViolationCounts: map[string]int{}, Figures: map[string]float64{}, Classes: map[string]Service{},
 			Tenants: map[string]Service{}}}
 	for _, name := range RuleNames {
-		c.v.Broken[name] = 0
+		c.v.ViolationCounts[name] = 0
 	}
 	for i := range rules.Classes {
 		c.classes[rules.Classes[i].Name] = &rules.Classes[i]
@@ -147,23 +147,23 @@
 	c.cold()
 	c.originStops()
 	c.service(arrivals)
-	slices.SortStableFunc(c.v.Breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(c.v.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return c.v
 }
 
 // breach notes that a rule was broken.
 func (c *court) breach(rule, what string, at time.Duration, t *seen.Try, server, format string, args ...any) {
-	c.v.Broken[rule]++
+	c.v.ViolationCounts[rule]++
 	c.kinds[what]++
 	if c.kinds[what] > mostBreaches {
 		return
 	}
-	b := Breach{Rule: rule, What: what, Why: fmt.Sprintf(format, args...), At: at, Server: server}
+	b := Violation{Rule: rule, Kind: what, Reason: fmt.Sprintf(format, args...), At: at, Server: server}
 	if t != nil {
 		b.Request, b.Node = t.ID, t.Node+1
-		b.Story = c.story(t.ArrivalNumber, server)
+		b.Timeline = c.story(t.ArrivalNumber, server)
 	}
-	c.v.Breaches = append(c.v.Breaches, b)
+	c.v.Violations = append(c.v.Violations, b)
 }
 
 // life finds a node's process.
--- a/lab/judge/judge_test.go
+++ b/lab/judge/judge_test.go
@@ -20,9 +20,9 @@
 	}
 	return Rules{Classes: []world.Class{class("read", world.Safe, 0), class("put", world.Keyed, world.ScopeAll),
 		class("zput", world.Keyed, world.ScopeZone), class("pay", world.Unsafe, 0)},
-		Members:     map[string]world.Member{"s-1": {ID: "s-1", Zone: "a", Weight: 1}, "s-2": {ID: "s-2", Zone: "b", Weight: 1}},
+		Servers:     map[string]world.Member{"s-1": {ID: "s-1", Zone: "a", Weight: 1}, "s-2": {ID: "s-2", Zone: "b", Weight: 1}},
 		AnswerSlack: 20 * ms, DrainGrace: 400 * ms, Tolerance: 50 * ms, ColdFrom: 0.2, WarmUp: 10 * time.Second, FallMultiple: 3,
-		FallWindow: time.Second, OriginFor: time.Second, Length: 10 * time.Second}
+		FallWindow: time.Second, OriginOverloadWindow: time.Second, Length: 10 * time.Second}
 }
 
 // run is a record with one node, which has been told of two servers, and requests added by hand.
@@ -167,7 +167,7 @@
 			r.further(a, 110*ms, func(b *seen.Attempt) { b.Answer = seen.Value })
 		}, ""},
 		{"two at once, and allowed", func(r *run) {
-			r.rules.Parallel = true
+			r.rules.ParallelAttempts = true
 			x, a := r.read("read")
 			a.AnsweredAt, x.AnsweredAt = 300*ms, 301*ms
 			r.further(a, 200*ms, func(b *seen.Attempt) { b.Server = "s-2" })
@@ -276,18 +276,18 @@
 			slices.SortStableFunc(r.rec.ListUpdates, func(a, b seen.ListUpdate) int { return int(a.At - b.At) })
 			v := Judge(&r.rec, r.rules, nil)
 			var got []string
-			for _, b := range v.Breaches {
-				if s := b.Rule + " " + b.What; !slices.Contains(got, s) {
+			for _, b := range v.Violations {
+				if s := b.Rule + " " + b.Kind; !slices.Contains(got, s) {
 					got = append(got, s)
 				}
-				if b.Request != "" && !strings.Contains(strings.Join(b.Story, "\n"), "client: try 1") {
-					t.Errorf("the story lacks the request's beginning: %q", b.Story)
+				if b.Request != "" && !strings.Contains(strings.Join(b.Timeline, "\n"), "client: try 1") {
+					t.Errorf("the story lacks the request's beginning: %q", b.Timeline)
 				}
 			}
 			if strings.Join(got, ", ") != c.wants {
 				t.Errorf("found %q, want %q", got, c.wants)
 			}
-			if v.Kept() != (c.wants == "") {
+			if v.Passed() != (c.wants == "") {
 				t.Error("Kept says something else")
 			}
 		})
@@ -330,7 +330,7 @@
 func TestService(t *testing.T) {
 	r := newRun()
 	r.rules.Tenants = []world.Tenant{{Name: "x"}, {Name: "y"}}
-	r.rules.OverWorth = 0.1
+	r.rules.OverQuotaWorth = 0.1
 	var plan []world.Arrival
 	add := func(tenant int, at, took time.Duration, change func(*seen.Try)) {
 		x, a := r.read("read")
@@ -352,8 +352,8 @@
 	again.ArrivalNumber, again.Number, again.SentAt, again.AnsweredAt, again.WaitsUntil = 4, 1, 5150*ms, 5250*ms, 6*time.Second
 	a.FirstByteAt, a.LastByteAt, a.AnsweredAt = 5151*ms, 5151*ms, 5249*ms
 	v := Judge(&r.rec, r.rules, plan)
-	if !v.Kept() {
-		t.Fatal(v.Breaches)
+	if !v.Passed() {
+		t.Fatal(v.Violations)
 	}
 	want := map[string]float64{"service": (1 + 0.5 + 1) / 5.1, "worst_tenant": 0, "asked": 6, "refused_share": 1.0 / 6, "failed_share": 2.0 / 6,
 		"attempts_per_request": 1, "tries": 6}
@@ -362,10 +362,10 @@
 			t.Errorf("%s is %v, want %v", name, got, w)
 		}
 	}
-	if x := v.Tenants["x"]; x.Asked != 3 || x.InTime != 2 || x.Late != 1 {
+	if x := v.Tenants["x"]; x.Arrivals != 3 || x.InTime != 2 || x.Late != 1 {
 		t.Errorf("%+v", x)
 	}
-	if s := v.Seconds[1]; s.Asked != 1 || s.Service != 0.5 || s.P50 < 399 || s.P50 > 401 {
+	if s := v.Seconds[1]; s.Arrivals != 1 || s.Service != 0.5 || s.P50 < 399 || s.P50 > 401 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -378,7 +378,7 @@
 		x.ExtraLine = "more"
 	}
 	v := Judge(&r.rec, r.rules, nil)
-	if v.Broken[OneAnswer] != 100 || len(v.Breaches) != mostBreaches {
-		t.Errorf("%d counted, %d told", v.Broken[OneAnswer], len(v.Breaches))
+	if v.ViolationCounts[OneAnswer] != 100 || len(v.Violations) != mostBreaches {
+		t.Errorf("%d counted, %d told", v.ViolationCounts[OneAnswer], len(v.Violations))
 	}
 }
--- a/lab/judge/rules.go
+++ b/lab/judge/rules.go
@@ -44,7 +44,7 @@
 func (c *court) oneAnswer(t *seen.Try) {
 	r := &c.rules
 	if t.ExtraLine != "" {
-		c.breach(OneAnswer, Twice, t.AnsweredAt, t, "", "beyond its answer came %q", t.ExtraLine)
+		c.breach(OneAnswer, ExtraAnswer, t.AnsweredAt, t, "", "beyond its answer came %q", t.ExtraLine)
 	}
 	limit := t.WaitsUntil + r.AnswerSlack + r.Tolerance
 	switch {
@@ -78,7 +78,7 @@
 func (c *court) toldTimes(t *seen.Try) {
 	for _, a := range c.attempts[t.ID] {
 		if over := a.RemainingTime - (t.WaitsUntil - a.FirstByteAt); a.FirstByteAt > 0 && t.SentAt > 0 && over > toldSlack+c.rules.Tolerance {
-			c.breach(OneAnswer, ToldTooMuch, a.FirstByteAt, t, a.Server, "an attempt told %v more than was left", over)
+			c.breach(OneAnswer, ExcessRemainingTime, a.FirstByteAt, t, a.Server, "an attempt told %v more than was left", over)
 		}
 	}
 }
@@ -142,8 +142,8 @@
 // pair looks at a further attempt b behind an earlier one, a, of one request.
 func (c *court) pair(t *seen.Try, class *world.Class, a, b *seen.Attempt) {
 	r := &c.rules
-	if over := a.EndedAt(); a.LastByteAt > 0 && b.LastByteAt > 0 && !a.ConnStateUnknown && !r.Parallel && (over == 0 || over > b.LastByteAt+r.Tolerance) {
-		c.breach(NoDouble, AtOnce, b.LastByteAt, t, b.Server, "an attempt came while that at %s was out on an open connection", a.Server)
+	if over := a.EndedAt(); a.LastByteAt > 0 && b.LastByteAt > 0 && !a.ConnStateUnknown && !r.ParallelAttempts && (over == 0 || over > b.LastByteAt+r.Tolerance) {
+		c.breach(NoDouble, ConcurrentAttempts, b.LastByteAt, t, b.Server, "an attempt came while that at %s was out on an open connection", a.Server)
 	}
 	// What had not been answered when b began may have run, as far as the node could know.
 	unsure := a.LastByteAt > 0 && (a.MayHaveRun() || a.AnsweredAt > b.FirstByteAt+r.Tolerance)
@@ -152,13 +152,13 @@
 	}
 	switch class.Effect {
 	case world.Unsafe:
-		c.breach(NoDouble, MayRepeat, b.LastByteAt, t, b.Server, "sent again though the attempt at %s, which ended with %v, may have run", a.Server, a.Answer)
+		c.breach(NoDouble, UnsafeRepeat, b.LastByteAt, t, b.Server, "sent again though the attempt at %s, which ended with %v, may have run", a.Server, a.Answer)
 	case world.Keyed:
 		if b.FirstByteAt > a.FirstByteAt+class.Window+r.Tolerance {
 			c.breach(NoDouble, PastWindow, b.FirstByteAt, t, b.Server, "a keyed repeat %v after the first attempt that may have run; the window is %v",
 				b.FirstByteAt-a.FirstByteAt, class.Window)
 		}
-		if x, y := r.Members[a.Server], r.Members[b.Server]; class.Scope != world.ScopeAll && (x.Zone != y.Zone || class.Scope == world.ScopeCell && x.Cell != y.Cell) {
+		if x, y := r.Servers[a.Server], r.Servers[b.Server]; class.Scope != world.ScopeAll && (x.Zone != y.Zone || class.Scope == world.ScopeCell && x.Cell != y.Cell) {
 			c.breach(NoDouble, PastWindow, b.FirstByteAt, t, b.Server, "a keyed repeat at a server that does not share %s's memory of repeats", a.Server)
 		}
 	}
@@ -175,7 +175,7 @@
 			continue // told by strangers
 		}
 		if f, again := first[t.ArrivalNumber]; again && !c.resentAfterKill(f, e) {
-			c.breach(NoDouble, Doubled, e.At, t, "", "took effect with receipt %s and again with %s, %v later", f.Receipt, e.Receipt, e.At-f.At)
+			c.breach(NoDouble, DoubledEffect, e.At, t, "", "took effect with receipt %s and again with %s, %v later", f.Receipt, e.Receipt, e.At-f.At)
 			continue
 		}
 		first[t.ArrivalNumber] = e
@@ -210,7 +210,7 @@
 		for _, p := range barred[[2]int{t.Node, t.Generation}][a.Server] {
 			limit := p.from + c.rules.DrainGrace + c.rules.Tolerance
 			if a.FirstByteAt > limit && (p.to == 0 || a.FirstByteAt < p.to) {
-				c.breach(Drains, ToDraining, a.FirstByteAt, t, a.Server, "a new attempt %v after the node was told that the server drains or is gone",
+				c.breach(Drains, SentToDraining, a.FirstByteAt, t, a.Server, "a new attempt %v after the node was told that the server drains or is gone",
 					a.FirstByteAt-p.from)
 			}
 		}
@@ -224,7 +224,7 @@
 		limit := h.From + c.rules.DrainGrace + c.rules.Tolerance
 		for _, a := range c.rec.Attempts {
 			if t := c.tries[a.Request]; t != nil && t.Node == h.Node && a.Server == h.Server && a.FirstByteAt > limit && (h.To == 0 || a.FirstByteAt < h.To) {
-				c.breach(Drains, ToBanned, a.FirstByteAt, t, a.Server, "a new attempt %v after the server was banned by hand", a.FirstByteAt-h.From)
+				c.breach(Drains, SentToBanned, a.FirstByteAt, t, a.Server, "a new attempt %v after the server was banned by hand", a.FirstByteAt-h.From)
 			}
 		}
 	}
@@ -250,7 +250,7 @@
 		phase[id] = p
 		list := out[id]
 		switch {
-		case p == world.Deleted && known && was == world.Serving && c.rules.Hold > 0:
+		case p == world.Deleted && known && was == world.Serving && c.rules.HoldTime > 0:
 			out[id] = append(list, phases{from: at, vanished: true})
 			vanished = append(vanished, at)
 		case p != world.Serving && (!known || was == world.Serving):
@@ -298,7 +298,7 @@
 				}
 			}
 			if together >= 2 && float64(together) > c.rules.HoldPart*float64(serving+together)/2 {
-				list[i].from += c.rules.Hold
+				list[i].from += c.rules.HoldTime
 			}
 		}
 	}
@@ -384,7 +384,7 @@
 			}
 			b.Slack = max(b.Slack, 2*a.Work)
 			if spent, marked := b.Add(a.LastByteAt, a.Work, a.Capacity, knows); spent && marked >= 2.0/3 {
-				c.breach(Cold, PushedOver, a.LastByteAt, t, s.Server,
+				c.breach(Cold, ColdOverload, a.LastByteAt, t, s.Server,
 					"a server that started %v before, at %.2f of %.2f seconds of work a second, got over %g times that for %v, %.0f%% of it from nodes that had been told",
 					a.LastByteAt-s.At, a.Capacity, s.Capacity, r.FallMultiple, r.FallWindow, 100*marked)
 				break
@@ -400,7 +400,7 @@
 	for _, stop := range c.rec.OriginStops {
 		sent, cold, reads, due := 0, 0, 0, 0.0
 		for _, a := range c.rec.Attempts {
-			if a.LastByteAt <= 0 || a.LastByteAt > stop.At || a.LastByteAt <= stop.At-r.OriginFor {
+			if a.LastByteAt <= 0 || a.LastByteAt > stop.At || a.LastByteAt <= stop.At-r.OriginOverloadWindow {
 				continue
 			}
 			if !a.Origin {
@@ -416,8 +416,8 @@
 		}
 		due = float64(reads) * c.dueToCold(stop.At)
 		if sent > 0 && float64(cold) > 0.3*float64(sent) && float64(cold) > 1.25*due {
-			c.breach(Cold, OriginStop, stop.At, nil, "", "of %d requests in %v, %d were misses at cold servers, to which %.0f reads were due",
-				sent, r.OriginFor, cold, due)
+			c.breach(Cold, OriginStopped, stop.At, nil, "", "of %d requests in %v, %d were misses at cold servers, to which %.0f reads were due",
+				sent, r.OriginOverloadWindow, cold, due)
 		}
 	}
 }
@@ -434,7 +434,7 @@
 	all, cold := 0.0, 0.0
 	for _, id := range sorted(last) {
 		s := last[id]
-		w := r.Members[id].Weight
+		w := r.Servers[id].Weight
 		if w <= 0 {
 			w = 1
 		}
@@ -451,13 +451,13 @@
 }
 
 // Summary is a breach as one line.
-func (b Breach) Summary() string {
-	parts := []string{b.Rule, b.What}
+func (b Violation) Summary() string {
+	parts := []string{b.Rule, b.Kind}
 	if b.Request != "" {
 		parts = append(parts, "request "+b.Request)
 	}
 	if b.Server != "" {
 		parts = append(parts, "server "+b.Server)
 	}
-	return strings.Join(parts, " ") + " at " + b.At.Round(time.Millisecond).String() + ": " + b.Why
+	return strings.Join(parts, " ") + " at " + b.At.Round(time.Millisecond).String() + ": " + b.Reason
 }
--- a/lab/judge/service.go
+++ b/lab/judge/service.go
@@ -13,34 +13,34 @@
 
 // Service is what a part of the traffic got.
 type Service struct {
-	Asked   int     `json:"asked"`     // wishes of clients, their retries folded in
-	InTime  int     `json:"in_time"`   // served within the aim
-	Late    int     `json:"late"`      // served after it
-	Refused int     `json:"refused"`   // whose last try was refused
-	Failed  int     `json:"failed"`    // whose last try failed, or had no answer
-	Worth   float64 `json:"worth"`     // asked for
-	Got     float64 `json:"worth_got"` // in time, and the part that late answers keep
-	Share   float64 `json:"service"`   // got over asked for
-	P50     float64 `json:"p50_ms"`    // of the served, from when they were due to the last byte
-	P99     float64 `json:"p99_ms"`    // -
-	P999    float64 `json:"p999_ms"`   // -
-	Max     float64 `json:"max_ms"`    // -
-	hist    *hdrhistogram.Histogram
+	Arrivals    int     `json:"asked"`     // wishes of clients, their retries folded in
+	InTime      int     `json:"in_time"`   // served within the aim
+	Late        int     `json:"late"`      // served after it
+	Refused     int     `json:"refused"`   // whose last try was refused
+	Failed      int     `json:"failed"`    // whose last try failed, or had no answer
+	Worth       float64 `json:"worth"`     // asked for
+	Earned      float64 `json:"worth_got"` // in time, and the part that late answers keep
+	EarnedShare float64 `json:"service"`   // got over asked for
+	P50         float64 `json:"p50_ms"`    // of the served, from when they were due to the last byte
+	P99         float64 `json:"p99_ms"`    // -
+	P999        float64 `json:"p999_ms"`   // -
+	Max         float64 `json:"max_ms"`    // -
+	hist        *hdrhistogram.Histogram
 }
 
 // Second is what happened in one second of the plan, by when wishes were due.
 type Second struct {
-	At       int     `json:"second"`
-	Asked    int     `json:"asked"`
-	Service  float64 `json:"service"`
-	Refused  int     `json:"refused"`
-	Attempts int     `json:"attempts"` // at caches and origin, by when they came
-	Origin   int     `json:"origin"`   // of those, at the origin
-	P50      float64 `json:"p50_ms"`
-	P99      float64 `json:"p99_ms"`
-	worth    float64
-	got      float64
-	hist     *hdrhistogram.Histogram
+	At             int     `json:"second"`
+	Arrivals       int     `json:"asked"`
+	Service        float64 `json:"service"`
+	Refused        int     `json:"refused"`
+	Attempts       int     `json:"attempts"` // at caches and origin, by when they came
+	OriginAttempts int     `json:"origin"`   // of those, at the origin
+	P50            float64 `json:"p50_ms"`
+	P99            float64 `json:"p99_ms"`
+	worth          float64
+	got            float64
+	hist           *hdrhistogram.Histogram
 }
 
 // worstSpan is the span of the worst stretch that is told.
@@ -51,17 +51,17 @@
 	return hdrhistogram.New(1, int64(100*time.Second/time.Microsecond), 3)
 }
 
-// Millis is a quantile of a histogram of microseconds, in ms.
-func Millis(h *hdrhistogram.Histogram, quantile float64) float64 {
+// QuantileMillis is a quantile of a histogram of microseconds, in ms.
+func QuantileMillis(h *hdrhistogram.Histogram, quantile float64) float64 {
 	return float64(h.ValueAtQuantile(quantile)) / 1000
 }
 
 func (s *Service) finish() {
-	if s.Share = 1; s.Worth > 0 {
-		s.Share = s.Got / s.Worth
+	if s.EarnedShare = 1; s.Worth > 0 {
+		s.EarnedShare = s.Earned / s.Worth
 	}
 	if s.hist != nil && s.hist.TotalCount() > 0 {
-		s.P50, s.P99, s.P999, s.Max = Millis(s.hist, 50), Millis(s.hist, 99), Millis(s.hist, 99.9), float64(s.hist.Max())/1000
+		s.P50, s.P99, s.P999, s.Max = QuantileMillis(s.hist, 50), QuantileMillis(s.hist, 99), QuantileMillis(s.hist, 99.9), float64(s.hist.Max())/1000
 	}
 }
 
@@ -88,7 +88,7 @@
 		class := &r.Classes[a.Class]
 		worth := class.Worth
 		if a.OverQuota {
-			worth *= r.OverWorth
+			worth *= r.OverQuotaWorth
 		}
 		list := c.wishes[a.N]
 		tries += len(list)
@@ -114,9 +114,9 @@
 			parts = append(parts, &tenants[a.Tenant])
 		}
 		for _, s := range parts {
-			s.Asked++
+			s.Arrivals++
 			s.Worth += worth
-			s.Got += got
+			s.Earned += got
 			switch {
 			case took > 0 && took <= class.Aim:
 				s.InTime++
@@ -132,7 +132,7 @@
 			}
 		}
 		s := at(a.At)
-		s.Asked++
+		s.Arrivals++
 		s.worth += worth
 		s.got += got
 		if took > 0 {
@@ -146,7 +146,7 @@
 		s := at(x.FirstByteAt)
 		s.Attempts++
 		if x.Origin {
-			s.Origin++
+			s.OriginAttempts++
 			origin++
 		}
 	}
@@ -156,30 +156,30 @@
 		if s.worth > 0 {
 			s.Service = s.got / s.worth
 		}
-		s.P50, s.P99 = Millis(s.hist, 50), Millis(s.hist, 99)
+		s.P50, s.P99 = QuantileMillis(s.hist, 50), QuantileMillis(s.hist, 99)
 	}
 	f := v.Figures
 	total.finish()
-	f["service"], f["worst_10s"], f["worst_class"], f["worst_tenant"] = total.Share, c.worst(), 1, 1
+	f["service"], f["worst_10s"], f["worst_class"], f["worst_tenant"] = total.EarnedShare, c.worst(), 1, 1
 	for i := range classes {
 		classes[i].finish()
 		v.Classes[r.Classes[i].Name] = classes[i]
-		if classes[i].Asked > 0 {
-			f["worst_class"] = math.Min(f["worst_class"], classes[i].Share)
+		if classes[i].Arrivals > 0 {
+			f["worst_class"] = math.Min(f["worst_class"], classes[i].EarnedShare)
 		}
 		f["p50_ms."+r.Classes[i].Name], f["p99_ms."+r.Classes[i].Name] = classes[i].P50, classes[i].P99
-		f["service."+r.Classes[i].Name] = classes[i].Share
+		f["service."+r.Classes[i].Name] = classes[i].EarnedShare
 	}
 	for i := range tenants {
 		tenants[i].finish()
 		v.Tenants[r.Tenants[i].Name] = tenants[i]
-		if tenants[i].Asked > 0 {
-			f["worst_tenant"] = math.Min(f["worst_tenant"], tenants[i].Share)
+		if tenants[i].Arrivals > 0 {
+			f["worst_tenant"] = math.Min(f["worst_tenant"], tenants[i].EarnedShare)
 		}
 	}
-	f["asked"], f["tries"] = float64(total.Asked), float64(tries)
+	f["asked"], f["tries"] = float64(total.Arrivals), float64(tries)
 	f["p50_ms"], f["p99_ms"], f["p999_ms"], f["max_ms"] = total.P50, total.P99, total.P999, total.Max
-	per := func(n int) float64 { return float64(n) / math.Max(1, float64(total.Asked)) }
+	per := func(n int) float64 { return float64(n) / math.Max(1, float64(total.Arrivals)) }
 	f["refused_share"], f["failed_share"], f["late_share"] = per(total.Refused), per(total.Failed), per(total.Late)
 	f["attempts_per_request"], f["origin_per_request"] = per(len(c.rec.Attempts)), per(origin)
 	for _, list := range c.attempts {
@@ -189,8 +189,8 @@
 	f["effects"] = float64(len(c.rec.Effects))
 	breaches := 0
 	for _, name := range RuleNames {
-		f["broken."+name] = float64(v.Broken[name])
-		breaches += v.Broken[name]
+		f["broken."+name] = float64(v.ViolationCounts[name])
+		breaches += v.ViolationCounts[name]
 	}
 	f["broken"] = float64(breaches)
 	c.added()
@@ -232,8 +232,8 @@
 	}
 	f := c.v.Figures
 	for name, q := range map[string]float64{"p50": 50, "p99": 99, "p999": 99.9} {
-		f["added_"+name+"_ms"] = Millis(both, q)
-		f["added_there_"+name+"_ms"], f["added_back_"+name+"_ms"] = Millis(there, q), Millis(back, q)
+		f["added_"+name+"_ms"] = QuantileMillis(both, q)
+		f["added_there_"+name+"_ms"], f["added_back_"+name+"_ms"] = QuantileMillis(there, q), QuantileMillis(back, q)
 	}
 }
 
@@ -254,8 +254,8 @@
 	f["node_cpu_s"] = cpu.Seconds()
 }
 
-// Line is the service in one line.
-func (s Service) Line() string {
+// Summary is the service in one line.
+func (s Service) Summary() string {
 	return fmt.Sprintf("service %.3f  asked %d  in time %d  late %d  refused %d  failed %d  p50 %.1f ms  p99 %.1f ms  p99.9 %.1f ms",
-		s.Share, s.Asked, s.InTime, s.Late, s.Refused, s.Failed, s.P50, s.P99, s.P999)
+		s.EarnedShare, s.Arrivals, s.InTime, s.Late, s.Refused, s.Failed, s.P50, s.P99, s.P999)
 }
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -38,9 +38,9 @@
 		{"median", func(s *judge.Second) float64 { return s.P50 }, blue},
 		{"99%", func(s *judge.Second) float64 { return s.P99 }, red}}},
 	{"attempts.png", "Requests, attempts and fetches by second", "a second", 0, []plotLine{
-		{"requests", func(s *judge.Second) float64 { return float64(s.Asked) }, grey},
+		{"requests", func(s *judge.Second) float64 { return float64(s.Arrivals) }, grey},
 		{"attempts", func(s *judge.Second) float64 { return float64(s.Attempts) }, blue},
-		{"at the origin", func(s *judge.Second) float64 { return float64(s.Origin) }, green},
+		{"at the origin", func(s *judge.Second) float64 { return float64(s.OriginAttempts) }, green},
 		{"refused", func(s *judge.Second) float64 { return float64(s.Refused) }, red}}},
 }
 
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -37,7 +37,7 @@
 	Verdict  string                   `json:"verdict"` // holds, falls_short, void or cut
 	Misses   []string                 `json:"misses"`  // what falls short, one line each
 	Rules    map[string]int           `json:"rules_broken"`
-	Breaches []judge.Breach           `json:"breaches"`
+	Breaches []judge.Violation        `json:"breaches"`
 	Figures  map[string]float64       `json:"figures"`
 	Classes  map[string]judge.Service `json:"classes"`
 	Tenants  map[string]judge.Service `json:"tenants"`
@@ -80,10 +80,10 @@
 func New(x *experiment.Experiment, command string, r *stage.Result) *Run {
 	misses, broken := x.Falls(r.Verdict)
 	out := &Run{Schema: Schema, Name: x.Name, File: x.Path, About: x.About, Seed: x.Seed, Seconds: x.Length.D().Seconds(),
-		Command: command, Verdict: Holds, Misses: []string{}, Rules: r.Verdict.Broken, Breaches: r.Verdict.Breaches, Figures: r.Verdict.Figures,
+		Command: command, Verdict: Holds, Misses: []string{}, Rules: r.Verdict.ViolationCounts, Breaches: r.Verdict.Violations, Figures: r.Verdict.Figures,
 		Classes: r.Verdict.Classes, Tenants: r.Verdict.Tenants, Series: r.Verdict.Seconds, Lab: r.Lab}
 	if out.Breaches == nil {
-		out.Breaches = []judge.Breach{}
+		out.Breaches = []judge.Violation{}
 	}
 	for _, b := range broken {
 		out.Misses = append(out.Misses, "rule "+b)
@@ -146,10 +146,10 @@
 	fmt.Fprintln(w, "rules    "+strings.Join(rules, ", "))
 	fmt.Fprintf(w, "service  %.4f  worst 10 s %.4f  worst class %.4f  worst tenant %.4f\n", f["service"], f["worst_10s"], f["worst_class"], f["worst_tenant"])
 	for _, name := range keys(r.Classes) {
-		fmt.Fprintf(w, "  %-14s %s\n", name, r.Classes[name].Line())
+		fmt.Fprintf(w, "  %-14s %s\n", name, r.Classes[name].Summary())
 	}
 	for _, name := range keys(r.Tenants) {
-		fmt.Fprintf(w, "  %-14s %s\n", name, r.Tenants[name].Line())
+		fmt.Fprintf(w, "  %-14s %s\n", name, r.Tenants[name].Summary())
 	}
 	fmt.Fprintf(w, "load     %.0f requests, %.3f attempts each, %.3f at the origin; refused %.4f, failed %.4f, late %.4f\n",
 		f["asked"], f["attempts_per_request"], f["origin_per_request"], f["refused_share"], f["failed_share"], f["late_share"])
@@ -168,11 +168,11 @@
 func (r *Run) broken(w io.Writer) {
 	told := map[string]int{}
 	for _, b := range r.Breaches {
-		if told[b.What]++; told[b.What] > mostStories {
+		if told[b.Kind]++; told[b.Kind] > mostStories {
 			continue
 		}
 		fmt.Fprintln(w, "\nbroken: "+b.Summary())
-		for _, l := range b.Story {
+		for _, l := range b.Timeline {
 			fmt.Fprintln(w, "  "+l)
 		}
 	}
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -53,10 +53,10 @@
 	x := &experiment.Experiment{Expects: []experiment.Expectation{{Figure: "service", Limit: 0.9, Line: "x.toml:3"}}}
 	x.Name = "x"
 	result := func(service float64, lab stage.Lab, cut bool, broken int) *stage.Result {
-		v := &judge.Verdict{Broken: map[string]int{judge.Drains: broken}, Figures: map[string]float64{"service": service},
+		v := &judge.Verdict{ViolationCounts: map[string]int{judge.Drains: broken}, Figures: map[string]float64{"service": service},
 			Seconds: []judge.Second{{At: 0, Service: service}, {At: 1, Service: 1}}}
 		if broken > 0 {
-			v.Breaches = []judge.Breach{{Rule: judge.Drains, What: judge.ToDraining, Why: "why", Story: []string{"a line"}}}
+			v.Violations = []judge.Violation{{Rule: judge.Drains, Kind: judge.SentToDraining, Reason: "why", Timeline: []string{"a line"}}}
 		}
 		return &stage.Result{Verdict: v, Record: &seen.Record{Events: []seen.Event{{At: time.Second, Text: "c1 <dies>"}}}, Lab: lab, Cut: cut}
 	}
--- a/lab/soak/oracle.go
+++ b/lab/soak/oracle.go
@@ -28,10 +28,10 @@
 			findings = append(findings, fmt.Sprintf(format, args...))
 		}
 	}
-	for i, b := range r.Verdict.Breaches {
+	for i, b := range r.Verdict.Violations {
 		add("%s", b.Summary())
 		if i == 0 { // all that was seen of its request
-			for _, line := range b.Story {
+			for _, line := range b.Timeline {
 				add("  %s", line)
 			}
 		}
@@ -78,8 +78,8 @@
 	asked, got := 0.0, 0.0
 	for _, s := range r.Verdict.Seconds {
 		if s.At >= from && time.Duration(s.At)*time.Second < length {
-			asked += float64(s.Asked)
-			got += float64(s.Asked) * s.Service
+			asked += float64(s.Arrivals)
+			got += float64(s.Arrivals) * s.Service
 		}
 	}
 	if asked == 0 {
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -81,7 +81,7 @@
 	worth, got := 0.0, 0.0
 	for _, c := range result.Verdict.Classes {
 		worth += c.Worth
-		got += c.Got
+		got += c.Earned
 	}
 	if worth > 0 {
 		o.Share = got / worth
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -71,11 +71,11 @@
 		"rule=send why=answered":     func(r *stage.Result) { r.Record.NodeProcesses[0].LogFile = log },
 		"ready within 10s: 0 of 1":   func(r *stage.Result) { r.Record.NodeProcesses[0].ReadyAt = 12 * time.Second },
 		"behind all troubles: 0.50":  func(r *stage.Result) { r.Verdict.Seconds[19].Service = 0 },
-		"one_answer lost at 3s: why": func(r *stage.Result) { r.Verdict.Breaches = append(r.Verdict.Breaches, breach()) },
+		"one_answer lost at 3s: why": func(r *stage.Result) { r.Verdict.Violations = append(r.Verdict.Violations, breach()) },
 	} {
 		r := &stage.Result{Verdict: &lawful.Verdict{Figures: map[string]float64{}}, Record: &seen.Record{NodeProcesses: []*seen.NodeProcess{{ReadyAt: time.Second}}}}
 		for i := range 20 {
-			r.Verdict.Seconds = append(r.Verdict.Seconds, lawful.Second{At: i, Asked: 100, Service: 0.99})
+			r.Verdict.Seconds = append(r.Verdict.Seconds, lawful.Second{At: i, Arrivals: 100, Service: 0.99})
 		}
 		r.Verdict.Seconds[18].Service, r.Verdict.Seconds[17].Service = 1, 0.5
 		r.Verdict.Seconds[19].Service = 1
@@ -87,6 +87,6 @@
 	}
 }
 
-func breach() lawful.Breach {
-	return lawful.Breach{Rule: lawful.OneAnswer, What: lawful.Lost, At: 3 * time.Second, Why: "why"}
+func breach() lawful.Violation {
+	return lawful.Violation{Rule: lawful.OneAnswer, Kind: lawful.Lost, At: 3 * time.Second, Reason: "why"}
 }
--- a/lab/stage/stage.go
+++ b/lab/stage/stage.go
@@ -398,7 +398,7 @@
 	h := s.load.SendDelays()
 	most, mean := s.Common.Late()
 	ms := func(d time.Duration) float64 { return math.Round(float64(d)/float64(time.Microsecond)) / 1000 }
-	r.Lab = Lab{SendP50: judge.Millis(h, 50), SendP99: judge.Millis(h, 99), SendMax: float64(h.Max()) / 1000,
+	r.Lab = Lab{SendP50: judge.QuantileMillis(h, 50), SendP99: judge.QuantileMillis(h, 99), SendMax: float64(h.Max()) / 1000,
 		StandMean: ms(mean), StandMax: ms(most), StallMax: ms(stall)}
 	tolerance := s.rules.Tolerance
 	switch {
