--- a/cmd/lapislab/commands.go
+++ b/cmd/lapislab/commands.go
@@ -129,7 +129,7 @@
 		return nil
 	case report.Void:
 		return errStatus(statusVoid)
-	case report.Cut:
+	case report.Interrupted:
 		return errStatus(statusCut)
 	}
 	return errStatus(statusShort)
@@ -184,7 +184,7 @@
 			if pairs < 1 || pairs > 1000 {
 				return fmt.Errorf("--pairs %d: 1 to 1000 are allowed", pairs)
 			}
-			p := &report.Pair{Schema: report.Schema, A: a, B: b, Level: report.Confidence}
+			p := &report.Comparison{Schema: report.Schema, CommandA: a, CommandB: b, Confidence: report.ConfidenceLevel}
 			dir, done, err := s.place()
 			if err != nil {
 				return err
@@ -220,7 +220,7 @@
 					if runs[side], err = playSound(c.Context(), x, stage.Options{Command: command, Dir: sub, Progress: s.progress(prefix)}); err != nil {
 						return err
 					}
-					cut = cut || runs[side].Verdict == report.Cut
+					cut = cut || runs[side].Verdict == report.Interrupted
 				}
 				if cut {
 					break
@@ -384,7 +384,7 @@
 				return err
 			}
 			out := report.New(x, "model", &stage.Result{Verdict: r.Verdict, Record: r.Record})
-			out.Model = true
+			out.VirtualTime = true
 			out.Text(c.OutOrStdout())
 			if err := write(out, jsonTo, htmlTo, pngTo); err != nil {
 				return err
--- a/cmd/lapislab/lapislab_test.go
+++ b/cmd/lapislab/lapislab_test.go
@@ -126,10 +126,10 @@
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".toml"), func(t *testing.T) {
 			t.Parallel()
 			if r := verdictOf(t, file, "--short"); r.Verdict != report.Holds {
-				for _, b := range r.Breaches {
+				for _, b := range r.Violations {
 					t.Logf("%s\n  %s", b.Summary(), strings.Join(b.Timeline, "\n  "))
 				}
-				t.Errorf("%s: %q", r.Verdict, r.Misses)
+				t.Errorf("%s: %q", r.Verdict, r.Shortfalls)
 			}
 		})
 	}
@@ -215,14 +215,14 @@
 				t.Fatal(err)
 			}
 			once, _ := clean.LoadOrStore(c.with, sync.OnceFunc(func() {
-				if r := verdictOf(t, file); len(r.Breaches) > 0 {
-					t.Errorf("found without the mistake: %s", r.Breaches[0].Summary())
+				if r := verdictOf(t, file); len(r.Violations) > 0 {
+					t.Errorf("found without the mistake: %s", r.Violations[0].Summary())
 				}
 			}))
 			once.(func())()
 			r := verdictOf(t, file, "--node", plant(t, dir, c.file, c.from, c.to))
-			if !slices.ContainsFunc(r.Breaches, func(b judge.Violation) bool { return b.Rule == c.rule && b.Kind == c.what }) || r.Verdict != report.FallsShort {
-				t.Errorf("not found: %s, %v", r.Verdict, r.Rules)
+			if !slices.ContainsFunc(r.Violations, func(b judge.Violation) bool { return b.Rule == c.rule && b.Kind == c.what }) || r.Verdict != report.FallsShort {
+				t.Errorf("not found: %s, %v", r.Verdict, r.ViolationCounts)
 			}
 		})
 	}
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -57,9 +57,9 @@
 		g.Y.Min = 0
 		g.Legend.Top = true
 		for _, l := range p.lines {
-			xy := make(plotter.XYs, len(r.Series))
-			for i := range r.Series {
-				xy[i].X, xy[i].Y = float64(r.Series[i].At)+0.5, l.value(&r.Series[i])
+			xy := make(plotter.XYs, len(r.BySecond))
+			for i := range r.BySecond {
+				xy[i].X, xy[i].Y = float64(r.BySecond[i].At)+0.5, l.value(&r.BySecond[i])
 			}
 			drawn, err := plotter.NewLine(xy)
 			if err != nil {
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -26,25 +26,25 @@
 
 // Run is a run's report.
 type Run struct {
-	Schema   string                   `json:"schema"`
-	Name     string                   `json:"experiment"`
-	File     string                   `json:"file"`
-	About    string                   `json:"about"`
-	Seed     uint64                   `json:"seed"`
-	Seconds  float64                  `json:"length_s"`
-	Command  string                   `json:"command"`
-	Model    bool                     `json:"virtual_time"`
-	Verdict  string                   `json:"verdict"` // holds, falls_short, void or cut
-	Misses   []string                 `json:"misses"`  // what falls short, one line each
-	Rules    map[string]int           `json:"rules_broken"`
-	Breaches []judge.Violation        `json:"breaches"`
-	Figures  map[string]float64       `json:"figures"`
-	Classes  map[string]judge.Service `json:"classes"`
-	Tenants  map[string]judge.Service `json:"tenants"`
-	Series   []judge.Second           `json:"by_second"`
-	Events   []Event                  `json:"events"`
-	Lab      stage.Lab                `json:"lab"`
-	Nodes    []Life                   `json:"nodes"`
+	Schema          string                   `json:"schema"`
+	Name            string                   `json:"experiment"`
+	File            string                   `json:"file"`
+	About           string                   `json:"about"`
+	Seed            uint64                   `json:"seed"`
+	Seconds         float64                  `json:"length_s"`
+	Command         string                   `json:"command"`
+	VirtualTime     bool                     `json:"virtual_time"`
+	Verdict         string                   `json:"verdict"` // holds, falls_short, void or cut
+	Shortfalls      []string                 `json:"misses"`  // what falls short, one line each
+	ViolationCounts map[string]int           `json:"rules_broken"`
+	Violations      []judge.Violation        `json:"breaches"`
+	Figures         map[string]float64       `json:"figures"`
+	Classes         map[string]judge.Service `json:"classes"`
+	Tenants         map[string]judge.Service `json:"tenants"`
+	BySecond        []judge.Second           `json:"by_second"`
+	Events          []Event                  `json:"events"`
+	Lab             stage.Lab                `json:"lab"`
+	Nodes           []NodeProcess            `json:"nodes"`
 }
 
 // Event is something that happened to the deployment.
@@ -53,57 +53,57 @@
 	Text string  `json:"text"`
 }
 
-// Life is a node's process.
-type Life struct {
-	Node     int     `json:"node"`
-	Life     int     `json:"life"`
-	Start    float64 `json:"start_s"`
-	Ready    float64 `json:"ready_s"`
-	End      float64 `json:"end_s"`
-	Status   string  `json:"status"`
-	Killed   bool    `json:"killed_by_plan"`
-	MemoryMB float64 `json:"memory_mb"`
-	Descs    int     `json:"descriptors"`
-	CPU      float64 `json:"cpu_s"`
-	Log      string  `json:"log"`
+// NodeProcess is a node's process.
+type NodeProcess struct {
+	Node        int     `json:"node"`
+	Generation  int     `json:"life"`
+	StartedAt   float64 `json:"start_s"`
+	ReadyAt     float64 `json:"ready_s"`
+	EndedAt     float64 `json:"end_s"`
+	ExitStatus  string  `json:"status"`
+	Killed      bool    `json:"killed_by_plan"`
+	MemoryMB    float64 `json:"memory_mb"`
+	Descriptors int     `json:"descriptors"`
+	CPU         float64 `json:"cpu_s"`
+	Log         string  `json:"log"`
 }
 
 // Verdicts.
 const (
-	Holds      = "holds"
-	FallsShort = "falls_short"
-	Void       = "void"
-	Cut        = "cut"
+	Holds       = "holds"
+	FallsShort  = "falls_short"
+	Void        = "void"
+	Interrupted = "cut"
 )
 
 // New makes the report of a run.
 func New(x *experiment.Experiment, command string, r *stage.Result) *Run {
 	misses, broken := x.Falls(r.Verdict)
 	out := &Run{Schema: Schema, Name: x.Name, File: x.Path, About: x.About, Seed: x.Seed, Seconds: x.Length.D().Seconds(),
-		Command: command, Verdict: Holds, Misses: []string{}, Rules: r.Verdict.ViolationCounts, Breaches: r.Verdict.Violations, Figures: r.Verdict.Figures,
-		Classes: r.Verdict.Classes, Tenants: r.Verdict.Tenants, Series: r.Verdict.Seconds, Lab: r.Lab}
-	if out.Breaches == nil {
-		out.Breaches = []judge.Violation{}
+		Command: command, Verdict: Holds, Shortfalls: []string{}, ViolationCounts: r.Verdict.ViolationCounts, Violations: r.Verdict.Violations, Figures: r.Verdict.Figures,
+		Classes: r.Verdict.Classes, Tenants: r.Verdict.Tenants, BySecond: r.Verdict.Seconds, Lab: r.Lab}
+	if out.Violations == nil {
+		out.Violations = []judge.Violation{}
 	}
 	for _, b := range broken {
-		out.Misses = append(out.Misses, "rule "+b)
+		out.Shortfalls = append(out.Shortfalls, "rule "+b)
 	}
 	for _, m := range misses {
-		out.Misses = append(out.Misses, m.String())
+		out.Shortfalls = append(out.Shortfalls, m.String())
 	}
 	switch {
 	case r.Cut:
-		out.Verdict = Cut
+		out.Verdict = Interrupted
 	case r.Lab.Void != "":
 		out.Verdict = Void
-	case len(out.Misses) > 0:
+	case len(out.Shortfalls) > 0:
 		out.Verdict = FallsShort
 	}
 	for _, m := range r.Record.Events {
 		out.Events = append(out.Events, Event{seconds(m.At), m.Text})
 	}
 	for _, l := range r.Record.NodeProcesses {
-		out.Nodes = append(out.Nodes, Life{l.Node + 1, l.Generation, seconds(l.StartedAt), seconds(l.ReadyAt), seconds(l.EndedAt), l.ExitStatus, l.Killed,
+		out.Nodes = append(out.Nodes, NodeProcess{l.Node + 1, l.Generation, seconds(l.StartedAt), seconds(l.ReadyAt), seconds(l.EndedAt), l.ExitStatus, l.Killed,
 			math.Round(float64(l.PeakMemory)/(1<<20)*10) / 10, l.PeakDescriptors, l.CPU.Seconds(), filepath.Base(l.LogFile)})
 	}
 	return out
@@ -125,11 +125,11 @@
 func (r *Run) Text(w io.Writer) {
 	f := r.Figures
 	where := "bench on loopback"
-	if r.Model {
+	if r.VirtualTime {
 		where = "simulated servers"
 	}
 	fmt.Fprintf(w, "%s: %s  (seed %d, %g s, %s)\n", r.Name, r.Verdict, r.Seed, r.Seconds, where)
-	for _, m := range r.Misses {
+	for _, m := range r.Shortfalls {
 		fmt.Fprintln(w, "  "+m)
 	}
 	if r.Lab.Void != "" {
@@ -138,7 +138,7 @@
 	var rules []string
 	for _, name := range judge.RuleNames {
 		word := "kept"
-		if n := r.Rules[name]; n > 0 {
+		if n := r.ViolationCounts[name]; n > 0 {
 			word = fmt.Sprintf("BROKEN %d times", n)
 		}
 		rules = append(rules, name+" "+word)
@@ -153,7 +153,7 @@
 	}
 	fmt.Fprintf(w, "load     %.0f requests, %.3f attempts each, %.3f at the origin; refused %.4f, failed %.4f, late %.4f\n",
 		f["asked"], f["attempts_per_request"], f["origin_per_request"], f["refused_share"], f["failed_share"], f["late_share"])
-	if r.Model {
+	if r.VirtualTime {
 		r.broken(w)
 		return
 	}
@@ -167,7 +167,7 @@
 // broken tells the breaches with their stories.
 func (r *Run) broken(w io.Writer) {
 	told := map[string]int{}
-	for _, b := range r.Breaches {
+	for _, b := range r.Violations {
 		if told[b.Kind]++; told[b.Kind] > mostStories {
 			continue
 		}
@@ -214,18 +214,18 @@
 
 // Difference is one figure of two builds or settings, over paired runs: each pair has the same plan.
 type Difference struct {
-	Figure string    `json:"figure"`
-	A      []float64 `json:"a"`
-	B      []float64 `json:"b"`
-	MeanA  float64   `json:"mean_a"`
-	MeanB  float64   `json:"mean_b"`
-	Mean   float64   `json:"difference"` // b less a
-	Half   float64   `json:"half_width"` // of the confidence interval
-	Clear  bool      `json:"clear"`      // the interval does not hold 0
+	Figure         string    `json:"figure"`
+	A              []float64 `json:"a"`
+	B              []float64 `json:"b"`
+	MeanA          float64   `json:"mean_a"`
+	MeanB          float64   `json:"mean_b"`
+	MeanDifference float64   `json:"difference"` // b less a
+	HalfWidth      float64   `json:"half_width"` // of the confidence interval
+	Significant    bool      `json:"clear"`      // the interval does not hold 0
 }
 
-// Confidence is the level of the intervals.
-const Confidence = 0.95
+// ConfidenceLevel is the level of the intervals.
+const ConfidenceLevel = 0.95
 
 // Compare sets two series of runs side by side; the interval is Student's, over the differences of the pairs.
 func Compare(a, b []*Run, figure string) Difference {
@@ -237,42 +237,42 @@
 		diffs = append(diffs, y-x)
 	}
 	d.MeanA, d.MeanB = stat.Mean(d.A, nil), stat.Mean(d.B, nil)
-	d.Mean, d.Half = Interval(diffs)
-	d.Clear = len(diffs) > 1 && math.Abs(d.Mean) > d.Half
+	d.MeanDifference, d.HalfWidth = ConfidenceInterval(diffs)
+	d.Significant = len(diffs) > 1 && math.Abs(d.MeanDifference) > d.HalfWidth
 	return d
 }
 
-// Interval is the mean of a sample and half the width of its confidence interval; with under two values that is NaN.
-func Interval(sample []float64) (mean, half float64) {
+// ConfidenceInterval is the mean of a sample and half the width of its confidence interval; with under two values that is NaN.
+func ConfidenceInterval(sample []float64) (mean, half float64) {
 	mean = stat.Mean(sample, nil)
 	if len(sample) < 2 {
 		return mean, math.NaN()
 	}
 	n := float64(len(sample))
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(1 - (1-Confidence)/2)
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(1 - (1-ConfidenceLevel)/2)
 	return mean, t * stat.StdDev(sample, nil) / math.Sqrt(n)
 }
 
-// Pair is the report of a comparison.
-type Pair struct {
+// Comparison is the report of a comparison.
+type Comparison struct {
 	Schema      string       `json:"schema"`
 	Name        string       `json:"experiment"`
-	A           string       `json:"command_a"`
-	B           string       `json:"command_b"`
+	CommandA    string       `json:"command_a"`
+	CommandB    string       `json:"command_b"`
 	Seeds       []uint64     `json:"seeds"`
-	Level       float64      `json:"confidence"`
+	Confidence  float64      `json:"confidence"`
 	Differences []Difference `json:"differences"`
 	RunsA       []*Run       `json:"runs_a"`
 	RunsB       []*Run       `json:"runs_b"`
 }
 
 // JSON writes the comparison's stable form. JSON knows no NaN: an interval of one pair has no width.
-func (p *Pair) JSON(w io.Writer) error {
+func (p *Comparison) JSON(w io.Writer) error {
 	c := *p
 	c.Differences = slices.Clone(p.Differences)
 	for i := range c.Differences {
-		if math.IsNaN(c.Differences[i].Half) {
-			c.Differences[i].Half = -1
+		if math.IsNaN(c.Differences[i].HalfWidth) {
+			c.Differences[i].HalfWidth = -1
 		}
 	}
 	e := json.NewEncoder(w)
@@ -281,19 +281,19 @@
 }
 
 // Text writes the comparison for a person.
-func (p *Pair) Text(w io.Writer) {
-	fmt.Fprintf(w, "%s: %d pairs, bench on loopback\na: %s\nb: %s\n", p.Name, len(p.Seeds), p.A, p.B)
+func (p *Comparison) Text(w io.Writer) {
+	fmt.Fprintf(w, "%s: %d pairs, bench on loopback\na: %s\nb: %s\n", p.Name, len(p.Seeds), p.CommandA, p.CommandB)
 	fmt.Fprintf(w, "%-24s %12s %12s %12s %12s\n", "figure", "a", "b", "b - a", "+- at 95%")
 	for _, d := range p.Differences {
 		mark := ""
-		if d.Clear {
+		if d.Significant {
 			mark = "  *"
 		}
-		fmt.Fprintf(w, "%-24s %12.4f %12.4f %+12.4f %12.4f%s\n", d.Figure, d.MeanA, d.MeanB, d.Mean, d.Half, mark)
+		fmt.Fprintf(w, "%-24s %12.4f %12.4f %+12.4f %12.4f%s\n", d.Figure, d.MeanA, d.MeanB, d.MeanDifference, d.HalfWidth, mark)
 	}
 	for _, runs := range [][]*Run{p.RunsA, p.RunsB} {
 		for _, r := range runs {
-			for _, b := range r.Breaches {
+			for _, b := range r.Violations {
 				fmt.Fprintf(w, "broken (%s, seed %d): %s\n", r.Command, r.Seed, b.Summary())
 			}
 		}
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -18,11 +18,11 @@
 
 // Student's interval against a worked example: mean 5, standard deviation 1.58, n 5, t 2.776.
 func TestInterval(t *testing.T) {
-	mean, half := Interval([]float64{3, 4, 5, 6, 7})
+	mean, half := ConfidenceInterval([]float64{3, 4, 5, 6, 7})
 	if mean != 5 || math.Abs(half-1.9632) > 1e-3 {
 		t.Errorf("%v +- %v", mean, half)
 	}
-	if _, half := Interval([]float64{3}); !math.IsNaN(half) {
+	if _, half := ConfidenceInterval([]float64{3}); !math.IsNaN(half) {
 		t.Errorf("one value has the interval %v", half)
 	}
 }
@@ -36,14 +36,14 @@
 	}
 	// The pairs differ much from each other and little within: pairing finds what the means alone would not.
 	d := Compare(runs(0.1, 0.5, 0.9, 0.3), runs(0.12, 0.52, 0.92, 0.32), "service")
-	if math.Abs(d.Mean-0.02) > 1e-9 || !d.Clear {
+	if math.Abs(d.MeanDifference-0.02) > 1e-9 || !d.Significant {
 		t.Errorf("%+v", d)
 	}
-	if d = Compare(runs(0.1, 0.5, 0.9, 0.3), runs(0.3, 0.4, 0.95, 0.2), "service"); d.Clear {
+	if d = Compare(runs(0.1, 0.5, 0.9, 0.3), runs(0.3, 0.4, 0.95, 0.2), "service"); d.Significant {
 		t.Errorf("noise is taken for a difference: %+v", d)
 	}
 	var out bytes.Buffer
-	one := &Pair{Seeds: []uint64{1}, Differences: []Difference{Compare(runs(1), runs(2), "service")}}
+	one := &Comparison{Seeds: []uint64{1}, Differences: []Difference{Compare(runs(1), runs(2), "service")}}
 	if err := one.JSON(&out); err != nil {
 		t.Error(err)
 	}
@@ -68,7 +68,7 @@
 		{result(0.85, stage.Lab{}, false, 0), FallsShort},
 		{result(0.95, stage.Lab{}, false, 1), FallsShort},
 		{result(0.85, stage.Lab{Void: "late"}, false, 0), Void},
-		{result(0.85, stage.Lab{Void: "late"}, true, 0), Cut},
+		{result(0.85, stage.Lab{Void: "late"}, true, 0), Interrupted},
 	} {
 		r := New(x, "node", c.r)
 		if r.Verdict != c.want {
