--- a/cmd/lapisshelf/crossings_test.go
+++ b/cmd/lapisshelf/crossings_test.go
@@ -31,7 +31,7 @@
 		all = append(all, cl)
 	}
 	ask(0)
-	eventually(t, "it is out", func() bool { return len(c.Lines()) == 1 })
+	eventually(t, "it is out", func() bool { return len(c.Commands()) == 1 })
 	ask(1)
 	n.signal(syscall.SIGTERM)
 	kill := time.AfterFunc(3700*time.Millisecond, func() { n.signal(syscall.SIGKILL) })
@@ -148,7 +148,7 @@
 			eventually(t, "it is out", func() bool { w.n.signal(syscall.SIGUSR1); return strings.Contains(w.n.log(), " attempts=1 ") })
 			w.n.still(func() { // its connection ends in the turn of the signal
 				for _, c := range w.caches {
-					c.HangUp()
+					c.CloseConns()
 				}
 				term(w)
 			})
@@ -217,8 +217,8 @@
 						if first == "the request" {
 							ask(i)
 						}
-						c.HangUp()
-						eventually(t, "it has closed", func() bool { open, _ := c.Conns(); return open == 0 })
+						c.CloseConns()
+						eventually(t, "it has closed", func() bool { open, _ := c.ConnCounts(); return open == 0 })
 						if first == "the end" {
 							ask(i)
 						}
@@ -228,7 +228,7 @@
 				}
 				cl.want(fmt.Sprintf("VA 1 O%d", i), "v")
 			}
-			if got := c.Lines(); len(got) != 6 {
+			if got := c.Commands(); len(got) != 6 {
 				t.Errorf("the server was sent %q", got)
 			}
 		})
@@ -253,7 +253,7 @@
 	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), nil)
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=700\r\n")
-	eventually(t, "it is out", func() bool { return len(c.Lines()) == 1 })
+	eventually(t, "it is out", func() bool { return len(c.Commands()) == 1 })
 	n.still(func() { close(gate); time.Sleep(800 * time.Millisecond) })
 	if line, _ := cl.answer(); !strings.HasPrefix(line, "VA 1 O1") && !strings.HasPrefix(line, "SERVER_ERROR ") {
 		t.Errorf("%q", line)
--- a/cmd/lapisshelf/descriptors_test.go
+++ b/cmd/lapisshelf/descriptors_test.go
@@ -87,10 +87,10 @@
 					c["settings"].(map[string]any)["FamilyInfo"] = map[string]any{"Mode": "through", "OriginKind": -1}
 				})
 				if outage == "refused" {
-					if err := d.Refuse(true); err != nil {
+					if err := d.RefuseConns(true); err != nil {
 						t.Fatal(err)
 					}
-					d.Down(true)
+					d.SetDown(true)
 				} else {
 					d.Cut(0, true)
 				}
@@ -101,10 +101,10 @@
 				})
 				d.Replace(serving("s-2", two.Addr(), "m2"))
 				revision, _ := d.Members()
-				if err := d.Refuse(false); err != nil {
+				if err := d.RefuseConns(false); err != nil {
 					t.Fatal(err)
 				}
-				d.Down(false)
+				d.SetDown(false)
 				d.Cut(0, false)
 				eventually(t, "the change is applied", func() bool {
 					n.signal(syscall.SIGUSR1)
@@ -117,14 +117,14 @@
 						}
 					}
 				}
-				before, asked := len(one.Lines()), 0
+				before, asked := len(one.Commands()), 0
 				for served := range asks {
 					eventually(t, fmt.Sprintf("request %d is served", served), func() bool {
 						asked++
 						return once(t, n.addr, fmt.Sprintf("good%d", asked))
 					})
 				}
-				if got := len(one.Lines()) - before; got > 0 {
+				if got := len(one.Commands()) - before; got > 0 {
 					t.Errorf("%d requests went to the server that left", got)
 				}
 				next, nextControl := n.successor(nil)
--- a/cmd/lapisshelf/harness_test.go
+++ b/cmd/lapisshelf/harness_test.go
@@ -91,7 +91,7 @@
 // startCaches starts one that has a script for each connection.
 func startCaches(t *testing.T, scripts func() standin.Script) *standin.Cache {
 	t.Helper()
-	c, err := standin.NewCache(common(), standin.CacheOptions{Addr: "127.0.0.1:0", Scripts: scripts})
+	c, err := standin.NewCache(common(), standin.CacheOptions{Addr: "127.0.0.1:0", NewScript: scripts})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 
 func startDiscovery(t *testing.T, list ...world.Member) discovery {
 	t.Helper()
-	l, err := standin.NewList(common(), standin.ListOptions{Addr: "127.0.0.1:0", Nodes: 1, Whole: true}, list...)
+	l, err := standin.NewList(common(), standin.ListOptions{Addr: "127.0.0.1:0", Nodes: 1, SnapshotsOnly: true}, list...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 	return discovery{l}
 }
 
-func (d discovery) asked() []string { return d.Asked(0) }
+func (d discovery) asked() []string { return d.SinceValues(0) }
 
 // process is the built program, running.
 type process struct {
@@ -340,6 +340,6 @@
 func deaf(t *testing.T) string {
 	t.Helper()
 	c := startCache(t, silent)
-	c.Silence(true)
+	c.SetSilent(true)
 	return c.Addr()
 }
--- a/cmd/lapisshelf/leave_test.go
+++ b/cmd/lapisshelf/leave_test.go
@@ -44,7 +44,7 @@
 // sent are the ids of the requests that caches were sent.
 func sent(caches ...*standin.Cache) (ids []string) {
 	for _, c := range caches {
-		for _, line := range c.Lines() {
+		for _, line := range c.Commands() {
 			ids = append(ids, opaque(line)[1:])
 		}
 	}
@@ -56,7 +56,7 @@
 func (n *process) warm(caches ...*standin.Cache) {
 	n.t.Helper()
 	cl := n.dial()
-	for i := 0; slices.ContainsFunc(caches, func(c *standin.Cache) bool { return len(c.Lines()) == 0 }); i++ {
+	for i := 0; slices.ContainsFunc(caches, func(c *standin.Cache) bool { return len(c.Commands()) == 0 }); i++ {
 		if i == 200 {
 			n.t.Fatal("a cache is never asked")
 		}
@@ -128,7 +128,7 @@
 					})
 					first, gone, stays := n.dial(), n.dial(), n.dial()
 					first.send("mg k-1 v Ofirst Pc=read,d=20000\r\n")
-					eventually(t, "it is out", func() bool { return len(c.Lines()) == 1 })
+					eventually(t, "it is out", func() bool { return len(c.Commands()) == 1 })
 					gone.send("mg k-2 v Ogone Pc=read,d=20000\r\n")
 					n.counted(" taken=2 ")
 					stays.send("mg k-3 v Ostays Pc=read,d=20000\r\n")
--- a/cmd/lapisshelf/node_test.go
+++ b/cmd/lapisshelf/node_test.go
@@ -63,7 +63,7 @@
 	cl.send("ms other 5 O1c Pc=put,t=acme,d=2500,k=5c0f\r\nhello\r\n")
 	cl.want("HD O1c cR77", "")
 
-	got := c.Lines()
+	got := c.Commands()
 	m := regexp.MustCompile(`^mg held v O1a Pc=read,t=acme,d=(\d+),z=9 q$`).FindStringSubmatch(got[0])
 	if m == nil {
 		t.Fatalf("the cache was sent %q", got[0])
@@ -71,7 +71,7 @@
 	if d, _ := strconv.Atoi(m[1]); d <= 0 || d >= 480 {
 		t.Errorf("d=%d went on where the client waits 480", d)
 	}
-	asked := o.Lines()
+	asked := o.Requests()
 	for i, line := range asked {
 		at := regexp.MustCompile(`,d=(\d+)`).FindStringSubmatchIndex(line)
 		if at == nil {
@@ -208,7 +208,7 @@
 	body := strings.Repeat("\r\n", 32<<10)
 	cl.send("ms k 65536 O1 Pc=put,d=2500,k=1\r\n" + body + "\r\n")
 	cl.want("HD O1 cR", "")
-	if r := o.Lines(); len(r) != 1 || !strings.HasSuffix(r[0], " "+body) {
+	if r := o.Requests(); len(r) != 1 || !strings.HasSuffix(r[0], " "+body) {
 		t.Errorf("the origin did not get the value as it came (%d)", got.Load())
 	}
 }
@@ -256,8 +256,8 @@
 			cl.want(fmt.Sprintf("VA 1 O9%d", i), "v")
 		})
 	}
-	if len(c.Lines()) != 15 {
-		t.Errorf("the cache was sent %q", c.Lines())
+	if len(c.Commands()) != 15 {
+		t.Errorf("the cache was sent %q", c.Commands())
 	}
 }
 
@@ -357,8 +357,8 @@
 			t.Errorf("%d bytes of answers", len(got))
 		}
 	}
-	if len(c.Lines()) > 0 {
-		t.Errorf("the cache was sent %q", c.Lines())
+	if len(c.Commands()) > 0 {
+		t.Errorf("the cache was sent %q", c.Commands())
 	}
 }
 
@@ -371,7 +371,7 @@
 	}{
 		{name: "refuses connections", addr: refusing(t)},
 		{name: "never lets a connection come up", addr: deaf(t)},
-		{name: "ends the connection", reply: func(string, []byte) string { return standin.ClosesIt }},
+		{name: "ends the connection", reply: func(string, []byte) string { return standin.CloseConn }},
 		{name: "is busy", reply: func(string, []byte) string { return "SERVER_ERROR busy\r\n" }},
 		{name: "fails", reply: func(string, []byte) string { return "SERVER_ERROR failed\r\n" }},
 		{name: "talks nonsense", reply: func(string, []byte) string { return "hello\r\n" }},
@@ -399,7 +399,7 @@
 				cl.send(fmt.Sprintf("mg key%d v O%d Pc=read,d=2500\r\n", i, i))
 				cl.want(fmt.Sprintf("VA 1 O%d", i), "v")
 			}
-			if x.reply != nil && len(bad.Lines()) == 0 {
+			if x.reply != nil && len(bad.Commands()) == 0 {
 				t.Error("the bad cache was never asked: nothing was tried")
 			}
 			// An attempt that was given up has closed its connection.
@@ -407,7 +407,7 @@
 				if bad == nil {
 					return true
 				}
-				open, _ := bad.Conns()
+				open, _ := bad.ConnCounts()
 				return open == 0 || x.name == "is busy" || x.name == "fails"
 			})
 		})
@@ -421,7 +421,7 @@
 		asked := 0
 		return func(line string, v []byte) string {
 			if asked++; asked > 1 && cutting.Load() {
-				return standin.ClosesIt
+				return standin.CloseConn
 			}
 			time.Sleep(20 * time.Millisecond)
 			return holding("v")(line, v)
@@ -478,8 +478,8 @@
 				cl.send(fmt.Sprintf("mg key%d v O%d Pc=read,d=2500\r\n", i, i))
 				cl.want(fmt.Sprintf("VA %d O%d", len(fmt.Sprintf("key%d", i)), i), fmt.Sprintf("key%d", i))
 			}
-			if len(c.Lines()) != 20 {
-				t.Errorf("sent %d times", len(c.Lines()))
+			if len(c.Commands()) != 20 {
+				t.Errorf("sent %d times", len(c.Commands()))
 			}
 		})
 	}
@@ -556,7 +556,7 @@
 			if line, _ := cl.answer(); !strings.HasPrefix(line, x.answer) {
 				t.Errorf("answered %q, want %q", line, x.answer)
 			}
-			if got := len(o.Lines()); got == 0 || got > x.maximum {
+			if got := len(o.Requests()); got == 0 || got > x.maximum {
 				t.Errorf("the origin was asked %d times", got)
 			}
 		})
@@ -570,10 +570,10 @@
 	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), nil)
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=3000\r\n")
-	eventually(t, "the read is out", func() bool { return len(c.Lines()) == 1 })
+	eventually(t, "the read is out", func() bool { return len(c.Commands()) == 1 })
 	cl.conn.Close()
-	eventually(t, "the attempt's connection is closed", func() bool { open, _ := c.Conns(); return open == 0 })
-	if got := c.Lines(); len(got) != 1 {
+	eventually(t, "the attempt's connection is closed", func() bool { open, _ := c.ConnCounts(); return open == 0 })
+	if got := c.Commands(); len(got) != 1 {
 		t.Errorf("sent after the client had gone: %q", got)
 	}
 	n.signal(syscall.SIGUSR1)
@@ -641,7 +641,7 @@
 	eventually(t, "the new server serves", func() bool { return served(1)["2"] })
 	d.Replace(entry("s-1", one, world.Draining), entry("s-2", two, world.Serving))
 	eventually(t, "the draining server is spared", func() bool { return !served(20)["1"] })
-	eventually(t, "the draining server's idle connections are closed", func() bool { open, _ := one.Conns(); return open == 0 })
+	eventually(t, "the draining server's idle connections are closed", func() bool { open, _ := one.ConnCounts(); return open == 0 })
 
 	for name, body := range map[string]string{
 		"not JSON":      "{",
@@ -652,19 +652,19 @@
 			{"id":"s-2","host_port":"127.0.0.1:1","phase":"SERVING"}]}`,
 	} {
 		asks := len(d.asked())
-		d.SayOnce(body)
+		d.AnswerOnce(body)
 		eventually(t, "asked again after a bad list: "+name, func() bool { return len(d.asked()) > asks })
 		if by := served(5); by["1"] || !by["2"] {
 			t.Errorf("%s: served by %v", name, by)
 		}
 	}
 	asks := len(d.asked())
-	d.Down(true)
+	d.SetDown(true)
 	eventually(t, "asked again while discovery is down", func() bool { return len(d.asked()) >= asks+2 })
 	if by := served(5); !by["2"] {
 		t.Errorf("with discovery down served by %v", by)
 	}
-	d.Down(false)
+	d.SetDown(false)
 	d.Replace(entry("s-1", one, world.Serving))
 	eventually(t, "a whole list replaces what was known", func() bool { by := served(10); return by["1"] && !by["2"] })
 }
@@ -678,7 +678,7 @@
 		delete(config["settings"].(map[string]any)["Guarantees"].(map[string]any), "AskWithin")
 	})
 	begin := len(d.asked())
-	d.Down(true)
+	d.SetDown(true)
 	eventually(t, "it asks again", func() bool { return len(d.asked()) > begin })
 	time.Sleep(2 * time.Second)
 	if asks := len(d.asked()) - begin; asks > 5 {
@@ -687,7 +687,7 @@
 	if lines := strings.Count(n.log(), "event=list_failed"); lines > 4 {
 		t.Errorf("%d log lines", lines)
 	}
-	d.Down(false)
+	d.SetDown(false)
 	eventually(t, "the log tells of the end", func() bool { return strings.Contains(n.log(), "event=list_back failed=") })
 }
 
@@ -746,7 +746,7 @@
 		served()
 	}
 	eventually(t, "the last file counts", func() bool { return served() == "2" })
-	first.Down(true)
+	first.SetDown(true)
 	second.Replace(serving("s-1", one.Addr(), "m2"))
 	eventually(t, "the watch goes on at the new service", func() bool { return served() == "1" })
 	n.signal(syscall.SIGUSR1)
@@ -759,9 +759,9 @@
 func TestServesFromTheKnownList(t *testing.T) {
 	c := startCache(t, holding("v"))
 	d := startDiscovery(t)
-	d.Down(true)
+	d.SetDown(true)
 	n := start(t, d, func(config map[string]any) {
-		config["known"] = standin.Wire(time.Now(), 3, true, []world.Member{serving("s-1", c.Addr(), "m2")})
+		config["known"] = standin.EncodeList(time.Now(), 3, true, []world.Member{serving("s-1", c.Addr(), "m2")})
 	})
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=2500\r\n")
@@ -1137,10 +1137,10 @@
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=2500\r\n")
 	cl.want("VA 1 O1", "v")
-	eventually(t, "the node closes the idle connection", func() bool { open, _ := c.Conns(); return open == 0 })
+	eventually(t, "the node closes the idle connection", func() bool { open, _ := c.ConnCounts(); return open == 0 })
 	cl.send("mg k v O2 Pc=read,d=2500\r\n")
 	cl.want("VA 1 O2", "v")
-	if _, ever := c.Conns(); ever != 2 {
+	if _, ever := c.ConnCounts(); ever != 2 {
 		t.Errorf("%d connections for two requests far apart", ever)
 	}
 }
@@ -1153,8 +1153,8 @@
 	for i := range 5 {
 		cl.send(fmt.Sprintf("mg k v O%d Pc=read,d=2500\r\n", i))
 		cl.want(fmt.Sprintf("VA 1 O%d", i), "v")
-		c.HangUp()
-		eventually(t, "the connection is closed", func() bool { open, _ := c.Conns(); return open == 0 })
+		c.CloseConns()
+		eventually(t, "the connection is closed", func() bool { open, _ := c.ConnCounts(); return open == 0 })
 	}
 	n.signal(syscall.SIGUSR1)
 	eventually(t, "no attempt was reset", func() bool { return strings.Contains(n.log(), " reset=0 ") })
--- a/cmd/lapisshelf/operate_test.go
+++ b/cmd/lapisshelf/operate_test.go
@@ -173,13 +173,13 @@
 	}
 	cl.send("ms k 1 Ob Pc=pay,d=2500\r\nx\r\n") // there is no origin
 	cl.want("SERVER_ERROR busy", "")
-	sent := len(c.Lines())
+	sent := len(c.Commands())
 	hold.Store(true)
 	cl.send("mg k v Oc Pc=read,d=2500\r\n")
-	eventually(t, "the read is out", func() bool { return len(c.Lines()) > sent })
+	eventually(t, "the read is out", func() bool { return len(c.Commands()) > sent })
 	got = figures(t, control)
 	for name, want := range map[string]float64{requests("read", "served"): 40, requests("pay", "refused"): 1,
-		requests("read", "failed"): 0, "app_in_flight": 1, "app_attempts_total": float64(len(c.Lines())),
+		requests("read", "failed"): 0, "app_in_flight": 1, "app_attempts_total": float64(len(c.Commands())),
 		"app_cache_servers_known": 2, "app_cache_servers_excluded": 1} {
 		if got[name] != want {
 			t.Errorf("%s is %v, want %v", name, got[name], want)
@@ -266,7 +266,7 @@
 		}
 	}
 	ask(40)
-	before := len(a.Lines())
+	before := len(a.Commands())
 	if before == 0 || before == 40 {
 		t.Fatalf("%d of 40 reads at one of two", before)
 	}
@@ -286,14 +286,14 @@
 	d.Replace(restarted, entryB)
 	eventually(t, "it is listed again", func() bool { return figures(t, control)["app_cache_servers_known"] == 2 })
 	ask(40)
-	if got := len(a.Lines()); got != before {
+	if got := len(a.Commands()); got != before {
 		t.Errorf("%d reads went to a banned server", got-before)
 	}
 	hand("attach", "s-a", 200)
-	for end := time.Now().Add(5 * time.Second); len(a.Lines()) == before && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); len(a.Commands()) == before && time.Now().Before(end); {
 		ask(10)
 	}
-	if len(a.Lines()) == before {
+	if len(a.Commands()) == before {
 		t.Error("not used within 5 s of the call back")
 	}
 }
--- a/cmd/lapisshelf/planners_test.go
+++ b/cmd/lapisshelf/planners_test.go
@@ -175,7 +175,7 @@
 	dir := certified(t, map[string]keys.Role{"p1": keys.Planner, "p2": keys.Planner, "f": keys.Forwarder})
 	planners, addrs, controls := map[string]*process{}, []string{}, map[string]string{}
 	for _, id := range []string{"p1", "p2"} {
-		p, addr, control := startPlannerAt(t, "", dir, id, fmt.Sprintf("ttl = \"1s\"\n[registry]\nkind = \"etcd\"\nendpoints = [%q]\n", r.Addrs(0)[0]))
+		p, addr, control := startPlannerAt(t, "", dir, id, fmt.Sprintf("ttl = \"1s\"\n[registry]\nkind = \"etcd\"\nendpoints = [%q]\n", r.Endpoints(0)[0]))
 		planners[id], controls[id], addrs = p, control, append(addrs, addr)
 		eventually(t, "it is known", func() bool { return strings.Contains(viewOf(t, control), "leads") })
 		time.Sleep(1100 * time.Millisecond) // epochs are seconds
@@ -194,13 +194,13 @@
 	planners["p1"].Kill()
 	eventually(t, "the other leads", func() bool { return strings.Contains(viewOf(t, controls["p2"]), "p2 leads") })
 	eventually(t, "the epoch grows", func() bool { return epoch() > first })
-	r.Down(0, true)
+	r.SetDown(0, true)
 	second := epoch()
 	eventually(t, "the lease is lost", func() bool { return strings.Contains(planners["p2"].log(), "event=lease_lost") })
 	if text := viewOf(t, control); epoch() != second || !strings.Contains(text, "view of p2") || !strings.Contains(text, "trusted 1.00") {
 		t.Errorf("with the registry gone: %s", text)
 	}
-	r.Down(0, false)
+	r.SetDown(0, false)
 	eventually(t, "a later lease", func() bool { return epoch() > second })
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=1000\r\n")
--- a/cmd/lapisshelf/restart_test.go
+++ b/cmd/lapisshelf/restart_test.go
@@ -32,7 +32,7 @@
 
 func startSlowList(t *testing.T, nodes int, down bool, each time.Duration, members ...world.Member) *slowList {
 	t.Helper()
-	answer, err := json.Marshal(standin.Wire(time.Now(), 1, true, members))
+	answer, err := json.Marshal(standin.EncodeList(time.Now(), 1, true, members))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +167,7 @@
 				s.addrs = slices.Repeat([]string{deaf(t)}, nodes)
 			}
 			all := startTogether(t, s, func(config map[string]any) {
-				config["known"] = standin.Wire(time.Now(), 3, true, []world.Member{entry})
+				config["known"] = standin.EncodeList(time.Now(), 3, true, []world.Member{entry})
 			})
 			allReady(t, all)
 			s.mu.Lock()
--- a/cmd/lapisshelf/stopped_test.go
+++ b/cmd/lapisshelf/stopped_test.go
@@ -52,10 +52,10 @@
 		t.Errorf("one whose time was over is answered %q", line)
 	}
 	most := asked - int(stopped/time.Millisecond) + slack
-	if got := len(c.Lines()); got <= len(standing) {
+	if got := len(c.Commands()); got <= len(standing) {
 		t.Errorf("%d lines at the cache", got)
 	}
-	for _, line := range c.Lines() {
+	for _, line := range c.Commands() {
 		var told int
 		_, text, _ := strings.Cut(line, ",d=")
 		fmt.Sscan(text, &told)
--- a/cmd/lapisshelf/upgrade_test.go
+++ b/cmd/lapisshelf/upgrade_test.go
@@ -131,7 +131,7 @@
 	crowd := &many{t: t, addr: old.addr}
 	crowd.begin(30)
 	for round := range 2 {
-		before := len(a.Lines())
+		before := len(a.Commands())
 		next, control := old.successor(nil)
 		eventually(t, "the new process takes clients", ready(t, control))
 		if _, text := call(t, oldControl, "GET", "/_ready"); text != "ready\n" {
@@ -153,7 +153,7 @@
 		if !strings.Contains(old.log(), "succeeded=true") || !strings.Contains(old.log(), " abandoned=0 overdue=0 ") {
 			t.Errorf("round %d: the old process's end", round)
 		}
-		if got := len(a.Lines()); got != before {
+		if got := len(a.Commands()); got != before {
 			t.Errorf("round %d: %d reads went to a banned server", round, got-before)
 		}
 		if got := figures(t, control); got["app_cache_servers_excluded"] != 2 || got[requests("read", "failed")] != 0 {
@@ -162,8 +162,8 @@
 		old, oldControl = next, control
 	}
 	hand(oldControl, "attach", "s-a")
-	before := len(a.Lines())
-	eventually(t, "it is used again", func() bool { return len(a.Lines()) > before })
+	before := len(a.Commands())
+	eventually(t, "it is used again", func() bool { return len(a.Commands()) > before })
 	crowd.end()
 	// Those that cross a connection's close: of 30 clients a few at each of two ends, however many requests a machine serves.
 	if turned, served := crowd.turned.Load(), crowd.served.Load(); turned > 20 || crowd.refused.Load() > served/20 {
@@ -187,7 +187,7 @@
 		t.Fatal("no ban")
 	}
 	mute := startDiscovery(t) // it never says a list, and none is known: the new process waits
-	mute.Down(true)
+	mute.SetDown(true)
 	next, control := old.successor(func(c map[string]any) { c["discovery"] = mute.Addr(0) })
 	eventually(t, "the new process answers", func() bool { status, _ := call(t, control, "GET", "/_ready"); return status == 503 })
 	eventually(t, "the old one makes room", func() bool { return strings.Contains(stateFile(t, old), `"Room":512`) })
--- a/internal/node/holdup_test.go
+++ b/internal/node/holdup_test.go
@@ -19,7 +19,7 @@
 // timeoutSent returns the timeout that a request told the cache.
 func (s *fixture) timeoutSent(id string) time.Duration {
 	s.t.Helper()
-	for _, line := range s.cache.Lines() {
+	for _, line := range s.cache.Commands() {
 		if strings.Contains(line, " O"+id+" ") {
 			return time.Duration(timeoutOf(s.t, line)) * time.Millisecond
 		}
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -91,7 +91,7 @@
 
 // idsAtCache returns the ids of the requests that the cache received, in order.
 func (s *fixture) idsAtCache() (ids []string) {
-	for _, line := range s.cache.Lines() {
+	for _, line := range s.cache.Commands() {
 		for _, w := range strings.Fields(line) {
 			if w[0] == 'O' {
 				ids = append(ids, w[1:])
@@ -114,7 +114,7 @@
 func TestAClientLeavesWhileTheConnectionComesUp(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
 		s := newFixture(t, cancel, answerHit)
-		s.cache.Silence(true) // connections are established when this ends
+		s.cache.SetSilent(true) // connections are established when this ends
 		gone := s.sendReads("gone")
 		s.waitTaken(1)
 		if len(s.pool.links) != 1 || s.pool.links[0].up {
@@ -127,7 +127,7 @@
 			t.Errorf("%d in flight, %d requests, %d on the connection", s.node.inFlight, len(s.node.requests), len(s.pool.links[0].tries))
 		}
 		l := s.pool.links[0]
-		s.cache.Silence(false)
+		s.cache.SetSilent(false)
 		s.run("the connection is up", func() bool { return l.up })
 		s.sendReads("stays")
 		s.run("the other is served", func() bool { return s.outcomes(policy.OK) == 1 })
@@ -147,7 +147,7 @@
 		t.Run(fmt.Sprintf("cancels %t", cancel), func(t *testing.T) {
 			t.Parallel()
 			s := newFixture(t, cancel, answerHit)
-			s.cache.Silence(true)
+			s.cache.SetSilent(true)
 			var leaving []*net.TCPConn
 			for i := range 10 {
 				leaving = append(leaving, s.sendReads(fmt.Sprint("gone-", i)))
@@ -158,7 +158,7 @@
 				c.Close()
 			}
 			s.run("their ends are seen", func() bool { return s.node.count.abandoned == 10 })
-			s.cache.Silence(false)
+			s.cache.SetSilent(false)
 			s.run("the others are served", func() bool { return s.outcomes(policy.OK) == 10 })
 			for _, id := range s.idsAtCache() {
 				if strings.HasPrefix(id, "gone-") {
@@ -268,13 +268,13 @@
 // Guards against sending a request that was failed as overdue when its connection is established later, with cancels not allowed.
 func TestNothingIsSentAfterAnOverdueRequestFails(t *testing.T) {
 	s := newFixture(t, false, answerHit)
-	s.cache.Silence(true)
+	s.cache.SetSilent(true)
 	s.sendReads("late")
 	s.waitTaken(1)
 	s.node.failOverdue(s.node.requests["late"])
 	l := s.pool.links[0]
 	s.run("the request is removed", func() bool { return len(s.node.requests) == 0 })
-	s.cache.Silence(false)
+	s.cache.SetSilent(false)
 	s.run("the connection is up", func() bool { return l.up })
 	s.sendReads("next")
 	s.run("the next is served", func() bool { return s.outcomes(policy.OK) == 1 })
@@ -302,7 +302,7 @@
 // work for a client that has stopped waiting. An attempt cancelled meanwhile is not written.
 func TestAnAttemptTellsWhatIsLeftAsItsConnectionComesUp(t *testing.T) {
 	s := newFixture(t, true, answerHit)
-	s.cache.Silence(true)
+	s.cache.SetSilent(true)
 	s.sendReads("one")
 	s.waitTaken(1)
 	s.node.serverConns = s.node.linkMost() // what follows shares the connection
@@ -327,12 +327,12 @@
 	tries := []*attempt{first, s.node.requests["two"].attempts[0]}
 	s.run("some time passes", func() bool { return s.node.loop.Now()-first.startedAt > 300*time.Millisecond })
 	since := s.node.loop.Now()
-	s.cache.Silence(false)
+	s.cache.SetSilent(false)
 	s.run("both are answered", func() bool { return s.outcomes(policy.OK) == 2 })
 	if got := s.idsAtCache(); !slices.Equal(got, []string{"one", "two"}) {
 		t.Fatalf("the cache was sent %q", got)
 	}
-	for i, line := range s.cache.Lines() {
+	for i, line := range s.cache.Commands() {
 		if got, most := timeoutOf(t, line), int((tries[i].timeout - (since - tries[i].startedAt)).Milliseconds()); got > most || got <= 0 {
 			t.Errorf("%q, where %d ms were left before its connection came up", line, most)
 		}
--- a/internal/node/leave_turn_test.go
+++ b/internal/node/leave_turn_test.go
@@ -121,7 +121,7 @@
 	n.members(policy.ListComplete, []roster.Entry{{Server: policy.Server{ID: "c-1", Weight: -1}, Addr: s.cache.Addr()},
 		{Server: policy.Server{ID: "o-1", Kind: "origin", Weight: -1}, Addr: o.Addr()}})
 	return func() (ids []string) {
-		for _, line := range o.Lines() {
+		for _, line := range o.Requests() {
 			ids = append(ids, strings.Fields(line)[2])
 		}
 		return ids
@@ -180,10 +180,10 @@
 func TestAClientLeavesInTheTurnInWhichItsConnectionComesUp(t *testing.T) {
 	eachWay(t, func(t *testing.T, leave func(*net.TCPConn), cancel bool) {
 		s := newFixture(t, cancel, answerHit)
-		s.cache.Silence(true)
+		s.cache.SetSilent(true)
 		c := s.sendReads("gone")
 		s.waitTaken(1)
-		s.cache.Silence(false)
+		s.cache.SetSilent(false)
 		s.waitConnected()
 		if s.pool.links[0].up {
 			t.Fatal("the node has been notified")
@@ -294,7 +294,7 @@
 				s.sendReads("first")
 				s.waitTaken(1)
 			} else {
-				s.cache.Silence(true)
+				s.cache.SetSilent(true)
 			}
 			before := s.node.count.taken
 			c := s.sendReads()
@@ -308,7 +308,7 @@
 			if queued {
 				s.waitAnswer("first")
 			} else {
-				s.cache.Silence(false)
+				s.cache.SetSilent(false)
 				s.waitConnected()
 			}
 			leaveAndWait(t, c, leave)
@@ -364,7 +364,7 @@
 // Guards against a fault when both hold: the client has left, and the server was never listed.
 func TestAClientLeavesBeforeASendToNobody(t *testing.T) {
 	s := newFixture(t, false, answerHit)
-	s.cache.Silence(true)
+	s.cache.SetSilent(true)
 	c := s.sendReads("gone")
 	s.waitTaken(1)
 	leaveAndWait(t, c, leaveWays["close"])
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -320,7 +320,7 @@
 // The module's time by which a repeat must have gone out is kept, on a connection that never comes up.
 func TestSendsKeepTheirLatestTime(t *testing.T) {
 	s := newFixture(t, false, answerHit)
-	s.cache.Silence(true)
+	s.cache.SetSilent(true)
 	s.sendReads("1")
 	s.waitTaken(1)
 	c := s.node.requests["1"]
--- a/internal/node/recorder_test.go
+++ b/internal/node/recorder_test.go
@@ -109,7 +109,7 @@
 // A repeat of a request that may have run and must not run twice is not sent, even if the policy asks for it.
 func TestARepeatAgainstTheRulesIsNotSent(t *testing.T) {
 	s := newFixture(t, false, answerHit)
-	s.cache.Silence(true)
+	s.cache.SetSilent(true)
 	s.sendReads("one")
 	s.waitTaken(1)
 	c := s.node.requests["one"]
--- a/internal/planner/rig_test.go
+++ b/internal/planner/rig_test.go
@@ -50,7 +50,7 @@
 		members = append(members, world.Member{ID: r.ids[i], Addr: fmt.Sprintf("127.0.0.1:%d", 1000+i), Zone: "a", Kind: "m2", Weight: 1})
 	}
 	var err error
-	if r.list, err = standin.NewList(standin.NewCommon(seen.NewLog(), 1, nil), standin.ListOptions{Addr: "127.0.0.1:0", Nodes: 1, Whole: true}, members...); err != nil {
+	if r.list, err = standin.NewList(standin.NewCommon(seen.NewLog(), 1, nil), standin.ListOptions{Addr: "127.0.0.1:0", Nodes: 1, SnapshotsOnly: true}, members...); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.list.Close)
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -20,9 +20,9 @@
 			b.Run(fmt.Sprintf("%s/%d", k, entries), func(b *testing.B) {
 				var t testing.T
 				r := start(&t, k, standin.RegistryOptions{}, func(c *Config) { c.Roster.PageSize, c.Roster.WatchTimeout = 500, time.Minute })
-				r.reg.Do(func(_ time.Duration, s *world.Store) {
+				r.reg.UpdateStore(func(_ time.Duration, s *world.Store) {
 					for i := range entries {
-						s.Put(prefix+server(i, 0).ID, standin.EntryOf(time.Now(), server(i, world.Serving)), 0)
+						s.Put(prefix+server(i, 0).ID, standin.EncodeEntry(time.Now(), server(i, world.Serving)), 0)
 					}
 				})
 				for !r.is() {
@@ -31,7 +31,7 @@
 				runtime.GC()
 				var mem runtime.MemStats
 				runtime.ReadMemStats(&mem)
-				_, bytes := r.reg.Calls()
+				_, bytes := r.reg.CallCounts()
 				cpu := used()
 				var took []time.Duration
 				b.ResetTimer()
@@ -54,7 +54,7 @@
 				}
 				b.StopTimer()
 				slices.Sort(took)
-				_, now := r.reg.Calls()
+				_, now := r.reg.CallCounts()
 				b.ReportMetric(float64(took[len(took)/2].Microseconds()), "us/p50")
 				b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "us/p99")
 				b.ReportMetric(float64(now-bytes)/float64(b.N), "bytes/change")
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -65,7 +65,7 @@
 	t.Cleanup(reg.Close)
 	cfg := Config{Kind: kind, Prefix: prefix, MostBody: 8 << 20, Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: time.Second,
 		CallTimeout: 700 * ms, PageSize: 100, RewindAfter: 2 * time.Second}}
-	for _, a := range reg.Addrs(0) {
+	for _, a := range reg.Endpoints(0) {
 		cfg.Endpoints = append(cfg.Endpoints, netip.MustParseAddrPort(a))
 	}
 	if change != nil {
@@ -177,10 +177,10 @@
 func TestFollows(t *testing.T) {
 	both(t, func(t *testing.T, k Kind) {
 		for _, mangled := range []bool{false, true} {
-			r := start(t, k, standin.RegistryOptions{Progress: 30 * ms}, func(c *Config) { c.Roster.PageSize = 3 })
+			r := start(t, k, standin.RegistryOptions{ProgressInterval: 30 * ms}, func(c *Config) { c.Roster.PageSize = 3 })
 			if mangled {
-				r.reg.Twice(true)
-				r.reg.Split(true, 0)
+				r.reg.RepeatEvents(true)
+				r.reg.SplitAnswers(true, 0)
 			}
 			for i := range 10 {
 				r.reg.Set(server(i, world.Serving))
@@ -193,7 +193,7 @@
 				}
 			}
 			eventually(t, "all changes are known", r.is)
-			r.reg.Wipe()
+			r.reg.DeleteAll()
 			eventually(t, "an empty list is a list", r.is)
 			if c := r.counts(); c.Failed > 0 {
 				t.Errorf("%+v", c)
@@ -206,9 +206,9 @@
 func TestBadEndpoints(t *testing.T) {
 	both(t, func(t *testing.T, k Kind) {
 		for name, set := range map[string]func(r *rig, end int, on bool){
-			"down":   func(r *rig, end int, on bool) { r.reg.Down(end, on) },
-			"mute":   func(r *rig, end int, on bool) { r.reg.Mute(end, on) },
-			"garble": func(r *rig, end int, on bool) { r.reg.Garble(end, on) },
+			"down":   func(r *rig, end int, on bool) { r.reg.SetDown(end, on) },
+			"mute":   func(r *rig, end int, on bool) { r.reg.SetMuted(end, on) },
+			"garble": func(r *rig, end int, on bool) { r.reg.SetGarbled(end, on) },
 		} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
@@ -241,14 +241,14 @@
 			r.reg.Set(server(i, world.Serving))
 		}
 		eventually(t, "they are known", r.is)
-		r.reg.Down(0, true)
+		r.reg.SetDown(0, true)
 		eventually(t, "the break is noticed", func() bool { return r.counts().Failed > 0 })
 		r.reg.Set(server(1, world.Deleted))
 		r.reg.Set(server(2, world.Draining))
 		r.reg.Set(server(7, world.Serving))
 		r.reg.Compact(0)
 		lists := r.counts().Lists
-		r.reg.Down(0, false)
+		r.reg.SetDown(0, false)
 		eventually(t, "nothing is missed", r.is)
 		if c := r.counts(); k == Etcd && (c.Compacted != 1 || c.Lists != lists+1) {
 			t.Errorf("%+v", c)
@@ -261,13 +261,13 @@
 	both(t, func(t *testing.T, k Kind) {
 		r := start(t, k, standin.RegistryOptions{Endpoints: 2}, nil)
 		r.reg.Set(server(1, world.Serving))
-		r.reg.Save()
+		r.reg.SaveBackup()
 		r.reg.Set(server(1, world.Draining))
 		r.reg.Set(server(2, world.Serving))
 		eventually(t, "they are known", r.is)
 		r.reg.Lag(0, 2)
 		r.reg.Lag(1, 2)
-		r.reg.Restore()
+		r.reg.RestoreBackup()
 		begin := time.Now()
 		for time.Since(begin) < time.Second {
 			r.mu.Lock()
@@ -306,7 +306,7 @@
 func TestBadEntries(t *testing.T) {
 	both(t, func(t *testing.T, k Kind) {
 		r := start(t, k, standin.RegistryOptions{}, nil)
-		r.reg.Do(func(_ time.Duration, s *world.Store) {
+		r.reg.UpdateStore(func(_ time.Duration, s *world.Store) {
 			s.Put(prefix+"bad", []byte("{"), 0)
 			s.Put(prefix+"worse", []byte(`{"id":"x","addr":"here"}`), 0)
 		})
@@ -409,18 +409,18 @@
 			reg, cfg := standIn(t, k, standin.RegistryOptions{}, func(c *Config) {
 				c.Roster.PageSize, c.Roster.MaxEntries, c.Roster.WatchTimeout, c.Roster.CallTimeout = page, servers, time.Minute, time.Minute
 			})
-			reg.Do(func(_ time.Duration, s *world.Store) {
+			reg.UpdateStore(func(_ time.Duration, s *world.Store) {
 				for i := range servers {
-					s.Put(prefix+server(i, 0).ID, standin.EntryOf(time.Now(), server(i, world.Serving)), 0)
+					s.Put(prefix+server(i, 0).ID, standin.EncodeEntry(time.Now(), server(i, world.Serving)), 0)
 				}
 			})
 			before := heap()
 			r := run(t, cfg, 0, nil)
 			r.reg = reg
-			eventually(t, "all are known, and changes are waited for", func() bool { return r.is() && reg.Waits() > 0 })
+			eventually(t, "all are known, and changes are waited for", func() bool { return r.is() && reg.WaitCount() > 0 })
 			reg.Log.Update(func(rec *seen.Record) { rec.ListUpdates = nil }) // it has each list that was told
 			used := heap() - before
-			if n, _ := reg.Calls(); n != calls {
+			if n, _ := reg.CallCounts(); n != calls {
 				t.Errorf("%d calls, not %d", n, calls)
 			}
 			if used > 10<<20 {
@@ -449,7 +449,7 @@
 func TestAnnounce(t *testing.T) {
 	both(t, func(t *testing.T, k Kind) {
 		r := start(t, k, standin.RegistryOptions{Endpoints: 2, Token: "tok"}, func(c *Config) { c.Token = "tok" })
-		value := standin.EntryOf(time.Now(), server(1, world.Serving))
+		value := standin.EncodeEntry(time.Now(), server(1, world.Serving))
 		announce := func() *Announcer {
 			a := NewAnnouncer(r.loop, r.client.cfg, prefix+"s-00001", value, time.Second, 1, func(event, why string) {
 				r.mu.Lock()
@@ -470,13 +470,13 @@
 				t.Fatal("it lapsed though it is renewed")
 			}
 		}
-		r.reg.Down(0, true)
-		r.reg.Down(1, true)
+		r.reg.SetDown(0, true)
+		r.reg.SetDown(1, true)
 		eventually(t, "it lapses while nobody can be reached", gone)
-		r.reg.Down(0, false)
+		r.reg.SetDown(0, false)
 		eventually(t, "it is back", there)
-		r.reg.Down(1, false)
-		r.reg.Do(func(now time.Duration, s *world.Store) { s.ExpireLeases(now + time.Hour) }) // the leases are lost
+		r.reg.SetDown(1, false)
+		r.reg.UpdateStore(func(now time.Duration, s *world.Store) { s.ExpireLeases(now + time.Hour) }) // the leases are lost
 		eventually(t, "the loss is known", gone)
 		eventually(t, "it is back under a new lease", there)
 		done := make(chan bool)
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -46,7 +46,7 @@
 					for _, m := range members {
 						reg.Set(m)
 					}
-					addr = reg.Addrs(0)[0]
+					addr = reg.Endpoints(0)[0]
 					if proto = (etcd{prefix: prefix}); kind == Consul {
 						proto = consul{prefix: prefix}
 					}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -171,7 +171,7 @@
 	}
 	x := &try{load: l, arrival: a, arrivalDue: arrivalDue, record: t}
 	if class.Write {
-		value := standin.Value(a.Key, int64(a.N), "write", "client", a.Size)
+		value := standin.MakeValue(a.Key, int64(a.N), "write", "client", a.Size)
 		t.Value = standin.Digest(value)
 		x.request = fmt.Appendf(nil, "ms %s %d O%s P%s\r\n%s\r\n", a.Key, len(value), t.ID, info, value)
 	} else {
@@ -464,7 +464,7 @@
 		case len(words) == 0:
 		case words[0] == "VA":
 			t.Answer = seen.Served
-			key, version, request, server, intact := standin.ReadValue(value)
+			key, version, request, server, intact := standin.ParseValue(value)
 			t.Server, t.Version = server, version
 			t.Correct = intact && id == t.ID && request == t.ID && key == t.Key
 		case words[0] == "HD":
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -134,7 +134,7 @@
 // A request that crosses the close of a reused connection is sent once more under its ID. On a new connection it fails.
 func TestRequestCrossesConnectionClose(t *testing.T) {
 	good := func(line string) string {
-		v := standin.Value("k", 0, id(line), "s", 30)
+		v := standin.MakeValue("k", 0, id(line), "s", 30)
 		return fmt.Sprintf("VA %d O%s\r\n%s\r\n", len(v), id(line), v)
 	}
 	addr, lines := server(t, func(n int, line string) string {
@@ -164,7 +164,7 @@
 // Extra data, values of other requests and missing answers are recorded as such.
 func TestAnswerClassification(t *testing.T) {
 	value := func(key, request, as string) string {
-		v := standin.Value(key, 2, request, "s-1", 40)
+		v := standin.MakeValue(key, 2, request, "s-1", 40)
 		return fmt.Sprintf("VA %d O%s\r\n%s\r\n", len(v), as, v)
 	}
 	for _, c := range []struct {
--- a/lab/scale/child.go
+++ b/lab/scale/child.go
@@ -186,10 +186,10 @@
 		for _, m := range members {
 			r.Set(m)
 		}
-		addr = r.Addrs(0)[0]
+		addr = r.Endpoints(0)[0]
 		set = func(m world.Member) { time.AfterFunc(cfg.Delay, func() { r.Set(m) }) }
 	} else {
-		l, err := standin.NewList(common, standin.ListOptions{Addr: "127.0.0.1:0", Nodes: 1, Delay: cfg.Delay}, members...)
+		l, err := standin.NewList(common, standin.ListOptions{Addr: "127.0.0.1:0", Nodes: 1, ChangeDelay: cfg.Delay}, members...)
 		if err != nil {
 			return err
 		}
--- a/lab/stage/list.go
+++ b/lab/stage/list.go
@@ -21,7 +21,7 @@
 	Where(node int) []string // its addresses, for a node
 	Set(m world.Member)
 	Members() (revision int64, members []world.Member)
-	Lives(node, life int)
+	SetGeneration(node, life int)
 	Fail(on bool)
 	Nonsense(on bool)
 	Lag(d time.Duration)
@@ -33,8 +33,8 @@
 type service struct{ *standin.List }
 
 func (s service) Where(node int) []string { return []string{s.Addr(node)} }
-func (s service) Fail(on bool)            { s.Down(on) }
-func (s service) Nonsense(on bool)        { s.Garble(on) }
+func (s service) Fail(on bool)            { s.SetDown(on) }
+func (s service) Nonsense(on bool)        { s.SetGarbled(on) }
 
 // store is a key-value registry.
 type store struct {
@@ -46,17 +46,17 @@
 	lag time.Duration
 }
 
-func (s *store) Where(node int) []string { return s.Addrs(node) }
+func (s *store) Where(node int) []string { return s.Endpoints(node) }
 
 func (s *store) Fail(on bool) {
 	for e := range s.ends {
-		s.Down(e, on)
+		s.SetDown(e, on)
 	}
 }
 
 func (s *store) Nonsense(on bool) {
 	for e := range s.ends {
-		s.Garble(e, on)
+		s.SetGarbled(e, on)
 	}
 }
 
@@ -80,15 +80,15 @@
 	x := s.X
 	if !x.List.Registry() {
 		// Planners have addresses of their own there, behind the nodes'.
-		l, err := standin.NewList(s.Common, standin.ListOptions{Addr: s.net + "201:0", Nodes: x.Nodes.Count + x.Planners.Count, Delay: x.List.Delay.D(),
-			Keep: x.List.Keep, Whole: x.List.Whole, Wait: x.List.Wait.D()}, members...)
+		l, err := standin.NewList(s.Common, standin.ListOptions{Addr: s.net + "201:0", Nodes: x.Nodes.Count + x.Planners.Count, ChangeDelay: x.List.Delay.D(),
+			KeptChanges: x.List.Keep, SnapshotsOnly: x.List.Whole, AnswerDelay: x.List.Wait.D()}, members...)
 		if err == nil {
 			s.list = service{l}
 		}
 		return err
 	}
 	r, err := standin.NewRegistry(s.Common, standin.RegistryOptions{Addr: s.net + "201:0", Endpoints: x.List.Endpoints, Nodes: x.Nodes.Count + x.Planners.Count,
-		Prefix: registryPrefix, Token: x.List.Token, Progress: x.List.Progress.D()})
+		Prefix: registryPrefix, Token: x.List.Token, ProgressInterval: x.List.Progress.D()})
 	if err != nil {
 		return err
 	}
@@ -166,25 +166,25 @@
 	end, on := a.Endpoint-1, a.Value != 0
 	switch a.Kind {
 	case fault.RegistryDown:
-		r.Down(end, on)
+		r.SetDown(end, on)
 	case fault.RegistryMute:
-		r.Mute(end, on)
+		r.SetMuted(end, on)
 	case fault.RegistryGarble:
-		r.Garble(end, on)
+		r.SetGarbled(end, on)
 	case fault.RegistryLag:
 		r.Registry.Lag(end, int64(a.Value))
 	case fault.RegistryCompact:
 		r.Compact(0)
 	case fault.RegistryWipe:
-		r.Wipe()
+		r.DeleteAll()
 	case fault.RegistrySave:
-		r.Save()
+		r.SaveBackup()
 	case fault.RegistryRestore:
-		r.Restore()
+		r.RestoreBackup()
 	case fault.RegistryTwice:
-		r.Twice(on)
+		r.RepeatEvents(on)
 	case fault.RegistryDrip:
-		r.Split(on, time.Duration(a.Value*float64(time.Millisecond)))
+		r.SplitAnswers(on, time.Duration(a.Value*float64(time.Millisecond)))
 	}
 	return nil
 }
@@ -207,7 +207,7 @@
 	}
 	k := &keeper{stage: s, loop: l, done: make(chan error, 1), all: map[string]*registry.Announcer{},
 		cfg: registry.Config{Kind: registry.Kind(s.X.List.Kind), Token: s.X.List.Token, MostBody: 1 << 20}}
-	for _, a := range r.Addrs(0) {
+	for _, a := range r.Endpoints(0) {
 		addr, err := netip.ParseAddrPort(a)
 		if err != nil {
 			return nil, err
@@ -220,7 +220,7 @@
 
 // set makes a server's entry what it is now, or takes it out.
 func (k *keeper) set(name string, m world.Member) {
-	value := standin.EntryOf(k.stage.Log.StartTime(), m)
+	value := standin.EncodeEntry(k.stage.Log.StartTime(), m)
 	k.loop.Post(func() {
 		k.mu.Lock()
 		defer k.mu.Unlock()
--- a/lab/stage/node.go
+++ b/lab/stage/node.go
@@ -89,7 +89,7 @@
 	config := map[string]any{"name": fmt.Sprintf("n%d", n.opt.Number+1), "listen": n.opt.Listen, "discovery": n.opt.List,
 		"seed":     fmt.Sprintf("%016x", n.opt.Seed+uint64(n.n)),
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": n.opt.MemoryMB, "sockets": n.opt.Sockets},
-		"known":    standin.Wire(n.opt.Log.StartTime(), revision, true, members),
+		"known":    standin.EncodeList(n.opt.Log.StartTime(), revision, true, members),
 		"settings": n.opt.Settings}
 	if n.control != "" {
 		config["control"] = n.control
--- a/lab/stage/operators.go
+++ b/lab/stage/operators.go
@@ -115,7 +115,7 @@
 func (s *Stage) upgrade(node int) error {
 	rev, members := s.known()
 	n := s.Nodes[node]
-	return n.Upgrade(rev, members, func() { s.list.Lives(node, n.LifeNumber()) })
+	return n.Upgrade(rev, members, func() { s.list.SetGeneration(node, n.LifeNumber()) })
 }
 
 // Upgrade starts a process beside the running one; when it is ready, the old one is told to end, and killed in the end as
--- a/lab/stage/stage.go
+++ b/lab/stage/stage.go
@@ -130,7 +130,7 @@
 		spec := x.OriginSpec()
 		var err error
 		s.origin, err = standin.NewOrigin(s.Common, standin.OriginOptions{ID: x.OriginID(), Name: "origin", Addr: s.net + "200:0",
-			Spec: &spec, Served: s.served, Wrote: s.wrote})
+			Spec: &spec, OnRead: s.served, OnWrite: s.wrote})
 		if err != nil {
 			return err
 		}
@@ -170,10 +170,10 @@
 	x := s.X
 	spec := v.Spec
 	opt := standin.CacheOptions{ID: v.ID, Name: v.Name, Addr: fmt.Sprintf("%s%d:0", s.net, 1+len(s.caches)%199), Spec: &spec, Cold: cold,
-		PerConn: x.Service.PerConn, MaxConns: v.Group.MaxConns, ConnIdle: x.Service.ConnIdle.D(), Tells: *x.Service.Hits,
-		Reports: *x.Service.Reports, Missed: s.noteMiss}
+		ConnConcurrency: x.Service.PerConn, MaxConns: v.Group.MaxConns, ConnIdle: x.Service.ConnIdle.D(), ReportsHits: *x.Service.Hits,
+		ReportsLoad: *x.Service.Reports, OnMiss: s.noteMiss}
 	if spec.Through {
-		opt.Ask = func(a world.OriginRequest, request, class string, answer func(world.Completion)) {
+		opt.AskOrigin = func(a world.OriginRequest, request, class string, answer func(world.Completion)) {
 			s.origin.Ask(a, request, class, answer)
 		}
 	}
@@ -218,7 +218,7 @@
 			return
 		}
 		room[m.ID] -= size
-		s.caches[names[m.ID]].Do(func(now time.Duration, c *world.Cache) { c.Store(now, key, 0, size) })
+		s.caches[names[m.ID]].UpdateModel(func(now time.Duration, c *world.Cache) { c.Store(now, key, 0, size) })
 	}
 	keys := src.PopularKeys(x.Clients.Keys)
 	slices.Reverse(keys) // what is used last is kept longest
@@ -332,7 +332,7 @@
 	s.mu.Unlock()
 	go func() { // the origin holds its lock
 		for _, c := range all {
-			c.Do(func(_ time.Duration, m *world.Cache) { m.Invalidate(key) })
+			c.UpdateModel(func(_ time.Duration, m *world.Cache) { m.Invalidate(key) })
 		}
 	}()
 }
@@ -396,7 +396,7 @@
 		}
 	}
 	h := s.load.SendDelays()
-	most, mean := s.Common.Late()
+	most, mean := s.Common.Lateness()
 	ms := func(d time.Duration) float64 { return math.Round(float64(d)/float64(time.Microsecond)) / 1000 }
 	r.Lab = Lab{SendP50: judge.QuantileMillis(h, 50), SendP99: judge.QuantileMillis(h, 99), SendMax: float64(h.Max()) / 1000,
 		StandMean: ms(mean), StandMax: ms(most), StallMax: ms(stall)}
@@ -555,13 +555,13 @@
 		}
 		switch a.Kind {
 		case fault.OriginSlow:
-			s.origin.Do(func(now time.Duration, m *world.Origin) { m.Slow(now, a.Value) })
+			s.origin.UpdateModel(func(now time.Duration, m *world.Origin) { m.Slow(now, a.Value) })
 		case fault.OriginPause:
-			s.origin.Do(func(now time.Duration, m *world.Origin) { m.Pause(now, on) })
+			s.origin.UpdateModel(func(now time.Duration, m *world.Origin) { m.Pause(now, on) })
 		case fault.OriginGarble:
-			s.origin.Spoil(a.Value)
+			s.origin.CorruptAnswers(a.Value)
 		case fault.OriginStop:
-			return s.origin.Refuse(on)
+			return s.origin.SetDown(on)
 		}
 	}
 	return nil
@@ -603,7 +603,7 @@
 			return fmt.Errorf("node %d has not ended", a.Node+1)
 		}
 		rev, members := s.known()
-		s.list.Lives(a.Node, n.LifeNumber()+1)
+		s.list.SetGeneration(a.Node, n.LifeNumber()+1)
 		return n.Start(rev, members)
 	}
 	return nil
@@ -643,7 +643,7 @@
 	on := a.Value != 0
 	switch a.Kind {
 	case fault.Kill:
-		c.Die()
+		c.Kill()
 		if s.keeper != nil { // its lease lapses
 			s.keeper.die(a.Server)
 		}
@@ -656,7 +656,7 @@
 			s.caches[name] = c // the same place under another name
 			s.mu.Unlock()
 		}
-		if err := c.Rise(id, on); err != nil {
+		if err := c.Restart(id, on); err != nil {
 			return err
 		}
 		started := time.Duration(0)
@@ -665,27 +665,27 @@
 		}
 		s.set(name, world.Serving, started)
 	case fault.Silent:
-		c.Silence(on)
+		c.SetSilent(on)
 	case fault.Hang:
-		c.Hang(on)
+		c.SetHanging(on)
 	case fault.Refuse:
-		return c.Refuse(on)
+		return c.RefuseConns(on)
 	case fault.AnswerBusy:
-		c.TurnAway(on)
+		c.SetBusy(on)
 	case fault.Reset, fault.Garble, fault.Surplus:
-		c.Spoil(string(a.Kind), a.Value)
+		c.CorruptAnswers(string(a.Kind), a.Value)
 	case fault.Slow:
-		c.Do(func(now time.Duration, m *world.Cache) { m.Slow(now, a.Value) })
+		c.UpdateModel(func(now time.Duration, m *world.Cache) { m.Slow(now, a.Value) })
 	case fault.Steal:
-		c.Do(func(now time.Duration, m *world.Cache) { m.Steal(now, a.Value) })
+		c.UpdateModel(func(now time.Duration, m *world.Cache) { m.Steal(now, a.Value) })
 	case fault.Pause:
-		c.Do(func(now time.Duration, m *world.Cache) { m.Pause(now, on) })
+		c.UpdateModel(func(now time.Duration, m *world.Cache) { m.Pause(now, on) })
 	case fault.Flush:
-		c.Do(func(_ time.Duration, m *world.Cache) { m.Flush(a.Value) })
+		c.UpdateModel(func(_ time.Duration, m *world.Cache) { m.Flush(a.Value) })
 	case fault.Drain:
 		s.set(a.Server, world.Draining, s.startedOf(c))
 	case fault.ListRemove:
-		c.Do(func(now time.Duration, m *world.Cache) { m.Drain(now, true) }) // what still comes is turned away
+		c.UpdateModel(func(now time.Duration, m *world.Cache) { m.Drain(now, true) }) // what still comes is turned away
 		s.set(a.Server, world.Deleted, 0)
 	}
 	return nil
@@ -693,7 +693,7 @@
 
 // startedOf is when a server's process started, as the list tells it.
 func (s *Stage) startedOf(c *standin.Cache) (at time.Duration) {
-	c.Do(func(_ time.Duration, m *world.Cache) {
+	c.UpdateModel(func(_ time.Duration, m *world.Cache) {
 		if began, cold := m.Started(); cold {
 			at = began
 		}
--- a/lab/standin/cache.go
+++ b/lab/standin/cache.go
@@ -26,26 +26,26 @@
 // Script says what a cache answers to a command, given its line and value: "" is nothing, ClosesIt ends the connection.
 type Script func(line string, value []byte) string
 
-// ClosesIt is a script's answer that ends the connection.
-const ClosesIt = "\x00close"
+// CloseConn is a script's answer that ends the connection.
+const CloseConn = "\x00close"
 
 // CacheOptions describe a cache server.
 type CacheOptions struct {
-	ID, Name string
-	Addr     string           // to listen on; port 0 takes any
-	Spec     *world.CacheSpec // nil with a script
-	Script   Script
-	Scripts  func() Script // one for each connection, in place of Script
-	Cold     bool          // its first process starts cold
-	PerConn  int           // commands of one connection that are begun at once; 0: one
-	MaxConns int           // connections that it takes; 0: any number
-	ConnIdle time.Duration
-	Tells    bool // whether answers say hit or miss
-	Reports  bool // whether answers carry a load report
+	ID, Name        string
+	Addr            string           // to listen on; port 0 takes any
+	Spec            *world.CacheSpec // nil with a script
+	Script          Script
+	NewScript       func() Script // one for each connection, in place of Script
+	Cold            bool          // its first process starts cold
+	ConnConcurrency int           // commands of one connection that are begun at once; 0: one
+	MaxConns        int           // connections that it takes; 0: any number
+	ConnIdle        time.Duration
+	ReportsHits     bool // whether answers say hit or miss
+	ReportsLoad     bool // whether answers carry a load report
 	// Missed is told of each read that the cache lacked, with what stores the value there; nil: nobody is.
-	Missed func(request string, store func(version, size int64))
+	OnMiss func(request string, store func(version, size int64))
 	// Ask passes a request on to the origin, in through mode; answer may be called from any goroutine.
-	Ask func(a world.OriginRequest, request string, class string, answer func(world.Completion))
+	AskOrigin func(a world.OriginRequest, request string, class string, answer func(world.Completion))
 }
 
 // Cache is a cache server on a socket.
@@ -143,22 +143,22 @@
 // Name is what the lab calls it.
 func (c *Cache) Name() string { return c.opt.Name }
 
-// Lines are the commands that came, where a script answers.
-func (c *Cache) Lines() []string {
+// Commands are the commands that came, where a script answers.
+func (c *Cache) Commands() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.seen...)
 }
 
-// Conns is how many connections stand and how many ever did.
-func (c *Cache) Conns() (open, ever int) {
+// ConnCounts is how many connections stand and how many ever did.
+func (c *Cache) ConnCounts() (open, ever int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns), c.ever
 }
 
-// Do runs f on the model, where there is one, and looks at what has come of it.
-func (c *Cache) Do(f func(now time.Duration, m *world.Cache)) {
+// UpdateModel runs f on the model, where there is one, and looks at what has come of it.
+func (c *Cache) UpdateModel(f func(now time.Duration, m *world.Cache)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.model != nil {
@@ -167,8 +167,8 @@
 	}
 }
 
-// Die ends the process: its connections are reset, new ones refused.
-func (c *Cache) Die() {
+// Kill ends the process: its connections are reset, new ones refused.
+func (c *Cache) Kill() {
 	c.port.refuse(true)
 	c.mu.Lock()
 	if c.model != nil {
@@ -183,8 +183,8 @@
 	}
 }
 
-// Rise begins a new process at the same address, under a new id if one is given.
-func (c *Cache) Rise(id string, cold bool) error {
+// Restart begins a new process at the same address, under a new id if one is given.
+func (c *Cache) Restart(id string, cold bool) error {
 	c.mu.Lock()
 	if id != "" {
 		c.id = id
@@ -199,12 +199,12 @@
 	return c.port.refuse(false)
 }
 
-// Refuse refuses new connections, or takes them again.
-func (c *Cache) Refuse(on bool) error { return c.port.refuse(on) }
+// RefuseConns refuses new connections, or takes them again.
+func (c *Cache) RefuseConns(on bool) error { return c.port.refuse(on) }
 
-// Silence makes the machine say nothing: connections stay open and new ones never come up; when it is back, all that
+// SetSilent makes the machine say nothing: connections stay open and new ones never come up; when it is back, all that
 // stood is reset.
-func (c *Cache) Silence(on bool) {
+func (c *Cache) SetSilent(on bool) {
 	c.mu.Lock()
 	was := c.silent
 	c.silent = on
@@ -232,29 +232,29 @@
 	}
 }
 
-// Hang makes it take all and answer nothing.
-func (c *Cache) Hang(on bool) {
+// SetHanging makes it take all and answer nothing.
+func (c *Cache) SetHanging(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hangs = on
 }
 
-// TurnAway makes it answer busy.
-func (c *Cache) TurnAway(on bool) {
+// SetBusy makes it answer busy.
+func (c *Cache) SetBusy(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.away = on
 }
 
-// Spoil breaks a part of the answers: "reset", "garble" or "surplus".
-func (c *Cache) Spoil(how string, part float64) {
+// CorruptAnswers breaks a part of the answers: "reset", "garble" or "surplus".
+func (c *Cache) CorruptAnswers(how string, part float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.spoil[how] = part
 }
 
-// HangUp closes the connections that stand, between requests as far as it knows.
-func (c *Cache) HangUp() {
+// CloseConns closes the connections that stand, between requests as far as it knows.
+func (c *Cache) CloseConns() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k := range c.conns {
@@ -301,11 +301,11 @@
 	}
 	for _, a := range asks {
 		s := c.jobs[a.Token]
-		if s == nil || c.opt.Ask == nil {
+		if s == nil || c.opt.AskOrigin == nil {
 			continue
 		}
 		model := c.model
-		go c.opt.Ask(a, s.try.Request, s.try.Class, func(d world.Completion) {
+		go c.opt.AskOrigin(a, s.try.Request, s.try.Class, func(d world.Completion) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if c.model == model && !c.stopped {
@@ -338,19 +338,19 @@
 		r.FallOvers = append(r.FallOvers, seen.Event{At: now, Text: id})
 		r.Events = append(r.Events, seen.Event{At: now, Text: c.opt.Name + " falls over"})
 	})
-	go c.Die()
+	go c.Kill()
 }
 
 // done makes the answer to a job that has ended.
 func (c *Cache) done(s *slot, d world.Completion) {
 	t := s.try
 	tail := "\r\n"
-	if c.opt.Reports {
+	if c.opt.ReportsLoad {
 		r := c.model.LoadReport(c.Log.Now())
 		tail = fmt.Sprintf(" Lutil=%g,queue=%d\r\n", r.Utilization, r.Queue)
 	}
 	hit := ""
-	if c.opt.Tells {
+	if c.opt.ReportsHits {
 		hit = " h0"
 		if d.Outcome == world.Hit {
 			hit = " h1"
@@ -360,7 +360,7 @@
 	}
 	switch d.Outcome {
 	case world.Hit, world.Fetched:
-		v := Value(t.Key, d.Version, t.Request, t.Server, world.SizeOf(c.Seed, s.class, t.Key))
+		v := MakeValue(t.Key, d.Version, t.Request, t.Server, world.SizeOf(c.Seed, s.class, t.Key))
 		t.Version = d.Version
 		s.fill(fmt.Appendf(nil, "VA %d O%s%s%s%s\r\n", len(v), t.Request, hit, tail, v), seen.Value)
 	case world.Stored:
@@ -369,10 +369,10 @@
 	case world.Failed:
 		s.fill(fmt.Appendf(nil, "SERVER_ERROR failed%s%s", hit, tail), seen.Error)
 	default:
-		if c.opt.Missed != nil && !t.Write {
+		if c.opt.OnMiss != nil && !t.Write {
 			key, model := t.Key, c.model
-			c.opt.Missed(t.Request, func(version, size int64) {
-				c.Do(func(now time.Duration, m *world.Cache) {
+			c.opt.OnMiss(t.Request, func(version, size int64) {
+				c.UpdateModel(func(now time.Duration, m *world.Cache) {
 					if m == model {
 						m.Store(now, key, version, size)
 					}
@@ -439,8 +439,8 @@
 // serve is one connection.
 func (c *Cache) serve(conn net.Conn) {
 	k := &cacheConn{cache: c, net: conn, id: connSerial.Add(1), ready: make(chan struct{}, 1), script: c.opt.Script}
-	if c.opt.Scripts != nil {
-		k.script = c.opt.Scripts()
+	if c.opt.NewScript != nil {
+		k.script = c.opt.NewScript()
 	}
 	c.mu.Lock()
 	if c.stopped || c.opt.MaxConns > 0 && len(c.conns) >= c.opt.MaxConns {
@@ -628,7 +628,7 @@
 	var next []*slot
 	k.mu.Lock()
 	for i, s := range k.queue {
-		if i >= max(1, k.cache.opt.PerConn) {
+		if i >= max(1, k.cache.opt.ConnConcurrency) {
 			break
 		}
 		if !s.begun {
@@ -681,7 +681,7 @@
 	defer c.mu.Unlock()
 	switch text {
 	case "":
-	case ClosesIt:
+	case CloseConn:
 		s.ends = true
 		s.fill(nil, seen.Nothing)
 	default:
--- a/lab/standin/list.go
+++ b/lab/standin/list.go
@@ -21,12 +21,12 @@
 
 // ListOptions describe the list service.
 type ListOptions struct {
-	Addr  string // to listen on, for each node; port 0 takes any
-	Nodes int
-	Delay time.Duration // changes show so much later
-	Keep  int           // changes that it remembers; 0: 1000
-	Whole bool          // it only ever tells the whole list
-	Wait  time.Duration // of a call, before it is answered
+	Addr          string // to listen on, for each node; port 0 takes any
+	Nodes         int
+	ChangeDelay   time.Duration // changes show so much later
+	KeptChanges   int           // changes that it remembers; 0: 1000
+	SnapshotsOnly bool          // it only ever tells the whole list
+	AnswerDelay   time.Duration // of a call, before it is answered
 }
 
 // List is the list service on sockets: an address for each node, so that who asks is known.
@@ -68,8 +68,8 @@
 	Members  []listMember `json:"members"`
 }
 
-// Wire gives a list in the protocol's form, as a node's configuration holds it.
-func Wire(zero time.Time, revision int64, whole bool, members []world.Member) any {
+// EncodeList gives a list in the protocol's form, as a node's configuration holds it.
+func EncodeList(zero time.Time, revision int64, whole bool, members []world.Member) any {
 	out := listAnswer{Revision: revision, Complete: whole, Members: []listMember{}}
 	for _, m := range members {
 		e := listMember{ID: m.ID, HostPort: m.Addr, Locality: m.Zone, Flavor: m.Kind, Cell: m.Cell, Size: m.Weight,
@@ -84,13 +84,13 @@
 
 // NewList starts the service.
 func NewList(common *Common, opt ListOptions, members ...world.Member) (*List, error) {
-	if opt.Keep == 0 {
-		opt.Keep = 1000
+	if opt.KeptChanges == 0 {
+		opt.KeptChanges = 1000
 	}
-	l := &List{Common: common, opt: opt, roster: world.NewServerList(opt.Keep, members...), delay: opt.Delay,
+	l := &List{Common: common, opt: opt, roster: world.NewServerList(opt.KeptChanges, members...), delay: opt.ChangeDelay,
 		cut: make([]chan struct{}, opt.Nodes), lives: make([]int, opt.Nodes), news: make(chan struct{}),
 		asks: make([][]string, opt.Nodes), shut: make(chan struct{})}
-	l.timer = time.AfterFunc(time.Hour, l.Changed)
+	l.timer = time.AfterFunc(time.Hour, l.NotifyWatchers)
 	for n := range opt.Nodes {
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { l.handle(n, w, r) }), ErrorLog: quiet}
 		p, err := servePort(opt.Addr, s)
@@ -141,11 +141,11 @@
 	return l.roster.Snapshot(l.Log.Now())
 }
 
-// Down takes the service down, or up again.
-func (l *List) Down(on bool) { l.change(func() { l.down = on }) }
+// SetDown takes the service down, or up again.
+func (l *List) SetDown(on bool) { l.change(func() { l.down = on }) }
 
-// Refuse has connections refused, or taken again. Those that stand are not touched: Down has their calls turned away.
-func (l *List) Refuse(on bool) error {
+// RefuseConns has connections refused, or taken again. Those that stand are not touched: Down has their calls turned away.
+func (l *List) RefuseConns(on bool) error {
 	var errs []error
 	for _, p := range l.ports {
 		errs = append(errs, p.refuse(on))
@@ -153,14 +153,14 @@
 	return errors.Join(errs...)
 }
 
-// Garble makes it talk nonsense.
-func (l *List) Garble(on bool) { l.change(func() { l.garble = on }) }
+// SetGarbled makes it talk nonsense.
+func (l *List) SetGarbled(on bool) { l.change(func() { l.garble = on }) }
 
-// SayOnce makes it answer the next call with this, whatever it is.
-func (l *List) SayOnce(body string) { l.change(func() { l.once = body }) }
+// AnswerOnce makes it answer the next call with this, whatever it is.
+func (l *List) AnswerOnce(body string) { l.change(func() { l.once = body }) }
 
 // Lag makes changes show so much later, beyond the usual.
-func (l *List) Lag(d time.Duration) { l.change(func() { l.delay = l.opt.Delay + d }) }
+func (l *List) Lag(d time.Duration) { l.change(func() { l.delay = l.opt.ChangeDelay + d }) }
 
 // Cut keeps everything from a node: its calls get no answer, until that ends with a reset.
 func (l *List) Cut(node int, on bool) {
@@ -174,11 +174,11 @@
 	})
 }
 
-// Lives says which process of a node is running from now on.
-func (l *List) Lives(node, life int) { l.change(func() { l.lives[node] = life }) }
+// SetGeneration says which process of a node is running from now on.
+func (l *List) SetGeneration(node, life int) { l.change(func() { l.lives[node] = life }) }
 
-// Asked gives the values of since in a node's calls.
-func (l *List) Asked(node int) []string {
+// SinceValues gives the values of since in a node's calls.
+func (l *List) SinceValues(node int) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.asks[node]...)
@@ -207,8 +207,8 @@
 	l.tell()
 }
 
-// Changed looks for changes that show by now.
-func (l *List) Changed() { l.change(func() {}) }
+// NotifyWatchers looks for changes that show by now.
+func (l *List) NotifyWatchers() { l.change(func() {}) }
 
 // tell wakes all who wait, and sets the timer for the next change that will show.
 func (l *List) tell() {
@@ -236,8 +236,8 @@
 	l.asks[node] = append(l.asks[node], r.URL.Query().Get("since"))
 	l.mu.Unlock()
 	l.Log.Update(func(rec *seen.Record) { rec.ListCalls = append(rec.ListCalls, call) })
-	if l.opt.Wait > 0 {
-		time.Sleep(l.opt.Wait)
+	if l.opt.AnswerDelay > 0 {
+		time.Sleep(l.opt.AnswerDelay)
 	}
 	end := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer end.Stop()
@@ -307,16 +307,16 @@
 
 // answer is what a call is told now.
 func (l *List) answer(now time.Duration, since int64, watch bool) ([]world.Member, listAnswer) {
-	if watch && !l.opt.Whole {
+	if watch && !l.opt.SnapshotsOnly {
 		if at, changes, known := l.roster.ChangesSince(now, since); known {
-			return changes, Wire(l.Log.StartTime(), at, false, changes).(listAnswer)
+			return changes, EncodeList(l.Log.StartTime(), at, false, changes).(listAnswer)
 		}
 	}
 	at, all := l.roster.Snapshot(now)
-	if watch && l.opt.Whole && at == since {
+	if watch && l.opt.SnapshotsOnly && at == since {
 		return nil, listAnswer{Revision: at, Members: []listMember{}}
 	}
-	return all, Wire(l.Log.StartTime(), at, true, all).(listAnswer)
+	return all, EncodeList(l.Log.StartTime(), at, true, all).(listAnswer)
 }
 
 func (l *List) finish(c *seen.ListCall, ok bool) {
--- a/lab/standin/origin.go
+++ b/lab/standin/origin.go
@@ -22,9 +22,9 @@
 	Spec     *world.OriginSpec // nil with a script
 	Script   http.HandlerFunc
 	// Served is told of each read that it has answered: the value is stored where the request missed.
-	Served func(request string, version, size int64)
+	OnRead func(request string, version, size int64)
 	// Wrote is told of each write that took effect: the copies of its key are void.
-	Wrote func(key string)
+	OnWrite func(key string)
 }
 
 // Origin is the origin on a socket, by HTTP/1.1.
@@ -106,15 +106,15 @@
 // Addr is where it listens.
 func (o *Origin) Addr() string { return o.port.addr }
 
-// Lines are the requests that came, where a script answers.
-func (o *Origin) Lines() []string {
+// Requests are the requests that came, where a script answers.
+func (o *Origin) Requests() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]string(nil), o.lines...)
 }
 
-// Do runs f on the model, where there is one, and looks at what has come of it.
-func (o *Origin) Do(f func(now time.Duration, m *world.Origin)) {
+// UpdateModel runs f on the model, where there is one, and looks at what has come of it.
+func (o *Origin) UpdateModel(f func(now time.Duration, m *world.Origin)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.model != nil {
@@ -123,20 +123,20 @@
 	}
 }
 
-// Spoil breaks a part of the answers.
-func (o *Origin) Spoil(part float64) {
+// CorruptAnswers breaks a part of the answers.
+func (o *Origin) CorruptAnswers(part float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.spoil = part
 }
 
-// Refuse refuses new connections and ends those that stand, or takes them again.
-func (o *Origin) Refuse(on bool) error {
+// SetDown refuses new connections and ends those that stand, or takes them again.
+func (o *Origin) SetDown(on bool) error {
 	length := time.Duration(0)
 	if on {
 		length = 1000 * time.Hour
 	}
-	o.Do(func(now time.Duration, m *world.Origin) { m.Stop(now, length) })
+	o.UpdateModel(func(now time.Duration, m *world.Origin) { m.Stop(now, length) })
 	return o.port.refuse(on)
 }
 
@@ -169,8 +169,8 @@
 		if d.Applied {
 			e := seen.Effect{At: now, Request: o.by[d.Token], Key: d.Key, Idem: d.Idem, Receipt: d.Receipt}
 			o.Log.Update(func(r *seen.Record) { r.Effects = append(r.Effects, e) })
-			if o.opt.Wrote != nil {
-				o.opt.Wrote(d.Key)
+			if o.opt.OnWrite != nil {
+				o.opt.OnWrite(d.Key)
 			}
 		}
 		o.end(d.Token, &d)
@@ -298,7 +298,7 @@
 		}
 		o.say(w, t, class, d)
 	case <-r.Context().Done():
-		o.Do(func(now time.Duration, m *world.Origin) {
+		o.UpdateModel(func(now time.Duration, m *world.Origin) {
 			m.Cancel(now, token)
 			delete(o.waits, token)
 			if !t.Write {
@@ -328,13 +328,13 @@
 		return
 	}
 	size := world.SizeOf(o.Seed, class, t.Key)
-	v := Value(t.Key, d.Version, t.Request, o.opt.ID, size)
+	v := MakeValue(t.Key, d.Version, t.Request, o.opt.ID, size)
 	o.Log.Update(func(*seen.Record) { t.Version = d.Version })
 	w.Header().Set("Content-Length", strconv.Itoa(len(v)))
 	w.Write(v)
 	o.answered(w, t, seen.Value)
-	if o.opt.Served != nil {
-		o.opt.Served(t.Request, d.Version, int64(size))
+	if o.opt.OnRead != nil {
+		o.opt.OnRead(t.Request, d.Version, int64(size))
 	}
 }
 
--- a/lab/standin/registry.go
+++ b/lab/standin/registry.go
@@ -18,12 +18,12 @@
 
 // RegistryOptions describe a key-value registry.
 type RegistryOptions struct {
-	Addr      string // to listen on, for each endpoint and node; port 0 takes any
-	Endpoints int
-	Nodes     int           // each has its own addresses, so that who asks is known
-	Prefix    string        // of the servers' keys
-	Token     string        // wanted with each request; empty: none
-	Progress  time.Duration // between progress notices of a quiet watch; 0: none
+	Addr             string // to listen on, for each endpoint and node; port 0 takes any
+	Endpoints        int
+	Nodes            int           // each has its own addresses, so that who asks is known
+	Prefix           string        // of the servers' keys
+	Token            string        // wanted with each request; empty: none
+	ProgressInterval time.Duration // between progress notices of a quiet watch; 0: none
 }
 
 // Registry plays a key-value registry of several endpoints: the JSON gateway of etcd v3 and the blocking reads of Consul,
@@ -60,25 +60,25 @@
 
 // ServerEntry is a server's entry in a registry: a JSON object, as docs/registry.md describes it.
 type ServerEntry struct {
-	ID     string   `json:"id"`
-	Addr   string   `json:"addr"`
-	Zone   string   `json:"zone,omitempty"`
-	Kind   string   `json:"kind,omitempty"`
-	Cell   int      `json:"cell,omitempty"`
-	Phase  string   `json:"phase,omitempty"`
-	Weight *float64 `json:"weight,omitempty"`
-	Start  int64    `json:"start_ms,omitempty"`
-}
-
-// EntryOf writes a member as a registry holds it.
-func EntryOf(zero time.Time, m world.Member) []byte {
+	ID          string   `json:"id"`
+	Addr        string   `json:"addr"`
+	Zone        string   `json:"zone,omitempty"`
+	Kind        string   `json:"kind,omitempty"`
+	Cell        int      `json:"cell,omitempty"`
+	Phase       string   `json:"phase,omitempty"`
+	Weight      *float64 `json:"weight,omitempty"`
+	StartMillis int64    `json:"start_ms,omitempty"`
+}
+
+// EncodeEntry writes a member as a registry holds it.
+func EncodeEntry(zero time.Time, m world.Member) []byte {
 	w := m.Weight
 	e := ServerEntry{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Weight: &w}
 	if m.Phase == world.Draining {
 		e.Phase = "draining"
 	}
 	if m.Started > 0 {
-		e.Start = zero.Add(m.Started).UnixMilli()
+		e.StartMillis = zero.Add(m.Started).UnixMilli()
 	}
 	text, _ := json.Marshal(e)
 	return text
@@ -97,8 +97,8 @@
 	if e.Phase == "draining" {
 		m.Phase = world.Draining
 	}
-	if e.Start > 0 {
-		m.Started = time.UnixMilli(e.Start).Sub(zero)
+	if e.StartMillis > 0 {
+		m.Started = time.UnixMilli(e.StartMillis).Sub(zero)
 	}
 	return m, true
 }
@@ -122,16 +122,16 @@
 	return r, nil
 }
 
-// Addrs is where a node finds the endpoints.
-func (r *Registry) Addrs(node int) (all []string) {
+// Endpoints is where a node finds the endpoints.
+func (r *Registry) Endpoints(node int) (all []string) {
 	for end := range r.opt.Endpoints {
 		all = append(all, r.ports[end*r.opt.Nodes+node].addr)
 	}
 	return all
 }
 
-// Do changes the store and wakes who watches.
-func (r *Registry) Do(f func(now time.Duration, s *world.Store)) {
+// UpdateStore changes the store and wakes who watches.
+func (r *Registry) UpdateStore(f func(now time.Duration, s *world.Store)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.Log.Now(), r.store)
@@ -147,16 +147,16 @@
 }
 
 func (r *Registry) lapse() {
-	r.Do(func(now time.Duration, s *world.Store) { s.ExpireLeases(now) })
+	r.UpdateStore(func(now time.Duration, s *world.Store) { s.ExpireLeases(now) })
 }
 
 // Set puts a server's entry, or takes it out.
 func (r *Registry) Set(m world.Member) {
-	r.Do(func(_ time.Duration, s *world.Store) {
+	r.UpdateStore(func(_ time.Duration, s *world.Store) {
 		if m.Phase == world.Deleted {
 			s.Delete(r.opt.Prefix + m.ID)
 		} else {
-			s.Put(r.opt.Prefix+m.ID, EntryOf(r.Log.StartTime(), m), 0)
+			s.Put(r.opt.Prefix+m.ID, EncodeEntry(r.Log.StartTime(), m), 0)
 		}
 	})
 }
@@ -192,21 +192,23 @@
 
 // Compact forgets all but the last changes.
 func (r *Registry) Compact(keep int64) {
-	r.Do(func(_ time.Duration, s *world.Store) { s.Compact(s.Revision() - keep) })
+	r.UpdateStore(func(_ time.Duration, s *world.Store) { s.Compact(s.Revision() - keep) })
 }
 
-// Wipe takes out all servers.
-func (r *Registry) Wipe() { r.Do(func(_ time.Duration, s *world.Store) { s.Delete(r.opt.Prefix) }) }
+// DeleteAll takes out all servers.
+func (r *Registry) DeleteAll() {
+	r.UpdateStore(func(_ time.Duration, s *world.Store) { s.Delete(r.opt.Prefix) })
+}
 
-// Save keeps a backup, Restore puts it in the store's place and breaks all watches.
-func (r *Registry) Save() {
+// SaveBackup keeps a backup, Restore puts it in the store's place and breaks all watches.
+func (r *Registry) SaveBackup() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.save = r.store.Backup()
 }
 
-// Restore puts the backup in the store's place and breaks all watches.
-func (r *Registry) Restore() {
+// RestoreBackup puts the backup in the store's place and breaks all watches.
+func (r *Registry) RestoreBackup() {
 	r.mu.Lock()
 	if r.save != nil {
 		r.store = r.save.Backup()
@@ -218,14 +220,14 @@
 // Lag makes an endpoint tell of what was so many changes ago.
 func (r *Registry) Lag(end int, changes int64) { r.change(func() { r.lags[end] = changes }) }
 
-// Down makes an endpoint answer 503, and breaks what waits there.
-func (r *Registry) Down(end int, on bool) { r.change(func() { r.ends[end].down = on }) }
+// SetDown makes an endpoint answer 503, and breaks what waits there.
+func (r *Registry) SetDown(end int, on bool) { r.change(func() { r.ends[end].down = on }) }
 
-// Garble makes an endpoint talk nonsense.
-func (r *Registry) Garble(end int, on bool) { r.change(func() { r.ends[end].garble = on }) }
+// SetGarbled makes an endpoint talk nonsense.
+func (r *Registry) SetGarbled(end int, on bool) { r.change(func() { r.ends[end].garble = on }) }
 
-// Mute makes an endpoint say nothing more, on what stands as on what comes; when it is back, that is reset.
-func (r *Registry) Mute(end int, on bool) {
+// SetMuted makes an endpoint say nothing more, on what stands as on what comes; when it is back, that is reset.
+func (r *Registry) SetMuted(end int, on bool) {
 	r.change(func() {
 		e := &r.ends[end]
 		if on && !e.mute {
@@ -249,27 +251,27 @@
 	})
 }
 
-// Twice makes it tell changes again and let a progress go ahead of them; Split sends answers in small pieces, each after a
+// RepeatEvents makes it tell changes again and let a progress go ahead of them; Split sends answers in small pieces, each after a
 // while.
-func (r *Registry) Twice(on bool) { r.change(func() { r.twice = on }) }
+func (r *Registry) RepeatEvents(on bool) { r.change(func() { r.twice = on }) }
 
-// Split sends answers in pieces of a few bytes, each after a while.
-func (r *Registry) Split(on bool, drip time.Duration) {
+// SplitAnswers sends answers in pieces of a few bytes, each after a while.
+func (r *Registry) SplitAnswers(on bool, drip time.Duration) {
 	r.change(func() { r.split, r.drip = on, drip })
 }
 
-// Lives says which process of a node is running from now on.
-func (r *Registry) Lives(node, life int) { r.change(func() { r.lives[node] = life }) }
+// SetGeneration says which process of a node is running from now on.
+func (r *Registry) SetGeneration(node, life int) { r.change(func() { r.lives[node] = life }) }
 
-// Calls is how many requests have come, and how many bytes were answered.
-func (r *Registry) Calls() (int, int64) {
+// CallCounts is how many requests have come, and how many bytes were answered.
+func (r *Registry) CallCounts() (int, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls, r.bytes
 }
 
-// Waits is how often a call has come to wait for changes, with all done that comes before.
-func (r *Registry) Waits() int64 { return r.waits.Load() }
+// WaitCount is how often a call has come to wait for changes, with all done that comes before.
+func (r *Registry) WaitCount() int64 { return r.waits.Load() }
 
 func (r *Registry) change(f func()) {
 	r.mu.Lock()
@@ -445,7 +447,7 @@
 			return
 		}
 		var err error
-		r.Do(func(_ time.Duration, s *world.Store) { _, err = s.Put(string(in.Key), in.Value, in.Lease) })
+		r.UpdateStore(func(_ time.Duration, s *world.Store) { _, err = s.Put(string(in.Key), in.Value, in.Lease) })
 		x.done(map[string]any{}, err)
 	case "/v3/lease/grant":
 		var in struct {
@@ -456,13 +458,13 @@
 			return
 		}
 		var id int64
-		r.Do(func(now time.Duration, s *world.Store) { id = s.GrantLease(now, time.Duration(in.TTL)*time.Second) })
+		r.UpdateStore(func(now time.Duration, s *world.Store) { id = s.GrantLease(now, time.Duration(in.TTL)*time.Second) })
 		x.done(map[string]any{"ID": strconv.FormatInt(id, 10), "TTL": strconv.FormatInt(in.TTL, 10)}, nil)
 	case "/v3/lease/keepalive":
 		id := leaseID(body)
 		var ttl time.Duration
 		var err error
-		r.Do(func(now time.Duration, s *world.Store) { ttl, err = s.KeepAlive(now, id) })
+		r.UpdateStore(func(now time.Duration, s *world.Store) { ttl, err = s.KeepAlive(now, id) })
 		if err != nil {
 			ttl = 0 // as the gateway has it: a lease that is gone has no time left
 		}
@@ -470,7 +472,7 @@
 	case "/v3/lease/revoke", "/v3/kv/lease/revoke":
 		var err error
 		id := leaseID(body)
-		r.Do(func(_ time.Duration, s *world.Store) { err = s.Revoke(id) })
+		r.UpdateStore(func(_ time.Duration, s *world.Store) { err = s.Revoke(id) })
 		x.done(map[string]any{}, err)
 	default:
 		x.fail(http.StatusNotFound, 5, "Not Found")
@@ -598,9 +600,9 @@
 	if x.send(result(map[string]any{"created": true, "watch_id": "0"})) != nil {
 		return
 	}
-	progress := time.NewTicker(max(time.Hour, r.opt.Progress))
-	if r.opt.Progress > 0 {
-		progress.Reset(r.opt.Progress)
+	progress := time.NewTicker(max(time.Hour, r.opt.ProgressInterval))
+	if r.opt.ProgressInterval > 0 {
+		progress.Reset(r.opt.ProgressInterval)
 	}
 	defer progress.Stop()
 	for {
@@ -677,13 +679,13 @@
 			return
 		}
 		var id int64
-		r.Do(func(now time.Duration, s *world.Store) { id = s.GrantLease(now, ttl) })
+		r.UpdateStore(func(now time.Duration, s *world.Store) { id = s.GrantLease(now, ttl) })
 		fmt.Fprintf(x.w, `{"ID":"%d"}`, id)
 	case x.q.Method == "PUT" && strings.HasPrefix(path, "session/"):
 		verb, text, _ := strings.Cut(strings.TrimPrefix(path, "session/"), "/")
 		id, _ := strconv.ParseInt(text, 10, 64)
 		var err error
-		r.Do(func(now time.Duration, s *world.Store) {
+		r.UpdateStore(func(now time.Duration, s *world.Store) {
 			if verb == "renew" {
 				_, err = s.KeepAlive(now, id)
 			} else {
@@ -698,7 +700,7 @@
 	case x.q.Method == "PUT" && strings.HasPrefix(path, "kv/"):
 		lease, _ := strconv.ParseInt(x.q.URL.Query().Get("acquire"), 10, 64)
 		var err error
-		r.Do(func(_ time.Duration, s *world.Store) { _, err = s.Put(strings.TrimPrefix(path, "kv/"), body, lease) })
+		r.UpdateStore(func(_ time.Duration, s *world.Store) { _, err = s.Put(strings.TrimPrefix(path, "kv/"), body, lease) })
 		fmt.Fprint(x.w, err == nil)
 	case x.q.Method == "GET" && strings.HasPrefix(path, "kv/"):
 		x.consulRead(strings.TrimPrefix(path, "kv/"))
--- a/lab/standin/standin.go
+++ b/lab/standin/standin.go
@@ -24,9 +24,9 @@
 // Digest is what is kept of a write's value.
 func Digest(value []byte) uint64 { return xxhash.Sum64(value) }
 
-// Value is the value that a server makes for one request: it tells which, so that no other can be passed off for it. It
+// MakeValue is the value that a server makes for one request: it tells which, so that no other can be passed off for it. It
 // holds so many bytes, or what its head needs.
-func Value(key string, version int64, request, server string, size int) []byte {
+func MakeValue(key string, version int64, request, server string, size int) []byte {
 	v := fmt.Appendf(make([]byte, 0, size+64), "%s %d %s %s|", key, version, request, server)
 	for len(v) < size {
 		n := min(len(filler), size-len(v))
@@ -38,7 +38,7 @@
 var filler = bytes.Repeat([]byte("The unit price is struck daily. "), 64)
 
 // Origin of a value, as its head tells it. Right reports whether it is whole and unspoilt.
-func ReadValue(v []byte) (key string, version int64, request, server string, right bool) {
+func ParseValue(v []byte) (key string, version int64, request, server string, right bool) {
 	head, _, ok := bytes.Cut(v, []byte("|"))
 	words := strings.Split(string(head), " ")
 	if !ok || len(words) != 4 {
@@ -48,7 +48,7 @@
 	if err != nil {
 		return "", 0, "", "", false
 	}
-	return words[0], n, words[2], words[3], bytes.Equal(v, Value(words[0], n, words[2], words[3], len(v)))
+	return words[0], n, words[2], words[3], bytes.Equal(v, MakeValue(words[0], n, words[2], words[3], len(v)))
 }
 
 // Common is what all stand-ins of a deployment share.
@@ -81,8 +81,8 @@
 	c.count++
 }
 
-// Late is how late the stand-ins were with what was due: at most, and in the mean.
-func (c *Common) Late() (most, mean time.Duration) {
+// Lateness is how late the stand-ins were with what was due: at most, and in the mean.
+func (c *Common) Lateness() (most, mean time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.late, c.sum / time.Duration(max(1, c.count))
--- a/lab/standin/standin_test.go
+++ b/lab/standin/standin_test.go
@@ -43,7 +43,7 @@
 
 func cache(t *testing.T, c *Common, change func(*CacheOptions)) *Cache {
 	t.Helper()
-	opt := CacheOptions{ID: "s-1", Name: "c1", Addr: "127.0.0.1:0", Spec: spec(), PerConn: 4, Tells: true, Reports: true}
+	opt := CacheOptions{ID: "s-1", Name: "c1", Addr: "127.0.0.1:0", Spec: spec(), ConnConcurrency: 4, ReportsHits: true, ReportsLoad: true}
 	if change != nil {
 		change(&opt)
 	}
@@ -112,22 +112,22 @@
 }
 
 func TestValuesTellWhoseTheyAre(t *testing.T) {
-	v := Value("k", 3, "r1", "s-1", 5000)
-	key, version, request, server, right := ReadValue(v)
+	v := MakeValue("k", 3, "r1", "s-1", 5000)
+	key, version, request, server, right := ParseValue(v)
 	if len(v) != 5000 || key != "k" || version != 3 || request != "r1" || server != "s-1" || !right {
 		t.Errorf("%d bytes, %s %d %s %s %v", len(v), key, version, request, server, right)
 	}
 	for i := range []int{0, 10, 4000} {
 		bad := append([]byte(nil), v...)
 		bad[i]++
-		if k, n, r, s, right := ReadValue(bad); right && k == "k" && n == 3 && r == "r1" && s == "s-1" {
+		if k, n, r, s, right := ParseValue(bad); right && k == "k" && n == 3 && r == "r1" && s == "s-1" {
 			t.Errorf("a value with byte %d changed passes for the same", i)
 		}
 	}
-	if _, _, _, _, right := ReadValue(v[:4999]); !right {
+	if _, _, _, _, right := ParseValue(v[:4999]); !right {
 		t.Error("the length alone is no fault: the protocol tells it")
 	}
-	if _, _, _, _, right := ReadValue([]byte("nonsense")); right {
+	if _, _, _, _, right := ParseValue([]byte("nonsense")); right {
 		t.Error("nonsense passes")
 	}
 }
@@ -136,7 +136,7 @@
 	c := common()
 	var missed []string
 	s := cache(t, c, func(o *CacheOptions) {
-		o.Missed = func(request string, store func(int64, int64)) {
+		o.OnMiss = func(request string, store func(int64, int64)) {
 			missed = append(missed, request)
 			go store(7, 100)
 		}
@@ -148,15 +148,15 @@
 	}
 	eventually(t, "the value is stored", func() bool {
 		has := false
-		s.Do(func(_ time.Duration, m *world.Cache) { _, has = m.CachedVersion("k1") })
+		s.UpdateModel(func(_ time.Duration, m *world.Cache) { _, has = m.CachedVersion("k1") })
 		return has
 	})
-	s.Do(func(now time.Duration, m *world.Cache) { m.Slow(now, 20) })
+	s.UpdateModel(func(now time.Duration, m *world.Cache) { m.Slow(now, 20) })
 	l.send("mg k1 v O2 Pc=read,d=500\r\nms k1 2 O3 Pc=put,d=500,k=i\r\nhi\r\nmn\r\n")
 	if got := l.line(); got != "MN" {
 		t.Errorf("%q: mn is answered at once", got)
 	}
-	if got := l.line(); !strings.HasPrefix(got, "VA 100 O2 h1 L") || !strings.HasSuffix(got, string(Value("k1", 7, "2", "s-1", 100))) {
+	if got := l.line(); !strings.HasPrefix(got, "VA 100 O2 h1 L") || !strings.HasSuffix(got, string(MakeValue("k1", 7, "2", "s-1", 100))) {
 		t.Errorf("%q", got)
 	}
 	if got := l.line(); !strings.HasPrefix(got, "EN O3") { // only the origin takes writes
@@ -173,7 +173,7 @@
 func TestACacheSeesAttemptsGivenUp(t *testing.T) {
 	c := common()
 	s := cache(t, c, nil)
-	s.Hang(true)
+	s.SetHanging(true)
 	l := dial(t, s.Addr())
 	l.send("mg k1 v O1 Pc=read,d=500\r\n")
 	eventually(t, "it has come", func() bool { a := attempts(c); return len(a) == 1 && a[0].LastByteAt > 0 })
@@ -182,7 +182,7 @@
 	l = dial(t, s.Addr())
 	l.send("mg k1 v O2 Pc=re")
 	l.c.Close()
-	eventually(t, "the connection is given back", func() bool { open, ever := s.Conns(); return open == 0 && ever == 2 })
+	eventually(t, "the connection is given back", func() bool { open, ever := s.ConnCounts(); return open == 0 && ever == 2 })
 	if len(attempts(c)) != 1 {
 		t.Error("half a command is taken for an attempt")
 	}
@@ -212,13 +212,13 @@
 		on, off func()
 		want    string
 	}{
-		{"turns away", func() { s.TurnAway(true) }, func() { s.TurnAway(false) }, "SERVER_ERROR"},
-		{"hangs", func() { s.Hang(true) }, func() { s.Hang(false) }, "silent"},
-		{"refuses", func() { s.Refuse(true) }, func() { s.Refuse(false) }, "refused"},
-		{"resets", func() { s.Spoil("reset", 1) }, func() { s.Spoil("reset", 0) }, "end"},
-		{"dies", s.Die, func() { s.Rise("", false) }, "refused"},
-		{"stands still", func() { s.Do(func(now time.Duration, m *world.Cache) { m.Pause(now, true) }) },
-			func() { s.Do(func(now time.Duration, m *world.Cache) { m.Pause(now, false) }) }, "silent"},
+		{"turns away", func() { s.SetBusy(true) }, func() { s.SetBusy(false) }, "SERVER_ERROR"},
+		{"hangs", func() { s.SetHanging(true) }, func() { s.SetHanging(false) }, "silent"},
+		{"refuses", func() { s.RefuseConns(true) }, func() { s.RefuseConns(false) }, "refused"},
+		{"resets", func() { s.CorruptAnswers("reset", 1) }, func() { s.CorruptAnswers("reset", 0) }, "end"},
+		{"dies", s.Kill, func() { s.Restart("", false) }, "refused"},
+		{"stands still", func() { s.UpdateModel(func(now time.Duration, m *world.Cache) { m.Pause(now, true) }) },
+			func() { s.UpdateModel(func(now time.Duration, m *world.Cache) { m.Pause(now, false) }) }, "silent"},
 	} {
 		x.on()
 		if got := ask(); got != x.want {
@@ -229,7 +229,7 @@
 			t.Errorf("after it %s: %q", x.name, got)
 		}
 	}
-	s.Rise("s-9", true)
+	s.Restart("s-9", true)
 	if s.ID() != "s-9" {
 		t.Errorf("it is %s", s.ID())
 	}
@@ -242,7 +242,7 @@
 	l := dial(t, s.Addr())
 	l.send("mg k1 v O1 Pc=read,d=500\r\n")
 	l.line()
-	s.Silence(true)
+	s.SetSilent(true)
 	l.send("mg k1 v O2 Pc=read,d=500\r\n")
 	l.c.SetReadDeadline(time.Now().Add(100 * ms))
 	if _, err := l.in.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -252,7 +252,7 @@
 		conn.Close()
 		t.Error("a connection came up")
 	}
-	s.Silence(false)
+	s.SetSilent(false)
 	l.c.SetReadDeadline(time.Now().Add(patience))
 	if _, err := l.in.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("it is back and the old connection goes on: %v", err)
@@ -286,7 +286,7 @@
 				p.ln.SetDeadline(time.Unix(1, 0)) // as on a busy machine: nobody accepts
 				<-rest
 			} else {
-				s.Silence(true)
+				s.SetSilent(true)
 				raw, err := p.ln.SyscallConn()
 				if err != nil {
 					t.Fatal(err)
@@ -296,12 +296,12 @@
 			l := dial(t, s.Addr())
 			l.send("mg k1 v O1 Pc=read,d=500\r\n")
 			if before {
-				s.Silence(true)
+				s.SetSilent(true)
 				if len(p.plugs) != 9 { // eight, and the one that waited
 					t.Errorf("%d connections are held", len(p.plugs))
 				}
 			}
-			s.Silence(false)
+			s.SetSilent(false)
 			if _, err := l.in.ReadByte(); !errors.Is(err, unix.ECONNRESET) {
 				t.Errorf("it is back, and the connection of before: %v", err)
 			}
@@ -320,9 +320,9 @@
 // Whatever a garbled answer looks like, it is not the good one.
 func TestGarbledAnswersAreNoGoodOnes(t *testing.T) {
 	s := cache(t, common(), nil)
-	s.Do(func(now time.Duration, m *world.Cache) { m.Store(now, "k1", 0, 100) })
-	s.Spoil("garble", 1)
-	good := string(Value("k1", 0, "1", "s-1", 100))
+	s.UpdateModel(func(now time.Duration, m *world.Cache) { m.Store(now, "k1", 0, 100) })
+	s.CorruptAnswers("garble", 1)
+	good := string(MakeValue("k1", 0, "1", "s-1", 100))
 	kinds := map[string]bool{}
 	for range 60 {
 		l := dial(t, s.Addr())
@@ -343,7 +343,7 @@
 // A cold cache that is pushed over is down, and the log says so once.
 func TestACachePushedOverIsDown(t *testing.T) {
 	c := common()
-	s := cache(t, c, func(o *CacheOptions) { o.Cold, o.PerConn = true, 10000 })
+	s := cache(t, c, func(o *CacheOptions) { o.Cold, o.ConnConcurrency = true, 10000 })
 	down := func() (n int) {
 		c.Log.Update(func(r *seen.Record) { n = len(r.FallOvers) })
 		return n
@@ -359,7 +359,7 @@
 		io.Copy(io.Discard, conn)
 		return false
 	})
-	if err := s.Rise("", false); err != nil {
+	if err := s.Restart("", false); err != nil {
 		t.Fatal(err)
 	}
 	if got := dial(t, s.Addr()); got == nil || down() != 1 {
@@ -406,10 +406,10 @@
 	c := common()
 	var served, wrote atomic.Int64
 	o := originOf(t, c, func(o *OriginOptions) {
-		o.Served = func(string, int64, int64) { served.Add(1) }
-		o.Wrote = func(string) { wrote.Add(1) }
+		o.OnRead = func(string, int64, int64) { served.Add(1) }
+		o.OnWrite = func(string) { wrote.Add(1) }
 	})
-	if code, v := ask(t, o, "GET", "k", "1", "c=read,d=500", ""); code != 200 || v != string(Value("k", 0, "1", "s-0", len(v))) {
+	if code, v := ask(t, o, "GET", "k", "1", "c=read,d=500", ""); code != 200 || v != string(MakeValue("k", 0, "1", "s-0", len(v))) {
 		t.Errorf("%d %q", code, v)
 	}
 	code, receipt := ask(t, o, "PUT", "k", "2", "c=put,d=500,k=i1", "hello")
@@ -430,11 +430,11 @@
 	if strange != 1 {
 		t.Errorf("%d strange requests", strange)
 	}
-	o.Refuse(true)
+	o.SetDown(true)
 	if code, why := ask(t, o, "GET", "k", "5", "c=read,d=500", ""); code != 0 {
 		t.Errorf("%d %s from an origin that is down", code, why)
 	}
-	o.Refuse(false)
+	o.SetDown(false)
 	if code, _ := ask(t, o, "GET", "k", "6", "c=read,d=500", ""); code != 200 {
 		t.Errorf("%d from an origin that is back", code)
 	}
@@ -444,7 +444,7 @@
 func TestAFullOrigin(t *testing.T) {
 	c := common()
 	o := originOf(t, c, nil)
-	o.Do(func(now time.Duration, m *world.Origin) { m.Pause(now, true) })
+	o.UpdateModel(func(now time.Duration, m *world.Origin) { m.Pause(now, true) })
 	answers := make(chan string, 4)
 	for i := range 3 {
 		go func() {
@@ -456,11 +456,11 @@
 	if code, v := ask(t, o, "GET", "k", "9", "c=read,d=500", ""); code != 503 || v != "not started" {
 		t.Errorf("%d %q", code, v)
 	}
-	o.Do(func(now time.Duration, m *world.Origin) { m.Pause(now, false) })
+	o.UpdateModel(func(now time.Duration, m *world.Origin) { m.Pause(now, false) })
 	for range 3 {
 		<-answers
 	}
-	o.Do(func(now time.Duration, m *world.Origin) { m.Slow(now, 20) })
+	o.UpdateModel(func(now time.Duration, m *world.Origin) { m.Slow(now, 20) })
 	conn, err := net.Dial("tcp", o.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -477,7 +477,7 @@
 
 func TestTheList(t *testing.T) {
 	c := common()
-	l, err := NewList(c, ListOptions{Addr: "127.0.0.1:0", Nodes: 2, Delay: 50 * ms, Keep: 2}, world.Member{ID: "a", Addr: "127.0.0.1:1", Weight: 1})
+	l, err := NewList(c, ListOptions{Addr: "127.0.0.1:0", Nodes: 2, ChangeDelay: 50 * ms, KeptChanges: 2}, world.Member{ID: "a", Addr: "127.0.0.1:1", Weight: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -498,7 +498,7 @@
 	}
 	news := make(chan listAnswer)
 	go func() { _, a := get(1, "?since=1&timeout_ms=5000"); news <- a }()
-	eventually(t, "the watch is there", func() bool { return len(l.Asked(1)) == 1 })
+	eventually(t, "the watch is there", func() bool { return len(l.SinceValues(1)) == 1 })
 	l.Set(world.Member{ID: "b", Addr: "127.0.0.1:2", Weight: 1, Started: 3 * time.Second})
 	if a := <-news; a.Complete || a.Revision != 2 || len(a.Members) != 1 || a.Members[0].ID != "b" ||
 		a.Members[0].UpSince != c.Log.StartTime().Add(3*time.Second).UnixMilli() {
@@ -511,21 +511,21 @@
 	if _, a := get(0, "?since=1&timeout_ms=10"); !a.Complete || len(a.Members) != 2 {
 		t.Errorf("what is forgotten is told as a change: %+v", a)
 	}
-	l.Down(true)
+	l.SetDown(true)
 	if code, _ := get(0, "?since=9&timeout_ms=5000"); code != 503 {
 		t.Errorf("down: %d", code)
 	}
-	l.Down(false)
-	l.Garble(true)
+	l.SetDown(false)
+	l.SetGarbled(true)
 	if _, a := get(0, ""); a.Revision == 5 {
 		t.Errorf("nonsense: %+v", a)
 	}
-	l.Garble(false)
+	l.SetGarbled(false)
 	l.Cut(0, true)
-	before := len(l.Asked(0))
+	before := len(l.SinceValues(0))
 	go func() { code, _ := get(0, ""); news <- listAnswer{Revision: int64(code)} }()
 	// Guards against a call that has come under the cut, and is answered because the cut ended before it was looked at.
-	eventually(t, "the call that is cut off is there", func() bool { return len(l.Asked(0)) > before })
+	eventually(t, "the call that is cut off is there", func() bool { return len(l.SinceValues(0)) > before })
 	if code, _ := get(1, ""); code != 200 {
 		t.Errorf("the other node is cut off too: %d", code)
 	}
@@ -548,7 +548,7 @@
 			case strings.HasPrefix(line, "ms "):
 				return fmt.Sprintf("HD %d\r\n", len(value))
 			case strings.HasPrefix(line, "bye"):
-				return ClosesIt
+				return CloseConn
 			}
 			return ""
 		}
@@ -567,7 +567,7 @@
 	if got := l.line(); got != "end" {
 		t.Errorf("%q", got)
 	}
-	if n := len(s.Lines()); n != 4 {
+	if n := len(s.Commands()); n != 4 {
 		t.Errorf("%d lines", n)
 	}
 }
