--- a/lab/judge/judge_test.go
+++ b/lab/judge/judge_test.go
@@ -13,8 +13,8 @@
 
 const ms = time.Millisecond
 
-// rules has a class of each effect; two servers, s-1 in zone a and s-2 in zone b.
-func rules() Rules {
+// testRules has classes of each effect and two servers: s-1 in zone a and s-2 in zone b.
+func testRules() Rules {
 	class := func(name string, e world.Effect, s world.Scope) world.Class {
 		return world.Class{Name: name, Effect: e, Scope: s, Window: time.Second, Aim: 300 * ms, Deadline: time.Second, Worth: 1, LateShare: 0.5}
 	}
@@ -25,20 +25,20 @@
 		FallWindow: time.Second, OriginOverloadWindow: time.Second, Length: 10 * time.Second}
 }
 
-// run is a record with one node, which has been told of two servers, and requests added by hand.
-type run struct {
-	rec   seen.Record
-	rules Rules
+// scenario is the record of a run with one node that knows two servers, to which a test adds requests.
+type scenario struct {
+	record seen.Record
+	rules  Rules
 }
 
-func newRun() *run {
+func newScenario() *scenario {
 	known := []world.Member{{ID: "s-1"}, {ID: "s-2"}}
-	return &run{rec: seen.Record{NodeProcesses: []*seen.NodeProcess{{StartedAt: -ms, InitialList: known}}}, rules: rules()}
+	return &scenario{record: seen.Record{NodeProcesses: []*seen.NodeProcess{{StartedAt: -ms, InitialList: known}}}, rules: testRules()}
 }
 
-// read is a request of a class sent at 100 ms and served by an attempt at s-1 after 20 ms.
-func (r *run) read(class string) (*seen.Try, *seen.Attempt) {
-	n := len(r.rec.Tries)
+// addRequest adds a request of a class, sent at 100 ms and served by an attempt at s-1 (a write: at the origin) that takes 20 ms.
+func (r *scenario) addRequest(class string) (*seen.Try, *seen.Attempt) {
+	n := len(r.record.Tries)
 	id := fmt.Sprint("id", n)
 	t := &seen.Try{ID: id, ArrivalNumber: n, Class: class, Key: "k", DueAt: 100 * ms, SentAt: 100 * ms, WaitsUntil: 1100 * ms,
 		Answer: seen.Served, AnsweredAt: 122 * ms, Correct: true, Server: "s-1"}
@@ -47,293 +47,303 @@
 		t.Write, a.Write, t.Receipt, a.Receipt, a.Answer, a.Origin = true, true, "R1", "R1", seen.Receipt, true
 		a.Server, t.Server = "o", "o"
 	}
-	r.rec.Tries, r.rec.Attempts = append(r.rec.Tries, t), append(r.rec.Attempts, a)
+	r.record.Tries, r.record.Attempts = append(r.record.Tries, t), append(r.record.Attempts, a)
 	return t, a
 }
 
-// further adds an attempt of the same request.
-func (r *run) further(a *seen.Attempt, at time.Duration, change func(*seen.Attempt)) {
+// addAttempt adds another attempt for the request of a.
+func (r *scenario) addAttempt(a *seen.Attempt, at time.Duration, change func(*seen.Attempt)) {
 	b := *a
 	b.Conn, b.FirstByteAt, b.LastByteAt, b.AnsweredAt, b.ClosedAt, b.Answer = a.Conn+1, at, at, at+10*ms, 0, a.Answer
 	change(&b)
-	r.rec.Attempts = append(r.rec.Attempts, &b)
+	r.record.Attempts = append(r.record.Attempts, &b)
 }
 
-// twice has a write take effect twice, and its node killed by the plan in the course of it; its client sent it once more, or not.
-func (r *run) twice(killed, first, second time.Duration, unread bool) {
-	t, a := r.read("put")
-	t.Resent = unread
-	r.rec.NodeProcesses[0].Killed, r.rec.NodeProcesses[0].EndedAt = true, killed
-	r.rec.Effects = append(r.rec.Effects, seen.Effect{At: first, Request: a.Request, Key: "k", Receipt: "R0"},
+// addDoubledEffect adds a write that takes effect twice and whose node is killed by an injected fault. resent says whether its
+// client sent it once more.
+func (r *scenario) addDoubledEffect(killed, first, second time.Duration, resent bool) {
+	t, a := r.addRequest("put")
+	t.Resent = resent
+	r.record.NodeProcesses[0].Killed, r.record.NodeProcesses[0].EndedAt = true, killed
+	r.record.Effects = append(r.record.Effects, seen.Effect{At: first, Request: a.Request, Key: "k", Receipt: "R0"},
 		seen.Effect{At: second, Request: a.Request, Key: "k", Receipt: "R1"})
 }
 
-func same(*seen.Attempt) {}
+func unchanged(*seen.Attempt) {}
 
-// unanswered makes an attempt one that the node gave up.
-func unanswered(a *seen.Attempt, at time.Duration) {
+// abandon turns an attempt into one that the node abandoned without an answer.
+func abandon(a *seen.Attempt, at time.Duration) {
 	a.Answer, a.AnsweredAt, a.ClosedAt = seen.Nothing, 0, at
 }
 
-// Each breach is found by its name, in a run that has only that, and its story tells the request's whole way; what is
-// allowed and looks much the same is not taken for one.
+// Each kind of violation is found in a run that has no other, with a timeline that begins with the client's first try. Similar
+// but allowed behaviour is no violation.
 func TestBreaches(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		make  func(r *run)
-		wants string // RULE WHAT; empty: kept
+		setUp func(r *scenario)
+		want  string // "RULE KIND"; empty: no violation
 	}{
-		{"all is well", func(r *run) { r.read("read"); r.read("put"); r.read("pay") }, ""},
-		{"no answer", func(r *run) { x, _ := r.read("read"); x.Answer, x.AnsweredAt = seen.None, 0 }, "one_answer lost"},
-		{"no answer, but the client went away", func(r *run) { x, _ := r.read("read"); x.Answer, x.AnsweredAt, x.LeftAt = seen.None, 0, 500*ms }, ""},
-		{"no answer, but the node was killed by the plan", func(r *run) {
-			x, _ := r.read("read")
+		{"no violations", func(r *scenario) { r.addRequest("read"); r.addRequest("put"); r.addRequest("pay") }, ""},
+		{"no answer", func(r *scenario) { x, _ := r.addRequest("read"); x.Answer, x.AnsweredAt = seen.None, 0 }, "one_answer lost"},
+		{"no answer, but the client disconnected", func(r *scenario) {
+			x, _ := r.addRequest("read")
+			x.Answer, x.AnsweredAt, x.LeftAt = seen.None, 0, 500*ms
+		}, ""},
+		{"no answer, but an injected fault killed the node", func(r *scenario) {
+			x, _ := r.addRequest("read")
 			x.Answer, x.AnsweredAt, x.ConnEndedAt = seen.None, 0, 150*ms
-			r.rec.NodeProcesses[0].Killed, r.rec.NodeProcesses[0].EndedAt = true, 150*ms
+			r.record.NodeProcesses[0].Killed, r.record.NodeProcesses[0].EndedAt = true, 150*ms
 		}, ""},
-		{"sent after the node was killed, on its new process", func(r *run) {
-			x, _ := r.read("read")
+		{"sent after the node was killed, on its new process", func(r *scenario) {
+			x, _ := r.addRequest("read")
 			x.Answer, x.AnsweredAt, x.ConnEndedAt, x.Generation = seen.None, 0, 150*ms, 1
-			r.rec.NodeProcesses[0].Killed, r.rec.NodeProcesses[0].EndedAt = true, 50*ms
-			r.rec.NodeProcesses = append(r.rec.NodeProcesses, &seen.NodeProcess{Generation: 1, StartedAt: 60 * ms, InitialList: r.rec.NodeProcesses[0].InitialList})
+			r.record.NodeProcesses[0].Killed, r.record.NodeProcesses[0].EndedAt = true, 50*ms
+			r.record.NodeProcesses = append(r.record.NodeProcesses, &seen.NodeProcess{Generation: 1, StartedAt: 60 * ms, InitialList: r.record.NodeProcesses[0].InitialList})
+		}, "one_answer lost"},
+		{"the connection ended", func(r *scenario) {
+			x, _ := r.addRequest("read")
+			x.Answer, x.AnsweredAt, x.ConnEndedAt = seen.None, 0, 200*ms
 		}, "one_answer lost"},
-		{"the connection ended", func(r *run) { x, _ := r.read("read"); x.Answer, x.AnsweredAt, x.ConnEndedAt = seen.None, 0, 200*ms }, "one_answer lost"},
-		{"cut within a value that a server had given", func(r *run) {
-			x, _ := r.read("read")
+		{"connection ended within a value that a server sent", func(r *scenario) {
+			x, _ := r.addRequest("read")
 			x.Answer, x.AnsweredAt, x.ConnEndedAt, x.Truncated = seen.None, 0, 200*ms, true
 		}, ""},
-		{"cut within an answer that no server had given", func(r *run) {
-			x, a := r.read("read")
+		{"connection ended within an answer that no server sent", func(r *scenario) {
+			x, a := r.addRequest("read")
 			x.Answer, x.AnsweredAt, x.ConnEndedAt, x.Truncated = seen.None, 0, 200*ms, true
-			unanswered(a, 200*ms)
+			abandon(a, 200*ms)
 		}, "one_answer lost"},
-		{"never reached the node", func(r *run) {
-			x, _ := r.read("read")
+		{"connection to the node failed", func(r *scenario) {
+			x, _ := r.addRequest("read")
 			x.Answer, x.AnsweredAt, x.SentAt, x.ConnectFailed = seen.None, 0, 0, true
-			r.rec.Attempts = nil
+			r.record.Attempts = nil
 		}, ""},
-		{"within the slack", func(r *run) { x, _ := r.read("read"); x.AnsweredAt = 1165 * ms }, ""},
-		{"late", func(r *run) { x, _ := r.read("read"); x.AnsweredAt = 1175 * ms }, "one_answer late"},
-		{"late, but the node was frozen by the plan", func(r *run) {
-			x, _ := r.read("read")
+		{"late within the slack", func(r *scenario) { x, _ := r.addRequest("read"); x.AnsweredAt = 1165 * ms }, ""},
+		{"late", func(r *scenario) { x, _ := r.addRequest("read"); x.AnsweredAt = 1175 * ms }, "one_answer late"},
+		{"late, but an injected fault froze the node", func(r *scenario) {
+			x, _ := r.addRequest("read")
 			x.AnsweredAt = 1500 * ms
-			r.rec.NodeProcesses[0].Frozen = [][2]time.Duration{{110 * ms, 1450 * ms}}
+			r.record.NodeProcesses[0].Frozen = [][2]time.Duration{{110 * ms, 1450 * ms}}
 		}, ""},
-		{"two answers", func(r *run) { x, _ := r.read("read"); x.ExtraLine = "VA 1 Oid0" }, "one_answer twice"},
-		{"another request's value", func(r *run) { x, _ := r.read("read"); x.Correct = false }, "one_answer wrong_value"},
-		{"a value that no server gave", func(r *run) { _, a := r.read("read"); a.Answer = seen.Busy }, "one_answer wrong_value"},
-		{"a value of another version", func(r *run) { x, _ := r.read("read"); x.Version = 3 }, "one_answer wrong_value"},
-		{"a receipt that nobody gave", func(r *run) { x, _ := r.read("put"); x.Receipt = "R2" }, "one_answer wrong_value"},
-		{"an attempt after the answer", func(r *run) { _, a := r.read("read"); r.further(a, 400*ms, same) }, "one_answer sent_after_end"},
-		{"an attempt just after the answer", func(r *run) { _, a := r.read("read"); r.further(a, 170*ms, same) }, ""},
-		{"an attempt after the client has gone", func(r *run) {
-			x, a := r.read("read")
+		{"two answers", func(r *scenario) { x, _ := r.addRequest("read"); x.ExtraLine = "VA 1 Oid0" }, "one_answer twice"},
+		{"another request's value", func(r *scenario) { x, _ := r.addRequest("read"); x.Correct = false }, "one_answer wrong_value"},
+		{"a value that no server sent", func(r *scenario) { _, a := r.addRequest("read"); a.Answer = seen.Busy }, "one_answer wrong_value"},
+		{"a value of another version", func(r *scenario) { x, _ := r.addRequest("read"); x.Version = 3 }, "one_answer wrong_value"},
+		{"a receipt that no server sent", func(r *scenario) { x, _ := r.addRequest("put"); x.Receipt = "R2" }, "one_answer wrong_value"},
+		{"an attempt after the answer", func(r *scenario) { _, a := r.addRequest("read"); r.addAttempt(a, 400*ms, unchanged) }, "one_answer sent_after_end"},
+		{"an attempt just after the answer", func(r *scenario) { _, a := r.addRequest("read"); r.addAttempt(a, 170*ms, unchanged) }, ""},
+		{"an attempt after the client disconnected", func(r *scenario) {
+			x, a := r.addRequest("read")
 			x.Answer, x.AnsweredAt, x.LeftAt = seen.None, 0, 130*ms
-			unanswered(a, 131*ms)
-			r.further(a, 300*ms, same)
+			abandon(a, 131*ms)
+			r.addAttempt(a, 300*ms, unchanged)
 		}, "one_answer sent_after_end"},
-		{"sent twice by its client, whose node was killed between the effects", func(r *run) { r.twice(150*ms, 120*ms, 200*ms, true) }, ""},
-		{"the same, both effects before the kill", func(r *run) { r.twice(250*ms, 120*ms, 200*ms, true) }, "no_double doubled_effect"},
-		{"the same, its client did not send it twice", func(r *run) { r.twice(150*ms, 120*ms, 200*ms, false) }, "no_double doubled_effect"},
-		{"told what is left", func(r *run) { _, a := r.read("read"); a.RemainingTime = 999 * ms }, ""},
-		{"told within the slack", func(r *run) { _, a := r.read("read"); a.RemainingTime = 1149 * ms }, ""},
-		{"told more than is left", func(r *run) { _, a := r.read("read"); a.RemainingTime = 1500 * ms }, "one_answer told_too_much"},
-		{"a further attempt told as much as the first", func(r *run) {
-			_, a := r.read("read")
+		{"sent twice by its client, with the node killed between the effects", func(r *scenario) { r.addDoubledEffect(150*ms, 120*ms, 200*ms, true) }, ""},
+		{"sent twice by its client, both effects before the kill", func(r *scenario) { r.addDoubledEffect(250*ms, 120*ms, 200*ms, true) }, "no_double doubled_effect"},
+		{"two effects around the kill, but sent once by its client", func(r *scenario) { r.addDoubledEffect(150*ms, 120*ms, 200*ms, false) }, "no_double doubled_effect"},
+		{"attempt passes on the remaining time", func(r *scenario) { _, a := r.addRequest("read"); a.RemainingTime = 999 * ms }, ""},
+		{"attempt passes on more than the remaining time, within the slack", func(r *scenario) { _, a := r.addRequest("read"); a.RemainingTime = 1149 * ms }, ""},
+		{"attempt passes on more than the remaining time", func(r *scenario) { _, a := r.addRequest("read"); a.RemainingTime = 1500 * ms }, "one_answer told_too_much"},
+		{"second attempt passes on the remaining time of the first", func(r *scenario) {
+			_, a := r.addRequest("read")
 			a.RemainingTime = 990 * ms
-			unanswered(a, 405*ms)
-			r.further(a, 410*ms, func(b *seen.Attempt) { b.Answer = seen.Value })
-			r.rec.Tries[0].AnsweredAt = 422 * ms
+			abandon(a, 405*ms)
+			r.addAttempt(a, 410*ms, func(b *seen.Attempt) { b.Answer = seen.Value })
+			r.record.Tries[0].AnsweredAt = 422 * ms
 		}, "one_answer told_too_much"},
-		{"what no client asked", func(r *run) { _, a := r.read("read"); r.further(a, 110*ms, func(b *seen.Attempt) { b.Request = "x" }) }, "one_answer altered"},
-		{"another key goes on", func(r *run) {
-			_, a := r.read("read")
-			unanswered(a, 105*ms)
-			r.further(a, 110*ms, func(b *seen.Attempt) { b.Key, b.Answer = "j", seen.Value })
+		{"a request that no client sent", func(r *scenario) {
+			_, a := r.addRequest("read")
+			r.addAttempt(a, 110*ms, func(b *seen.Attempt) { b.Request = "x" })
+		}, "one_answer altered"},
+		{"another key is forwarded", func(r *scenario) {
+			_, a := r.addRequest("read")
+			abandon(a, 105*ms)
+			r.addAttempt(a, 110*ms, func(b *seen.Attempt) { b.Key, b.Answer = "j", seen.Value })
 		}, "one_answer altered"},
-		{"a safe read tried again", func(r *run) {
-			_, a := r.read("read")
-			unanswered(a, 110*ms)
-			r.further(a, 111*ms, func(b *seen.Attempt) { b.Answer = seen.Value })
+		{"safe read retried", func(r *scenario) {
+			_, a := r.addRequest("read")
+			abandon(a, 110*ms)
+			r.addAttempt(a, 111*ms, func(b *seen.Attempt) { b.Answer = seen.Value })
 		}, ""},
-		{"two at once", func(r *run) {
-			x, a := r.read("read")
+		{"two attempts at once", func(r *scenario) {
+			x, a := r.addRequest("read")
 			a.AnsweredAt, x.AnsweredAt = 300*ms, 301*ms
-			r.further(a, 200*ms, func(b *seen.Attempt) { b.Server = "s-2" })
+			r.addAttempt(a, 200*ms, func(b *seen.Attempt) { b.Server = "s-2" })
 		}, "no_double two_at_once"},
-		{"two at once, the first at a machine that cannot tell", func(r *run) {
-			_, a := r.read("read")
+		{"two attempts at once, the first with an unknown connection state", func(r *scenario) {
+			_, a := r.addRequest("read")
 			a.Answer, a.AnsweredAt, a.ConnStateUnknown = seen.Nothing, 0, true
-			r.further(a, 110*ms, func(b *seen.Attempt) { b.Answer = seen.Value })
+			r.addAttempt(a, 110*ms, func(b *seen.Attempt) { b.Answer = seen.Value })
 		}, ""},
-		{"two at once, and allowed", func(r *run) {
+		{"two attempts at once where that is allowed", func(r *scenario) {
 			r.rules.ParallelAttempts = true
-			x, a := r.read("read")
+			x, a := r.addRequest("read")
 			a.AnsweredAt, x.AnsweredAt = 300*ms, 301*ms
-			r.further(a, 200*ms, func(b *seen.Attempt) { b.Server = "s-2" })
+			r.addAttempt(a, 200*ms, func(b *seen.Attempt) { b.Server = "s-2" })
 		}, ""},
-		{"unsafe again after busy", func(r *run) {
-			x, a := r.read("pay")
+		{"unsafe request retried after busy", func(r *scenario) {
+			x, a := r.addRequest("pay")
 			x.AnsweredAt = 400 * ms
 			b := *a
 			a.Answer = seen.Busy
-			r.further(&b, 200*ms, same)
+			r.addAttempt(&b, 200*ms, unchanged)
 		}, ""},
-		{"unsafe again after an error", func(r *run) {
-			x, a := r.read("pay")
+		{"unsafe request retried after an error", func(r *scenario) {
+			x, a := r.addRequest("pay")
 			x.AnsweredAt = 400 * ms
 			b := *a
 			a.Answer = seen.Error
-			r.further(&b, 200*ms, same)
+			r.addAttempt(&b, 200*ms, unchanged)
 		}, "no_double repeat_may_run"},
-		{"unsafe again after silence", func(r *run) {
-			x, a := r.read("pay")
+		{"unsafe request retried after no answer", func(r *scenario) {
+			x, a := r.addRequest("pay")
 			x.AnsweredAt = 400 * ms
 			b := *a
-			unanswered(a, 150*ms)
-			r.further(&b, 200*ms, same)
+			abandon(a, 150*ms)
+			r.addAttempt(&b, 200*ms, unchanged)
 		}, "no_double repeat_may_run"},
-		{"unsafe again, the first never whole", func(r *run) {
-			x, a := r.read("pay")
+		{"unsafe request retried, the first attempt incomplete", func(r *scenario) {
+			x, a := r.addRequest("pay")
 			x.AnsweredAt = 400 * ms
 			b := *a
-			unanswered(a, 150*ms)
+			abandon(a, 150*ms)
 			a.LastByteAt = 0
-			r.further(&b, 200*ms, same)
+			r.addAttempt(&b, 200*ms, unchanged)
 		}, ""},
-		{"keyed again within its window", func(r *run) {
-			x, a := r.read("put")
+		{"keyed request retried within its window", func(r *scenario) {
+			x, a := r.addRequest("put")
 			x.AnsweredAt = 900 * ms
 			b := *a
-			unanswered(a, 150*ms)
-			r.further(&b, 800*ms, same)
+			abandon(a, 150*ms)
+			r.addAttempt(&b, 800*ms, unchanged)
 		}, ""},
-		{"keyed again past its window", func(r *run) {
-			x, a := r.read("put")
+		{"keyed request retried past its window", func(r *scenario) {
+			x, a := r.addRequest("put")
 			x.WaitsUntil, x.AnsweredAt = 1500*ms, 1300*ms
 			b := *a
-			unanswered(a, 150*ms)
-			r.further(&b, 1200*ms, same)
+			abandon(a, 150*ms)
+			r.addAttempt(&b, 1200*ms, unchanged)
 		}, "no_double past_window"},
-		{"keyed again outside its group", func(r *run) {
-			x, a := r.read("zput")
+		{"keyed request retried outside its scope", func(r *scenario) {
+			x, a := r.addRequest("zput")
 			x.AnsweredAt = 900 * ms
 			b := *a
 			a.Server = "s-1"
-			unanswered(a, 150*ms)
-			r.further(&b, 200*ms, func(b *seen.Attempt) { b.Server, b.Origin = "s-2", false })
+			abandon(a, 150*ms)
+			r.addAttempt(&b, 200*ms, func(b *seen.Attempt) { b.Server, b.Origin = "s-2", false })
 		}, "no_double past_window"},
-		{"unsafe refused after an error", func(r *run) {
-			x, a := r.read("pay")
+		{"unsafe request refused after an error", func(r *scenario) {
+			x, a := r.addRequest("pay")
 			x.Answer, a.Answer = seen.Refused, seen.Error
 		}, "no_double false_refusal"},
-		{"unsafe refused after busy", func(r *run) {
-			x, a := r.read("pay")
+		{"unsafe request refused after busy", func(r *scenario) {
+			x, a := r.addRequest("pay")
 			x.Answer, a.Answer = seen.Refused, seen.Busy
 		}, ""},
-		{"keyed refused where all drop repeats", func(r *run) {
-			x, a := r.read("put")
+		{"keyed request with scope all refused after an error", func(r *scenario) {
+			x, a := r.addRequest("put")
 			x.Answer, a.Answer = seen.Refused, seen.Error
 		}, ""},
-		{"keyed refused where only a zone drops repeats", func(r *run) {
-			x, a := r.read("zput")
+		{"keyed request with scope zone refused after an error", func(r *scenario) {
+			x, a := r.addRequest("zput")
 			x.Answer, a.Answer = seen.Refused, seen.Error
 		}, "no_double false_refusal"},
-		{"one wish takes effect twice", func(r *run) {
-			r.read("pay")
-			r.rec.Effects = []seen.Effect{{At: 120 * ms, Request: "id0", Receipt: "R1"}, {At: 300 * ms, Request: "id0", Receipt: "R2"}}
+		{"one write takes effect twice", func(r *scenario) {
+			r.addRequest("pay")
+			r.record.Effects = []seen.Effect{{At: 120 * ms, Request: "id0", Receipt: "R1"}, {At: 300 * ms, Request: "id0", Receipt: "R2"}}
 		}, "no_double doubled_effect"},
-		{"two wishes take effect", func(r *run) {
-			r.read("pay")
-			r.read("pay")
-			r.rec.Effects = []seen.Effect{{At: 120 * ms, Request: "id0", Receipt: "R1"}, {At: 300 * ms, Request: "id1", Receipt: "R2"}}
+		{"two writes take effect", func(r *scenario) {
+			r.addRequest("pay")
+			r.addRequest("pay")
+			r.record.Effects = []seen.Effect{{At: 120 * ms, Request: "id0", Receipt: "R1"}, {At: 300 * ms, Request: "id1", Receipt: "R2"}}
 		}, ""},
-		{"sent to a draining server within the grace", func(r *run) { r.told(-300*ms, world.Draining); r.read("read") }, ""},
-		{"sent to a draining server after the grace", func(r *run) { r.told(-400*ms, world.Draining); r.read("read") }, "drains sent_to_drained"},
-		{"sent to a server that a whole list lacks", func(r *run) {
-			r.rec.ListUpdates = []seen.ListUpdate{{At: -400 * ms, Revision: 2, Snapshot: true, Members: []world.Member{{ID: "s-2"}}}}
-			r.read("read")
+		{"attempt at a draining server within the grace period", func(r *scenario) { r.addListUpdate(-300*ms, world.Draining); r.addRequest("read") }, ""},
+		{"attempt at a draining server after the grace period", func(r *scenario) { r.addListUpdate(-400*ms, world.Draining); r.addRequest("read") }, "drains sent_to_drained"},
+		{"attempt at a server missing from a snapshot", func(r *scenario) {
+			r.record.ListUpdates = []seen.ListUpdate{{At: -400 * ms, Revision: 2, Snapshot: true, Members: []world.Member{{ID: "s-2"}}}}
+			r.addRequest("read")
 		}, "drains sent_to_drained"},
-		{"sent to a server that is back", func(r *run) {
-			r.told(-600*ms, world.Draining)
-			r.told(-ms, world.Serving)
-			r.read("read")
+		{"attempt at a server that serves again", func(r *scenario) {
+			r.addListUpdate(-600*ms, world.Draining)
+			r.addListUpdate(-ms, world.Serving)
+			r.addRequest("read")
 		}, ""},
-		{"another node was told", func(r *run) {
-			r.told(-600*ms, world.Draining)
-			r.rec.ListUpdates[0].Node = 1
-			r.read("read")
+		{"only another node was notified of the drain", func(r *scenario) {
+			r.addListUpdate(-600*ms, world.Draining)
+			r.record.ListUpdates[0].Node = 1
+			r.addRequest("read")
 		}, ""},
-		{"a burst at a cold server", func(r *run) { r.cold(true, 300) }, "cold cold_pushed"},
-		{"a burst at a cold server that nobody was told of", func(r *run) { r.cold(false, 300) }, ""},
-		{"what a cold server can bear", func(r *run) { r.cold(true, 50) }, ""},
-		{"the origin stopped by cold misses", func(r *run) { r.originStop(true) }, "cold origin_stopped"},
-		{"the origin stopped by others", func(r *run) { r.originStop(false) }, ""},
+		{"a burst at a cold server", func(r *scenario) { r.addColdStart(true, 300) }, "cold cold_pushed"},
+		{"a burst at a cold server whose start no node knows", func(r *scenario) { r.addColdStart(false, 300) }, ""},
+		{"load below the limit of a cold server", func(r *scenario) { r.addColdStart(true, 50) }, ""},
+		{"the origin stopped by cold misses", func(r *scenario) { r.addOriginStop(true) }, "cold origin_stopped"},
+		{"the origin stopped by misses at warm servers", func(r *scenario) { r.addOriginStop(false) }, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRun()
-			c.make(r)
-			slices.SortStableFunc(r.rec.ListUpdates, func(a, b seen.ListUpdate) int { return int(a.At - b.At) })
-			v := Judge(&r.rec, r.rules, nil)
+			r := newScenario()
+			c.setUp(r)
+			slices.SortStableFunc(r.record.ListUpdates, func(a, b seen.ListUpdate) int { return int(a.At - b.At) })
+			v := Judge(&r.record, r.rules, nil)
 			var got []string
 			for _, b := range v.Violations {
 				if s := b.Rule + " " + b.Kind; !slices.Contains(got, s) {
 					got = append(got, s)
 				}
 				if b.Request != "" && !strings.Contains(strings.Join(b.Timeline, "\n"), "client: try 1") {
-					t.Errorf("the story lacks the request's beginning: %q", b.Timeline)
+					t.Errorf("the timeline lacks the first try of the request: %q", b.Timeline)
 				}
 			}
-			if strings.Join(got, ", ") != c.wants {
-				t.Errorf("found %q, want %q", got, c.wants)
+			if strings.Join(got, ", ") != c.want {
+				t.Errorf("found %q, want %q", got, c.want)
 			}
-			if v.Passed() != (c.wants == "") {
-				t.Error("Kept says something else")
+			if v.Passed() != (c.want == "") {
+				t.Error("Passed disagrees with the violations found")
 			}
 		})
 	}
 }
 
-// told is news of s-1 to node 0.
-func (r *run) told(at time.Duration, p world.Phase) {
-	r.rec.ListUpdates = append(r.rec.ListUpdates, seen.ListUpdate{At: at, Revision: int64(len(r.rec.ListUpdates) + 2), Members: []world.Member{{ID: "s-1", Phase: p}}})
+// addListUpdate adds an update of the phase of s-1 to node 0.
+func (r *scenario) addListUpdate(at time.Duration, p world.Phase) {
+	r.record.ListUpdates = append(r.record.ListUpdates, seen.ListUpdate{At: at, Revision: int64(len(r.record.ListUpdates) + 2), Members: []world.Member{{ID: "s-1", Phase: p}}})
 }
 
-// cold starts s-1 with a tenth of what it can do, and sends it reads of 10 ms of work, so many in a second.
-func (r *run) cold(told bool, count int) {
-	r.rec.ServerStarts = []seen.ServerStart{{Server: "s-1", At: ms, Cold: true, Capacity: 1}}
-	if told {
-		r.rec.ListUpdates = []seen.ListUpdate{{At: 10 * ms, Revision: 2, Members: []world.Member{{ID: "s-1", Started: ms}}}}
+// addColdStart starts s-1 cold, with a fifth of its capacity, and adds count reads of 10 ms of work each within a second.
+func (r *scenario) addColdStart(informed bool, count int) {
+	r.record.ServerStarts = []seen.ServerStart{{Server: "s-1", At: ms, Cold: true, Capacity: 1}}
+	if informed {
+		r.record.ListUpdates = []seen.ListUpdate{{At: 10 * ms, Revision: 2, Members: []world.Member{{ID: "s-1", Started: ms}}}}
 	}
 	for i := range count {
-		x, a := r.read("read")
+		x, a := r.addRequest("read")
 		at := 100*ms + time.Duration(i)*time.Second/time.Duration(count)
 		x.SentAt, x.AnsweredAt, x.WaitsUntil = at, at+20*ms, at+time.Second
 		a.FirstByteAt, a.LastByteAt, a.AnsweredAt, a.Work, a.Capacity, a.Cold = at, at, at+10*ms, 10*ms, 0.2+0.08*at.Seconds(), true
 	}
 }
 
-// originStop has the origin stop after a second of misses, all of them at a cold server or at a warm one.
-func (r *run) originStop(cold bool) {
-	r.rec.ServerStarts = []seen.ServerStart{{Server: "s-1", At: -time.Second, Cold: true, Capacity: 1}, {Server: "s-2", Capacity: 1}}
-	r.rec.OriginStops = []seen.Event{{At: 900 * ms, Text: "origin"}}
+// addOriginStop adds a stop of the origin after 750 ms of misses, all of them at a cold server or all at a warm one.
+func (r *scenario) addOriginStop(cold bool) {
+	r.record.ServerStarts = []seen.ServerStart{{Server: "s-1", At: -time.Second, Cold: true, Capacity: 1}, {Server: "s-2", Capacity: 1}}
+	r.record.OriginStops = []seen.Event{{At: 900 * ms, Text: "origin"}}
 	for i := range 50 {
-		x, a := r.read("read")
+		x, a := r.addRequest("read")
 		at := 100*ms + time.Duration(i)*15*ms
 		x.SentAt, x.AnsweredAt, x.WaitsUntil, x.Server = at, at+20*ms, at+time.Second, "o"
 		a.FirstByteAt, a.LastByteAt, a.AnsweredAt, a.Answer, a.Cold = at, at, at+5*ms, seen.NoValue, cold
-		r.further(a, at+6*ms, func(b *seen.Attempt) { b.Server, b.Origin, b.Answer, b.Cold = "o", true, seen.Value, false })
+		r.addAttempt(a, at+6*ms, func(b *seen.Attempt) { b.Server, b.Origin, b.Answer, b.Cold = "o", true, seen.Value, false })
 	}
 }
 
-// Service is worth in time over worth asked, a client's retries folded into its first try.
+// Service is the worth served in time over the worth of all arrivals; the retries of a client count with its first try.
 func TestService(t *testing.T) {
-	r := newRun()
+	r := newScenario()
 	r.rules.Tenants = []world.Tenant{{Name: "x"}, {Name: "y"}}
 	r.rules.OverQuotaWorth = 0.1
 	var plan []world.Arrival
 	add := func(tenant int, at, took time.Duration, change func(*seen.Try)) {
-		x, a := r.read("read")
+		x, a := r.addRequest("read")
 		x.DueAt, x.SentAt, x.AnsweredAt, x.WaitsUntil = at, at, at+took, at+time.Second
 		a.FirstByteAt, a.LastByteAt, a.AnsweredAt = at, at, at+took
 		if change != nil {
@@ -342,16 +352,16 @@
 		plan = append(plan, world.Arrival{N: x.ArrivalNumber, At: at, Tenant: tenant})
 	}
 	add(0, 0, 100*ms, nil)
-	add(0, time.Second, 400*ms, nil) // late: half of its worth
+	add(0, time.Second, 400*ms, nil) // late: earns half of its worth
 	add(1, 2*time.Second, 100*ms, func(x *seen.Try) { x.Answer = seen.Refused })
 	add(1, 3*time.Second, 100*ms, func(x *seen.Try) { x.Answer = seen.Failed })
-	plan = append(plan, world.Arrival{N: 99, At: 4 * time.Second, Tenant: 1, OverQuota: true}) // never sent, and worth little
-	// A refusal, and a retry that is in time from the first.
+	plan = append(plan, world.Arrival{N: 99, At: 4 * time.Second, Tenant: 1, OverQuota: true}) // never sent, with the reduced worth of a request over quota
+	// A refused try and a retry that is served within the aim, counted from the first try.
 	add(0, 5*time.Second, 100*ms, func(x *seen.Try) { x.Answer = seen.Refused })
-	again, a := r.read("read")
-	again.ArrivalNumber, again.Number, again.SentAt, again.AnsweredAt, again.WaitsUntil = 4, 1, 5150*ms, 5250*ms, 6*time.Second
+	retry, a := r.addRequest("read")
+	retry.ArrivalNumber, retry.Number, retry.SentAt, retry.AnsweredAt, retry.WaitsUntil = 4, 1, 5150*ms, 5250*ms, 6*time.Second
 	a.FirstByteAt, a.LastByteAt, a.AnsweredAt = 5151*ms, 5151*ms, 5249*ms
-	v := Judge(&r.rec, r.rules, plan)
+	v := Judge(&r.record, r.rules, plan)
 	if !v.Passed() {
 		t.Fatal(v.Violations)
 	}
@@ -370,15 +380,15 @@
 	}
 }
 
-// Many breaches of a kind are all counted, and told in full up to a bound.
+// All violations of a kind are counted, but only maxDetailedViolations of them are listed.
 func TestBreachesAreBounded(t *testing.T) {
-	r := newRun()
+	r := newScenario()
 	for range 100 {
-		x, _ := r.read("read")
+		x, _ := r.addRequest("read")
 		x.ExtraLine = "more"
 	}
-	v := Judge(&r.rec, r.rules, nil)
-	if v.ViolationCounts[OneAnswer] != 100 || len(v.Violations) != mostBreaches {
-		t.Errorf("%d counted, %d told", v.ViolationCounts[OneAnswer], len(v.Violations))
+	v := Judge(&r.record, r.rules, nil)
+	if v.ViolationCounts[OneAnswer] != 100 || len(v.Violations) != maxDetailedViolations {
+		t.Errorf("%d counted, %d listed", v.ViolationCounts[OneAnswer], len(v.Violations))
 	}
 }
