--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -12,7 +12,7 @@
 	"lapisshelf/lab/judge"
 )
 
-// line is one line of a plot.
+// plotLine is one line of a plot.
 type plotLine struct {
 	name  string
 	value func(s *judge.Second) float64
@@ -26,25 +26,25 @@
 	grey  = color.RGBA{R: 0xbb, G: 0xbb, B: 0xbb, A: 0xff}
 )
 
-// plots are those of a run.
+// plots lists the plots of a run.
 var plots = []struct {
 	file, title, unit string
-	most              float64 // of the scale; 0: as it comes
+	yMax              float64 // end of the y axis; 0: chosen from the data
 	lines             []plotLine
 }{
-	{"service.png", "Service by second", "worth in time over worth asked", 1.02, []plotLine{
+	{"service.png", "Service by second", "earned worth over total worth", 1.02, []plotLine{
 		{"service", func(s *judge.Second) float64 { return s.Service }, blue}}},
-	{"latency.png", "Time of the served by second", "ms", 0, []plotLine{
+	{"latency.png", "Latency of served requests by second", "ms", 0, []plotLine{
 		{"median", func(s *judge.Second) float64 { return s.P50 }, blue},
 		{"99%", func(s *judge.Second) float64 { return s.P99 }, red}}},
-	{"attempts.png", "Requests, attempts and fetches by second", "a second", 0, []plotLine{
+	{"attempts.png", "Requests, attempts and fetches by second", "per second", 0, []plotLine{
 		{"requests", func(s *judge.Second) float64 { return float64(s.Arrivals) }, grey},
 		{"attempts", func(s *judge.Second) float64 { return float64(s.Attempts) }, blue},
 		{"at the origin", func(s *judge.Second) float64 { return float64(s.OriginAttempts) }, green},
 		{"refused", func(s *judge.Second) float64 { return float64(s.Refused) }, red}}},
 }
 
-// PNG writes the plots into a folder, which it makes.
+// PNG writes the plots into a directory, which it creates.
 func (r *Run) PNG(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -61,18 +61,18 @@
 			for i := range r.BySecond {
 				xy[i].X, xy[i].Y = float64(r.BySecond[i].At)+0.5, l.value(&r.BySecond[i])
 			}
-			drawn, err := plotter.NewLine(xy)
+			curve, err := plotter.NewLine(xy)
 			if err != nil {
 				return err
 			}
-			drawn.Color, drawn.Width = l.color, vg.Points(1.5)
-			g.Add(drawn)
-			g.Legend.Add(l.name, drawn)
+			curve.Color, curve.Width = l.color, vg.Points(1.5)
+			g.Add(curve)
+			g.Legend.Add(l.name, curve)
 		}
-		if p.most > 0 {
-			g.Y.Max = p.most
+		if p.yMax > 0 {
+			g.Y.Max = p.yMax
 		}
-		for _, e := range r.Events { // where something happened
+		for _, e := range r.Events { // a dashed vertical line for each
 			if e.At < 0 || e.At > r.Seconds {
 				continue
 			}
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report writes what a run showed: as text, as JSON of a stable form, and as plots.
+// Package report writes the results of runs and comparisons as text, as JSON with a stable schema, as plots and as HTML.
 package report
 
 import (
@@ -21,10 +21,10 @@
 	"lapisshelf/lab/stage"
 )
 
-// Schema is the name of the JSON's form; docs/lab.md describes it. It changes when a field changes its meaning or goes.
+// Schema identifies the JSON schema, which docs/lab.md describes. It changes when a field changes its meaning or is removed.
 const Schema = "lapislab/1"
 
-// Run is a run's report.
+// Run is the report of a run.
 type Run struct {
 	Schema          string                   `json:"schema"`
 	Name            string                   `json:"experiment"`
@@ -34,9 +34,9 @@
 	Seconds         float64                  `json:"length_s"`
 	Command         string                   `json:"command"`
 	VirtualTime     bool                     `json:"virtual_time"`
-	Verdict         string                   `json:"verdict"` // holds, falls_short, void or cut
-	Shortfalls      []string                 `json:"misses"`  // what falls short, one line each
-	ViolationCounts map[string]int           `json:"rules_broken"`
+	Verdict         string                   `json:"verdict"`      // one of the verdicts below
+	Shortfalls      []string                 `json:"misses"`       // violated rules and unmet expectations, one line each
+	ViolationCounts map[string]int           `json:"rules_broken"` // by rule
 	Violations      []judge.Violation        `json:"breaches"`
 	Figures         map[string]float64       `json:"figures"`
 	Classes         map[string]judge.Service `json:"classes"`
@@ -53,10 +53,10 @@
 	Text string  `json:"text"`
 }
 
-// NodeProcess is a node's process.
+// NodeProcess is one process of a node. Times are in seconds from the start of the run.
 type NodeProcess struct {
-	Node        int     `json:"node"`
-	Generation  int     `json:"life"`
+	Node        int     `json:"node"` // from 1
+	Generation  int     `json:"life"` // 0 is the node's first process
 	StartedAt   float64 `json:"start_s"`
 	ReadyAt     float64 `json:"ready_s"`
 	EndedAt     float64 `json:"end_s"`
@@ -70,22 +70,22 @@
 
 // Verdicts.
 const (
-	Holds       = "holds"
-	FallsShort  = "falls_short"
-	Void        = "void"
-	Interrupted = "cut"
+	Holds       = "holds"       // all rules and expectations hold
+	FallsShort  = "falls_short" // a rule was violated or an expectation is unmet
+	Void        = "void"        // the lab itself was too slow for the run to count
+	Interrupted = "cut"         // the run was stopped early
 )
 
-// New makes the report of a run.
+// New returns the report of a run.
 func New(x *experiment.Experiment, command string, r *stage.Result) *Run {
-	misses, broken := x.Falls(r.Verdict)
+	misses, violatedRules := x.Falls(r.Verdict)
 	out := &Run{Schema: Schema, Name: x.Name, File: x.Path, About: x.About, Seed: x.Seed, Seconds: x.Length.D().Seconds(),
 		Command: command, Verdict: Holds, Shortfalls: []string{}, ViolationCounts: r.Verdict.ViolationCounts, Violations: r.Verdict.Violations, Figures: r.Verdict.Figures,
 		Classes: r.Verdict.Classes, Tenants: r.Verdict.Tenants, BySecond: r.Verdict.Seconds, Lab: r.Lab}
 	if out.Violations == nil {
 		out.Violations = []judge.Violation{}
 	}
-	for _, b := range broken {
+	for _, b := range violatedRules {
 		out.Shortfalls = append(out.Shortfalls, "rule "+b)
 	}
 	for _, m := range misses {
@@ -111,24 +111,24 @@
 
 func seconds(d time.Duration) float64 { return math.Round(d.Seconds()*1000) / 1000 }
 
-// JSON writes the report's stable form.
+// JSON writes the report as JSON with the stable schema.
 func (r *Run) JSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
 	return e.Encode(r)
 }
 
-// mostStories is how many breaches the text tells in full.
-const mostStories = 3
+// maxDetailedViolations limits how many violations of one kind the text lists.
+const maxDetailedViolations = 3
 
-// Text writes the report for a person.
+// Text writes the report for people.
 func (r *Run) Text(w io.Writer) {
 	f := r.Figures
-	where := "bench on loopback"
+	environment := "bench on loopback"
 	if r.VirtualTime {
-		where = "simulated servers"
+		environment = "simulated servers"
 	}
-	fmt.Fprintf(w, "%s: %s  (seed %d, %g s, %s)\n", r.Name, r.Verdict, r.Seed, r.Seconds, where)
+	fmt.Fprintf(w, "%s: %s  (seed %d, %g s, %s)\n", r.Name, r.Verdict, r.Seed, r.Seconds, environment)
 	for _, m := range r.Shortfalls {
 		fmt.Fprintln(w, "  "+m)
 	}
@@ -137,57 +137,57 @@
 	}
 	var rules []string
 	for _, name := range judge.RuleNames {
-		word := "kept"
+		state := "kept"
 		if n := r.ViolationCounts[name]; n > 0 {
-			word = fmt.Sprintf("BROKEN %d times", n)
+			state = fmt.Sprintf("VIOLATED %d times", n)
 		}
-		rules = append(rules, name+" "+word)
+		rules = append(rules, name+" "+state)
 	}
 	fmt.Fprintln(w, "rules    "+strings.Join(rules, ", "))
 	fmt.Fprintf(w, "service  %.4f  worst 10 s %.4f  worst class %.4f  worst tenant %.4f\n", f["service"], f["worst_10s"], f["worst_class"], f["worst_tenant"])
-	for _, name := range keys(r.Classes) {
+	for _, name := range sortedKeys(r.Classes) {
 		fmt.Fprintf(w, "  %-14s %s\n", name, r.Classes[name].Summary())
 	}
-	for _, name := range keys(r.Tenants) {
+	for _, name := range sortedKeys(r.Tenants) {
 		fmt.Fprintf(w, "  %-14s %s\n", name, r.Tenants[name].Summary())
 	}
-	fmt.Fprintf(w, "load     %.0f requests, %.3f attempts each, %.3f at the origin; refused %.4f, failed %.4f, late %.4f\n",
+	fmt.Fprintf(w, "load     %.0f requests, %.3f attempts each, %.3f of them at the origin; refused %.4f, failed %.4f, late %.4f\n",
 		f["asked"], f["attempts_per_request"], f["origin_per_request"], f["refused_share"], f["failed_share"], f["late_share"])
 	if r.VirtualTime {
-		r.broken(w)
+		r.writeViolations(w)
 		return
 	}
-	fmt.Fprintf(w, "nodes    add %.3f ms at the median, %.3f at 99%%, %.3f at 99.9%%; %.1f MB, %.0f descriptors, %.1f ms of CPU for 1,000 requests\n",
+	fmt.Fprintf(w, "nodes    add %.3f ms at the median, %.3f at p99, %.3f at p99.9; max %.1f MB, max %.0f descriptors; %.1f ms of CPU per 1,000 requests\n",
 		f["added_p50_ms"], f["added_p99_ms"], f["added_p999_ms"], f["node_memory_mb"], f["node_descriptors"], f["node_cpu_ms_per_1000"])
-	fmt.Fprintf(w, "the lab  sent %.2f ms behind its plan at the median, %.2f at 99%%, %.1f at most; stand-ins %.2f ms late in the mean, %.1f at most; stood still %.1f ms at most\n",
+	fmt.Fprintf(w, "lab      sent %.2f ms late at the median, %.2f at p99, max %.1f; stand-ins %.2f ms late on average, max %.1f; stalled for max %.1f ms\n",
 		r.Lab.SendP50, r.Lab.SendP99, r.Lab.SendMax, r.Lab.StandMean, r.Lab.StandMax, r.Lab.StallMax)
-	r.broken(w)
+	r.writeViolations(w)
 }
 
-// broken tells the breaches with their stories.
-func (r *Run) broken(w io.Writer) {
-	told := map[string]int{}
+// writeViolations writes the violations with their timelines.
+func (r *Run) writeViolations(w io.Writer) {
+	listed := map[string]int{}
 	for _, b := range r.Violations {
-		if told[b.Kind]++; told[b.Kind] > mostStories {
+		if listed[b.Kind]++; listed[b.Kind] > maxDetailedViolations {
 			continue
 		}
-		fmt.Fprintln(w, "\nbroken: "+b.Summary())
+		fmt.Fprintln(w, "\nviolation: "+b.Summary())
 		for _, l := range b.Timeline {
 			fmt.Fprintln(w, "  "+l)
 		}
 	}
 }
 
-func keys[V any](m map[string]V) []string {
-	var all []string
+func sortedKeys[V any](m map[string]V) []string {
+	var keys []string
 	for k := range m {
-		all = append(all, k)
+		keys = append(keys, k)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(keys)
+	return keys
 }
 
-// HTML writes a page with the report and its plots into a folder.
+// HTML writes a page with the report and its plots into a directory, which it creates.
 func (r *Run) HTML(dir string) error {
 	if err := r.PNG(dir); err != nil {
 		return err
@@ -200,34 +200,34 @@
 	for _, p := range plots {
 		fmt.Fprintf(&b, "<h2>%s</h2><img src=%q alt=%q>\n", html.EscapeString(p.title), p.file, html.EscapeString(p.title))
 	}
-	fmt.Fprintf(&b, "<h2>Report</h2><pre>%s</pre>\n<h2>What happened</h2><table>", html.EscapeString(text.String()))
+	fmt.Fprintf(&b, "<h2>Report</h2><pre>%s</pre>\n<h2>Events</h2><table>", html.EscapeString(text.String()))
 	for _, e := range r.Events {
 		fmt.Fprintf(&b, "<tr><td>%.3f s<td>%s\n", e.At, html.EscapeString(e.Text))
 	}
 	b.WriteString("</table>\n<h2>All figures</h2><table>")
-	for _, k := range keys(r.Figures) {
+	for _, k := range sortedKeys(r.Figures) {
 		fmt.Fprintf(&b, "<tr><td>%s<td>%.6g\n", html.EscapeString(k), r.Figures[k])
 	}
 	b.WriteString("</table>\n")
 	return os.WriteFile(filepath.Join(dir, "index.html"), []byte(b.String()), 0o644)
 }
 
-// Difference is one figure of two builds or settings, over paired runs: each pair has the same plan.
+// Difference compares one figure of two builds or settings over paired runs. The two runs of a pair have the same load plan.
 type Difference struct {
 	Figure         string    `json:"figure"`
 	A              []float64 `json:"a"`
 	B              []float64 `json:"b"`
 	MeanA          float64   `json:"mean_a"`
 	MeanB          float64   `json:"mean_b"`
-	MeanDifference float64   `json:"difference"` // b less a
-	HalfWidth      float64   `json:"half_width"` // of the confidence interval
-	Significant    bool      `json:"clear"`      // the interval does not hold 0
+	MeanDifference float64   `json:"difference"` // mean of b - a over the pairs
+	HalfWidth      float64   `json:"half_width"` // half the width of the confidence interval of MeanDifference
+	Significant    bool      `json:"clear"`      // the interval does not contain 0
 }
 
-// ConfidenceLevel is the level of the intervals.
+// ConfidenceLevel is the level of the confidence intervals.
 const ConfidenceLevel = 0.95
 
-// Compare sets two series of runs side by side; the interval is Student's, over the differences of the pairs.
+// Compare compares a figure of two series of paired runs. The interval is Student's t interval of the differences per pair.
 func Compare(a, b []*Run, figure string) Difference {
 	d := Difference{Figure: figure}
 	var diffs []float64
@@ -242,7 +242,8 @@
 	return d
 }
 
-// ConfidenceInterval is the mean of a sample and half the width of its confidence interval; with under two values that is NaN.
+// ConfidenceInterval returns the mean of a sample and half the width of its confidence interval, which is NaN for fewer than
+// two values.
 func ConfidenceInterval(sample []float64) (mean, half float64) {
 	mean = stat.Mean(sample, nil)
 	if len(sample) < 2 {
@@ -253,7 +254,7 @@
 	return mean, t * stat.StdDev(sample, nil) / math.Sqrt(n)
 }
 
-// Comparison is the report of a comparison.
+// Comparison is the report of a comparison of two builds or settings.
 type Comparison struct {
 	Schema      string       `json:"schema"`
 	Name        string       `json:"experiment"`
@@ -266,7 +267,7 @@
 	RunsB       []*Run       `json:"runs_b"`
 }
 
-// JSON writes the comparison's stable form. JSON knows no NaN: an interval of one pair has no width.
+// JSON writes the comparison as JSON with the stable schema. JSON has no NaN, so an interval without a width is written as -1.
 func (p *Comparison) JSON(w io.Writer) error {
 	c := *p
 	c.Differences = slices.Clone(p.Differences)
@@ -280,7 +281,7 @@
 	return e.Encode(&c)
 }
 
-// Text writes the comparison for a person.
+// Text writes the comparison for people.
 func (p *Comparison) Text(w io.Writer) {
 	fmt.Fprintf(w, "%s: %d pairs, bench on loopback\na: %s\nb: %s\n", p.Name, len(p.Seeds), p.CommandA, p.CommandB)
 	fmt.Fprintf(w, "%-24s %12s %12s %12s %12s\n", "figure", "a", "b", "b - a", "+- at 95%")
@@ -294,7 +295,7 @@
 	for _, runs := range [][]*Run{p.RunsA, p.RunsB} {
 		for _, r := range runs {
 			for _, b := range r.Violations {
-				fmt.Fprintf(w, "broken (%s, seed %d): %s\n", r.Command, r.Seed, b.Summary())
+				fmt.Fprintf(w, "violation (%s, seed %d): %s\n", r.Command, r.Seed, b.Summary())
 			}
 		}
 	}
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -16,14 +16,14 @@
 	"lapisshelf/lab/stage"
 )
 
-// Student's interval against a worked example: mean 5, standard deviation 1.58, n 5, t 2.776.
+// The Student's t interval agrees with a worked example: mean 5, standard deviation 1.58, n 5, t 2.776.
 func TestInterval(t *testing.T) {
 	mean, half := ConfidenceInterval([]float64{3, 4, 5, 6, 7})
 	if mean != 5 || math.Abs(half-1.9632) > 1e-3 {
 		t.Errorf("%v +- %v", mean, half)
 	}
 	if _, half := ConfidenceInterval([]float64{3}); !math.IsNaN(half) {
-		t.Errorf("one value has the interval %v", half)
+		t.Errorf("one value has an interval of half width %v", half)
 	}
 }
 
@@ -34,13 +34,13 @@
 		}
 		return all
 	}
-	// The pairs differ much from each other and little within: pairing finds what the means alone would not.
+	// The values vary much between pairs and little within them: only the paired comparison finds the difference.
 	d := Compare(runs(0.1, 0.5, 0.9, 0.3), runs(0.12, 0.52, 0.92, 0.32), "service")
 	if math.Abs(d.MeanDifference-0.02) > 1e-9 || !d.Significant {
 		t.Errorf("%+v", d)
 	}
 	if d = Compare(runs(0.1, 0.5, 0.9, 0.3), runs(0.3, 0.4, 0.95, 0.2), "service"); d.Significant {
-		t.Errorf("noise is taken for a difference: %+v", d)
+		t.Errorf("noise counts as a significant difference: %+v", d)
 	}
 	var out bytes.Buffer
 	one := &Comparison{Seeds: []uint64{1}, Differences: []Difference{Compare(runs(1), runs(2), "service")}}
