--- a/lab/judge/judge_test.go
+++ b/lab/judge/judge_test.go
@@ -78,7 +78,7 @@
 
 // Each kind of violation is found in a run that has no other, with a timeline that begins with the client's first try. Similar
 // but allowed behaviour is no violation.
-func TestBreaches(t *testing.T) {
+func TestViolations(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		setUp func(r *scenario)
@@ -381,7 +381,7 @@
 }
 
 // All violations of a kind are counted, but only maxDetailedViolations of them are listed.
-func TestBreachesAreBounded(t *testing.T) {
+func TestListedViolationsAreLimited(t *testing.T) {
 	r := newScenario()
 	for range 100 {
 		x, _ := r.addRequest("read")
