--- a/lab/standin/cache.go
+++ b/lab/standin/cache.go
@@ -18,93 +18,94 @@
 )
 
 const (
-	mostLine  = 8 << 10   // bytes of a command's line
-	mostValue = 128 << 20 // bytes of a write's value
-	writeFor  = 10 * time.Second
+	maxLineBytes  = 8 << 10   // bytes of a command's line
+	maxValueBytes = 128 << 20 // bytes of a write's value
+	writeTimeout  = 10 * time.Second
 )
 
-// Script says what a cache answers to a command, given its line and value: "" is nothing, ClosesIt ends the connection.
+// Script returns the answer of a cache to a command, given its line and value. "" sends nothing, and CloseConn closes the
+// connection.
 type Script func(line string, value []byte) string
 
-// CloseConn is a script's answer that ends the connection.
+// CloseConn is a script's answer that closes the connection.
 const CloseConn = "\x00close"
 
-// CacheOptions describe a cache server.
+// CacheOptions configures a cache server.
 type CacheOptions struct {
 	ID, Name        string
-	Addr            string           // to listen on; port 0 takes any
+	Addr            string           // to listen on; port 0 picks a free one
 	Spec            *world.CacheSpec // nil with a script
 	Script          Script
-	NewScript       func() Script // one for each connection, in place of Script
+	NewScript       func() Script // called for each connection, in place of Script
 	Cold            bool          // its first process starts cold
-	ConnConcurrency int           // commands of one connection that are begun at once; 0: one
-	MaxConns        int           // connections that it takes; 0: any number
-	ConnIdle        time.Duration
-	ReportsHits     bool // whether answers say hit or miss
-	ReportsLoad     bool // whether answers carry a load report
-	// Missed is told of each read that the cache lacked, with what stores the value there; nil: nobody is.
+	ConnConcurrency int           // commands of one connection that run concurrently; 0: one
+	MaxConns        int           // limit of open connections; 0: none
+	ConnIdle        time.Duration // timeout of idle connections; 0: none
+	ReportsHits     bool          // answers say whether they are a hit or a miss
+	ReportsLoad     bool          // answers carry a load report
+	// OnMiss, unless it is nil, is called for each read that misses; store puts the value into the cache.
 	OnMiss func(request string, store func(version, size int64))
-	// Ask passes a request on to the origin, in through mode; answer may be called from any goroutine.
+	// AskOrigin forwards a request to the origin, in through mode; answer may be called from any goroutine.
 	AskOrigin func(a world.OriginRequest, request string, class string, answer func(world.Completion))
 }
 
 // Cache is a cache server on a socket.
 type Cache struct {
 	*Common
-	opt  CacheOptions
-	port *port
-
-	mu      sync.Mutex
-	id      string
-	model   *world.Cache
-	timer   *time.Timer
-	due     time.Duration
-	tokens  uint64
-	jobs    map[uint64]*slot
-	conns   map[*cacheConn]bool
-	rng     *rand.Rand
-	silent  bool
-	hangs   bool
-	away    bool
-	spoil   map[string]float64 // parts of the answers, by what becomes of them
-	seen    []string           // lines, with a script
-	ever    int
-	stopped bool
-	fallen  bool // the log has been told
-}
-
-var connSerial atomic.Uint64
-
-// slot is a command on its connection, answered in its turn.
-type slot struct {
-	conn   *cacheConn
-	try    *seen.Attempt
-	class  *world.Class
-	answer []byte
-	said   seen.ServerAnswer
-	size   int // of its value
-	begun  bool
-	ready  bool
-	ends   bool // the connection ends behind it
-	resets bool
+	opt      CacheOptions
+	listener *faultListener
+
+	mu         sync.Mutex
+	id         string
+	model      *world.Cache
+	timer      *time.Timer
+	dueAt      time.Duration
+	lastToken  uint64
+	jobs       map[uint64]*command
+	conns      map[*cacheConn]bool
+	rng        *rand.Rand
+	silent     bool
+	hanging    bool
+	busy       bool
+	corruption map[string]float64 // fraction of the answers, by kind of corruption
+	commands   []string           // command lines received, with a script
+	connCount  int                // connections ever accepted
+	stopped    bool
+	fellOver   bool // recorded in the log
+}
+
+var lastConnID atomic.Uint64
+
+// command is a command on its connection. Answers are sent in the order of the commands.
+type command struct {
+	conn       *cacheConn
+	attempt    *seen.Attempt
+	class      *world.Class
+	answer     []byte
+	answerKind seen.ServerAnswer
+	valueSize  int // bytes
+	started    bool
+	ready      bool
+	closesConn bool // the connection is closed after the answer
+	resetsConn bool // the connection is reset after the answer
 }
 
 type cacheConn struct {
-	cache  *Cache
-	net    net.Conn
-	id     uint64
-	mu     sync.Mutex
-	queue  []*slot
-	ready  chan struct{}
-	closed bool
-	script Script
+	cache       *Cache
+	conn        net.Conn
+	id          uint64
+	mu          sync.Mutex
+	queue       []*command
+	answerReady chan struct{}
+	closed      bool
+	script      Script
 }
 
 // NewCache starts a cache server.
 func NewCache(common *Common, opt CacheOptions) (*Cache, error) {
-	c := &Cache{Common: common, opt: opt, id: opt.ID, jobs: map[uint64]*slot{}, conns: map[*cacheConn]bool{},
-		rng: world.RandomStream(common.Seed, "standin", opt.Name), spoil: map[string]float64{}}
-	c.timer = time.AfterFunc(time.Hour, c.ring)
+	c := &Cache{Common: common, opt: opt, id: opt.ID, jobs: map[uint64]*command{}, conns: map[*cacheConn]bool{},
+		rng: world.RandomStream(common.Seed, "standin", opt.Name), corruption: map[string]float64{}}
+	c.timer = time.AfterFunc(time.Hour, c.onTimer)
 	if opt.Spec != nil {
 		c.model = world.NewCache(*opt.Spec, common.Seed)
 		if now := c.Log.Now(); opt.Cold {
@@ -112,14 +113,14 @@
 		}
 	}
 	var err error
-	if c.port, err = openPort(opt.Addr, c.serve); err != nil {
+	if c.listener, err = listenFaulty(opt.Addr, c.serve); err != nil {
 		return nil, err
 	}
-	c.noteStart(opt.Cold)
+	c.recordStart(opt.Cold)
 	return c, nil
 }
 
-func (c *Cache) noteStart(cold bool) {
+func (c *Cache) recordStart(cold bool) {
 	if c.opt.Spec == nil {
 		return
 	}
@@ -130,60 +131,60 @@
 	c.Log.Update(func(r *seen.Record) { r.ServerStarts = append(r.ServerStarts, s) })
 }
 
-// Addr is where it listens.
-func (c *Cache) Addr() string { return c.port.addr }
+// Addr returns the address on which the cache listens.
+func (c *Cache) Addr() string { return c.listener.addr }
 
-// ID is the id under which the list has it.
+// ID returns the ID of the server in the server list.
 func (c *Cache) ID() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.id
 }
 
-// Name is what the lab calls it.
+// Name returns the name that the lab uses for the server; it stays when the ID changes.
 func (c *Cache) Name() string { return c.opt.Name }
 
-// Commands are the commands that came, where a script answers.
+// Commands returns the lines of all commands received, if a script answers them.
 func (c *Cache) Commands() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]string(nil), c.seen...)
+	return append([]string(nil), c.commands...)
 }
 
-// ConnCounts is how many connections stand and how many ever did.
-func (c *Cache) ConnCounts() (open, ever int) {
+// ConnCounts returns how many connections are open and how many were ever accepted.
+func (c *Cache) ConnCounts() (open, total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.conns), c.ever
+	return len(c.conns), c.connCount
 }
 
-// UpdateModel runs f on the model, where there is one, and looks at what has come of it.
+// UpdateModel runs f on the model, if there is one, and handles the results.
 func (c *Cache) UpdateModel(f func(now time.Duration, m *world.Cache)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.model != nil {
 		f(c.Log.Now(), c.model)
-		c.look()
+		c.advance()
 	}
 }
 
-// Kill ends the process: its connections are reset, new ones refused.
+// Kill simulates the end of the process: its connections are reset and new ones refused.
 func (c *Cache) Kill() {
-	c.port.refuse(true)
+	c.listener.setRefusing(true)
 	c.mu.Lock()
 	if c.model != nil {
 		c.model.Stop(c.Log.Now())
 	}
-	c.jobs = map[uint64]*slot{}
+	c.jobs = map[uint64]*command{}
 	conns := c.conns
 	c.conns = map[*cacheConn]bool{}
 	c.mu.Unlock()
 	for k := range conns {
-		reset(k.net)
+		resetConn(k.conn)
 	}
 }
 
-// Restart begins a new process at the same address, under a new id if one is given.
+// Restart simulates a new process at the same address, with a new ID unless id is empty.
 func (c *Cache) Restart(id string, cold bool) error {
 	c.mu.Lock()
 	if id != "" {
@@ -192,21 +193,21 @@
 	if c.model != nil {
 		c.model.Start(c.Log.Now(), cold)
 	}
-	c.silent, c.hangs, c.away, c.fallen = false, false, false, false
-	c.spoil = map[string]float64{}
+	c.silent, c.hanging, c.busy, c.fellOver = false, false, false, false
+	c.corruption = map[string]float64{}
 	c.mu.Unlock()
-	c.noteStart(cold)
-	return c.port.refuse(false)
+	c.recordStart(cold)
+	return c.listener.setRefusing(false)
 }
 
-// RefuseConns refuses new connections, or takes them again.
-func (c *Cache) RefuseConns(on bool) error { return c.port.refuse(on) }
+// RefuseConns refuses new connections, or accepts them again.
+func (c *Cache) RefuseConns(on bool) error { return c.listener.setRefusing(on) }
 
-// SetSilent makes the machine say nothing: connections stay open and new ones never come up; when it is back, all that
-// stood is reset.
+// SetSilent simulates a machine that is cut off: connections stay open without answers and new ones are never established.
+// When the silence ends, the connections open then are reset.
 func (c *Cache) SetSilent(on bool) {
 	c.mu.Lock()
-	was := c.silent
+	wasSilent := c.silent
 	c.silent = on
 	conns := make([]*cacheConn, 0, len(c.conns))
 	for k := range c.conns {
@@ -217,52 +218,53 @@
 			for _, k := range conns {
 				k.mu.Lock()
 				for _, s := range k.queue {
-					s.try.ConnStateUnknown = true
+					s.attempt.ConnStateUnknown = true
 				}
 				k.mu.Unlock()
 			}
 		})
 	}
 	c.mu.Unlock()
-	c.port.silence(on)
-	if was && !on {
+	c.listener.setSilent(on)
+	if wasSilent && !on {
 		for _, k := range conns {
-			reset(k.net)
+			resetConn(k.conn)
 		}
 	}
 }
 
-// SetHanging makes it take all and answer nothing.
+// SetHanging makes the cache accept all commands and answer none.
 func (c *Cache) SetHanging(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hangs = on
+	c.hanging = on
 }
 
-// SetBusy makes it answer busy.
+// SetBusy makes the cache answer all commands with busy.
 func (c *Cache) SetBusy(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.away = on
+	c.busy = on
 }
 
-// CorruptAnswers breaks a part of the answers: "reset", "garble" or "surplus".
-func (c *Cache) CorruptAnswers(how string, part float64) {
+// CorruptAnswers corrupts a fraction of the answers: "reset" resets the connection within the answer, "garble" alters the
+// answer, and "surplus" sends more than one.
+func (c *Cache) CorruptAnswers(kind string, fraction float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.spoil[how] = part
+	c.corruption[kind] = fraction
 }
 
-// CloseConns closes the connections that stand, between requests as far as it knows.
+// CloseConns closes all open connections.
 func (c *Cache) CloseConns() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k := range c.conns {
-		k.net.Close()
+		k.conn.Close()
 	}
 }
 
-// Close gives everything back.
+// Close ends the stand-in and releases its resources.
 func (c *Cache) Close() {
 	c.mu.Lock()
 	c.stopped = true
@@ -270,56 +272,57 @@
 	conns := c.conns
 	c.conns = map[*cacheConn]bool{}
 	c.mu.Unlock()
-	c.port.close()
+	c.listener.close()
 	for k := range conns {
-		reset(k.net)
+		resetConn(k.conn)
 	}
 }
 
-// ring is the model's timer.
-func (c *Cache) ring() {
+// onTimer advances the model when its next event is due.
+func (c *Cache) onTimer() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stopped {
 		return
 	}
-	if c.due > 0 {
-		c.noteLate(c.Log.Now() - c.due)
+	if c.dueAt > 0 {
+		c.recordLateness(c.Log.Now() - c.dueAt)
 	}
-	c.look()
+	c.advance()
 }
 
-// look takes what the model has done by now and sets the timer for what comes next.
-func (c *Cache) look() {
+// advance advances the model to the current time, handles the results and sets the timer for the next event. It needs the
+// lock.
+func (c *Cache) advance() {
 	now := c.Log.Now()
-	done, asks := c.model.Advance(now)
-	for _, d := range done {
+	completions, requests := c.model.Advance(now)
+	for _, d := range completions {
 		if s := c.jobs[d.Token]; s != nil {
 			delete(c.jobs, d.Token)
-			c.done(s, d)
+			c.answerJob(s, d)
 		}
 	}
-	for _, a := range asks {
+	for _, a := range requests {
 		s := c.jobs[a.Token]
 		if s == nil || c.opt.AskOrigin == nil {
 			continue
 		}
 		model := c.model
-		go c.opt.AskOrigin(a, s.try.Request, s.try.Class, func(d world.Completion) {
+		go c.opt.AskOrigin(a, s.attempt.Request, s.attempt.Class, func(d world.Completion) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if c.model == model && !c.stopped {
 				model.OriginAnswered(c.Log.Now(), a.Token, d)
-				c.look()
+				c.advance()
 			}
 		})
 	}
 	if c.model.FellOver() {
-		c.fall(now)
+		c.fallOver(now)
 	}
 	at, ok := c.model.Next()
-	if c.due = at; !ok {
-		c.due = 0
+	if c.dueAt = at; !ok {
+		c.dueAt = 0
 		at = now + time.Hour
 	}
 	if !c.stopped {
@@ -327,12 +330,12 @@
 	}
 }
 
-// fall ends a process that was pushed over: it stays down until it is started again.
-func (c *Cache) fall(now time.Duration) {
-	if c.fallen {
+// fallOver ends a cold process that failed under overload. It stays down until it is restarted.
+func (c *Cache) fallOver(now time.Duration) {
+	if c.fellOver {
 		return
 	}
-	c.fallen = true
+	c.fellOver = true
 	id := c.id
 	c.Log.Update(func(r *seen.Record) {
 		r.FallOvers = append(r.FallOvers, seen.Event{At: now, Text: id})
@@ -341,13 +344,13 @@
 	go c.Kill()
 }
 
-// done makes the answer to a job that has ended.
-func (c *Cache) done(s *slot, d world.Completion) {
-	t := s.try
-	tail := "\r\n"
+// answerJob sets the answer to a command whose job has ended.
+func (c *Cache) answerJob(s *command, d world.Completion) {
+	t := s.attempt
+	trailer := "\r\n"
 	if c.opt.ReportsLoad {
 		r := c.model.LoadReport(c.Log.Now())
-		tail = fmt.Sprintf(" Lutil=%g,queue=%d\r\n", r.Utilization, r.Queue)
+		trailer = fmt.Sprintf(" Lutil=%g,queue=%d\r\n", r.Utilization, r.Queue)
 	}
 	hit := ""
 	if c.opt.ReportsHits {
@@ -362,12 +365,12 @@
 	case world.Hit, world.Fetched:
 		v := MakeValue(t.Key, d.Version, t.Request, t.Server, world.SizeOf(c.Seed, s.class, t.Key))
 		t.Version = d.Version
-		s.fill(fmt.Appendf(nil, "VA %d O%s%s%s%s\r\n", len(v), t.Request, hit, tail, v), seen.Value)
+		s.setAnswer(fmt.Appendf(nil, "VA %d O%s%s%s%s\r\n", len(v), t.Request, hit, trailer, v), seen.Value)
 	case world.Stored:
 		t.Receipt = d.Receipt
-		s.fill(fmt.Appendf(nil, "HD O%s c%s%s", t.Request, d.Receipt, tail), seen.Receipt)
+		s.setAnswer(fmt.Appendf(nil, "HD O%s c%s%s", t.Request, d.Receipt, trailer), seen.Receipt)
 	case world.Failed:
-		s.fill(fmt.Appendf(nil, "SERVER_ERROR failed%s%s", hit, tail), seen.Error)
+		s.setAnswer(fmt.Appendf(nil, "SERVER_ERROR failed%s%s", hit, trailer), seen.Error)
 	default:
 		if c.opt.OnMiss != nil && !t.Write {
 			key, model := t.Key, c.model
@@ -379,21 +382,21 @@
 				})
 			})
 		}
-		s.fill(fmt.Appendf(nil, "EN O%s%s%s", t.Request, hit, tail), seen.NoValue)
+		s.setAnswer(fmt.Appendf(nil, "EN O%s%s%s", t.Request, hit, trailer), seen.NoValue)
 	}
 }
 
-// fill gives a slot its answer, which goes out in its turn.
-func (s *slot) fill(answer []byte, said seen.ServerAnswer) {
+// setAnswer sets the answer of a command, corrupted where that is configured, and wakes the writer.
+func (s *command) setAnswer(answer []byte, kind seen.ServerAnswer) {
 	c := s.conn.cache
-	p := c.spoil
+	p := c.corruption
 	switch x := c.rng.Float64(); {
 	case len(answer) == 0:
 	case x < p["reset"]:
-		answer, s.resets, said = answer[:c.rng.IntN(len(answer))], true, seen.Corrupt
+		answer, s.resetsConn, kind = answer[:c.rng.IntN(len(answer))], true, seen.Corrupt
 	case x < p["reset"]+p["garble"]:
-		answer, s.ends = garble(c.rng, answer)
-		said = seen.Corrupt
+		answer, s.closesConn = corruptAnswer(c.rng, answer)
+		kind = seen.Corrupt
 	case x < p["reset"]+p["garble"]+p["surplus"]:
 		if c.rng.IntN(2) == 0 {
 			answer = append(answer[:len(answer):len(answer)], answer...)
@@ -403,30 +406,31 @@
 	}
 	k := s.conn
 	k.mu.Lock()
-	s.answer, s.said, s.ready = answer, said, true
+	s.answer, s.answerKind, s.ready = answer, kind, true
 	k.mu.Unlock()
 	select {
-	case k.ready <- struct{}{}:
+	case k.answerReady <- struct{}{}:
 	default:
 	}
 }
 
-// garble spoils an answer in one of the ways that have been met.
-func garble(rng *rand.Rand, answer []byte) (spoilt []byte, ends bool) {
+// corruptAnswer alters an answer in one of several ways: noise, an overlong line, another request's ID, a wrong length or a
+// truncated answer.
+func corruptAnswer(rng *rand.Rand, answer []byte) (corrupted []byte, closesConn bool) {
 	text := string(answer)
 	switch rng.IntN(6) {
 	case 0:
 		return []byte("\xde\xad\xbe\xef not an answer\r\n"), false
 	case 1:
 		return []byte(strings.Repeat("x", 20000)), false
-	case 2: // the id of another request
+	case 2: // the ID of another request
 		if i := strings.Index(text, " O"); i >= 0 && i+2 < len(text) {
 			return []byte(text[:i+2] + "f" + text[i+2:]), false
 		}
 		return []byte("VA\r\n"), false
 	case 3:
 		return []byte("VA 3000000000 Ox\r\n" + strings.Repeat("y", 4096)), false
-	case 4: // a length that does not fit
+	case 4: // a length that does not match the value
 		if rest, ok := strings.CutPrefix(text, "VA "); ok {
 			return []byte("VA 9" + rest), false
 		}
@@ -436,36 +440,36 @@
 	}
 }
 
-// serve is one connection.
+// serve handles one connection until it ends.
 func (c *Cache) serve(conn net.Conn) {
-	k := &cacheConn{cache: c, net: conn, id: connSerial.Add(1), ready: make(chan struct{}, 1), script: c.opt.Script}
+	k := &cacheConn{cache: c, conn: conn, id: lastConnID.Add(1), answerReady: make(chan struct{}, 1), script: c.opt.Script}
 	if c.opt.NewScript != nil {
 		k.script = c.opt.NewScript()
 	}
 	c.mu.Lock()
 	if c.stopped || c.opt.MaxConns > 0 && len(c.conns) >= c.opt.MaxConns {
 		c.mu.Unlock()
-		reset(conn)
+		resetConn(conn)
 		return
 	}
 	c.conns[k] = true
-	c.ever++
+	c.connCount++
 	if c.model != nil {
 		c.model.Connect(c.Log.Now())
-		c.look()
+		c.advance()
 	}
 	c.mu.Unlock()
-	gone := make(chan struct{})
-	go k.write(gone)
+	closed := make(chan struct{})
+	go k.write(closed)
 	k.read()
-	close(gone)
-	k.over()
+	close(closed)
+	k.finish()
 }
 
-// over notes that the node has given the connection up, or that it ended.
-func (k *cacheConn) over() {
+// finish records that the connection has ended, and cancels its commands.
+func (k *cacheConn) finish() {
 	c := k.cache
-	k.net.Close()
+	k.conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.conns, k)
@@ -477,8 +481,8 @@
 	now := c.Log.Now()
 	c.Log.Update(func(*seen.Record) {
 		for _, s := range queue {
-			if s.try.AnsweredAt == 0 {
-				s.try.ClosedAt = now
+			if s.attempt.AnsweredAt == 0 {
+				s.attempt.ClosedAt = now
 			}
 		}
 	})
@@ -491,36 +495,36 @@
 			c.model.Cancel(now, token)
 		}
 	}
-	c.look()
+	c.advance()
 }
 
-// read takes commands, a bounded number at once.
+// read reads commands until the connection ends.
 func (k *cacheConn) read() {
 	c := k.cache
-	in := bufio.NewReaderSize(k.net, 16<<10)
+	in := bufio.NewReaderSize(k.conn, 16<<10)
 	for {
 		if c.opt.ConnIdle > 0 {
-			k.net.SetReadDeadline(time.Now().Add(c.opt.ConnIdle))
+			k.conn.SetReadDeadline(time.Now().Add(c.opt.ConnIdle))
 		}
 		if _, err := in.Peek(1); err != nil {
-			if isTimeout(err) && k.waiting() > 0 {
-				continue // it does not stand idle
+			if isTimeout(err) && k.queueLength() > 0 {
+				continue // commands are in flight, so the connection is not idle
 			}
 			return
 		}
-		if c.isSilent() { // nobody is there to read it; the connection is reset when that ends
+		if c.isSilent() { // the command is not read, and the connection is reset when the silence ends
 			for c.isSilent() {
 				time.Sleep(5 * time.Millisecond)
 			}
 			return
 		}
-		first := c.Log.Now()
-		k.net.SetReadDeadline(time.Time{})
+		firstByteAt := c.Log.Now()
+		k.conn.SetReadDeadline(time.Time{})
 		line, err := readLine(in)
 		if err != nil {
 			return
 		}
-		if !k.command(first, line, in) {
+		if !k.readCommand(firstByteAt, line, in) {
 			return
 		}
 	}
@@ -545,30 +549,30 @@
 		switch {
 		case err == nil:
 			return strings.TrimRight(string(line), "\r\n"), nil
-		case !errors.Is(err, bufio.ErrBufferFull) || len(line) > mostLine:
+		case !errors.Is(err, bufio.ErrBufferFull) || len(line) > maxLineBytes:
 			return "", err
 		}
 	}
 }
 
-func (k *cacheConn) waiting() int {
+func (k *cacheConn) queueLength() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.queue)
 }
 
-// command takes one command; false ends the connection.
-func (k *cacheConn) command(first time.Duration, line string, in *bufio.Reader) bool {
+// readCommand reads one command and queues it. It returns false if the connection must end.
+func (k *cacheConn) readCommand(firstByteAt time.Duration, line string, in *bufio.Reader) bool {
 	c := k.cache
 	words := strings.Fields(line)
-	s := &slot{conn: k, try: &seen.Attempt{Server: c.ID(), Conn: k.id, FirstByteAt: first}}
-	t := s.try
+	s := &command{conn: k, attempt: &seen.Attempt{Server: c.ID(), Conn: k.id, FirstByteAt: firstByteAt}}
+	t := s.attempt
 	var value []byte
-	good := len(words) >= 3 && (words[0] == "mg" || words[0] == "ms" && len(words) >= 4)
+	valid := len(words) >= 3 && (words[0] == "mg" || words[0] == "ms" && len(words) >= 4)
 	if len(words) > 0 && (words[0] == "mn" || words[0] == "stats") {
-		return k.plain(words)
+		return k.answerOther(words)
 	}
-	if good {
+	if valid {
 		t.Key, t.Write = words[1], words[0] == "ms"
 		info := map[string]string{}
 		for _, w := range words[2:] {
@@ -576,20 +580,20 @@
 			case 'O':
 				t.Request = w[1:]
 			case 'P':
-				info = fields(w[1:])
+				info = parseFields(w[1:])
 			}
 		}
 		t.Class, t.Idem = info["c"], info["k"]
 		ms, err := strconv.ParseFloat(info["d"], 64)
 		t.RemainingTime = time.Duration(ms * float64(time.Millisecond))
-		good = err == nil && t.Request != "" && t.Class != ""
+		valid = err == nil && t.Request != "" && t.Class != ""
 	}
-	if good {
+	if valid {
 		c.Log.Update(func(r *seen.Record) { r.Attempts = append(r.Attempts, t) })
 	}
-	if good && t.Write {
+	if valid && t.Write {
 		n, err := strconv.Atoi(words[2])
-		if good = err == nil && n >= 0 && n <= mostValue; good {
+		if valid = err == nil && n >= 0 && n <= maxValueBytes; valid {
 			value = make([]byte, n+2)
 			if _, err := io.ReadFull(in, value); err != nil {
 				return false
@@ -599,82 +603,82 @@
 		}
 	}
 	s.class = c.Classes[t.Class]
-	if k.script == nil && (!good || s.class == nil) {
+	if k.script == nil && (!valid || s.class == nil) {
 		c.Log.Update(func(r *seen.Record) {
-			r.ProtocolErrors = append(r.ProtocolErrors, seen.Event{At: first, Text: fmt.Sprintf("server %s was sent %q", t.Server, line)})
+			r.ProtocolErrors = append(r.ProtocolErrors, seen.Event{At: firstByteAt, Text: fmt.Sprintf("server %s was sent %q", t.Server, line)})
 		})
-		k.net.SetWriteDeadline(time.Now().Add(writeFor))
-		io.WriteString(k.net, "CLIENT_ERROR bad command\r\n")
+		k.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		io.WriteString(k.conn, "CLIENT_ERROR bad command\r\n")
 		return false
 	}
 	now := c.Log.Now()
 	c.Log.Update(func(*seen.Record) { t.LastByteAt = now })
-	s.size = len(value)
+	s.valueSize = len(value)
 	k.mu.Lock()
 	k.queue = append(k.queue, s)
 	k.mu.Unlock()
 	if k.script != nil {
-		k.scripted(s, line, value)
+		k.runScript(s, line, value)
 		return true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k.begin()
+	k.startCommands()
 	return true
 }
 
-// begin begins commands, as many of the connection at once as are allowed.
-func (k *cacheConn) begin() {
-	var next []*slot
+// startCommands submits queued commands, up to ConnConcurrency at once.
+func (k *cacheConn) startCommands() {
+	var startable []*command
 	k.mu.Lock()
 	for i, s := range k.queue {
 		if i >= max(1, k.cache.opt.ConnConcurrency) {
 			break
 		}
-		if !s.begun {
-			s.begun = true
-			next = append(next, s)
+		if !s.started {
+			s.started = true
+			startable = append(startable, s)
 		}
 	}
 	k.mu.Unlock()
-	for _, s := range next {
-		k.cache.offer(s, s.size)
+	for _, s := range startable {
+		k.cache.submit(s, s.valueSize)
 	}
 }
 
-// offer brings a whole command to the model.
-func (c *Cache) offer(s *slot, size int) {
-	t := s.try
+// submit submits a complete command to the model.
+func (c *Cache) submit(s *command, size int) {
+	t := s.attempt
 	now := c.Log.Now()
 	work := world.WorkOf(c.Seed, s.class, t.Request)
 	capacity, cold := c.model.Capacity(now), c.model.Cold(now)
 	c.Log.Update(func(*seen.Record) { t.Work, t.Capacity, t.Cold = work, capacity, cold })
-	if c.hangs || c.silent {
+	if c.hanging || c.silent {
 		return
 	}
-	if c.away {
-		s.fill([]byte("SERVER_ERROR busy\r\n"), seen.Busy)
+	if c.busy {
+		s.setAnswer([]byte("SERVER_ERROR busy\r\n"), seen.Busy)
 		return
 	}
-	c.tokens++
+	c.lastToken++
 	if !t.Write {
 		size = world.SizeOf(c.Seed, s.class, t.Key)
 	}
-	j := world.Job{Token: c.tokens, Key: t.Key, Work: work, Write: t.Write, Size: size, Idem: t.Idem}
+	j := world.Job{Token: c.lastToken, Key: t.Key, Work: work, Write: t.Write, Size: size, Idem: t.Idem}
 	switch c.model.Offer(now, j) {
 	case world.Accepted:
 		c.jobs[j.Token] = s
 	case world.Busy:
-		s.fill([]byte("SERVER_ERROR busy\r\n"), seen.Busy)
+		s.setAnswer([]byte("SERVER_ERROR busy\r\n"), seen.Busy)
 	}
-	c.look()
+	c.advance()
 }
 
-// scripted answers as the script says.
-func (k *cacheConn) scripted(s *slot, line string, value []byte) {
+// runScript sets the answer that the script returns.
+func (k *cacheConn) runScript(s *command, line string, value []byte) {
 	c := k.cache
 	c.mu.Lock()
-	c.seen = append(c.seen, line)
+	c.commands = append(c.commands, line)
 	c.mu.Unlock()
 	text := k.script(line, value)
 	c.mu.Lock()
@@ -682,51 +686,51 @@
 	switch text {
 	case "":
 	case CloseConn:
-		s.ends = true
-		s.fill(nil, seen.Nothing)
+		s.closesConn = true
+		s.setAnswer(nil, seen.Nothing)
 	default:
-		s.fill([]byte(text), seen.Value)
+		s.setAnswer([]byte(text), seen.Value)
 	}
 }
 
-// plain answers what is no request.
-func (k *cacheConn) plain(words []string) bool {
+// answerOther answers commands that are no request, such as "mn".
+func (k *cacheConn) answerOther(words []string) bool {
 	text := "ERROR\r\n"
 	if words[0] == "mn" {
 		text = "MN\r\n"
 	}
-	k.net.SetWriteDeadline(time.Now().Add(writeFor))
-	_, err := io.WriteString(k.net, text)
+	k.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err := io.WriteString(k.conn, text)
 	return err == nil
 }
 
 // write sends answers in the order of their commands.
-func (k *cacheConn) write(gone chan struct{}) {
+func (k *cacheConn) write(closed chan struct{}) {
 	c := k.cache
 	for {
 		k.mu.Lock()
-		var s *slot
+		var s *command
 		if len(k.queue) > 0 && k.queue[0].ready {
 			s = k.queue[0]
 		}
 		k.mu.Unlock()
 		if s == nil {
 			select {
-			case <-k.ready:
+			case <-k.answerReady:
 				continue
-			case <-gone:
+			case <-closed:
 				return
 			}
 		}
 		c.mu.Lock()
 		silent := c.silent
 		c.mu.Unlock()
-		if silent { // until it is back, which resets the connection
-			<-gone
+		if silent { // the connection is reset when the silence ends
+			<-closed
 			return
 		}
-		k.net.SetWriteDeadline(time.Now().Add(writeFor))
-		_, err := k.net.Write(s.answer)
+		k.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		_, err := k.conn.Write(s.answer)
 		now := c.Log.Now()
 		k.mu.Lock()
 		if len(k.queue) > 0 && k.queue[0] == s {
@@ -734,25 +738,25 @@
 		}
 		k.mu.Unlock()
 		c.Log.Update(func(*seen.Record) {
-			switch s.try.Answer = s.said; {
-			case s.try.ClosedAt > 0:
+			switch s.attempt.Answer = s.answerKind; {
+			case s.attempt.ClosedAt > 0:
 			case err == nil:
-				s.try.AnsweredAt = now
-			default: // the node has given it up, or this process has died
-				s.try.ClosedAt = now
+				s.attempt.AnsweredAt = now
+			default: // the node has abandoned it, or this process was killed
+				s.attempt.ClosedAt = now
 			}
 		})
-		if s.resets {
-			reset(k.net)
+		if s.resetsConn {
+			resetConn(k.conn)
 			return
 		}
-		if s.ends || err != nil {
-			k.net.Close()
+		if s.closesConn || err != nil {
+			k.conn.Close()
 			return
 		}
 		if k.script == nil {
 			c.mu.Lock()
-			k.begin()
+			k.startCommands()
 			c.mu.Unlock()
 		}
 	}
--- a/lab/standin/list.go
+++ b/lab/standin/list.go
@@ -16,41 +16,41 @@
 	"lapisshelf/lab/world"
 )
 
-// quiet drops what the HTTP servers have to say of connections that are broken on purpose.
-var quiet = log.New(io.Discard, "", 0)
+// discardLog drops the HTTP servers' log lines about connections that are broken on purpose.
+var discardLog = log.New(io.Discard, "", 0)
 
-// ListOptions describe the list service.
+// ListOptions configures a list service.
 type ListOptions struct {
-	Addr          string // to listen on, for each node; port 0 takes any
+	Addr          string // to listen on, for each node; port 0 picks a free one
 	Nodes         int
-	ChangeDelay   time.Duration // changes show so much later
-	KeptChanges   int           // changes that it remembers; 0: 1000
-	SnapshotsOnly bool          // it only ever tells the whole list
-	AnswerDelay   time.Duration // of a call, before it is answered
+	ChangeDelay   time.Duration // delay until a change becomes visible
+	KeptChanges   int           // number of changes kept for watches; 0: 1000
+	SnapshotsOnly bool          // answers always hold the whole list
+	AnswerDelay   time.Duration // delay before a call is handled
 }
 
-// List is the list service on sockets: an address for each node, so that who asks is known.
+// List is the list service on sockets. It has an address for each node, which identifies the caller.
 type List struct {
 	*Common
-	opt     ListOptions
-	ports   []*port
-	servers []*http.Server
+	opt       ListOptions
+	listeners []*faultListener
+	servers   []*http.Server
 
-	mu     sync.Mutex
-	roster *world.ServerList
-	delay  time.Duration
-	down   bool
-	garble bool
-	once   string // said instead of the list, once
-	cut    []chan struct{}
-	lives  []int
-	news   chan struct{} // closed when something changes
-	timer  *time.Timer
-	asks   [][]string // the values of since, by node
-	shut   chan struct{}
+	mu          sync.Mutex
+	serverList  *world.ServerList
+	changeDelay time.Duration
+	down        bool
+	garbled     bool
+	onceAnswer  string          // body of the next answer, instead of the list
+	cutOff      []chan struct{} // by node; closed at the end of the cut, nil without one
+	generations []int
+	changed     chan struct{} // closed and replaced at each change
+	timer       *time.Timer
+	sinceValues [][]string // the since parameters received, by node
+	closed      chan struct{}
 }
 
-// listMember is an entry on the wire.
+// listMember is a server's entry in an answer.
 type listMember struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -68,135 +68,137 @@
 	Members  []listMember `json:"members"`
 }
 
-// EncodeList gives a list in the protocol's form, as a node's configuration holds it.
-func EncodeList(zero time.Time, revision int64, whole bool, members []world.Member) any {
-	out := listAnswer{Revision: revision, Complete: whole, Members: []listMember{}}
+// EncodeList returns a server list in the form that the list service answers and a node's configuration holds.
+func EncodeList(startTime time.Time, revision int64, complete bool, members []world.Member) any {
+	out := listAnswer{Revision: revision, Complete: complete, Members: []listMember{}}
 	for _, m := range members {
 		e := listMember{ID: m.ID, HostPort: m.Addr, Locality: m.Zone, Flavor: m.Kind, Cell: m.Cell, Size: m.Weight,
 			Phase: [...]string{"SERVING", "DRAINING", "DELETED"}[m.Phase]}
 		if m.Started > 0 {
-			e.UpSince = zero.Add(m.Started).UnixMilli()
+			e.UpSince = startTime.Add(m.Started).UnixMilli()
 		}
 		out.Members = append(out.Members, e)
 	}
 	return out
 }
 
-// NewList starts the service.
+// NewList starts a list service.
 func NewList(common *Common, opt ListOptions, members ...world.Member) (*List, error) {
 	if opt.KeptChanges == 0 {
 		opt.KeptChanges = 1000
 	}
-	l := &List{Common: common, opt: opt, roster: world.NewServerList(opt.KeptChanges, members...), delay: opt.ChangeDelay,
-		cut: make([]chan struct{}, opt.Nodes), lives: make([]int, opt.Nodes), news: make(chan struct{}),
-		asks: make([][]string, opt.Nodes), shut: make(chan struct{})}
+	l := &List{Common: common, opt: opt, serverList: world.NewServerList(opt.KeptChanges, members...), changeDelay: opt.ChangeDelay,
+		cutOff: make([]chan struct{}, opt.Nodes), generations: make([]int, opt.Nodes), changed: make(chan struct{}),
+		sinceValues: make([][]string, opt.Nodes), closed: make(chan struct{})}
 	l.timer = time.AfterFunc(time.Hour, l.NotifyWatchers)
 	for n := range opt.Nodes {
-		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { l.handle(n, w, r) }), ErrorLog: quiet}
-		p, err := servePort(opt.Addr, s)
+		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { l.handle(n, w, r) }), ErrorLog: discardLog}
+		p, err := serveHTTP(opt.Addr, s)
 		if err != nil {
 			l.Close()
 			return nil, err
 		}
-		l.ports, l.servers = append(l.ports, p), append(l.servers, s)
+		l.listeners, l.servers = append(l.listeners, p), append(l.servers, s)
 	}
 	return l, nil
 }
 
-// Addr is where a node finds it.
-func (l *List) Addr(node int) string { return l.ports[node].addr }
+// Addr returns the address of the service for a node.
+func (l *List) Addr(node int) string { return l.listeners[node].addr }
 
-// Set changes an entry, to be seen after the delay.
+// Set changes an entry, which becomes visible after the change delay.
 func (l *List) Set(m world.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.roster.Set(l.Log.Now(), l.delay, m)
-	l.tell()
+	l.serverList.Set(l.Log.Now(), l.changeDelay, m)
+	l.wakeWatchers()
 }
 
-// Replace makes the list another one at once: who is not in it is gone.
+// Replace replaces the list at once: servers that are not among the members are deleted.
 func (l *List) Replace(members ...world.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Log.Now()
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, m := range members {
-		named[m.ID] = true
-		l.roster.Set(now, 0, m)
+		listed[m.ID] = true
+		l.serverList.Set(now, 0, m)
 	}
-	_, old := l.roster.Snapshot(now)
+	_, old := l.serverList.Snapshot(now)
 	for _, m := range old {
-		if !named[m.ID] {
+		if !listed[m.ID] {
 			m.Phase = world.Deleted
-			l.roster.Set(now, 0, m)
+			l.serverList.Set(now, 0, m)
 		}
 	}
-	l.tell()
+	l.wakeWatchers()
 }
 
-// Members is the list as it shows now.
+// Members returns the list that is visible now.
 func (l *List) Members() (revision int64, members []world.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.roster.Snapshot(l.Log.Now())
+	return l.serverList.Snapshot(l.Log.Now())
 }
 
-// SetDown takes the service down, or up again.
+// SetDown makes the service answer all calls with 503, or ends that.
 func (l *List) SetDown(on bool) { l.change(func() { l.down = on }) }
 
-// RefuseConns has connections refused, or taken again. Those that stand are not touched: Down has their calls turned away.
+// RefuseConns refuses new connections, or accepts them again. Open connections stay; SetDown fails their calls.
 func (l *List) RefuseConns(on bool) error {
 	var errs []error
-	for _, p := range l.ports {
-		errs = append(errs, p.refuse(on))
+	for _, p := range l.listeners {
+		errs = append(errs, p.setRefusing(on))
 	}
 	return errors.Join(errs...)
 }
 
-// SetGarbled makes it talk nonsense.
-func (l *List) SetGarbled(on bool) { l.change(func() { l.garble = on }) }
+// SetGarbled makes the service answer with invalid JSON.
+func (l *List) SetGarbled(on bool) { l.change(func() { l.garbled = on }) }
 
-// AnswerOnce makes it answer the next call with this, whatever it is.
-func (l *List) AnswerOnce(body string) { l.change(func() { l.once = body }) }
+// AnswerOnce sets the body of the next answer.
+func (l *List) AnswerOnce(body string) { l.change(func() { l.onceAnswer = body }) }
 
-// Lag makes changes show so much later, beyond the usual.
-func (l *List) Lag(d time.Duration) { l.change(func() { l.delay = l.opt.ChangeDelay + d }) }
+// Lag sets a delay of changes in addition to ListOptions.ChangeDelay.
+func (l *List) Lag(d time.Duration) { l.change(func() { l.changeDelay = l.opt.ChangeDelay + d }) }
 
-// Cut keeps everything from a node: its calls get no answer, until that ends with a reset.
+// Cut cuts a node off: its calls get no answer, and are reset when the cut ends.
 func (l *List) Cut(node int, on bool) {
 	l.change(func() {
-		if on && l.cut[node] == nil {
-			l.cut[node] = make(chan struct{})
-		} else if !on && l.cut[node] != nil {
-			close(l.cut[node])
-			l.cut[node] = nil
+		if on && l.cutOff[node] == nil {
+			l.cutOff[node] = make(chan struct{})
+		} else if !on && l.cutOff[node] != nil {
+			close(l.cutOff[node])
+			l.cutOff[node] = nil
 		}
 	})
 }
 
-// SetGeneration says which process of a node is running from now on.
-func (l *List) SetGeneration(node, life int) { l.change(func() { l.lives[node] = life }) }
+// SetGeneration sets the number of the node's process that makes calls from now on.
+func (l *List) SetGeneration(node, generation int) {
+	l.change(func() { l.generations[node] = generation })
+}
 
-// SinceValues gives the values of since in a node's calls.
+// SinceValues returns the since parameters of a node's calls, in order.
 func (l *List) SinceValues(node int) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]string(nil), l.asks[node]...)
+	return append([]string(nil), l.sinceValues[node]...)
 }
 
-// Close gives everything back.
+// Close ends the stand-in and releases its resources.
 func (l *List) Close() {
 	l.mu.Lock()
 	select {
-	case <-l.shut:
+	case <-l.closed:
 	default:
-		close(l.shut)
+		close(l.closed)
 	}
 	l.timer.Stop()
 	l.mu.Unlock()
-	for i := range l.ports {
+	for i := range l.listeners {
 		l.servers[i].Close()
-		l.ports[i].close()
+		l.listeners[i].close()
 	}
 }
 
@@ -204,22 +206,22 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
-	l.tell()
+	l.wakeWatchers()
 }
 
-// NotifyWatchers looks for changes that show by now.
+// NotifyWatchers makes waiting calls look for changes that have become visible.
 func (l *List) NotifyWatchers() { l.change(func() {}) }
 
-// tell wakes all who wait, and sets the timer for the next change that will show.
-func (l *List) tell() {
-	close(l.news)
-	l.news = make(chan struct{})
-	if at, ok := l.roster.NextVisible(); ok {
+// wakeWatchers wakes all waiting calls, and sets the timer for the next change that becomes visible.
+func (l *List) wakeWatchers() {
+	close(l.changed)
+	l.changed = make(chan struct{})
+	if at, ok := l.serverList.NextVisible(); ok {
 		l.timer.Reset(max(0, at-l.Log.Now()))
 	}
 }
 
-// handle is one call.
+// handle handles one call of a node.
 func (l *List) handle(node int, w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/discovery/hosts" || r.Method != "GET" {
 		w.WriteHeader(http.StatusNotFound)
@@ -231,30 +233,30 @@
 	}
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 	l.mu.Lock()
-	arrived := l.cut[node] // a call that arrives under a cut belongs to it, however soon the cut ends
-	call := &seen.ListCall{Node: node, Generation: l.lives[node], From: l.Log.Now()}
-	l.asks[node] = append(l.asks[node], r.URL.Query().Get("since"))
+	cutOnArrival := l.cutOff[node] // a call that arrives during a cut is cut off, however soon the cut ends
+	call := &seen.ListCall{Node: node, Generation: l.generations[node], From: l.Log.Now()}
+	l.sinceValues[node] = append(l.sinceValues[node], r.URL.Query().Get("since"))
 	l.mu.Unlock()
 	l.Log.Update(func(rec *seen.Record) { rec.ListCalls = append(rec.ListCalls, call) })
 	if l.opt.AnswerDelay > 0 {
 		time.Sleep(l.opt.AnswerDelay)
 	}
-	end := time.NewTimer(time.Duration(wait) * time.Millisecond)
-	defer end.Stop()
+	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	defer timeout.Stop()
 	expired := !watch
 	for {
 		l.mu.Lock()
 		now := l.Log.Now()
-		cut, news := cmp.Or(arrived, l.cut[node]), l.news
-		down, garble, once := l.down, l.garble, l.once
-		at := l.roster.Revision(now)
-		fresh := !watch || at != since
+		cut, changed := cmp.Or(cutOnArrival, l.cutOff[node]), l.changed
+		down, garbled, onceAnswer := l.down, l.garbled, l.onceAnswer
+		revision := l.serverList.Revision(now)
+		fresh := !watch || revision != since
 		answer := listAnswer{Members: []listMember{}}
 		var members []world.Member
 		if fresh || expired {
 			members, answer = l.answer(now, since, watch)
 			if cut == nil {
-				l.once = ""
+				l.onceAnswer = ""
 			}
 		}
 		l.mu.Unlock()
@@ -262,72 +264,72 @@
 		case cut != nil:
 			select {
 			case <-cut:
-				hangUp(w)
+				resetHTTPConn(w)
 				return
 			case <-r.Context().Done():
 				return
-			case <-l.shut:
+			case <-l.closed:
 				return
 			}
 		case down:
 			w.WriteHeader(http.StatusServiceUnavailable)
-			l.finish(call, false)
+			l.recordCallEnd(call, false)
 			return
-		case once != "", garble:
-			if once == "" {
-				once = `{"revision":-1,"complete":true,"members":[{"id":"","phase":"?"`
+		case onceAnswer != "", garbled:
+			if onceAnswer == "" {
+				onceAnswer = `{"revision":-1,"complete":true,"members":[{"id":"","phase":"?"`
 			}
 			l.mu.Lock()
-			l.once = ""
+			l.onceAnswer = ""
 			l.mu.Unlock()
-			io.WriteString(w, once)
-			l.finish(call, false)
+			io.WriteString(w, onceAnswer)
+			l.recordCallEnd(call, false)
 			return
 		case fresh || expired:
 			body, _ := json.Marshal(answer)
 			w.Write(append(body, '\n'))
 			http.NewResponseController(w).Flush()
-			told := seen.ListUpdate{Node: node, Generation: call.Generation, At: l.Log.Now(), Revision: answer.Revision, Snapshot: answer.Complete, Members: members}
-			l.Log.Update(func(rec *seen.Record) { rec.ListUpdates = append(rec.ListUpdates, told) })
-			l.finish(call, true)
+			update := seen.ListUpdate{Node: node, Generation: call.Generation, At: l.Log.Now(), Revision: answer.Revision, Snapshot: answer.Complete, Members: members}
+			l.Log.Update(func(rec *seen.Record) { rec.ListUpdates = append(rec.ListUpdates, update) })
+			l.recordCallEnd(call, true)
 			return
 		}
 		select {
-		case <-news:
-		case <-end.C:
+		case <-changed:
+		case <-timeout.C:
 			expired = true
 		case <-r.Context().Done():
-			l.finish(call, false)
+			l.recordCallEnd(call, false)
 			return
-		case <-l.shut:
+		case <-l.closed:
 			return
 		}
 	}
 }
 
-// answer is what a call is told now.
+// answer returns the answer to a call at the present time, and the members in it.
 func (l *List) answer(now time.Duration, since int64, watch bool) ([]world.Member, listAnswer) {
 	if watch && !l.opt.SnapshotsOnly {
-		if at, changes, known := l.roster.ChangesSince(now, since); known {
+		if at, changes, known := l.serverList.ChangesSince(now, since); known {
 			return changes, EncodeList(l.Log.StartTime(), at, false, changes).(listAnswer)
 		}
 	}
-	at, all := l.roster.Snapshot(now)
+	at, all := l.serverList.Snapshot(now)
 	if watch && l.opt.SnapshotsOnly && at == since {
 		return nil, listAnswer{Revision: at, Members: []listMember{}}
 	}
 	return all, EncodeList(l.Log.StartTime(), at, true, all).(listAnswer)
 }
 
-func (l *List) finish(c *seen.ListCall, ok bool) {
+func (l *List) recordCallEnd(c *seen.ListCall, ok bool) {
 	now := l.Log.Now()
 	l.Log.Update(func(*seen.Record) { c.To, c.OK = now, ok })
 }
 
-func hangUp(w http.ResponseWriter) {
+func resetHTTPConn(w http.ResponseWriter) {
 	var conn net.Conn
 	var err error
 	if conn, _, err = http.NewResponseController(w).Hijack(); err == nil {
-		reset(conn)
+		resetConn(conn)
 	}
 }
--- a/lab/standin/origin.go
+++ b/lab/standin/origin.go
@@ -15,39 +15,39 @@
 	"lapisshelf/lab/world"
 )
 
-// OriginOptions describe the origin.
+// OriginOptions configures an origin.
 type OriginOptions struct {
 	ID, Name string
 	Addr     string
 	Spec     *world.OriginSpec // nil with a script
 	Script   http.HandlerFunc
-	// Served is told of each read that it has answered: the value is stored where the request missed.
+	// OnRead, unless it is nil, is called after each answered read, so that the cache where it missed can store the value.
 	OnRead func(request string, version, size int64)
-	// Wrote is told of each write that took effect: the copies of its key are void.
+	// OnWrite, unless it is nil, is called after each write that took effect, so that cached copies can be invalidated.
 	OnWrite func(key string)
 }
 
-// Origin is the origin on a socket, by HTTP/1.1.
+// Origin is an origin server on a socket, with HTTP/1.1.
 type Origin struct {
 	*Common
-	opt    OriginOptions
-	port   *port
-	server *http.Server
+	opt      OriginOptions
+	listener *faultListener
+	server   *http.Server
 
-	mu      sync.Mutex
-	model   *world.Origin
-	timer   *time.Timer
-	due     time.Duration
-	tokens  uint64
-	waits   map[uint64]chan world.Completion // closed without one: lost
-	by      map[uint64]string                // requests, by token
-	rng     *rand.Rand
-	spoil   float64
-	lines   []string // with a script: method, path, Request-Id, Request-Info, body
-	stopped bool
+	mu         sync.Mutex
+	model      *world.Origin
+	timer      *time.Timer
+	dueAt      time.Duration
+	lastToken  uint64
+	waiters    map[uint64]chan world.Completion // closed without a value if the job is lost
+	requestIDs map[uint64]string                // by job token
+	rng        *rand.Rand
+	corruption float64
+	requests   []string // received with a script: method, path, Request-Id, Request-Info, body
+	stopped    bool
 }
 
-// chanListener hands connections that a port has taken to an http.Server.
+// chanListener passes the connections of a faultListener to an http.Server.
 type chanListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -71,10 +71,10 @@
 
 func (l *chanListener) Addr() net.Addr { return l.addr }
 
-// servePort runs an HTTP server behind a port that can be broken.
-func servePort(addr string, server *http.Server) (*port, error) {
+// serveHTTP runs an HTTP server behind a faultListener.
+func serveHTTP(addr string, server *http.Server) (*faultListener, error) {
 	l := &chanListener{conns: make(chan net.Conn), done: make(chan struct{})}
-	p, err := openPort(addr, func(c net.Conn) {
+	p, err := listenFaulty(addr, func(c net.Conn) {
 		select {
 		case l.conns <- c:
 		case <-l.done:
@@ -89,98 +89,99 @@
 	return p, nil
 }
 
-// NewOrigin starts the origin.
+// NewOrigin starts an origin.
 func NewOrigin(common *Common, opt OriginOptions) (*Origin, error) {
-	o := &Origin{Common: common, opt: opt, waits: map[uint64]chan world.Completion{}, by: map[uint64]string{},
+	o := &Origin{Common: common, opt: opt, waiters: map[uint64]chan world.Completion{}, requestIDs: map[uint64]string{},
 		rng: world.RandomStream(common.Seed, "standin", "origin")}
-	o.timer = time.AfterFunc(time.Hour, o.ring)
+	o.timer = time.AfterFunc(time.Hour, o.onTimer)
 	if opt.Spec != nil {
 		o.model = world.NewOrigin(*opt.Spec, common.Seed)
 	}
-	o.server = &http.Server{Handler: http.HandlerFunc(o.handle), ErrorLog: quiet}
+	o.server = &http.Server{Handler: http.HandlerFunc(o.handle), ErrorLog: discardLog}
 	var err error
-	o.port, err = servePort(opt.Addr, o.server)
+	o.listener, err = serveHTTP(opt.Addr, o.server)
 	return o, err
 }
 
-// Addr is where it listens.
-func (o *Origin) Addr() string { return o.port.addr }
+// Addr returns the address on which the origin listens.
+func (o *Origin) Addr() string { return o.listener.addr }
 
-// Requests are the requests that came, where a script answers.
+// Requests returns all requests received, one line each, if a script answers them.
 func (o *Origin) Requests() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return append([]string(nil), o.lines...)
+	return append([]string(nil), o.requests...)
 }
 
-// UpdateModel runs f on the model, where there is one, and looks at what has come of it.
+// UpdateModel runs f on the model, if there is one, and handles the results.
 func (o *Origin) UpdateModel(f func(now time.Duration, m *world.Origin)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.model != nil {
 		f(o.Log.Now(), o.model)
-		o.look()
+		o.advance()
 	}
 }
 
-// CorruptAnswers breaks a part of the answers.
-func (o *Origin) CorruptAnswers(part float64) {
+// CorruptAnswers sets the fraction of the answers that are corrupted.
+func (o *Origin) CorruptAnswers(fraction float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.spoil = part
+	o.corruption = fraction
 }
 
-// SetDown refuses new connections and ends those that stand, or takes them again.
+// SetDown stops the origin, refusing new connections and losing the requests in flight, or starts it again.
 func (o *Origin) SetDown(on bool) error {
 	length := time.Duration(0)
 	if on {
 		length = 1000 * time.Hour
 	}
 	o.UpdateModel(func(now time.Duration, m *world.Origin) { m.Stop(now, length) })
-	return o.port.refuse(on)
+	return o.listener.setRefusing(on)
 }
 
-// Close gives everything back.
+// Close ends the stand-in and releases its resources.
 func (o *Origin) Close() {
 	o.mu.Lock()
 	o.stopped = true
 	o.timer.Stop()
 	o.mu.Unlock()
 	o.server.Close()
-	o.port.close()
+	o.listener.close()
 }
 
-func (o *Origin) ring() {
+func (o *Origin) onTimer() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.stopped {
 		return
 	}
-	if o.due > 0 {
-		o.noteLate(o.Log.Now() - o.due)
+	if o.dueAt > 0 {
+		o.recordLateness(o.Log.Now() - o.dueAt)
 	}
-	o.look()
+	o.advance()
 }
 
-// look takes what the model has done by now and sets the timer for what comes next.
-func (o *Origin) look() {
+// advance advances the model to the current time, handles the results and sets the timer for the next event. It needs the
+// lock.
+func (o *Origin) advance() {
 	now := o.Log.Now()
 	for _, d := range o.model.Advance(now) {
 		if d.Applied {
-			e := seen.Effect{At: now, Request: o.by[d.Token], Key: d.Key, Idem: d.Idem, Receipt: d.Receipt}
+			e := seen.Effect{At: now, Request: o.requestIDs[d.Token], Key: d.Key, Idem: d.Idem, Receipt: d.Receipt}
 			o.Log.Update(func(r *seen.Record) { r.Effects = append(r.Effects, e) })
 			if o.opt.OnWrite != nil {
 				o.opt.OnWrite(d.Key)
 			}
 		}
-		o.end(d.Token, &d)
+		o.finishJob(d.Token, &d)
 	}
 	for _, t := range o.model.TakeLost() {
-		o.end(t, nil)
+		o.finishJob(t, nil)
 	}
 	at, ok := o.model.Next()
-	if o.due = at; !ok {
-		o.due = 0
+	if o.dueAt = at; !ok {
+		o.dueAt = 0
 		at = now + time.Hour
 	}
 	if !o.stopped {
@@ -188,11 +189,11 @@
 	}
 }
 
-// end tells who waits for a job.
-func (o *Origin) end(token uint64, d *world.Completion) {
-	w := o.waits[token]
-	delete(o.waits, token)
-	delete(o.by, token)
+// finishJob passes the completion of a job to the goroutine that waits for it; d is nil if the job is lost.
+func (o *Origin) finishJob(token uint64, d *world.Completion) {
+	w := o.waiters[token]
+	delete(o.waiters, token)
+	delete(o.requestIDs, token)
 	if w == nil {
 		return
 	}
@@ -202,17 +203,17 @@
 	close(w)
 }
 
-// offer brings a job; the channel gives its end, or is closed without one. A nil channel: it was turned away, with
-// gone telling that nobody is there.
-func (o *Origin) offer(t *seen.Attempt, size int) (token uint64, end chan world.Completion, gone bool) {
+// submit submits a job to the model. The channel receives its completion, or is closed without one if the job is lost. It is
+// nil if the job is rejected; down says whether that is because the origin has stopped.
+func (o *Origin) submit(t *seen.Attempt, size int) (token uint64, completion chan world.Completion, down bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.Log.Now()
-	o.tokens++
-	token = o.tokens
+	o.lastToken++
+	token = o.lastToken
 	stops := o.model.StopCount()
-	// The effect must be told by the request even if its client has gone by then.
-	o.by[token] = t.Request
+	// Kept until the effect, which must be attributed to the request even if its client has disconnected by then.
+	o.requestIDs[token] = t.Request
 	v, work := o.model.Offer(now, world.Job{Token: token, Key: t.Key, Write: t.Write, Size: size, Idem: t.Idem})
 	o.Log.Update(func(r *seen.Record) {
 		t.Work, t.Capacity = work, o.model.Capacity()
@@ -222,21 +223,21 @@
 		}
 	})
 	if v == world.Accepted {
-		end = make(chan world.Completion, 1)
-		o.waits[token] = end
+		completion = make(chan world.Completion, 1)
+		o.waiters[token] = completion
 	} else {
-		delete(o.by, token)
+		delete(o.requestIDs, token)
 	}
-	o.look()
-	return token, end, v == world.Down
+	o.advance()
+	return token, completion, v == world.Down
 }
 
-// Ask is a cache's own request, in through mode.
+// Ask handles a request of a cache, in through mode.
 func (o *Origin) Ask(a world.OriginRequest, request, class string, answer func(world.Completion)) {
 	t := &seen.Attempt{Server: o.opt.ID, Origin: true, Request: request, Class: class, Key: a.Key, Write: a.Write, Idem: a.Idem}
-	_, end, _ := o.offer(t, 0)
-	if end != nil {
-		if d, ok := <-end; ok {
+	_, completion, _ := o.submit(t, 0)
+	if completion != nil {
+		if d, ok := <-completion; ok {
 			answer(d)
 			return
 		}
@@ -244,24 +245,24 @@
 	answer(world.Completion{Outcome: world.Failed})
 }
 
-// handle is one request.
+// handle handles one HTTP request.
 func (o *Origin) handle(w http.ResponseWriter, r *http.Request) {
-	first := o.Log.Now()
+	firstByteAt := o.Log.Now()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	if o.opt.Script != nil {
 		o.mu.Lock()
-		o.lines = append(o.lines, strings.Join([]string{r.Method, r.URL.Path, r.Header.Get("Request-Id"),
+		o.requests = append(o.requests, strings.Join([]string{r.Method, r.URL.Path, r.Header.Get("Request-Id"),
 			r.Header.Get("Request-Info"), string(body)}, " "))
 		o.mu.Unlock()
 		o.opt.Script(w, r)
 		return
 	}
-	info := fields(r.Header.Get("Request-Info"))
+	info := parseFields(r.Header.Get("Request-Info"))
 	t := &seen.Attempt{Server: o.opt.ID, Origin: true, Request: r.Header.Get("Request-Id"), Class: info["c"], Idem: info["k"],
-		Key: strings.TrimPrefix(r.URL.Path, "/"), Write: r.Method == "PUT", FirstByteAt: first, LastByteAt: o.Log.Now()}
+		Key: strings.TrimPrefix(r.URL.Path, "/"), Write: r.Method == "PUT", FirstByteAt: firstByteAt, LastByteAt: o.Log.Now()}
 	if t.Write {
 		t.Value = Digest(body)
 	}
@@ -272,37 +273,37 @@
 	o.Log.Update(func(rec *seen.Record) {
 		rec.Attempts = append(rec.Attempts, t)
 		if class == nil || t.Request == "" || r.Method != "GET" && r.Method != "PUT" {
-			rec.ProtocolErrors = append(rec.ProtocolErrors, seen.Event{At: first, Text: fmt.Sprintf("the origin was sent %s %s, Request-Info %q", r.Method, r.URL.Path, r.Header.Get("Request-Info"))})
+			rec.ProtocolErrors = append(rec.ProtocolErrors, seen.Event{At: firstByteAt, Text: fmt.Sprintf("the origin was sent %s %s, Request-Info %q", r.Method, r.URL.Path, r.Header.Get("Request-Info"))})
 		}
 	})
 	if class == nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	token, end, gone := o.offer(t, len(body))
-	if gone {
-		o.hangUp(w, t)
+	token, completion, down := o.submit(t, len(body))
+	if down {
+		o.resetConn(w, t)
 		return
 	}
-	if end == nil {
+	if completion == nil {
 		w.Header().Set("Not-Started", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-		o.answered(w, t, seen.Busy)
+		o.recordAnswer(w, t, seen.Busy)
 		return
 	}
 	select {
-	case d, ok := <-end:
+	case d, ok := <-completion:
 		if !ok {
-			o.hangUp(w, t)
+			o.resetConn(w, t)
 			return
 		}
-		o.say(w, t, class, d)
+		o.answer(w, t, class, d)
 	case <-r.Context().Done():
 		o.UpdateModel(func(now time.Duration, m *world.Origin) {
 			m.Cancel(now, token)
-			delete(o.waits, token)
+			delete(o.waiters, token)
 			if !t.Write {
-				delete(o.by, token)
+				delete(o.requestIDs, token)
 			}
 		})
 		now := o.Log.Now()
@@ -310,21 +311,21 @@
 	}
 }
 
-// say answers a request that was carried out.
-func (o *Origin) say(w http.ResponseWriter, t *seen.Attempt, class *world.Class, d world.Completion) {
+// answer answers a request whose job has completed.
+func (o *Origin) answer(w http.ResponseWriter, t *seen.Attempt, class *world.Class, d world.Completion) {
 	o.mu.Lock()
-	spoils := o.rng.Float64() < o.spoil
+	corrupt := o.rng.Float64() < o.corruption
 	o.mu.Unlock()
-	if spoils {
+	if corrupt {
 		o.Log.Update(func(*seen.Record) { t.Answer = seen.Corrupt })
-		o.garble(w)
-		o.ended(t)
+		o.writeGarbage(w)
+		o.recordClose(t)
 		return
 	}
 	if t.Write {
 		o.Log.Update(func(*seen.Record) { t.Receipt = d.Receipt })
 		io.WriteString(w, d.Receipt)
-		o.answered(w, t, seen.Receipt)
+		o.recordAnswer(w, t, seen.Receipt)
 		return
 	}
 	size := world.SizeOf(o.Seed, class, t.Key)
@@ -332,50 +333,50 @@
 	o.Log.Update(func(*seen.Record) { t.Version = d.Version })
 	w.Header().Set("Content-Length", strconv.Itoa(len(v)))
 	w.Write(v)
-	o.answered(w, t, seen.Value)
+	o.recordAnswer(w, t, seen.Value)
 	if o.opt.OnRead != nil {
 		o.opt.OnRead(t.Request, d.Version, int64(size))
 	}
 }
 
-// garble says something that is no answer.
-func (o *Origin) garble(w http.ResponseWriter) {
-	conn, out, err := http.NewResponseController(w).Hijack()
+// writeGarbage sends an invalid HTTP answer.
+func (o *Origin) writeGarbage(w http.ResponseWriter) {
+	conn, writer, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	o.mu.Lock()
-	which := o.rng.IntN(4)
+	variant := o.rng.IntN(4)
 	o.mu.Unlock()
-	out.WriteString([]string{
+	writer.WriteString([]string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nhello",
 		"HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 5\r\n\r\nhello",
 		"\xde\xad\xbe\xef\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello",
-	}[which])
-	out.Flush()
-	conn.SetReadDeadline(time.Now().Add(writeFor))
+	}[variant])
+	writer.Flush()
+	conn.SetReadDeadline(time.Now().Add(writeTimeout))
 	discardAll(conn)
 	conn.Close()
 }
 
-// answered notes that an answer has gone out.
-func (o *Origin) answered(w http.ResponseWriter, t *seen.Attempt, said seen.ServerAnswer) {
+// recordAnswer flushes an answer and records it.
+func (o *Origin) recordAnswer(w http.ResponseWriter, t *seen.Attempt, kind seen.ServerAnswer) {
 	http.NewResponseController(w).Flush()
 	now := o.Log.Now()
-	o.Log.Update(func(*seen.Record) { t.Answer, t.AnsweredAt = said, now })
+	o.Log.Update(func(*seen.Record) { t.Answer, t.AnsweredAt = kind, now })
 }
 
-// ended notes that an attempt is over without an answer.
-func (o *Origin) ended(t *seen.Attempt) {
+// recordClose records that an attempt has ended without an answer.
+func (o *Origin) recordClose(t *seen.Attempt) {
 	now := o.Log.Now()
 	o.Log.Update(func(*seen.Record) { t.ClosedAt = now })
 }
 
-// hangUp ends the connection as a dying process does.
-func (o *Origin) hangUp(w http.ResponseWriter, t *seen.Attempt) {
+// resetConn closes the connection with a TCP reset, as the end of a process does.
+func (o *Origin) resetConn(w http.ResponseWriter, t *seen.Attempt) {
 	if conn, _, err := http.NewResponseController(w).Hijack(); err == nil {
-		reset(conn)
+		resetConn(conn)
 	}
-	o.ended(t)
+	o.recordClose(t)
 }
--- a/lab/standin/registry.go
+++ b/lab/standin/registry.go
@@ -16,49 +16,49 @@
 	"lapisshelf/lab/world"
 )
 
-// RegistryOptions describe a key-value registry.
+// RegistryOptions configures a key-value registry.
 type RegistryOptions struct {
-	Addr             string // to listen on, for each endpoint and node; port 0 takes any
+	Addr             string // to listen on, for each endpoint and node; port 0 picks a free one
 	Endpoints        int
-	Nodes            int           // each has its own addresses, so that who asks is known
-	Prefix           string        // of the servers' keys
-	Token            string        // wanted with each request; empty: none
-	ProgressInterval time.Duration // between progress notices of a quiet watch; 0: none
+	Nodes            int           // each has its own addresses, which identify the caller
+	Prefix           string        // of the keys of the server entries
+	Token            string        // required with each request; empty: none
+	ProgressInterval time.Duration // between progress notifications of a quiet watch; 0: none
 }
 
-// Registry plays a key-value registry of several endpoints: the JSON gateway of etcd v3 and the blocking reads of Consul,
-// over one store. Its endpoints can lag, fall silent, be down or talk nonsense.
+// Registry is a stand-in for a key-value registry with several endpoints: the JSON gateway of etcd v3 and the blocking
+// queries of Consul, on one store. Its endpoints can lag, fall silent, be down or send invalid answers.
 type Registry struct {
 	*Common
-	opt     RegistryOptions
-	ports   []*port // by endpoint, then node
-	servers []*http.Server
-
-	mu    sync.Mutex
-	store *world.Store
-	save  *world.Store // a backup
-	lags  []int64
-	ends  []endState
-	twice bool // changes are told again, and a progress goes ahead of what it speaks of
-	split bool // answers come in small pieces
-	drip  time.Duration
-	cut   []chan struct{} // by node
-	lives []int
-	news  chan struct{}
-	timer *time.Timer
-	rng   *rand.Rand
-	shut  chan struct{}
-	calls int
-	bytes int64
-	waits atomic.Int64
-}
-
-type endState struct {
-	down, mute, garble bool
-	unmute             chan struct{}
-}
-
-// ServerEntry is a server's entry in a registry: a JSON object, as docs/registry.md describes it.
+	opt       RegistryOptions
+	listeners []*faultListener // by endpoint, then node
+	servers   []*http.Server
+
+	mu           sync.Mutex
+	store        *world.Store
+	backup       *world.Store // nil: none
+	lags         []int64      // by endpoint, in revisions
+	endpoints    []endpointState
+	repeatEvents bool // see RepeatEvents
+	splitAnswers bool // see SplitAnswers
+	pieceDelay   time.Duration
+	cutOff       []chan struct{} // by node; closed at the end of the cut, nil without one
+	generations  []int
+	changed      chan struct{} // closed and replaced at each change
+	timer        *time.Timer
+	rng          *rand.Rand
+	closed       chan struct{}
+	callCount    int
+	bytesSent    int64
+	waitCount    atomic.Int64
+}
+
+type endpointState struct {
+	down, muted, garbled bool
+	unmute               chan struct{}
+}
+
+// ServerEntry is the JSON object of a server in a registry, which docs/registry.md describes.
 type ServerEntry struct {
 	ID          string   `json:"id"`
 	Addr        string   `json:"addr"`
@@ -70,22 +70,22 @@
 	StartMillis int64    `json:"start_ms,omitempty"`
 }
 
-// EncodeEntry writes a member as a registry holds it.
-func EncodeEntry(zero time.Time, m world.Member) []byte {
+// EncodeEntry returns the registry entry of a member.
+func EncodeEntry(startTime time.Time, m world.Member) []byte {
 	w := m.Weight
 	e := ServerEntry{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Weight: &w}
 	if m.Phase == world.Draining {
 		e.Phase = "draining"
 	}
 	if m.Started > 0 {
-		e.StartMillis = zero.Add(m.Started).UnixMilli()
+		e.StartMillis = startTime.Add(m.Started).UnixMilli()
 	}
 	text, _ := json.Marshal(e)
 	return text
 }
 
-// memberOf reads one back.
-func memberOf(zero time.Time, text []byte) (world.Member, bool) {
+// decodeEntry returns the member of a registry entry, and whether the entry is valid.
+func decodeEntry(startTime time.Time, text []byte) (world.Member, bool) {
 	var e ServerEntry
 	if json.Unmarshal(text, &e) != nil || e.ID == "" {
 		return world.Member{}, false
@@ -98,59 +98,59 @@
 		m.Phase = world.Draining
 	}
 	if e.StartMillis > 0 {
-		m.Started = time.UnixMilli(e.StartMillis).Sub(zero)
+		m.Started = time.UnixMilli(e.StartMillis).Sub(startTime)
 	}
 	return m, true
 }
 
-// NewRegistry starts one, with an empty store.
+// NewRegistry starts a registry with an empty store.
 func NewRegistry(common *Common, opt RegistryOptions) (*Registry, error) {
-	r := &Registry{Common: common, opt: opt, store: world.NewStore(), lags: make([]int64, opt.Endpoints), ends: make([]endState, opt.Endpoints),
-		cut: make([]chan struct{}, opt.Nodes), lives: make([]int, opt.Nodes), news: make(chan struct{}), shut: make(chan struct{}), rng: world.RandomStream(common.Seed, "registry")}
-	r.timer = time.AfterFunc(time.Hour, r.lapse)
-	for end := range opt.Endpoints {
+	r := &Registry{Common: common, opt: opt, store: world.NewStore(), lags: make([]int64, opt.Endpoints), endpoints: make([]endpointState, opt.Endpoints),
+		cutOff: make([]chan struct{}, opt.Nodes), generations: make([]int, opt.Nodes), changed: make(chan struct{}), closed: make(chan struct{}), rng: world.RandomStream(common.Seed, "registry")}
+	r.timer = time.AfterFunc(time.Hour, r.expireLeases)
+	for endpoint := range opt.Endpoints {
 		for node := range opt.Nodes {
-			s := &http.Server{ErrorLog: quiet, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { r.handle(end, node, w, q) })}
-			p, err := servePort(opt.Addr, s)
+			s := &http.Server{ErrorLog: discardLog, Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) { r.handle(endpoint, node, w, req) })}
+			p, err := serveHTTP(opt.Addr, s)
 			if err != nil {
 				r.Close()
 				return nil, err
 			}
-			r.ports, r.servers = append(r.ports, p), append(r.servers, s)
+			r.listeners, r.servers = append(r.listeners, p), append(r.servers, s)
 		}
 	}
 	return r, nil
 }
 
-// Endpoints is where a node finds the endpoints.
+// Endpoints returns the addresses of the endpoints for a node.
 func (r *Registry) Endpoints(node int) (all []string) {
-	for end := range r.opt.Endpoints {
-		all = append(all, r.ports[end*r.opt.Nodes+node].addr)
+	for endpoint := range r.opt.Endpoints {
+		all = append(all, r.listeners[endpoint*r.opt.Nodes+node].addr)
 	}
 	return all
 }
 
-// UpdateStore changes the store and wakes who watches.
+// UpdateStore calls f with the store and wakes the watches.
 func (r *Registry) UpdateStore(f func(now time.Duration, s *world.Store)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.Log.Now(), r.store)
-	r.tell()
+	r.wakeWatchers()
 }
 
-func (r *Registry) tell() {
-	close(r.news)
-	r.news = make(chan struct{})
+func (r *Registry) wakeWatchers() {
+	close(r.changed)
+	r.changed = make(chan struct{})
 	if at, ok := r.store.NextExpiry(); ok {
 		r.timer.Reset(max(0, at-r.Log.Now()) + time.Millisecond)
 	}
 }
 
-func (r *Registry) lapse() {
+func (r *Registry) expireLeases() {
 	r.UpdateStore(func(now time.Duration, s *world.Store) { s.ExpireLeases(now) })
 }
 
-// Set puts a server's entry, or takes it out.
+// Set stores the entry of a server, or removes it if the server is deleted.
 func (r *Registry) Set(m world.Member) {
 	r.UpdateStore(func(_ time.Duration, s *world.Store) {
 		if m.Phase == world.Deleted {
@@ -161,7 +161,7 @@
 	})
 }
 
-// Members are the servers as the store has them now, and its revision.
+// Members returns the revision of the store and its present servers.
 func (r *Registry) Members() (int64, []world.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,14 +171,14 @@
 func (r *Registry) members(rev int64) (all []world.Member) {
 	kvs, _, _ := r.store.Range(r.opt.Prefix, prefixEnd(r.opt.Prefix), rev, 0)
 	for _, kv := range kvs {
-		if m, ok := memberOf(r.Log.StartTime(), kv.Value); ok {
+		if m, ok := decodeEntry(r.Log.StartTime(), kv.Value); ok {
 			all = append(all, m)
 		}
 	}
 	return all
 }
 
-// prefixEnd is the smallest key behind all that begin with a prefix.
+// prefixEnd returns the smallest key after all keys that begin with a prefix.
 func prefixEnd(prefix string) string {
 	b := []byte(prefix)
 	for i := len(b) - 1; i >= 0; i-- {
@@ -190,142 +190,147 @@
 	return ""
 }
 
-// Compact forgets all but the last changes.
+// Compact compacts the history to the last keep revisions.
 func (r *Registry) Compact(keep int64) {
 	r.UpdateStore(func(_ time.Duration, s *world.Store) { s.Compact(s.Revision() - keep) })
 }
 
-// DeleteAll takes out all servers.
+// DeleteAll removes all server entries.
 func (r *Registry) DeleteAll() {
 	r.UpdateStore(func(_ time.Duration, s *world.Store) { s.Delete(r.opt.Prefix) })
 }
 
-// SaveBackup keeps a backup, Restore puts it in the store's place and breaks all watches.
+// SaveBackup makes a backup of the store.
 func (r *Registry) SaveBackup() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.save = r.store.Backup()
+	r.backup = r.store.Backup()
 }
 
-// RestoreBackup puts the backup in the store's place and breaks all watches.
+// RestoreBackup replaces the store with the backup, if there is one, which ends all watches.
 func (r *Registry) RestoreBackup() {
 	r.mu.Lock()
-	if r.save != nil {
-		r.store = r.save.Backup()
+	if r.backup != nil {
+		r.store = r.backup.Backup()
 	}
-	r.tell() // the handlers see that the store they follow has gone
+	r.wakeWatchers() // the handlers notice that their store has been replaced
 	r.mu.Unlock()
 }
 
-// Lag makes an endpoint tell of what was so many changes ago.
-func (r *Registry) Lag(end int, changes int64) { r.change(func() { r.lags[end] = changes }) }
+// Lag makes an endpoint answer with the state of so many revisions ago.
+func (r *Registry) Lag(endpoint int, changes int64) { r.change(func() { r.lags[endpoint] = changes }) }
 
-// SetDown makes an endpoint answer 503, and breaks what waits there.
-func (r *Registry) SetDown(end int, on bool) { r.change(func() { r.ends[end].down = on }) }
+// SetDown makes an endpoint answer with 503 and breaks its watches, or ends that.
+func (r *Registry) SetDown(endpoint int, on bool) {
+	r.change(func() { r.endpoints[endpoint].down = on })
+}
 
-// SetGarbled makes an endpoint talk nonsense.
-func (r *Registry) SetGarbled(end int, on bool) { r.change(func() { r.ends[end].garble = on }) }
+// SetGarbled makes an endpoint send invalid answers.
+func (r *Registry) SetGarbled(endpoint int, on bool) {
+	r.change(func() { r.endpoints[endpoint].garbled = on })
+}
 
-// SetMuted makes an endpoint say nothing more, on what stands as on what comes; when it is back, that is reset.
-func (r *Registry) SetMuted(end int, on bool) {
+// SetMuted makes an endpoint send nothing more on open and new connections, which are reset when that ends.
+func (r *Registry) SetMuted(endpoint int, on bool) {
 	r.change(func() {
-		e := &r.ends[end]
-		if on && !e.mute {
-			e.mute, e.unmute = true, make(chan struct{})
-		} else if !on && e.mute {
-			e.mute = false
+		e := &r.endpoints[endpoint]
+		if on && !e.muted {
+			e.muted, e.unmute = true, make(chan struct{})
+		} else if !on && e.muted {
+			e.muted = false
 			close(e.unmute)
 		}
 	})
 }
 
-// Cut keeps everything from a node, until that ends with a reset.
+// Cut cuts a node off from all endpoints; its connections are reset when that ends.
 func (r *Registry) Cut(node int, on bool) {
 	r.change(func() {
-		if on && r.cut[node] == nil {
-			r.cut[node] = make(chan struct{})
-		} else if !on && r.cut[node] != nil {
-			close(r.cut[node])
-			r.cut[node] = nil
+		if on && r.cutOff[node] == nil {
+			r.cutOff[node] = make(chan struct{})
+		} else if !on && r.cutOff[node] != nil {
+			close(r.cutOff[node])
+			r.cutOff[node] = nil
 		}
 	})
 }
 
-// RepeatEvents makes it tell changes again and let a progress go ahead of them; Split sends answers in small pieces, each after a
-// while.
-func (r *Registry) RepeatEvents(on bool) { r.change(func() { r.twice = on }) }
+// RepeatEvents makes watches send each change twice, after a progress notification for its revision.
+func (r *Registry) RepeatEvents(on bool) { r.change(func() { r.repeatEvents = on }) }
 
-// SplitAnswers sends answers in pieces of a few bytes, each after a while.
-func (r *Registry) SplitAnswers(on bool, drip time.Duration) {
-	r.change(func() { r.split, r.drip = on, drip })
+// SplitAnswers sends answers in pieces of a few bytes, with a delay between them.
+func (r *Registry) SplitAnswers(on bool, pieceDelay time.Duration) {
+	r.change(func() { r.splitAnswers, r.pieceDelay = on, pieceDelay })
 }
 
-// SetGeneration says which process of a node is running from now on.
-func (r *Registry) SetGeneration(node, life int) { r.change(func() { r.lives[node] = life }) }
+// SetGeneration sets the number of the node's process that makes requests from now on.
+func (r *Registry) SetGeneration(node, generation int) {
+	r.change(func() { r.generations[node] = generation })
+}
 
-// CallCounts is how many requests have come, and how many bytes were answered.
+// CallCounts returns the numbers of requests received and of bytes sent in answers.
 func (r *Registry) CallCounts() (int, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.calls, r.bytes
+	return r.callCount, r.bytesSent
 }
 
-// WaitCount is how often a call has come to wait for changes, with all done that comes before.
-func (r *Registry) WaitCount() int64 { return r.waits.Load() }
+// WaitCount returns how often a call has begun to wait for changes, having sent all earlier ones.
+func (r *Registry) WaitCount() int64 { return r.waitCount.Load() }
 
 func (r *Registry) change(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
-	r.tell()
+	r.wakeWatchers()
 }
 
-// Close gives everything back.
+// Close ends the stand-in and releases its resources.
 func (r *Registry) Close() {
 	r.mu.Lock()
 	select {
-	case <-r.shut:
+	case <-r.closed:
 	default:
-		close(r.shut)
+		close(r.closed)
 	}
 	r.timer.Stop()
 	r.mu.Unlock()
-	for i := range r.ports {
+	for i := range r.listeners {
 		r.servers[i].Close()
-		r.ports[i].close()
+		r.listeners[i].close()
 	}
 }
 
-// exchange is one request being answered.
+// exchange is a request that is being answered.
 type exchange struct {
-	r    *Registry
-	end  int
-	node int
-	w    http.ResponseWriter
-	q    *http.Request
-	call *seen.ListCall
-	from *world.Store // that it began with: a restore ends it
-	said bool         // a part of the answer is out
+	r        *Registry
+	endpoint int
+	node     int
+	w        http.ResponseWriter
+	req      *http.Request
+	call     *seen.ListCall
+	store    *world.Store // when the request arrived; a restore replaces it
+	sentPart bool         // a part of the answer has been sent
 }
 
-func (r *Registry) handle(end, node int, w http.ResponseWriter, q *http.Request) {
+func (r *Registry) handle(endpoint, node int, w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
-	r.calls++
-	x := &exchange{r: r, end: end, node: node, w: w, q: q, from: r.store,
-		call: &seen.ListCall{Node: node, Generation: r.lives[node], From: r.Log.Now()}}
+	r.callCount++
+	x := &exchange{r: r, endpoint: endpoint, node: node, w: w, req: req, store: r.store,
+		call: &seen.ListCall{Node: node, Generation: r.generations[node], From: r.Log.Now()}}
 	r.mu.Unlock()
 	r.Log.Update(func(rec *seen.Record) { rec.ListCalls = append(rec.ListCalls, x.call) })
-	body, err := io.ReadAll(io.LimitReader(q.Body, 1<<20))
-	if err != nil || !x.alive() {
+	body, err := io.ReadAll(io.LimitReader(req.Body, 1<<20))
+	if err != nil || !x.checkEndpoint() {
 		return
 	}
-	token := q.Header.Get("Authorization") + q.Header.Get("X-Consul-Token")
+	token := req.Header.Get("Authorization") + req.Header.Get("X-Consul-Token")
 	switch {
 	case r.opt.Token != "" && token == "":
 		x.fail(http.StatusUnauthorized, 16, "etcdserver: user name is empty")
 	case r.opt.Token != "" && token != r.opt.Token:
 		x.fail(http.StatusForbidden, 7, "etcdserver: permission denied")
-	case strings.HasPrefix(q.URL.Path, "/v1/"):
+	case strings.HasPrefix(req.URL.Path, "/v1/"):
 		x.consul(body)
 	default:
 		x.etcd(body)
@@ -334,35 +339,36 @@
 	r.Log.Update(func(*seen.Record) { x.call.To = now })
 }
 
-// alive says nothing for as long as the endpoint is mute, and ends what is down or garbled; false: it is over.
-func (x *exchange) alive() bool {
+// checkEndpoint applies the faults of the endpoint: it blocks while the endpoint is muted, and sends the error or the invalid
+// answer of one that is down or garbled. It returns false if the request has ended.
+func (x *exchange) checkEndpoint() bool {
 	x.r.mu.Lock()
-	e := x.r.ends[x.end]
-	if cut := x.r.cut[x.node]; cut != nil {
-		e.mute, e.unmute = true, cut
+	e := x.r.endpoints[x.endpoint]
+	if cut := x.r.cutOff[x.node]; cut != nil {
+		e.muted, e.unmute = true, cut
 	}
-	over := x.r.store != x.from
+	replaced := x.r.store != x.store
 	x.r.mu.Unlock()
 	switch {
-	case e.mute:
+	case e.muted:
 		select {
 		case <-e.unmute:
-		case <-x.q.Context().Done():
-		case <-x.r.shut:
+		case <-x.req.Context().Done():
+		case <-x.r.closed:
 		}
-		hangUp(x.w)
+		resetHTTPConn(x.w)
 		return false
-	case x.said && (e.down || over):
-		hangUp(x.w)
+	case x.sentPart && (e.down || replaced):
+		resetHTTPConn(x.w)
 		return false
-	case e.down, over:
+	case e.down, replaced:
 		x.fail(http.StatusServiceUnavailable, 14, "etcdserver: no leader")
 		return false
-	case e.garble:
+	case e.garbled:
 		x.r.mu.Lock()
-		which := x.r.rng.IntN(5)
+		variant := x.r.rng.IntN(5)
 		x.r.mu.Unlock()
-		if which == 4 { // a body without end
+		if variant == 4 { // an endless body
 			x.w.WriteHeader(200)
 			for range 1 << 16 {
 				if _, err := x.w.Write([]byte(strings.Repeat("[", 1024))); err != nil {
@@ -373,7 +379,7 @@
 		}
 		x.w.Header().Set("X-Consul-Index", "-7")
 		io.WriteString(x.w, []string{`{"header":{"revision":"-3"},"kvs":[]}`, `{"header":`, "\xde\xad\xbe\xef",
-			`{"result":{"header":{"revision":"9"},"events":[{"kv":{"key":"!!","value":"%%","mod_revision":"9"}}]}}`}[which])
+			`{"result":{"header":{"revision":"9"},"events":[{"kv":{"key":"!!","value":"%%","mod_revision":"9"}}]}}`}[variant])
 		return false
 	}
 	return true
@@ -385,26 +391,26 @@
 	fmt.Fprintf(x.w, `{"error":%q,"code":%d,"message":%q}`, why, code, why)
 }
 
-// broken reports whether something is wrong with the endpoint, or the way to it.
-func (x *exchange) broken() bool {
-	e := x.r.ends[x.end]
-	return x.r.store != x.from || e.down || e.garble || e.mute || x.r.cut[x.node] != nil
+// faulty reports whether the endpoint or the way to it has a fault, or the store was replaced. It needs the lock.
+func (x *exchange) faulty() bool {
+	e := x.r.endpoints[x.endpoint]
+	return x.r.store != x.store || e.down || e.garbled || e.muted || x.r.cutOff[x.node] != nil
 }
 
-// visible is the newest revision that an endpoint tells of.
-func (x *exchange) visible() int64 { return max(1, x.r.store.Revision()-x.r.lags[x.end]) }
+// visibleRevision returns the newest revision that the endpoint shows. It needs the lock.
+func (x *exchange) visibleRevision() int64 { return max(1, x.r.store.Revision()-x.r.lags[x.endpoint]) }
 
-// send writes an answer, or a piece of a stream.
+// send writes an answer or a message of a stream.
 func (x *exchange) send(text []byte) error {
-	x.said = true
+	x.sentPart = true
 	x.r.mu.Lock()
-	x.r.bytes += int64(len(text))
-	split, drip := x.r.split, x.r.drip
+	x.r.bytesSent += int64(len(text))
+	splitAnswers, pieceDelay := x.r.splitAnswers, x.r.pieceDelay
 	x.r.mu.Unlock()
 	out := http.NewResponseController(x.w)
 	for len(text) > 0 {
 		n := len(text)
-		if split {
+		if splitAnswers {
 			x.r.mu.Lock()
 			n = min(n, 1+x.r.rng.IntN(40))
 			x.r.mu.Unlock()
@@ -413,26 +419,26 @@
 			return err
 		}
 		out.Flush()
-		if text = text[n:]; split && drip > 0 && len(text) > 0 {
-			time.Sleep(drip)
+		if text = text[n:]; splitAnswers && pieceDelay > 0 && len(text) > 0 {
+			time.Sleep(pieceDelay)
 		}
 	}
 	return nil
 }
 
-// told notes what a node has been told.
-func (x *exchange) told(rev int64, whole bool, members []world.Member) {
-	t := seen.ListUpdate{Node: x.node, Generation: x.call.Generation, At: x.r.Log.Now(), Revision: rev, Snapshot: whole, Members: members}
+// recordUpdate records a server list update that was sent to the node.
+func (x *exchange) recordUpdate(rev int64, complete bool, members []world.Member) {
+	t := seen.ListUpdate{Node: x.node, Generation: x.call.Generation, At: x.r.Log.Now(), Revision: rev, Snapshot: complete, Members: members}
 	x.r.Log.Update(func(rec *seen.Record) {
 		rec.ListUpdates = append(rec.ListUpdates, t)
 		x.call.OK = true
 	})
 }
 
-// etcd answers the JSON gateway's requests.
+// etcd answers requests to etcd's JSON gateway.
 func (x *exchange) etcd(body []byte) {
 	r := x.r
-	switch x.q.URL.Path {
+	switch x.req.URL.Path {
 	case "/v3/kv/range":
 		x.etcdRange(body)
 	case "/v3/watch":
@@ -448,7 +454,7 @@
 		}
 		var err error
 		r.UpdateStore(func(_ time.Duration, s *world.Store) { _, err = s.Put(string(in.Key), in.Value, in.Lease) })
-		x.done(map[string]any{}, err)
+		x.answerChange(map[string]any{}, err)
 	case "/v3/lease/grant":
 		var in struct {
 			TTL int64 `json:",string"`
@@ -459,21 +465,21 @@
 		}
 		var id int64
 		r.UpdateStore(func(now time.Duration, s *world.Store) { id = s.GrantLease(now, time.Duration(in.TTL)*time.Second) })
-		x.done(map[string]any{"ID": strconv.FormatInt(id, 10), "TTL": strconv.FormatInt(in.TTL, 10)}, nil)
+		x.answerChange(map[string]any{"ID": strconv.FormatInt(id, 10), "TTL": strconv.FormatInt(in.TTL, 10)}, nil)
 	case "/v3/lease/keepalive":
 		id := leaseID(body)
 		var ttl time.Duration
 		var err error
 		r.UpdateStore(func(now time.Duration, s *world.Store) { ttl, err = s.KeepAlive(now, id) })
 		if err != nil {
-			ttl = 0 // as the gateway has it: a lease that is gone has no time left
+			ttl = 0 // the gateway answers with a TTL of 0 for a lease that is gone
 		}
-		x.done(map[string]any{"result": map[string]any{"header": x.header(), "ID": strconv.FormatInt(id, 10), "TTL": strconv.FormatInt(int64(ttl/time.Second), 10)}}, nil)
+		x.answerChange(map[string]any{"result": map[string]any{"header": x.header(), "ID": strconv.FormatInt(id, 10), "TTL": strconv.FormatInt(int64(ttl/time.Second), 10)}}, nil)
 	case "/v3/lease/revoke", "/v3/kv/lease/revoke":
 		var err error
 		id := leaseID(body)
 		r.UpdateStore(func(_ time.Duration, s *world.Store) { err = s.Revoke(id) })
-		x.done(map[string]any{}, err)
+		x.answerChange(map[string]any{}, err)
 	default:
 		x.fail(http.StatusNotFound, 5, "Not Found")
 	}
@@ -490,12 +496,12 @@
 func (x *exchange) header() map[string]any {
 	x.r.mu.Lock()
 	defer x.r.mu.Unlock()
-	return map[string]any{"cluster_id": "14841639068965178418", "member_id": strconv.Itoa(x.end + 1), "raft_term": "2",
-		"revision": strconv.FormatInt(x.visible(), 10)}
+	return map[string]any{"cluster_id": "14841639068965178418", "member_id": strconv.Itoa(x.endpoint + 1), "raft_term": "2",
+		"revision": strconv.FormatInt(x.visibleRevision(), 10)}
 }
 
-// done answers a request that changes something.
-func (x *exchange) done(out map[string]any, err error) {
+// answerChange answers a request that changes the store or a lease.
+func (x *exchange) answerChange(out map[string]any, err error) {
 	if err != nil {
 		x.fail(http.StatusBadRequest, 5, "etcdserver: "+err.Error())
 		return
@@ -508,15 +514,15 @@
 }
 
 type wireKV struct {
-	Key     []byte `json:"key"`
-	Create  string `json:"create_revision,omitempty"`
-	Mod     string `json:"mod_revision"`
-	Version string `json:"version,omitempty"`
-	Value   []byte `json:"value,omitempty"`
-	Lease   string `json:"lease,omitempty"`
+	Key            []byte `json:"key"`
+	CreateRevision string `json:"create_revision,omitempty"`
+	ModRevision    string `json:"mod_revision"`
+	Version        string `json:"version,omitempty"`
+	Value          []byte `json:"value,omitempty"`
+	Lease          string `json:"lease,omitempty"`
 }
 
-func wireOf(kv world.KV) wireKV {
+func encodeKV(kv world.KV) wireKV {
 	num := func(n int64) string {
 		if n == 0 {
 			return ""
@@ -539,18 +545,18 @@
 		return
 	}
 	r.mu.Lock()
-	rev := x.visible()
-	at := rev
+	rev := x.visibleRevision()
+	readRevision := rev
 	if in.Revision > 0 {
-		at = in.Revision
+		readRevision = in.Revision
 	}
-	kvs, more, err := r.store.Range(string(in.Key), string(in.RangeEnd), at, in.Limit)
-	if at > rev {
+	kvs, more, err := r.store.Range(string(in.Key), string(in.RangeEnd), readRevision, in.Limit)
+	if readRevision > rev {
 		err = world.ErrFuture
 	}
 	var members []world.Member
 	if !more && err == nil {
-		members = r.members(at)
+		members = r.members(readRevision)
 	}
 	r.mu.Unlock()
 	if err != nil {
@@ -563,14 +569,14 @@
 	}
 	var list []wireKV
 	for _, kv := range kvs {
-		list = append(list, wireOf(kv))
+		list = append(list, encodeKV(kv))
 	}
 	if list != nil {
 		out["kvs"] = list
 	}
 	text, _ := json.Marshal(out)
 	if x.send(text) == nil && !more {
-		x.told(at, true, members)
+		x.recordUpdate(readRevision, true, members)
 	}
 }
 
@@ -607,12 +613,12 @@
 	defer progress.Stop()
 	for {
 		r.mu.Lock()
-		rev, news, twice := x.visible(), r.news, r.twice
+		rev, changed, repeatEvents := x.visibleRevision(), r.changed, r.repeatEvents
 		events, err := r.store.ChangesSince(next, rev, string(in.Create.Key))
 		compacted := r.store.Compacted()
-		broken := x.broken()
+		faulty := x.faulty()
 		r.mu.Unlock()
-		if broken && !x.alive() {
+		if faulty && !x.checkEndpoint() {
 			return
 		}
 		if err != nil {
@@ -620,23 +626,23 @@
 			return
 		}
 		if len(events) > 0 {
-			if twice { // a progress ahead of what it speaks of, and then the changes, twice
+			if repeatEvents { // a progress notification before the changes that it covers
 				x.send(result(map[string]any{"watch_id": "0"}))
 			}
 			var list []wireEvent
 			var members []world.Member
 			for _, e := range events {
-				w := wireEvent{KV: wireOf(e.KV)}
+				w := wireEvent{KV: encodeKV(e.KV)}
 				if e.Deleted {
 					w.Type = "DELETE"
 					members = append(members, world.Member{ID: strings.TrimPrefix(e.KV.Key, r.opt.Prefix), Phase: world.Deleted})
-				} else if m, ok := memberOf(r.Log.StartTime(), e.KV.Value); ok {
+				} else if m, ok := decodeEntry(r.Log.StartTime(), e.KV.Value); ok {
 					members = append(members, m)
 				}
 				list = append(list, w)
 			}
 			times := 1
-			if twice {
+			if repeatEvents {
 				times = 2
 			}
 			for range times {
@@ -644,33 +650,33 @@
 					return
 				}
 			}
-			x.told(rev, false, members)
+			x.recordUpdate(rev, false, members)
 		}
 		next = max(next, rev+1)
-		r.waits.Add(1)
+		r.waitCount.Add(1)
 		select {
-		case <-news:
+		case <-changed:
 		case <-progress.C:
 			r.mu.Lock()
-			current := x.visible() < next
+			current := x.visibleRevision() < next
 			r.mu.Unlock()
 			if current && x.send(result(map[string]any{"watch_id": "0"})) != nil {
 				return
 			}
-		case <-x.q.Context().Done():
+		case <-x.req.Context().Done():
 			return
-		case <-r.shut:
+		case <-r.closed:
 			return
 		}
 	}
 }
 
-// consul answers reads of keys, blocking ones among them, and what sessions need.
+// consul answers requests to Consul's API: reads of keys, with blocking queries, writes and sessions.
 func (x *exchange) consul(body []byte) {
 	r := x.r
-	path := strings.TrimPrefix(x.q.URL.Path, "/v1/")
+	path := strings.TrimPrefix(x.req.URL.Path, "/v1/")
 	switch {
-	case x.q.Method == "PUT" && path == "session/create":
+	case x.req.Method == "PUT" && path == "session/create":
 		var in struct{ TTL string }
 		json.Unmarshal(body, &in)
 		ttl, err := time.ParseDuration(in.TTL)
@@ -681,7 +687,7 @@
 		var id int64
 		r.UpdateStore(func(now time.Duration, s *world.Store) { id = s.GrantLease(now, ttl) })
 		fmt.Fprintf(x.w, `{"ID":"%d"}`, id)
-	case x.q.Method == "PUT" && strings.HasPrefix(path, "session/"):
+	case x.req.Method == "PUT" && strings.HasPrefix(path, "session/"):
 		verb, text, _ := strings.Cut(strings.TrimPrefix(path, "session/"), "/")
 		id, _ := strconv.ParseInt(text, 10, 64)
 		var err error
@@ -697,44 +703,44 @@
 			return
 		}
 		io.WriteString(x.w, "true")
-	case x.q.Method == "PUT" && strings.HasPrefix(path, "kv/"):
-		lease, _ := strconv.ParseInt(x.q.URL.Query().Get("acquire"), 10, 64)
+	case x.req.Method == "PUT" && strings.HasPrefix(path, "kv/"):
+		lease, _ := strconv.ParseInt(x.req.URL.Query().Get("acquire"), 10, 64)
 		var err error
 		r.UpdateStore(func(_ time.Duration, s *world.Store) { _, err = s.Put(strings.TrimPrefix(path, "kv/"), body, lease) })
 		fmt.Fprint(x.w, err == nil)
-	case x.q.Method == "GET" && strings.HasPrefix(path, "kv/"):
+	case x.req.Method == "GET" && strings.HasPrefix(path, "kv/"):
 		x.consulRead(strings.TrimPrefix(path, "kv/"))
 	default:
-		http.NotFound(x.w, x.q)
+		http.NotFound(x.w, x.req)
 	}
 }
 
 func (x *exchange) consulRead(prefix string) {
 	r := x.r
-	query := x.q.URL.Query()
+	query := x.req.URL.Query()
 	index, _ := strconv.ParseInt(query.Get("index"), 10, 64)
 	wait, _ := time.ParseDuration(query.Get("wait"))
-	end := time.NewTimer(max(0, wait))
-	defer end.Stop()
-	blocks := index > 0
+	timeout := time.NewTimer(max(0, wait))
+	defer timeout.Stop()
+	blocking := index > 0
 	for {
 		r.mu.Lock()
-		rev, news := x.visible(), r.news
+		rev, changed := x.visibleRevision(), r.changed
 		last := max(1, r.store.LastChange(rev, prefix), r.store.Compacted())
 		kvs, _, _ := r.store.Range(prefix, prefixEnd(prefix), rev, 0)
 		members := r.members(rev)
-		broken := x.broken()
+		faulty := x.faulty()
 		r.mu.Unlock()
-		if broken && !x.alive() {
+		if faulty && !x.checkEndpoint() {
 			return
 		}
-		if !blocks || last != index {
+		if !blocking || last != index {
 			x.w.Header().Set("X-Consul-Index", strconv.FormatInt(last, 10))
 			x.w.Header().Set("X-Consul-Knownleader", "true")
 			x.w.Header().Set("Content-Type", "application/json")
 			if len(kvs) == 0 {
 				x.w.WriteHeader(http.StatusNotFound)
-				x.told(last, true, nil)
+				x.recordUpdate(last, true, nil)
 				return
 			}
 			type item struct {
@@ -749,18 +755,18 @@
 			}
 			text, _ := json.Marshal(list)
 			if x.send(text) == nil {
-				x.told(last, true, members)
+				x.recordUpdate(last, true, members)
 			}
 			return
 		}
-		r.waits.Add(1)
+		r.waitCount.Add(1)
 		select {
-		case <-news:
-		case <-end.C:
-			blocks = false
-		case <-x.q.Context().Done():
+		case <-changed:
+		case <-timeout.C:
+			blocking = false
+		case <-x.req.Context().Done():
 			return
-		case <-r.shut:
+		case <-r.closed:
 			return
 		}
 	}
--- a/lab/standin/standin.go
+++ b/lab/standin/standin.go
@@ -1,7 +1,7 @@
-// Package standin plays caches, the origin and the list service on loopback sockets, by the published protocol of the
-// deployment: the meta commands of the memcache text protocol, HTTP/1.1 and a watch on the list. Each stand-in runs a
-// model of package world in real time, or says what a script tells it to, and can be broken at will. What it saw goes to
-// a seen.Log. Its parsers are its own, so that a mistake in the node's shows.
+// Package standin implements stand-ins for the servers around a node on loopback sockets: caches with the meta commands of
+// the memcache text protocol, the origin with HTTP/1.1, the list service with a watch, and key-value registries. Each runs
+// a model of package world in real time, or sends the answers of a script, and can inject faults. Its observations go to a
+// seen.Log. The parsers are independent of the node's, so that a mistake in those shows.
 package standin
 
 import (
@@ -21,26 +21,26 @@
 	"lapisshelf/lab/world"
 )
 
-// Digest is what is kept of a write's value.
+// Digest returns the hash by which records identify the value of a write.
 func Digest(value []byte) uint64 { return xxhash.Sum64(value) }
 
-// MakeValue is the value that a server makes for one request: it tells which, so that no other can be passed off for it. It
-// holds so many bytes, or what its head needs.
+// MakeValue returns the value that a server sends for one request. Its header names the key, version, request and server, so
+// that no other value can be mistaken for it. It has size bytes, or more if the header needs more.
 func MakeValue(key string, version int64, request, server string, size int) []byte {
 	v := fmt.Appendf(make([]byte, 0, size+64), "%s %d %s %s|", key, version, request, server)
 	for len(v) < size {
-		n := min(len(filler), size-len(v))
-		v = append(v, filler[:n]...)
+		n := min(len(padding), size-len(v))
+		v = append(v, padding[:n]...)
 	}
 	return v
 }
 
-var filler = bytes.Repeat([]byte("The unit price is struck daily. "), 64)
+var padding = bytes.Repeat([]byte("The unit price is struck daily. "), 64)
 
-// Origin of a value, as its head tells it. Right reports whether it is whole and unspoilt.
-func ParseValue(v []byte) (key string, version int64, request, server string, right bool) {
-	head, _, ok := bytes.Cut(v, []byte("|"))
-	words := strings.Split(string(head), " ")
+// ParseValue returns what the header of a value says. intact reports whether the value is complete and not corrupted.
+func ParseValue(v []byte) (key string, version int64, request, server string, intact bool) {
+	header, _, ok := bytes.Cut(v, []byte("|"))
+	words := strings.Split(string(header), " ")
 	if !ok || len(words) != 4 {
 		return "", 0, "", "", false
 	}
@@ -51,19 +51,19 @@
 	return words[0], n, words[2], words[3], bytes.Equal(v, MakeValue(words[0], n, words[2], words[3], len(v)))
 }
 
-// Common is what all stand-ins of a deployment share.
+// Common holds what all stand-ins of a deployment share.
 type Common struct {
 	Log     *seen.Log
 	Seed    uint64
 	Classes map[string]*world.Class
 
-	mu    sync.Mutex
-	late  time.Duration // the most that a stand-in was late with what was due
-	sum   time.Duration
-	count int64
+	mu          sync.Mutex
+	maxLateness time.Duration // of timers behind their due times
+	sumLateness time.Duration
+	lateCount   int64
 }
 
-// NewCommon shares a log and the classes.
+// NewCommon returns a Common with a log and the classes.
 func NewCommon(log *seen.Log, seed uint64, classes []world.Class) *Common {
 	c := &Common{Log: log, Seed: seed, Classes: map[string]*world.Class{}}
 	for i := range classes {
@@ -72,39 +72,39 @@
 	return c
 }
 
-// noteLate counts how late a timer was.
-func (c *Common) noteLate(d time.Duration) {
+// recordLateness records how late a timer fired.
+func (c *Common) recordLateness(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.late = max(c.late, d)
-	c.sum += max(0, d)
-	c.count++
+	c.maxLateness = max(c.maxLateness, d)
+	c.sumLateness += max(0, d)
+	c.lateCount++
 }
 
-// Lateness is how late the stand-ins were with what was due: at most, and in the mean.
-func (c *Common) Lateness() (most, mean time.Duration) {
+// Lateness returns how late the stand-ins' timers fired: the maximum and the mean.
+func (c *Common) Lateness() (maximum, mean time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.late, c.sum / time.Duration(max(1, c.count))
+	return c.maxLateness, c.sumLateness / time.Duration(max(1, c.lateCount))
 }
 
-// port is a listening address that can refuse, fall silent and come back.
-type port struct {
-	addr  string
-	mu    sync.Mutex
-	ln    *net.TCPListener // nil while refused
-	mute  bool
-	fill  []net.Conn // what came up while mute
-	plugs []int      // descriptors of what fills the system's queue while mute, and of what waited there before
-	wake  chan struct{}
-	rest  chan struct{} // closed once nobody accepts any more, after a silence began
-	shut  bool
-	take  func(net.Conn)
+// faultListener is a TCP listener that can refuse connections or fall silent for a while.
+type faultListener struct {
+	addr          string
+	mu            sync.Mutex
+	ln            *net.TCPListener // nil while refused
+	silent        bool
+	acceptedConns []net.Conn    // connections that Accept returned while silent
+	heldFDs       []int         // file descriptors that fill the accept queue while silent, and those that waited there before
+	resumed       chan struct{} // closed when a silence ends
+	acceptStopped chan struct{} // closed once the accept loop has stopped after a silence began
+	closed        bool
+	handle        func(net.Conn)
 }
 
-// openPort listens; take is called for each connection, on a goroutine of its own.
-func openPort(addr string, take func(net.Conn)) (*port, error) {
-	p := &port{addr: addr, take: take, wake: make(chan struct{})}
+// listenFaulty opens a listener that calls handle for each connection, on a goroutine of its own.
+func listenFaulty(addr string, handle func(net.Conn)) (*faultListener, error) {
+	p := &faultListener{addr: addr, handle: handle, resumed: make(chan struct{})}
 	if err := p.listen(); err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 	return p, nil
 }
 
-func (p *port) listen() error {
+func (p *faultListener) listen() error {
 	ln, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		return err
@@ -122,52 +122,52 @@
 	return nil
 }
 
-func (p *port) accept(ln *net.TCPListener) {
+func (p *faultListener) accept(ln *net.TCPListener) {
 	for {
 		conn, err := ln.Accept()
 		if err == nil {
 			p.mu.Lock()
-			mute := p.mute
+			silent := p.silent
 			p.mu.Unlock()
-			if mute { // came with the silence: nobody is there
+			if silent { // accepted as the silence began; it is held without an answer
 				p.mu.Lock()
-				p.fill = append(p.fill, conn)
+				p.acceptedConns = append(p.acceptedConns, conn)
 				p.mu.Unlock()
 				continue
 			}
-			go p.take(conn)
+			go p.handle(conn)
 			continue
 		}
 		p.mu.Lock()
-		mute, wake, mine := p.mute, p.wake, p.ln == ln
-		if p.rest != nil {
-			close(p.rest)
-			p.rest = nil
+		silent, resumed, current := p.silent, p.resumed, p.ln == ln
+		if p.acceptStopped != nil {
+			close(p.acceptStopped)
+			p.acceptStopped = nil
 		}
 		p.mu.Unlock()
 		switch {
-		case !mine:
+		case !current:
 			return
-		case mute:
-			<-wake
+		case silent:
+			<-resumed
 			ln.SetDeadline(time.Time{})
 		default:
-			time.Sleep(time.Millisecond) // out of descriptors, perhaps
+			time.Sleep(time.Millisecond) // for example out of file descriptors
 		}
 	}
 }
 
-// refuse closes the port: connections are refused, or may come again.
-func (p *port) refuse(on bool) error {
+// setRefusing closes the listener, so that connections are refused, or opens it again at the same address.
+func (p *faultListener) setRefusing(on bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case on && p.ln != nil:
 		p.ln.Close()
 		p.ln = nil
-	case !on && p.ln == nil && !p.shut:
+	case !on && p.ln == nil && !p.closed:
 		var err error
-		for range 50 { // the system may hold on to the address for a moment
+		for range 50 { // the kernel may release the address late
 			if err = p.listen(); err == nil {
 				return nil
 			}
@@ -178,15 +178,15 @@
 	return nil
 }
 
-// silence makes connections never come up, as at a machine that is cut off: nobody accepts, and the system's queue is
-// full. Those that wait when it is back are reset.
-func (p *port) silence(on bool) {
+// setSilent makes connection attempts hang, as with a machine that is cut off: nothing is accepted and the accept queue is
+// full. Connections that wait when the silence ends are reset.
+func (p *faultListener) setSilent(on bool) {
 	p.mu.Lock()
-	if p.mute == on || p.ln == nil {
+	if p.silent == on || p.ln == nil {
 		p.mu.Unlock()
 		return
 	}
-	p.mute = on
+	p.silent = on
 	ln := p.ln
 	raw, err := ln.SyscallConn()
 	if err != nil {
@@ -194,41 +194,43 @@
 		return
 	}
 	if !on {
-		fill, plugs := p.fill, p.plugs
-		p.fill, p.plugs = nil, nil
-		raw.Control(func(fd uintptr) { // what got into the queue is reset too: served, its bytes would count as come only now
-			plugs = append(plugs, queued(int(fd))...)
+		conns, fds := p.acceptedConns, p.heldFDs
+		p.acceptedConns, p.heldFDs = nil, nil
+		// Connections that got into the queue are reset too. If they were served, their bytes would seem to have arrived only now.
+		raw.Control(func(fd uintptr) {
+			fds = append(fds, acceptQueued(int(fd))...)
 			unix.Listen(int(fd), 1024)
 		})
-		close(p.wake)
-		p.wake = make(chan struct{})
+		close(p.resumed)
+		p.resumed = make(chan struct{})
 		p.mu.Unlock()
-		for _, fd := range plugs {
+		for _, fd := range fds {
 			unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 			unix.Close(fd)
 		}
-		for _, c := range fill {
-			reset(c)
+		for _, c := range conns {
+			resetConn(c)
 		}
 		return
 	}
 	raw.Control(func(fd uintptr) { unix.Listen(int(fd), 0) })
-	rest := make(chan struct{})
-	p.rest = rest
+	stopped := make(chan struct{})
+	p.acceptStopped = stopped
 	p.mu.Unlock()
-	ln.SetDeadline(time.Unix(1, 0)) // the accepting goroutine waits for the wake
-	<-rest                          // one still about to accept would make room in the queue once it is full
-	raw.Control(func(fd uintptr) {  // what came before and was not accepted yet makes room, and is held as the rest is
-		held := queued(int(fd))
+	ln.SetDeadline(time.Unix(1, 0)) // the accept loop stops until the silence ends
+	<-stopped                       // a later accept would make room in the full queue
+	// Connections that waited in the queue would leave it partly free for others; they are accepted and held.
+	raw.Control(func(fd uintptr) {
+		fds := acceptQueued(int(fd))
 		p.mu.Lock()
-		p.plugs = append(p.plugs, held...)
+		p.heldFDs = append(p.heldFDs, fds...)
 		p.mu.Unlock()
 	})
-	p.plug(ln.Addr().(*net.TCPAddr))
+	p.fillQueue(ln.Addr().(*net.TCPAddr))
 }
 
-// queued takes what waits in the system's queue of a listening socket.
-func queued(ln int) (fds []int) {
+// acceptQueued accepts the connections that wait in the accept queue of a listening socket.
+func acceptQueued(ln int) (fds []int) {
 	for range 1024 {
 		switch fd, _, err := unix.Accept4(ln, unix.SOCK_CLOEXEC); err {
 		case nil:
@@ -241,50 +243,50 @@
 	return fds
 }
 
-// plug fills the system's queue with connections that nobody will accept. It waits for what the system says of them, never for
-// a time: a dial that is given up on a busy machine says nothing of the queue.
-func (p *port) plug(addr *net.TCPAddr) {
+// fillQueue fills the accept queue with connections that are never accepted. It polls their state instead of relying on a dial
+// timeout, because a dial that times out on a busy machine does not mean that the queue is full.
+func (p *faultListener) fillQueue(addr *net.TCPAddr) {
 	to := unix.SockaddrInet4{Port: addr.Port, Addr: [4]byte(addr.IP.To4())}
-	var polled []unix.PollFd
-	for range 8 { // the queue takes one or two; the rest wait outside
+	var pending []unix.PollFd
+	for range 8 { // the queue takes one or two; the others keep connecting
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
 			break
 		}
-		unix.Connect(fd, &to) // in progress
-		polled = append(polled, unix.PollFd{Fd: int32(fd), Events: unix.POLLOUT})
+		unix.Connect(fd, &to) // EINPROGRESS
+		pending = append(pending, unix.PollFd{Fd: int32(fd), Events: unix.POLLOUT})
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, f := range polled {
-		p.plugs = append(p.plugs, int(f.Fd))
+	for _, f := range pending {
+		p.heldFDs = append(p.heldFDs, int(f.Fd))
 	}
 	for end := time.Now().Add(time.Second); time.Now().Before(end); {
-		if n, err := unix.Poll(polled, 100); n > 0 && err == nil {
+		if n, err := unix.Poll(pending, 100); n > 0 && err == nil {
 			return
 		}
 	}
 }
 
-// close gives the port back.
-func (p *port) close() {
-	p.silence(false)
+// close ends a silence and closes the listener for good.
+func (p *faultListener) close() {
+	p.setSilent(false)
 	p.mu.Lock()
-	p.shut = true
+	p.closed = true
 	p.mu.Unlock()
-	p.refuse(true)
+	p.setRefusing(true)
 }
 
-// reset ends a connection as a dying process does.
-func reset(c net.Conn) {
+// resetConn closes a connection with a TCP reset, as the end of a process does.
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
 	c.Close()
 }
 
-// fields reads names and values: a=1,b=2.
-func fields(text string) map[string]string {
+// parseFields parses a list of names and values such as "a=1,b=2".
+func parseFields(text string) map[string]string {
 	out := map[string]string{}
 	for _, pair := range strings.Split(text, ",") {
 		if name, value, ok := strings.Cut(pair, "="); ok {
@@ -294,5 +296,5 @@
 	return out
 }
 
-// discardAll reads until the other end is gone.
+// discardAll reads until the peer closes the connection.
 func discardAll(r io.Reader) { io.Copy(io.Discard, r) }
--- a/lab/standin/standin_test.go
+++ b/lab/standin/standin_test.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	ms       = time.Millisecond
-	patience = 10 * time.Second
+	ms          = time.Millisecond
+	testTimeout = 10 * time.Second
 )
 
 func TestMain(m *testing.M) {
@@ -31,19 +31,19 @@
 	goleak.VerifyTestMain(m)
 }
 
-func common() *Common {
+func newCommon() *Common {
 	return NewCommon(seen.NewLog(), 1, []world.Class{{Name: "read", Work: ms, Size: 100, Deadline: time.Second},
 		{Name: "put", Work: ms, Size: 100, Write: true, Effect: world.Keyed, Window: time.Second, Deadline: time.Second}})
 }
 
-func spec() *world.CacheSpec {
+func cacheSpec() *world.CacheSpec {
 	return &world.CacheSpec{Name: "c1", Cores: 2, Speed: 1, Slots: 4, QueueLimit: 4, MemoryBytes: 1 << 20, WarmUp: 10 * time.Second, ColdFrom: 0.2,
 		FallMultiple: 3, FallWindow: 500 * ms, ReportInterval: 10 * ms}
 }
 
-func cache(t *testing.T, c *Common, change func(*CacheOptions)) *Cache {
+func newCache(t *testing.T, c *Common, change func(*CacheOptions)) *Cache {
 	t.Helper()
-	opt := CacheOptions{ID: "s-1", Name: "c1", Addr: "127.0.0.1:0", Spec: spec(), ConnConcurrency: 4, ReportsHits: true, ReportsLoad: true}
+	opt := CacheOptions{ID: "s-1", Name: "c1", Addr: "127.0.0.1:0", Spec: cacheSpec(), ConnConcurrency: 4, ReportsHits: true, ReportsLoad: true}
 	if change != nil {
 		change(&opt)
 	}
@@ -55,27 +55,27 @@
 	return s
 }
 
-// link is a connection to a stand-in, as a node has it.
-type link struct {
-	t  *testing.T
-	c  net.Conn
-	in *bufio.Reader
+// testConn is a connection to a stand-in, as a node opens it.
+type testConn struct {
+	t   *testing.T
+	raw net.Conn
+	in  *bufio.Reader
 }
 
-func dial(t *testing.T, addr string) *link {
+func dial(t *testing.T, addr string) *testConn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	return &link{t, c, bufio.NewReader(c)}
+	c.SetDeadline(time.Now().Add(testTimeout))
+	return &testConn{t, c, bufio.NewReader(c)}
 }
 
-func (l *link) send(text string) { io.WriteString(l.c, text) }
+func (l *testConn) send(text string) { io.WriteString(l.raw, text) }
 
-func (l *link) line() string {
+func (l *testConn) readAnswer() string {
 	l.t.Helper()
 	s, err := l.in.ReadString('\n')
 	if err != nil {
@@ -92,14 +92,14 @@
 	return strings.TrimSpace(s)
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * ms) {
-		if holds() {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(2 * ms) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
 
 func attempts(c *Common) (all []seen.Attempt) {
@@ -111,31 +111,31 @@
 	return all
 }
 
-func TestValuesTellWhoseTheyAre(t *testing.T) {
+func TestValuesIdentifyTheirRequest(t *testing.T) {
 	v := MakeValue("k", 3, "r1", "s-1", 5000)
-	key, version, request, server, right := ParseValue(v)
-	if len(v) != 5000 || key != "k" || version != 3 || request != "r1" || server != "s-1" || !right {
-		t.Errorf("%d bytes, %s %d %s %s %v", len(v), key, version, request, server, right)
+	key, version, request, server, intact := ParseValue(v)
+	if len(v) != 5000 || key != "k" || version != 3 || request != "r1" || server != "s-1" || !intact {
+		t.Errorf("%d bytes, %s %d %s %s %v", len(v), key, version, request, server, intact)
 	}
 	for i := range []int{0, 10, 4000} {
 		bad := append([]byte(nil), v...)
 		bad[i]++
-		if k, n, r, s, right := ParseValue(bad); right && k == "k" && n == 3 && r == "r1" && s == "s-1" {
-			t.Errorf("a value with byte %d changed passes for the same", i)
+		if k, n, r, s, intact := ParseValue(bad); intact && k == "k" && n == 3 && r == "r1" && s == "s-1" {
+			t.Errorf("a value with byte %d changed is accepted as the same", i)
 		}
 	}
-	if _, _, _, _, right := ParseValue(v[:4999]); !right {
-		t.Error("the length alone is no fault: the protocol tells it")
+	if _, _, _, _, intact := ParseValue(v[:4999]); !intact {
+		t.Error("a shorter value is rejected, although only the protocol carries the length")
 	}
-	if _, _, _, _, right := ParseValue([]byte("nonsense")); right {
-		t.Error("nonsense passes")
+	if _, _, _, _, intact := ParseValue([]byte("nonsense")); intact {
+		t.Error("text that is no value is accepted")
 	}
 }
 
 func TestACacheAnswersInOrder(t *testing.T) {
-	c := common()
+	c := newCommon()
 	var missed []string
-	s := cache(t, c, func(o *CacheOptions) {
+	s := newCache(t, c, func(o *CacheOptions) {
 		o.OnMiss = func(request string, store func(int64, int64)) {
 			missed = append(missed, request)
 			go store(7, 100)
@@ -143,7 +143,7 @@
 	})
 	l := dial(t, s.Addr())
 	l.send("mg k1 v O1 Pc=read,d=500\r\n")
-	if got := l.line(); !strings.HasPrefix(got, "EN O1 h0 Lutil=") {
+	if got := l.readAnswer(); !strings.HasPrefix(got, "EN O1 h0 Lutil=") {
 		t.Fatalf("%q", got)
 	}
 	eventually(t, "the value is stored", func() bool {
@@ -153,13 +153,13 @@
 	})
 	s.UpdateModel(func(now time.Duration, m *world.Cache) { m.Slow(now, 20) })
 	l.send("mg k1 v O2 Pc=read,d=500\r\nms k1 2 O3 Pc=put,d=500,k=i\r\nhi\r\nmn\r\n")
-	if got := l.line(); got != "MN" {
-		t.Errorf("%q: mn is answered at once", got)
+	if got := l.readAnswer(); got != "MN" {
+		t.Errorf("%q, but mn should be answered at once", got)
 	}
-	if got := l.line(); !strings.HasPrefix(got, "VA 100 O2 h1 L") || !strings.HasSuffix(got, string(MakeValue("k1", 7, "2", "s-1", 100))) {
+	if got := l.readAnswer(); !strings.HasPrefix(got, "VA 100 O2 h1 L") || !strings.HasSuffix(got, string(MakeValue("k1", 7, "2", "s-1", 100))) {
 		t.Errorf("%q", got)
 	}
-	if got := l.line(); !strings.HasPrefix(got, "EN O3") { // only the origin takes writes
+	if got := l.readAnswer(); !strings.HasPrefix(got, "EN O3") { // only the origin takes writes
 		t.Errorf("%q", got)
 	}
 	all := attempts(c)
@@ -169,28 +169,28 @@
 	}
 }
 
-// What is given up is seen: the connection's end, and when.
-func TestACacheSeesAttemptsGivenUp(t *testing.T) {
-	c := common()
-	s := cache(t, c, nil)
+// A cache records when a connection ends under a command in flight, and takes no part of a command for an attempt.
+func TestCacheRecordsAbandonedAttempts(t *testing.T) {
+	c := newCommon()
+	s := newCache(t, c, nil)
 	s.SetHanging(true)
 	l := dial(t, s.Addr())
 	l.send("mg k1 v O1 Pc=read,d=500\r\n")
-	eventually(t, "it has come", func() bool { a := attempts(c); return len(a) == 1 && a[0].LastByteAt > 0 })
-	l.c.Close()
-	eventually(t, "its end is noted", func() bool { a := attempts(c)[0]; return a.ClosedAt > a.LastByteAt && a.MayHaveRun() })
+	eventually(t, "the command has arrived", func() bool { a := attempts(c); return len(a) == 1 && a[0].LastByteAt > 0 })
+	l.raw.Close()
+	eventually(t, "the end of the connection is recorded", func() bool { a := attempts(c)[0]; return a.ClosedAt > a.LastByteAt && a.MayHaveRun() })
 	l = dial(t, s.Addr())
 	l.send("mg k1 v O2 Pc=re")
-	l.c.Close()
-	eventually(t, "the connection is given back", func() bool { open, ever := s.ConnCounts(); return open == 0 && ever == 2 })
+	l.raw.Close()
+	eventually(t, "the connections are closed", func() bool { open, ever := s.ConnCounts(); return open == 0 && ever == 2 })
 	if len(attempts(c)) != 1 {
-		t.Error("half a command is taken for an attempt")
+		t.Error("an incomplete command is recorded as an attempt")
 	}
 }
 
-func TestACacheCanBeBroken(t *testing.T) {
-	c := common()
-	s := cache(t, c, nil)
+func TestCacheFaults(t *testing.T) {
+	c := newCommon()
+	s := newCache(t, c, nil)
 	ask := func() string {
 		conn, err := net.DialTimeout("tcp", s.Addr(), 200*ms)
 		if err != nil {
@@ -212,12 +212,12 @@
 		on, off func()
 		want    string
 	}{
-		{"turns away", func() { s.SetBusy(true) }, func() { s.SetBusy(false) }, "SERVER_ERROR"},
-		{"hangs", func() { s.SetHanging(true) }, func() { s.SetHanging(false) }, "silent"},
-		{"refuses", func() { s.RefuseConns(true) }, func() { s.RefuseConns(false) }, "refused"},
-		{"resets", func() { s.CorruptAnswers("reset", 1) }, func() { s.CorruptAnswers("reset", 0) }, "end"},
-		{"dies", s.Kill, func() { s.Restart("", false) }, "refused"},
-		{"stands still", func() { s.UpdateModel(func(now time.Duration, m *world.Cache) { m.Pause(now, true) }) },
+		{"busy", func() { s.SetBusy(true) }, func() { s.SetBusy(false) }, "SERVER_ERROR"},
+		{"hanging", func() { s.SetHanging(true) }, func() { s.SetHanging(false) }, "silent"},
+		{"refusing connections", func() { s.RefuseConns(true) }, func() { s.RefuseConns(false) }, "refused"},
+		{"resetting answers", func() { s.CorruptAnswers("reset", 1) }, func() { s.CorruptAnswers("reset", 0) }, "end"},
+		{"killed", s.Kill, func() { s.Restart("", false) }, "refused"},
+		{"paused", func() { s.UpdateModel(func(now time.Duration, m *world.Cache) { m.Pause(now, true) }) },
 			func() { s.UpdateModel(func(now time.Duration, m *world.Cache) { m.Pause(now, false) }) }, "silent"},
 	} {
 		x.on()
@@ -226,65 +226,65 @@
 		}
 		x.off()
 		if got := ask(); got != "EN" {
-			t.Errorf("after it %s: %q", x.name, got)
+			t.Errorf("after the fault %q: %q", x.name, got)
 		}
 	}
 	s.Restart("s-9", true)
 	if s.ID() != "s-9" {
-		t.Errorf("it is %s", s.ID())
+		t.Errorf("the ID is %s after the restart", s.ID())
 	}
 }
 
-// A machine that falls silent keeps its connections open, lets none come up, and resets them all when it is back.
+// A machine that falls silent keeps its connections open, establishes no new ones, and resets them all when the silence ends.
 func TestASilentMachine(t *testing.T) {
-	c := common()
-	s := cache(t, c, nil)
+	c := newCommon()
+	s := newCache(t, c, nil)
 	l := dial(t, s.Addr())
 	l.send("mg k1 v O1 Pc=read,d=500\r\n")
-	l.line()
+	l.readAnswer()
 	s.SetSilent(true)
 	l.send("mg k1 v O2 Pc=read,d=500\r\n")
-	l.c.SetReadDeadline(time.Now().Add(100 * ms))
+	l.raw.SetReadDeadline(time.Now().Add(100 * ms))
 	if _, err := l.in.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("an open connection says something: %v", err)
+		t.Errorf("an open connection did not stay silent: %v", err)
 	}
 	if conn, err := net.DialTimeout("tcp", s.Addr(), 200*ms); err == nil {
 		conn.Close()
-		t.Error("a connection came up")
+		t.Error("a connection was established during the silence")
 	}
 	s.SetSilent(false)
-	l.c.SetReadDeadline(time.Now().Add(patience))
+	l.raw.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := l.in.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("it is back and the old connection goes on: %v", err)
+		t.Errorf("the old connection was not reset after the silence: %v", err)
 	}
 	l = dial(t, s.Addr())
 	l.send("mg k1 v O3 Pc=read,d=500\r\n")
-	if got := l.line(); !strings.HasPrefix(got, "EN O3") {
+	if got := l.readAnswer(); !strings.HasPrefix(got, "EN O3") {
 		t.Errorf("%q", got)
 	}
 	for _, a := range attempts(c) {
 		if a.Request == "2" {
-			t.Error("the silent machine has seen a request")
+			t.Error("the silent machine recorded a request")
 		}
 	}
 }
 
-// A connection that is in the system's queue as a machine falls silent, or gets into it then, is reset when the machine is back,
-// and what came on it is never read. Guards against an attempt of before that counts as begun only then, long after its request
-// was over, and against a silence that waits for room in a queue that stays full.
-func TestASilenceOverWhatIsNotAcceptedYet(t *testing.T) {
+// A connection that waits in the accept queue when a silence begins, or enters the queue during it, is reset when the silence
+// ends, and its bytes are never read. Otherwise an attempt from before the silence would be recorded as begun at its end, long
+// after its request was over. The test also guards against a silence that blocks on an accept queue that stays full.
+func TestSilenceResetsUnacceptedConns(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		t.Run(fmt.Sprintf("before %t", before), func(t *testing.T) {
-			c := common()
-			s := cache(t, c, nil)
-			p := s.port
+			c := newCommon()
+			s := newCache(t, c, nil)
+			p := s.listener
 			if before {
-				rest := make(chan struct{})
+				stopped := make(chan struct{})
 				p.mu.Lock()
-				p.rest = rest
+				p.acceptStopped = stopped
 				p.mu.Unlock()
-				p.ln.SetDeadline(time.Unix(1, 0)) // as on a busy machine: nobody accepts
-				<-rest
+				p.ln.SetDeadline(time.Unix(1, 0)) // nothing is accepted, as on a busy machine
+				<-stopped
 			} else {
 				s.SetSilent(true)
 				raw, err := p.ln.SyscallConn()
@@ -297,17 +297,17 @@
 			l.send("mg k1 v O1 Pc=read,d=500\r\n")
 			if before {
 				s.SetSilent(true)
-				if len(p.plugs) != 9 { // eight, and the one that waited
-					t.Errorf("%d connections are held", len(p.plugs))
+				if len(p.heldFDs) != 9 { // eight that fill the queue, and the one that waited
+					t.Errorf("%d connections are held", len(p.heldFDs))
 				}
 			}
 			s.SetSilent(false)
 			if _, err := l.in.ReadByte(); !errors.Is(err, unix.ECONNRESET) {
-				t.Errorf("it is back, and the connection of before: %v", err)
+				t.Errorf("the connection from before the end of the silence was not reset: %v", err)
 			}
 			l = dial(t, s.Addr())
 			l.send("mg k1 v O2 Pc=read,d=500\r\n")
-			if got := l.line(); !strings.HasPrefix(got, "EN O2") {
+			if got := l.readAnswer(); !strings.HasPrefix(got, "EN O2") {
 				t.Errorf("%q", got)
 			}
 			if all := attempts(c); len(all) != 1 {
@@ -317,9 +317,9 @@
 	}
 }
 
-// Whatever a garbled answer looks like, it is not the good one.
-func TestGarbledAnswersAreNoGoodOnes(t *testing.T) {
-	s := cache(t, common(), nil)
+// No garbled answer equals the correct one, and there are several kinds of them.
+func TestGarbledAnswersAreInvalid(t *testing.T) {
+	s := newCache(t, newCommon(), nil)
 	s.UpdateModel(func(now time.Duration, m *world.Cache) { m.Store(now, "k1", 0, 100) })
 	s.CorruptAnswers("garble", 1)
 	good := string(MakeValue("k1", 0, "1", "s-1", 100))
@@ -327,31 +327,31 @@
 	for range 60 {
 		l := dial(t, s.Addr())
 		l.send("mg k1 v O1 Pc=read,d=500\r\n")
-		l.c.SetReadDeadline(time.Now().Add(20 * ms))
-		text, _ := io.ReadAll(l.c)
+		l.raw.SetReadDeadline(time.Now().Add(20 * ms))
+		text, _ := io.ReadAll(l.raw)
 		kinds[string(text[:min(3, len(text))])] = true
 		if strings.HasPrefix(string(text), "VA 100 O1 ") && strings.HasSuffix(string(text), good+"\r\n") {
 			t.Fatalf("%q", text)
 		}
-		l.c.Close()
+		l.raw.Close()
 	}
 	if len(kinds) < 3 {
-		t.Errorf("always the same: %v", kinds)
+		t.Errorf("too few kinds of garbled answers: %v", kinds)
 	}
 }
 
-// A cold cache that is pushed over is down, and the log says so once.
-func TestACachePushedOverIsDown(t *testing.T) {
-	c := common()
-	s := cache(t, c, func(o *CacheOptions) { o.Cold, o.ConnConcurrency = true, 10000 })
-	down := func() (n int) {
+// A cold cache that falls over under load is down, and the log records that once.
+func TestOverloadedColdCacheIsDown(t *testing.T) {
+	c := newCommon()
+	s := newCache(t, c, func(o *CacheOptions) { o.Cold, o.ConnConcurrency = true, 10000 })
+	fallOvers := func() (n int) {
 		c.Log.Update(func(r *seen.Record) { n = len(r.FallOvers) })
 		return n
 	}
-	eventually(t, "it falls", func() bool {
+	eventually(t, "the cache falls over", func() bool {
 		conn, err := net.Dial("tcp", s.Addr())
 		if err != nil {
-			return down() == 1
+			return fallOvers() == 1
 		}
 		defer conn.Close()
 		io.WriteString(conn, strings.Repeat("mg k1 v O1 Pc=read,d=500\r\n", 1000))
@@ -362,12 +362,12 @@
 	if err := s.Restart("", false); err != nil {
 		t.Fatal(err)
 	}
-	if got := dial(t, s.Addr()); got == nil || down() != 1 {
-		t.Error("it does not come back")
+	if got := dial(t, s.Addr()); got == nil || fallOvers() != 1 {
+		t.Error("the cache did not come back, or fell over more than once")
 	}
 }
 
-func originOf(t *testing.T, c *Common, change func(*OriginOptions)) *Origin {
+func newOrigin(t *testing.T, c *Common, change func(*OriginOptions)) *Origin {
 	t.Helper()
 	opt := OriginOptions{ID: "s-0", Name: "origin", Addr: "127.0.0.1:0", Spec: &world.OriginSpec{Cores: 2, Slots: 2, QueueLimit: 1, Work: 5 * ms,
 		WriteFactor: 1, DedupWindow: time.Second}}
@@ -403,9 +403,9 @@
 }
 
 func TestTheOrigin(t *testing.T) {
-	c := common()
+	c := newCommon()
 	var served, wrote atomic.Int64
-	o := originOf(t, c, func(o *OriginOptions) {
+	o := newOrigin(t, c, func(o *OriginOptions) {
 		o.OnRead = func(string, int64, int64) { served.Add(1) }
 		o.OnWrite = func(string) { wrote.Add(1) }
 	})
@@ -417,18 +417,18 @@
 		t.Errorf("%d %q", code, receipt)
 	}
 	if _, again := ask(t, o, "PUT", "k", "3", "c=put,d=500,k=i1", "hello"); again != receipt {
-		t.Errorf("a repeat has the receipt %q", again)
+		t.Errorf("a deduplicated repeat has the receipt %q", again)
 	}
 	if served.Load() != 1 || wrote.Load() != 1 {
-		t.Errorf("told of %d reads and %d writes", served.Load(), wrote.Load())
+		t.Errorf("OnRead was called %d times and OnWrite %d times", served.Load(), wrote.Load())
 	}
 	if code, _ := ask(t, o, "GET", "k", "4", "c=none,d=500", ""); code != 400 {
-		t.Errorf("a class that is none: %d", code)
+		t.Errorf("an unknown class: %d", code)
 	}
-	var strange int
-	c.Log.Update(func(r *seen.Record) { strange = len(r.ProtocolErrors) })
-	if strange != 1 {
-		t.Errorf("%d strange requests", strange)
+	var protocolErrors int
+	c.Log.Update(func(r *seen.Record) { protocolErrors = len(r.ProtocolErrors) })
+	if protocolErrors != 1 {
+		t.Errorf("%d protocol errors", protocolErrors)
 	}
 	o.SetDown(true)
 	if code, why := ask(t, o, "GET", "k", "5", "c=read,d=500", ""); code != 0 {
@@ -440,10 +440,11 @@
 	}
 }
 
-// A full origin says that nothing was begun; a write whose client goes away takes effect all the same, and is told so.
+// A full origin answers that the request was not started. A write whose client disconnects takes effect anyway, and the effect
+// is recorded.
 func TestAFullOrigin(t *testing.T) {
-	c := common()
-	o := originOf(t, c, nil)
+	c := newCommon()
+	o := newOrigin(t, c, nil)
 	o.UpdateModel(func(now time.Duration, m *world.Origin) { m.Pause(now, true) })
 	answers := make(chan string, 4)
 	for i := range 3 {
@@ -452,7 +453,7 @@
 			answers <- v
 		}()
 	}
-	eventually(t, "three are there", func() bool { return len(attempts(c)) == 3 })
+	eventually(t, "three requests have arrived", func() bool { return len(attempts(c)) == 3 })
 	if code, v := ask(t, o, "GET", "k", "9", "c=read,d=500", ""); code != 503 || v != "not started" {
 		t.Errorf("%d %q", code, v)
 	}
@@ -466,9 +467,9 @@
 		t.Fatal(err)
 	}
 	io.WriteString(conn, "PUT /k HTTP/1.1\r\nHost: o\r\nRequest-Id: w\r\nRequest-Info: c=put,d=500,k=i\r\nContent-Length: 1\r\n\r\nx")
-	eventually(t, "the write is there", func() bool { a := attempts(c); return a[len(a)-1].Request == "w" })
+	eventually(t, "the write has arrived", func() bool { a := attempts(c); return a[len(a)-1].Request == "w" })
 	conn.Close()
-	eventually(t, "it takes effect", func() bool {
+	eventually(t, "the write takes effect", func() bool {
 		n := 0
 		c.Log.Update(func(r *seen.Record) { n = len(r.Effects) })
 		return n == 1
@@ -476,14 +477,14 @@
 }
 
 func TestTheList(t *testing.T) {
-	c := common()
+	c := newCommon()
 	l, err := NewList(c, ListOptions{Addr: "127.0.0.1:0", Nodes: 2, ChangeDelay: 50 * ms, KeptChanges: 2}, world.Member{ID: "a", Addr: "127.0.0.1:1", Weight: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(l.Close)
 	get := func(node int, query string) (int, listAnswer) {
-		client := http.Client{Timeout: patience}
+		client := http.Client{Timeout: testTimeout}
 		r, err := client.Get("http://" + l.Addr(node) + "/discovery/hosts" + query)
 		if err != nil {
 			return 0, listAnswer{}
@@ -496,20 +497,20 @@
 	if _, a := get(0, ""); !a.Complete || a.Revision != 1 || len(a.Members) != 1 || a.Members[0].Phase != "SERVING" {
 		t.Errorf("%+v", a)
 	}
-	news := make(chan listAnswer)
-	go func() { _, a := get(1, "?since=1&timeout_ms=5000"); news <- a }()
-	eventually(t, "the watch is there", func() bool { return len(l.SinceValues(1)) == 1 })
+	answers := make(chan listAnswer)
+	go func() { _, a := get(1, "?since=1&timeout_ms=5000"); answers <- a }()
+	eventually(t, "the watch has arrived", func() bool { return len(l.SinceValues(1)) == 1 })
 	l.Set(world.Member{ID: "b", Addr: "127.0.0.1:2", Weight: 1, Started: 3 * time.Second})
-	if a := <-news; a.Complete || a.Revision != 2 || len(a.Members) != 1 || a.Members[0].ID != "b" ||
+	if a := <-answers; a.Complete || a.Revision != 2 || len(a.Members) != 1 || a.Members[0].ID != "b" ||
 		a.Members[0].UpSince != c.Log.StartTime().Add(3*time.Second).UnixMilli() {
 		t.Errorf("%+v", a)
 	}
 	if _, a := get(0, "?since=2&timeout_ms=10"); a.Complete || a.Revision != 2 || len(a.Members) != 0 {
-		t.Errorf("nothing new: %+v", a)
+		t.Errorf("a watch without changes: %+v", a)
 	}
 	l.Replace(world.Member{ID: "b", Phase: world.Draining}, world.Member{ID: "x"})
 	if _, a := get(0, "?since=1&timeout_ms=10"); !a.Complete || len(a.Members) != 2 {
-		t.Errorf("what is forgotten is told as a change: %+v", a)
+		t.Errorf("a watch from a forgotten revision received changes instead of the whole list: %+v", a)
 	}
 	l.SetDown(true)
 	if code, _ := get(0, "?since=9&timeout_ms=5000"); code != 503 {
@@ -518,31 +519,32 @@
 	l.SetDown(false)
 	l.SetGarbled(true)
 	if _, a := get(0, ""); a.Revision == 5 {
-		t.Errorf("nonsense: %+v", a)
+		t.Errorf("a garbled answer is valid: %+v", a)
 	}
 	l.SetGarbled(false)
 	l.Cut(0, true)
 	before := len(l.SinceValues(0))
-	go func() { code, _ := get(0, ""); news <- listAnswer{Revision: int64(code)} }()
-	// Guards against a call that has come under the cut, and is answered because the cut ended before it was looked at.
-	eventually(t, "the call that is cut off is there", func() bool { return len(l.SinceValues(0)) > before })
+	go func() { code, _ := get(0, ""); answers <- listAnswer{Revision: int64(code)} }()
+	// Without this wait, the cut could end before the call arrives. A call that arrived during the cut must not be answered, even
+	// if the cut ends before the handler first checks for it.
+	eventually(t, "the call that is cut off has arrived", func() bool { return len(l.SinceValues(0)) > before })
 	if code, _ := get(1, ""); code != 200 {
 		t.Errorf("the other node is cut off too: %d", code)
 	}
 	l.Cut(0, false)
-	if a := <-news; a.Revision != 0 {
-		t.Errorf("a call that was cut off is answered %d", a.Revision)
-	}
-	// What was told is noted once it is written: the caller may have it before.
-	eventually(t, "it is noted five times that a node was told", func() bool {
-		told := 0
-		c.Log.Update(func(r *seen.Record) { told = len(r.ListUpdates) })
-		return told == 5
+	if a := <-answers; a.Revision != 0 {
+		t.Errorf("a call that was cut off was answered with %d", a.Revision)
+	}
+	// An update is recorded after it is written, so the caller may receive the answer before that.
+	eventually(t, "five list updates are recorded", func() bool {
+		updates := 0
+		c.Log.Update(func(r *seen.Record) { updates = len(r.ListUpdates) })
+		return updates == 5
 	})
 }
 
 func TestAScript(t *testing.T) {
-	s := cache(t, common(), func(o *CacheOptions) {
+	s := newCache(t, newCommon(), func(o *CacheOptions) {
 		o.Spec, o.Script = nil, func(line string, value []byte) string {
 			switch {
 			case strings.HasPrefix(line, "ms "):
@@ -555,16 +557,16 @@
 	})
 	l := dial(t, s.Addr())
 	l.send("mg a v O1 Pc=read,d=1\r\nms k 3 O2 Pc=put,d=5\r\nabc\r\n")
-	l.c.SetReadDeadline(time.Now().Add(50 * ms))
+	l.raw.SetReadDeadline(time.Now().Add(50 * ms))
 	if b, err := l.in.ReadByte(); err == nil {
 		t.Errorf("an answer overtook the one before it: %q", b)
 	}
 	l = dial(t, s.Addr())
 	l.send("ms k 3 O2 Pc=put,d=5\r\nabc\r\nbye\r\n")
-	if got := l.line(); got != "HD 3" {
+	if got := l.readAnswer(); got != "HD 3" {
 		t.Errorf("%q", got)
 	}
-	if got := l.line(); got != "end" {
+	if got := l.readAnswer(); got != "end" {
 		t.Errorf("%q", got)
 	}
 	if n := len(s.Commands()); n != 4 {
