--- a/lab/judge/judge.go
+++ b/lab/judge/judge.go
@@ -28,7 +28,7 @@
 	DrainGrace       time.Duration           // how long after a server drains or is banned a node may still begin attempts at it
 	AskWithin        time.Duration           // a node that has not called the list service for so long counts as notified; 0: never
 	HoldTime         time.Duration           // delay after which a mass disappearance of serving servers counts as known; 0: at once
-	HoldPart         float64                 // fraction of the serving servers above which a disappearance is a mass one
+	HoldPart         float64                 // fraction of the serving servers that must disappear together for HoldTime to apply
 	OverQuotaWorth   float64                 // fraction of its worth that a request beyond its tenant's quota keeps
 	Tolerance        time.Duration           // how late the lab's processes may observe an event
 
--- a/lab/judge/rules.go
+++ b/lab/judge/rules.go
@@ -245,7 +245,7 @@
 	out := map[string][]nonServingPeriod{}
 	phase := map[string]world.Phase{}
 	vanishTimes := []time.Duration{} // when serving servers disappeared
-	servingCount := 0                // at the end of the run
+	servingCount := 0                // servers that serve after the last update
 	set := func(id string, p world.Phase, at time.Duration) {
 		was, known := phase[id]
 		phase[id] = p
@@ -286,7 +286,7 @@
 			servingCount++
 		}
 	}
-	// Servers that disappear together, more than HoldPart of those that serve, may stay in use for HoldTime.
+	// Servers that disappear together, more than half of HoldPart of those that serve, may stay in use for HoldTime.
 	for _, list := range out {
 		for i, p := range list {
 			if !p.vanished {
--- a/lab/standin/standin.go
+++ b/lab/standin/standin.go
@@ -35,6 +35,7 @@
 	return v
 }
 
+// padding fills values up to their size.
 var padding = bytes.Repeat([]byte("The unit price is struck daily. "), 64)
 
 // ParseValue returns what the header of a value says. intact reports whether the value is complete and not corrupted.
--- a/lab/standin/standin_test.go
+++ b/lab/standin/standin_test.go
@@ -182,7 +182,7 @@
 	l = dial(t, s.Addr())
 	l.send("mg k1 v O2 Pc=re")
 	l.raw.Close()
-	eventually(t, "the connections are closed", func() bool { open, ever := s.ConnCounts(); return open == 0 && ever == 2 })
+	eventually(t, "the connections are closed", func() bool { open, total := s.ConnCounts(); return open == 0 && total == 2 })
 	if len(attempts(c)) != 1 {
 		t.Error("an incomplete command is recorded as an attempt")
 	}
