--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -321,7 +321,7 @@
 // A retry is withdrawn at the time by which the policy wants it sent, even if its connection is never established.
 func TestSendsKeepTheirLatestTime(t *testing.T) {
 	s := newFixture(t, false, answerHit)
-	s.cache.Silence(true)
+	s.cache.SetSilent(true)
 	s.sendReads("1")
 	s.waitTaken(1)
 	c := s.node.requests["1"]
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -20,9 +20,9 @@
 			b.Run(fmt.Sprintf("%s/%d", k, entries), func(b *testing.B) {
 				var t testing.T
 				r := startClient(&t, k, standin.RegistryOptions{}, func(c *Config) { c.Roster.PageSize, c.Roster.WatchTimeout = 500, time.Minute })
-				r.registry.Do(func(_ time.Duration, s *world.Store) {
+				r.registry.UpdateStore(func(_ time.Duration, s *world.Store) {
 					for i := range entries {
-						s.Put(prefix+testServer(i, 0).ID, standin.EntryOf(time.Now(), testServer(i, world.Serving)), 0)
+						s.Put(prefix+testServer(i, 0).ID, standin.EncodeEntry(time.Now(), testServer(i, world.Serving)), 0)
 					}
 				})
 				for !r.matchesRegistry() {
@@ -31,7 +31,7 @@
 				runtime.GC()
 				var mem runtime.MemStats
 				runtime.ReadMemStats(&mem)
-				_, bytes := r.registry.Calls()
+				_, bytes := r.registry.CallCounts()
 				cpu := cpuTime()
 				var took []time.Duration
 				b.ResetTimer()
@@ -54,7 +54,7 @@
 				}
 				b.StopTimer()
 				slices.Sort(took)
-				_, now := r.registry.Calls()
+				_, now := r.registry.CallCounts()
 				b.ReportMetric(float64(took[len(took)/2].Microseconds()), "us/p50")
 				b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "us/p99")
 				b.ReportMetric(float64(now-bytes)/float64(b.N), "bytes/change")
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -66,7 +66,7 @@
 	t.Cleanup(reg.Close)
 	cfg := Config{Kind: kind, Prefix: prefix, MaxBodyBytes: 8 << 20, Roster: roster.Config{Nodes: 1, AskWithin: time.Second, WatchTimeout: time.Second,
 		CallTimeout: 700 * ms, PageSize: 100, RewindAfter: 2 * time.Second}}
-	for _, a := range reg.Addrs(0) {
+	for _, a := range reg.Endpoints(0) {
 		cfg.Endpoints = append(cfg.Endpoints, netip.MustParseAddrPort(a))
 	}
 	if change != nil {
@@ -181,10 +181,10 @@
 func TestFollows(t *testing.T) {
 	forBothKinds(t, func(t *testing.T, k Kind) {
 		for _, mangled := range []bool{false, true} {
-			r := startClient(t, k, standin.RegistryOptions{Progress: 30 * ms}, func(c *Config) { c.Roster.PageSize = 3 })
+			r := startClient(t, k, standin.RegistryOptions{ProgressInterval: 30 * ms}, func(c *Config) { c.Roster.PageSize = 3 })
 			if mangled {
-				r.registry.Twice(true)
-				r.registry.Split(true, 0)
+				r.registry.RepeatEvents(true)
+				r.registry.SplitAnswers(true, 0)
 			}
 			for i := range 10 {
 				r.registry.Set(testServer(i, world.Serving))
@@ -197,7 +197,7 @@
 				}
 			}
 			eventually(t, "all changes are known", r.matchesRegistry)
-			r.registry.Wipe()
+			r.registry.DeleteAll()
 			eventually(t, "an empty list is applied", r.matchesRegistry)
 			if c := r.counts(); c.Failed > 0 {
 				t.Errorf("%+v", c)
@@ -210,9 +210,9 @@
 func TestBadEndpoints(t *testing.T) {
 	forBothKinds(t, func(t *testing.T, k Kind) {
 		for name, set := range map[string]func(r *testClient, end int, on bool){
-			"down":   func(r *testClient, end int, on bool) { r.registry.Down(end, on) },
-			"mute":   func(r *testClient, end int, on bool) { r.registry.Mute(end, on) },
-			"garble": func(r *testClient, end int, on bool) { r.registry.Garble(end, on) },
+			"down":   func(r *testClient, end int, on bool) { r.registry.SetDown(end, on) },
+			"mute":   func(r *testClient, end int, on bool) { r.registry.SetMuted(end, on) },
+			"garble": func(r *testClient, end int, on bool) { r.registry.SetGarbled(end, on) },
 		} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
@@ -245,14 +245,14 @@
 			r.registry.Set(testServer(i, world.Serving))
 		}
 		eventually(t, "they are known", r.matchesRegistry)
-		r.registry.Down(0, true)
+		r.registry.SetDown(0, true)
 		eventually(t, "the outage is noticed", func() bool { return r.counts().Failed > 0 })
 		r.registry.Set(testServer(1, world.Deleted))
 		r.registry.Set(testServer(2, world.Draining))
 		r.registry.Set(testServer(7, world.Serving))
 		r.registry.Compact(0)
 		lists := r.counts().Lists
-		r.registry.Down(0, false)
+		r.registry.SetDown(0, false)
 		eventually(t, "nothing is missed", r.matchesRegistry)
 		if c := r.counts(); k == Etcd && (c.Compacted != 1 || c.Lists != lists+1) {
 			t.Errorf("%+v", c)
@@ -265,13 +265,13 @@
 	forBothKinds(t, func(t *testing.T, k Kind) {
 		r := startClient(t, k, standin.RegistryOptions{Endpoints: 2}, nil)
 		r.registry.Set(testServer(1, world.Serving))
-		r.registry.Save()
+		r.registry.SaveBackup()
 		r.registry.Set(testServer(1, world.Draining))
 		r.registry.Set(testServer(2, world.Serving))
 		eventually(t, "they are known", r.matchesRegistry)
 		r.registry.Lag(0, 2)
 		r.registry.Lag(1, 2)
-		r.registry.Restore()
+		r.registry.RestoreBackup()
 		begin := time.Now()
 		for time.Since(begin) < time.Second {
 			r.mu.Lock()
@@ -310,7 +310,7 @@
 func TestBadEntries(t *testing.T) {
 	forBothKinds(t, func(t *testing.T, k Kind) {
 		r := startClient(t, k, standin.RegistryOptions{}, nil)
-		r.registry.Do(func(_ time.Duration, s *world.Store) {
+		r.registry.UpdateStore(func(_ time.Duration, s *world.Store) {
 			s.Put(prefix+"bad", []byte("{"), 0)
 			s.Put(prefix+"worse", []byte(`{"id":"x","addr":"here"}`), 0)
 		})
@@ -413,18 +413,18 @@
 			reg, cfg := startRegistry(t, k, standin.RegistryOptions{}, func(c *Config) {
 				c.Roster.PageSize, c.Roster.MaxEntries, c.Roster.WatchTimeout, c.Roster.CallTimeout = page, servers, time.Minute, time.Minute
 			})
-			reg.Do(func(_ time.Duration, s *world.Store) {
+			reg.UpdateStore(func(_ time.Duration, s *world.Store) {
 				for i := range servers {
-					s.Put(prefix+testServer(i, 0).ID, standin.EntryOf(time.Now(), testServer(i, world.Serving)), 0)
+					s.Put(prefix+testServer(i, 0).ID, standin.EncodeEntry(time.Now(), testServer(i, world.Serving)), 0)
 				}
 			})
 			before := heapBytes()
 			r := runClient(t, cfg, 0, nil)
 			r.registry = reg
-			eventually(t, "all are known, and the watch is waiting", func() bool { return r.matchesRegistry() && reg.Waits() > 0 })
+			eventually(t, "all are known, and the watch is waiting", func() bool { return r.matchesRegistry() && reg.WaitCount() > 0 })
 			reg.Log.Update(func(rec *seen.Record) { rec.ListUpdates = nil }) // the log holds each list that was sent
 			used := heapBytes() - before
-			if n, _ := reg.Calls(); n != calls {
+			if n, _ := reg.CallCounts(); n != calls {
 				t.Errorf("%d calls, not %d", n, calls)
 			}
 			if used > 10<<20 {
@@ -453,7 +453,7 @@
 func TestAnnounce(t *testing.T) {
 	forBothKinds(t, func(t *testing.T, k Kind) {
 		r := startClient(t, k, standin.RegistryOptions{Endpoints: 2, Token: "tok"}, func(c *Config) { c.Token = "tok" })
-		value := standin.EntryOf(time.Now(), testServer(1, world.Serving))
+		value := standin.EncodeEntry(time.Now(), testServer(1, world.Serving))
 		announce := func() *Announcer {
 			a := NewAnnouncer(r.loop, r.client.cfg, prefix+"s-00001", value, time.Second, 1, func(event, why string) {
 				r.mu.Lock()
@@ -474,13 +474,13 @@
 				t.Fatal("the entry expired although it is renewed")
 			}
 		}
-		r.registry.Down(0, true)
-		r.registry.Down(1, true)
+		r.registry.SetDown(0, true)
+		r.registry.SetDown(1, true)
 		eventually(t, "it expires while no endpoint can be reached", gone)
-		r.registry.Down(0, false)
+		r.registry.SetDown(0, false)
 		eventually(t, "it is back", there)
-		r.registry.Down(1, false)
-		r.registry.Do(func(now time.Duration, s *world.Store) { s.ExpireLeases(now + time.Hour) }) // the leases are lost
+		r.registry.SetDown(1, false)
+		r.registry.UpdateStore(func(now time.Duration, s *world.Store) { s.ExpireLeases(now + time.Hour) }) // the leases are lost
 		eventually(t, "the loss is known", gone)
 		eventually(t, "it is back under a new lease", there)
 		done := make(chan bool)
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -16,14 +16,14 @@
 	"lapisshelf/lab/stage"
 )
 
-// Student's interval against a worked example: mean 5, standard deviation 1.58, n 5, t 2.776.
+// The Student's t interval agrees with a worked example: mean 5, standard deviation 1.58, n 5, t 2.776.
 func TestInterval(t *testing.T) {
-	mean, half := Interval([]float64{3, 4, 5, 6, 7})
+	mean, half := ConfidenceInterval([]float64{3, 4, 5, 6, 7})
 	if mean != 5 || math.Abs(half-1.9632) > 1e-3 {
 		t.Errorf("%v +- %v", mean, half)
 	}
-	if _, half := Interval([]float64{3}); !math.IsNaN(half) {
-		t.Errorf("one value has the interval %v", half)
+	if _, half := ConfidenceInterval([]float64{3}); !math.IsNaN(half) {
+		t.Errorf("one value has an interval of half width %v", half)
 	}
 }
 
@@ -34,16 +34,16 @@
 		}
 		return all
 	}
-	// The pairs differ much from each other and little within: pairing finds what the means alone would not.
+	// The values vary much between pairs and little within them: only the paired comparison finds the difference.
 	d := Compare(runs(0.1, 0.5, 0.9, 0.3), runs(0.12, 0.52, 0.92, 0.32), "service")
-	if math.Abs(d.Mean-0.02) > 1e-9 || !d.Clear {
+	if math.Abs(d.MeanDifference-0.02) > 1e-9 || !d.Significant {
 		t.Errorf("%+v", d)
 	}
-	if d = Compare(runs(0.1, 0.5, 0.9, 0.3), runs(0.3, 0.4, 0.95, 0.2), "service"); d.Clear {
-		t.Errorf("noise is taken for a difference: %+v", d)
+	if d = Compare(runs(0.1, 0.5, 0.9, 0.3), runs(0.3, 0.4, 0.95, 0.2), "service"); d.Significant {
+		t.Errorf("noise counts as a significant difference: %+v", d)
 	}
 	var out bytes.Buffer
-	one := &Pair{Seeds: []uint64{1}, Differences: []Difference{Compare(runs(1), runs(2), "service")}}
+	one := &Comparison{Seeds: []uint64{1}, Differences: []Difference{Compare(runs(1), runs(2), "service")}}
 	if err := one.JSON(&out); err != nil {
 		t.Error(err)
 	}
@@ -53,10 +53,10 @@
 	x := &experiment.Experiment{Expects: []experiment.Expectation{{Figure: "service", Limit: 0.9, Line: "x.toml:3"}}}
 	x.Name = "x"
 	result := func(service float64, lab stage.Lab, cut bool, broken int) *stage.Result {
-		v := &judge.Verdict{Broken: map[string]int{judge.Drains: broken}, Figures: map[string]float64{"service": service},
+		v := &judge.Verdict{ViolationCounts: map[string]int{judge.Drains: broken}, Figures: map[string]float64{"service": service},
 			Seconds: []judge.Second{{At: 0, Service: service}, {At: 1, Service: 1}}}
 		if broken > 0 {
-			v.Breaches = []judge.Breach{{Rule: judge.Drains, What: judge.ToDraining, Why: "why", Story: []string{"a line"}}}
+			v.Violations = []judge.Violation{{Rule: judge.Drains, Kind: judge.SentToDraining, Reason: "why", Timeline: []string{"a line"}}}
 		}
 		return &stage.Result{Verdict: v, Record: &seen.Record{Events: []seen.Event{{At: time.Second, Text: "c1 <dies>"}}}, Lab: lab, Cut: cut}
 	}
@@ -68,7 +68,7 @@
 		{result(0.85, stage.Lab{}, false, 0), FallsShort},
 		{result(0.95, stage.Lab{}, false, 1), FallsShort},
 		{result(0.85, stage.Lab{Void: "late"}, false, 0), Void},
-		{result(0.85, stage.Lab{Void: "late"}, true, 0), Cut},
+		{result(0.85, stage.Lab{Void: "late"}, true, 0), Interrupted},
 	} {
 		r := New(x, "node", c.r)
 		if r.Verdict != c.want {
