--- a/cmd/lapislab/scale.go
+++ b/cmd/lapislab/scale.go
@@ -53,7 +53,7 @@
 			if err != nil {
 				return err
 			}
-			opt := scale.RunOptions{Program: program, Self: []string{self}, Dir: dir}
+			opt := scale.RunOptions{Program: program, SelfCommand: []string{self}, Dir: dir}
 			if !quiet {
 				opt.Progress = func(line string) { fmt.Fprintln(os.Stderr, line) }
 			}
--- a/lab/scale/file.go
+++ b/lab/scale/file.go
@@ -20,8 +20,8 @@
 
 // Kinds of talk between nodes and planners.
 const (
-	Whole   = "whole"   // whole digests and views, as programs before changes were told
-	Changes = "changes" // what the present forwarder speaks
+	TalkWhole   = "whole"   // whole digests and views, as programs before changes were told
+	TalkChanges = "changes" // what the present forwarder speaks
 )
 
 // Faults, in the order in which a run goes through them.
@@ -153,7 +153,7 @@
 		f.Faults = Faults()
 	}
 	if len(f.Variants) == 0 {
-		f.Variants = []Variant{{Name: Changes, Talk: Changes}}
+		f.Variants = []Variant{{Name: TalkChanges, Talk: TalkChanges}}
 	}
 	if err := f.check(at); err != nil {
 		return nil, err
@@ -212,7 +212,7 @@
 		twice := names[v.Name]
 		names[v.Name] = true
 		rules = append(rules, rule{v.Name == "" || strings.ContainsAny(v.Name, "/\\, \"\n") || twice, at("variant", i, "name"), "must be a name of its own, without spaces, commas and slashes"},
-			rule{v.Talk != Whole && v.Talk != Changes, at("variant", i, "talk"), "must be whole or changes"})
+			rule{v.Talk != TalkWhole && v.Talk != TalkChanges, at("variant", i, "talk"), "must be whole or changes"})
 		for key, program := range map[string]string{"planner": v.Planner, "nodes": v.Nodes} {
 			if program != "" {
 				_, err := exec.LookPath(program)
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -44,20 +44,21 @@
 	Load         loadConfig
 }
 
-// Second is what all nodes of a process, or of a run, saw in one second of the wall clock.
+// Second holds the totals of one wall-clock second over all nodes of a process or of a run. It travels as JSON between the lab's
+// processes, which may be of different versions; tags keep the field names there.
 type Second struct {
 	At              int64 // Unix seconds
 	Nodes           int
-	In, Out         int64 // bytes of the talk with planners
-	MostIn, MostOut int64 // of any node
-	MostBoth        int64
+	In, Out         int64 // bytes from and to planners
+	MostIn, MostOut int64 // maxima of a single node
+	MostBoth        int64 // maximum of a single node, both directions together
 	Digests, Views  int64
-	Led             int // nodes that follow a view that is valid
-	Low             int // factors below 1 in force, of all nodes and servers
-	// Granted is what all nodes together may send a second to cold servers by the views in force, Bound the nodes that such a
-	// grant binds.
-	Granted map[string]float64 `json:",omitempty"`
-	Bound   int
+	Following       int `json:"Led"` // nodes that follow a valid view
+	LowFactors      int `json:"Low"` // factors below 1 in force, over all nodes and servers
+	// Granted is the rate, in requests a second, at which all nodes together may send to each cold server by the views in force.
+	// BoundNodes is how many nodes such a grant limits.
+	Granted    map[string]float64 `json:",omitempty"`
+	BoundNodes int                `json:"Bound"`
 }
 
 // sample is a process's counters since its start.
@@ -379,16 +380,16 @@
 	s := Second{At: wall.Unix() - 1, Nodes: len(h.nodes)}
 	for _, n := range h.nodes {
 		if n.led() { // which brings the bytes up to date
-			s.Led++
+			s.Following++
 		}
 		c := n.counters()
 		in, out := c.in-n.last.in, c.out-n.last.out
 		s.In, s.Out, s.Digests, s.Views = s.In+in, s.Out+out, s.Digests+c.digests-n.last.digests, s.Views+c.views-n.last.views
 		s.MostIn, s.MostOut, s.MostBoth = max(s.MostIn, in), max(s.MostOut, out), max(s.MostBoth, in+out)
 		n.last = c
-		s.Low += len(n.low)
+		s.LowFactors += len(n.low)
 		if len(n.granted) > 0 {
-			s.Bound++
+			s.BoundNodes++
 		}
 		for id, rate := range n.granted {
 			if s.Granted == nil {
--- a/lab/scale/result.go
+++ b/lab/scale/result.go
@@ -118,7 +118,7 @@
 type Result struct {
 	Name, File string
 	Seed       uint64
-	Begun      time.Time
+	StartedAt  time.Time
 	Sizes      []Size
 	Variants   []string
 	Rows       []Row
@@ -141,8 +141,8 @@
 	Driver                  string // what should carry the growth
 	Sizes                   []Size
 	Nodes, Servers, Both    float64 // exponents
-	Least, Most             float64 // ratio of value to fitted value, against the driver
-	Super                   bool    // the exponent against the driver is over 1.15
+	MinRatio, MaxRatio      float64 // ratio of value to fitted value, against the driver
+	SuperLinear             bool    // the exponent against the driver is over 1.15
 }
 
 // exponent is that of the driver that should carry the growth.
@@ -217,12 +217,12 @@
 				}
 				x := map[string][]float64{byNodes: nodes, byServers: servers, byBoth: both}[m.driver]
 				e, c := powerLaw(x, y)
-				f.Least, f.Most = math.Inf(1), 0
+				f.MinRatio, f.MaxRatio = math.Inf(1), 0
 				for i := range x {
 					ratio := y[i] / (c * math.Pow(x[i], e))
-					f.Least, f.Most = min(f.Least, ratio), max(f.Most, ratio)
+					f.MinRatio, f.MaxRatio = min(f.MinRatio, ratio), max(f.MaxRatio, ratio)
 				}
-				f.Super = f.exponent() > superLinear
+				f.SuperLinear = f.exponent() > superLinear
 				all = append(all, f)
 			}
 		}
@@ -259,7 +259,7 @@
 
 // Text writes tables for a person: a block a phase, a line a measure and variant, a column a size.
 func (r *Result) Text(w io.Writer) {
-	fmt.Fprintf(w, "%s: seed %d, begun %s, hollow nodes on loopback (%s)\n", r.Name, r.Seed, r.Begun.UTC().Format(time.RFC3339), r.File)
+	fmt.Fprintf(w, "%s: seed %d, begun %s, hollow nodes on loopback (%s)\n", r.Name, r.Seed, r.StartedAt.UTC().Format(time.RFC3339), r.File)
 	fits := r.Fits()
 	for _, phase := range r.phases() {
 		fmt.Fprintf(w, "\n%-20s %-14s %-10s", phase, "", "")
@@ -286,7 +286,7 @@
 				for _, f := range fits {
 					if f.Variant == v && f.Phase == phase && f.Measure == m.name {
 						line += fmt.Sprintf("  %s^%.2f", f.Driver, f.exponent())
-						if f.Super {
+						if f.SuperLinear {
 							line += " SUPER-LINEAR"
 						}
 					}
@@ -307,11 +307,11 @@
 	super := 0
 	for _, f := range fits {
 		mark := ""
-		if f.Super {
+		if f.SuperLinear {
 			super++
 			mark = fmt.Sprintf("  SUPER-LINEAR: over %.2f against %s", superLinear, f.Driver)
 		}
-		fmt.Fprintf(w, "%-10s %-14s %-20s %6.2f %6.2f %6.2f   %.2f to %.2f%s\n", f.Variant, f.Phase, f.Measure, f.Nodes, f.Servers, f.Both, f.Least, f.Most, mark)
+		fmt.Fprintf(w, "%-10s %-14s %-20s %6.2f %6.2f %6.2f   %.2f to %.2f%s\n", f.Variant, f.Phase, f.Measure, f.Nodes, f.Servers, f.Both, f.MinRatio, f.MaxRatio, mark)
 	}
 	fmt.Fprintf(w, "%d of %d figures grow super-linearly\n", super, len(fits))
 }
@@ -344,7 +344,7 @@
 	rows = [][]string{{"nodes", "servers", "variant", "phase", "second", "bytes_in", "bytes_out", "most_both", "digests", "views", "led", "low"}}
 	for _, s := range r.Seconds {
 		line := []string{strconv.Itoa(s.Size.Nodes), strconv.Itoa(s.Size.Servers), s.Variant, s.Phase}
-		for _, n := range []int64{s.After, s.In, s.Out, s.MostBoth, s.Digests, s.Views, int64(s.Led), int64(s.Low)} {
+		for _, n := range []int64{s.After, s.In, s.Out, s.MostBoth, s.Digests, s.Views, int64(s.Following), int64(s.LowFactors)} {
 			line = append(line, strconv.FormatInt(n, 10))
 		}
 		rows = append(rows, line)
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -29,15 +29,15 @@
 
 // RunOptions say where a run's programs and files are.
 type RunOptions struct {
-	Program  string   // lapisshelf
-	Self     []string // the command that plays a process of the lab's own, before the name of its part
-	Dir      string   // for keys, configurations and logs
-	Progress func(line string)
+	Program     string   // lapisshelf
+	SelfCommand []string // the command that plays a process of the lab's own, before the name of its part
+	Dir         string   // for keys, configurations and logs
+	Progress    func(line string)
 }
 
 // Run goes through all sizes and variants of a file. What was measured so far comes back also with an error.
 func Run(ctx context.Context, f *File, o RunOptions) (*Result, error) {
-	r := &Result{Name: f.Name, File: f.path, Seed: f.Seed, Sizes: f.Sizes, Begun: time.Now()}
+	r := &Result{Name: f.Name, File: f.path, Seed: f.Seed, Sizes: f.Sizes, StartedAt: time.Now()}
 	for _, v := range f.Variants {
 		r.Variants = append(r.Variants, v.Name)
 	}
@@ -165,7 +165,7 @@
 	}
 	var r reply
 	var err error
-	if b.list, r, err = startChild(b.o.Self, ListRole, listConfig{Servers: b.size.Servers, Delay: b.f.List.Delay.D(), Kind: b.f.List.Kind}, filepath.Join(b.dir, "list.log")); err != nil {
+	if b.list, r, err = startChild(b.o.SelfCommand, ListRole, listConfig{Servers: b.size.Servers, Delay: b.f.List.Delay.D(), Kind: b.f.List.Kind}, filepath.Join(b.dir, "list.log")); err != nil {
 		return err
 	}
 	b.listAt = r.Addr
@@ -207,7 +207,7 @@
 		for _, p := range b.plans {
 			cfg.Planners = append(cfg.Planners, p.addr)
 		}
-		self := b.o.Self
+		self := b.o.SelfCommand
 		if b.variant.Nodes != "" {
 			self = []string{b.variant.Nodes}
 		}
@@ -324,9 +324,9 @@
 
 // with adds what other nodes saw in the same second.
 func (s Second) with(o Second) Second {
-	s.At, s.Nodes, s.In, s.Out, s.Digests, s.Views, s.Led, s.Low = o.At, s.Nodes+o.Nodes, s.In+o.In, s.Out+o.Out, s.Digests+o.Digests, s.Views+o.Views, s.Led+o.Led, s.Low+o.Low
+	s.At, s.Nodes, s.In, s.Out, s.Digests, s.Views, s.Following, s.LowFactors = o.At, s.Nodes+o.Nodes, s.In+o.In, s.Out+o.Out, s.Digests+o.Digests, s.Views+o.Views, s.Following+o.Following, s.LowFactors+o.LowFactors
 	s.MostIn, s.MostOut, s.MostBoth = max(s.MostIn, o.MostIn), max(s.MostOut, o.MostOut), max(s.MostBoth, o.MostBoth)
-	s.Bound += o.Bound
+	s.BoundNodes += o.BoundNodes
 	if len(o.Granted) > 0 {
 		sum := maps.Clone(o.Granted)
 		for id, rate := range s.Granted {
@@ -572,8 +572,8 @@
 	for _, s := range b.between(from, to) {
 		mean = max(mean, float64(s.In+s.Out)/float64(b.size.Nodes))
 		any = max(any, float64(s.MostBoth))
-		unled = max(unled, float64(s.Nodes-s.Led))
-		sum += float64(s.Nodes - s.Led)
+		unled = max(unled, float64(s.Nodes-s.Following))
+		sum += float64(s.Nodes - s.Following)
 	}
 	b.row(phase, "worst_second_mean", mean)
 	b.row(phase, "worst_second_any", any)
@@ -815,7 +815,7 @@
 func (b *bench) grants(phase string, since time.Time, cold int, requests float64) {
 	most, bound := 0.0, 0
 	for _, s := range b.between(since, time.Now()) {
-		bound = max(bound, s.Bound)
+		bound = max(bound, s.BoundNodes)
 		age := time.Unix(s.At+1, 0).Sub(since)
 		warm := coldFrom + (1-coldFrom)*min(1, max(0, age.Seconds()/warmUp.Seconds()))
 		budget := fallMultiple * requests * (1 - b.f.Load.Bad) * warm / (float64(b.size.Servers-cold) + float64(cold)*warm)
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -84,7 +84,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	b := &bench{f: f, size: f.Sizes[0], variant: f.Variants[0], keys: filepath.Join(dir, "keys"), dir: dir, seconds: map[int64]Second{}, result: &Result{},
-		o: RunOptions{Program: program, Self: []string{os.Args[0]}}}
+		o: RunOptions{Program: program, SelfCommand: []string{os.Args[0]}}}
 	if err := makeKeys(b.keys, b.size.Nodes, f.Planners.Count); err != nil {
 		t.Fatal(err)
 	}
@@ -211,7 +211,7 @@
 		f.Sizes = append(f.Sizes, Size{Nodes: 4 * k, Servers: 4 * k, Rate: 20})
 	}
 	dir := t.TempDir()
-	r, err := Run(t.Context(), f, RunOptions{Program: program, Self: []string{os.Args[0]}, Dir: dir})
+	r, err := Run(t.Context(), f, RunOptions{Program: program, SelfCommand: []string{os.Args[0]}, Dir: dir})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,7 +219,7 @@
 		for phase, names := range map[string][]string{"idle": {"node_heap_rest", "list_start_bytes"}, "calm": {"node_bytes_out", "node_bytes_in", "digest_bytes", "view_bytes", "planner_rss"},
 			"nodes_all": {"connected_after", "node_fault_bytes"}, "end": {"wrong_factors"}} {
 			for _, name := range names {
-				if v := r.Value(s, Changes, phase, name); math.IsNaN(v) || name != "wrong_factors" && v <= 0 || name == "wrong_factors" && v != 0 {
+				if v := r.Value(s, TalkChanges, phase, name); math.IsNaN(v) || name != "wrong_factors" && v <= 0 || name == "wrong_factors" && v != 0 {
 					t.Errorf("%s %s: %s is %v", s, phase, name, v)
 				}
 			}
@@ -522,7 +522,7 @@
 	near("planner_cpu over both", got["planner_cpu"].Both, 1)
 	near("node_bytes over servers", got["node_bytes"].Servers, 1)
 	near("digest_bytes over servers", got["digest_bytes"].Servers, 0)
-	if !got["planner_cpu"].Super || got["node_bytes"].Super || got["digest_bytes"].Super {
+	if !got["planner_cpu"].SuperLinear || got["node_bytes"].SuperLinear || got["digest_bytes"].SuperLinear {
 		t.Errorf("super-linear: %+v", got)
 	}
 	var text strings.Builder
@@ -653,6 +653,6 @@
 	}
 	b.wait(t, "nobody is bound any more", func(s *snapshot) bool {
 		last := b.between(time.Now().Add(-3*time.Second), time.Now())
-		return len(last) > 0 && last[len(last)-1].Bound == 0
+		return len(last) > 0 && last[len(last)-1].BoundNodes == 0
 	})
 }
