--- a/lab/fleet/planners_test.go
+++ b/lab/fleet/planners_test.go
@@ -13,7 +13,7 @@
 	"lapisshelf/lab/judge"
 )
 
-const jammed = `length = "20s"
+const slowCaches = `length = "20s"
 [nodes]
 count = 60
 [fleet]
@@ -40,12 +40,12 @@
 factor = 15
 `
 
-func play(t *testing.T, planners int, more string) (*judge.Verdict, []string) {
+func runSlowCaches(t *testing.T, planners int, more string) (*judge.Verdict, []string) {
 	t.Helper()
-	return playText(t, strings.Replace(jammed, "[fleet]", fmt.Sprintf("[planners]\ncount = %d\n[fleet]", planners), 1)+more)
+	return runText(t, strings.Replace(slowCaches, "[fleet]", fmt.Sprintf("[planners]\ncount = %d\n[fleet]", planners), 1)+more)
 }
 
-func playText(t *testing.T, text string) (*judge.Verdict, []string) {
+func runText(t *testing.T, text string) (*judge.Verdict, []string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "x.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -70,72 +70,73 @@
 	return r.Verdict, r.Logs
 }
 
-const noise = 0.002 // of the service, by other random choices
+const seedNoise = 0.002 // tolerance of the service figure for different random choices
 
-// With two jammed caches planners answer more in time than nodes that each think alone; the same seed gives the same run.
+// With two slow caches, nodes with planners answer more requests in time than nodes without; the same seed reproduces the run.
 func TestPlannersSeeAJam(t *testing.T) {
-	alone, _ := play(t, 0, "")
-	with, logs := play(t, 4, "")
-	if a, w := alone.Figures["late_share"], with.Figures["late_share"]; w > 0.7*a {
-		t.Errorf("late: %.4f alone, %.4f with planners", a, w)
+	baseline, _ := runSlowCaches(t, 0, "")
+	with, logs := runSlowCaches(t, 4, "")
+	if a, w := baseline.Figures["late_share"], with.Figures["late_share"]; w > 0.7*a {
+		t.Errorf("late_share: %.4f without planners, %.4f with planners", a, w)
 	}
-	again, logsAgain := play(t, 4, "")
+	again, logsAgain := runSlowCaches(t, 4, "")
 	if diff := cmp.Diff(with.Figures, again.Figures) + cmp.Diff(logs, logsAgain); diff != "" {
-		t.Errorf("the same seed gives another run: %s", diff)
+		t.Errorf("the same seed gave a different run: %s", diff)
 	}
 }
 
-// A planner killed in the midst, and one restarted: no read misses its aim for it, and all nodes follow another.
+// A planner is killed and later restarted: no read misses its aim because of it, and all nodes switch to another planner.
 func TestAPlannerKilledCostsNoRead(t *testing.T) {
-	whole, _ := play(t, 4, "")
-	killed, logs := play(t, 4, "[[fault]]\nkind = \"planner_kill\"\nat = \"40%\"\nfor = \"30%\"\nplanners = [1]\n")
-	if a, b := whole.Figures["service"], killed.Figures["service"]; b < a-noise {
-		t.Errorf("service %.4f, %.4f with a planner killed", a, b)
+	baseline, _ := runSlowCaches(t, 4, "")
+	killed, logs := runSlowCaches(t, 4, "[[fault]]\nkind = \"planner_kill\"\nat = \"40%\"\nfor = \"30%\"\nplanners = [1]\n")
+	if a, b := baseline.Figures["service"], killed.Figures["service"]; b < a-seedNoise {
+		t.Errorf("service %.4f without a fault, %.4f with a planner killed", a, b)
 	}
-	moved := 0
+	switches := 0
 	for _, l := range logs {
 		if strings.Contains(l, "follows p") && !strings.HasPrefix(l, "0s") {
-			moved++
+			switches++
 		}
 	}
-	if moved < 60 {
-		t.Errorf("followed anew %d times by 60 nodes", moved)
+	if switches < 60 {
+		t.Errorf("60 nodes started to follow a planner %d times after the start, want at least 60", switches)
 	}
 }
 
-// With all planners silent from some moment on, frozen or dead, service is not under that of nodes without planners.
+// When all planners are killed or frozen during the run, the service figure is no lower than that of nodes without planners.
 func TestAllPlannersSilent(t *testing.T) {
-	alone, _ := play(t, 0, "")
+	baseline, _ := runSlowCaches(t, 0, "")
 	for _, kind := range []string{"planner_kill", "planner_freeze"} {
 		for _, at := range []string{"10%", "30%", "50%"} {
-			v, _ := play(t, 2, fmt.Sprintf("[[fault]]\nkind = %q\nat = %q\n", kind, at))
-			if a, b := alone.Figures["service"], v.Figures["service"]; b < a-noise {
-				t.Errorf("%s at %s: service %.4f, %.4f alone", kind, at, b, a)
+			v, _ := runSlowCaches(t, 2, fmt.Sprintf("[[fault]]\nkind = %q\nat = %q\n", kind, at))
+			if a, b := baseline.Figures["service"], v.Figures["service"]; b < a-seedNoise {
+				t.Errorf("%s at %s: service %.4f, %.4f without planners", kind, at, b, a)
 			}
 		}
 	}
 }
 
-// Few nodes with much traffic each, whose brief digests name a part of the servers: a jam costs no more than by whole digests
-// and views, also with a planner killed in it and a cache that comes back cold.
+// Four nodes with much traffic each, so that their brief digests name only a part of the servers: with two slow caches, a killed
+// planner and a cache that restarts cold, the service figure is no lower than with whole digests and views.
 func TestChangesServeAsWholeViews(t *testing.T) {
 	service := map[string]float64{}
 	for _, talk := range []string{"whole", "changes"} {
-		text := strings.Replace(jammed, "count = 60", "count = 4", 1)
+		text := strings.Replace(slowCaches, "count = 60", "count = 4", 1)
 		text = strings.Replace(text, "rate = 500", "rate = 1500", 1)
 		text = strings.Replace(text, "[fleet]", fmt.Sprintf("[planners]\ncount = 2\ntalk = %q\n[fleet]", talk), 1)
-		v, _ := playText(t, text+"[[fault]]\nkind = \"planner_kill\"\nat = \"40%\"\nfor = \"30%\"\nplanners = [1]\n[[fault]]\nkind = \"crash\"\nat = \"50%\"\nfor = \"1s\"\nservers = [\"c5\"]\n")
+		v, _ := runText(t, text+"[[fault]]\nkind = \"planner_kill\"\nat = \"40%\"\nfor = \"30%\"\nplanners = [1]\n[[fault]]\nkind = \"crash\"\nat = \"50%\"\nfor = \"1s\"\nservers = [\"c5\"]\n")
 		service[talk] = v.Figures["service"]
 		t.Logf("%s: service %.4f, late %.4f", talk, v.Figures["service"], v.Figures["late_share"])
 	}
-	if service["changes"] < service["whole"]-noise {
-		t.Errorf("service %v", service)
+	if service["changes"] < service["whole"]-seedNoise {
+		t.Errorf("service by kind of talk: %v", service)
 	}
 }
 
-// Two planners cut off from each other's forwarders disagree: no node goes to and fro between them, and service holds.
+// Each of two planners is cut off from one half of the nodes, so that their views disagree: no node alternates between them, and
+// the service figure is no lower than that of nodes without planners.
 func TestPlannersThatDisagree(t *testing.T) {
-	alone, _ := play(t, 0, "")
+	baseline, _ := runSlowCaches(t, 0, "")
 	half := func(from int) string {
 		var list []string
 		for i := range 30 {
@@ -143,10 +144,10 @@
 		}
 		return strings.Join(list, ", ")
 	}
-	v, logs := play(t, 2, fmt.Sprintf("[[fault]]\nkind = \"planner_cut\"\nat = \"30%%\"\nplanners = [1]\nnodes = [%s]\n[[fault]]\nkind = \"planner_cut\"\nat = \"30%%\"\nplanners = [2]\nnodes = [%s]\n",
+	v, logs := runSlowCaches(t, 2, fmt.Sprintf("[[fault]]\nkind = \"planner_cut\"\nat = \"30%%\"\nplanners = [1]\nnodes = [%s]\n[[fault]]\nkind = \"planner_cut\"\nat = \"30%%\"\nplanners = [2]\nnodes = [%s]\n",
 		half(1), half(31)))
-	if a, b := alone.Figures["service"], v.Figures["service"]; b < a-noise {
-		t.Errorf("service %.4f, %.4f alone", b, a)
+	if a, b := baseline.Figures["service"], v.Figures["service"]; b < a-seedNoise {
+		t.Errorf("service %.4f, %.4f without planners", b, a)
 	}
 	follows := map[string]int{}
 	for _, l := range logs {
@@ -157,7 +158,7 @@
 	}
 	for node, n := range follows {
 		if n > 2 {
-			t.Errorf("%s went to and fro: %d times", node, n)
+			t.Errorf("%s switched between planners: it followed one %d times, want at most 2", node, n)
 		}
 	}
 }
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -10,22 +10,22 @@
 	"lapisshelf/policy"
 )
 
-// cache is a cache server.
+// cache is one simulated cache server.
 type cache struct {
-	sim    *sim
-	name   string
-	id     string
-	model  *world.Cache
-	jobs   map[uint64]*job
-	serial uint64
-	due    time.Duration // when it is looked at next; 0: not planned
-	dead   bool
-	refuse bool
-	silent bool
-	hangs  bool
-	away   bool
-	fell   bool
-	member world.Member
+	sim         *sim
+	name        string
+	id          string
+	model       *world.Cache
+	jobs        map[uint64]*job
+	serial      uint64
+	nextAt      time.Duration // time of the scheduled advance; 0: none
+	stopped     bool
+	refusing    bool
+	silent      bool
+	hung        bool
+	answersBusy bool
+	fellOver    bool
+	member      world.Member
 }
 
 type job struct {
@@ -34,172 +34,172 @@
 }
 
 func (s *sim) addCache(v *experiment.Server, cold bool) *cache {
-	c := &cache{sim: s, name: v.Name, id: v.ID, model: world.NewCache(v.Spec, s.x.Seed), jobs: map[uint64]*job{}, member: v.Member}
+	c := &cache{sim: s, name: v.Name, id: v.ID, model: world.NewCache(v.Spec, s.exp.Seed), jobs: map[uint64]*job{}, member: v.Member}
 	s.caches[v.Name], s.byID[v.ID] = c, c
 	if cold {
 		c.model.Start(s.now, true)
 	}
-	c.noteStart(v, cold)
+	c.recordStart(v, cold)
 	return c
 }
 
-func (c *cache) noteStart(v *experiment.Server, cold bool) {
+func (c *cache) recordStart(v *experiment.Server, cold bool) {
 	st := seen.ServerStart{Server: c.id, Name: c.name, Cold: cold, Capacity: float64(v.Spec.Cores) * v.Spec.Speed}
 	if cold {
 		st.At = c.sim.now
 	}
-	c.sim.rec.ServerStarts = append(c.sim.rec.ServerStarts, st)
+	c.sim.record.ServerStarts = append(c.sim.record.ServerStarts, st)
 }
 
-// arrive is an attempt at a server.
+// arrive handles an attempt that reaches a server.
 func (s *sim) arrive(n *node, a *attempt) {
-	if s.origin != nil && a.rec.Server == s.x.OriginID() {
+	if s.origin != nil && a.record.Server == s.exp.OriginID() {
 		s.origin.arrive(n, a)
 		return
 	}
-	c := s.byID[a.rec.Server]
+	c := s.byID[a.record.Server]
 	switch {
-	case c == nil || c.dead || c.refuse || c.id != a.rec.Server:
-		s.hop(func() { n.finished(a, policy.ConnectFailed, 0) })
+	case c == nil || c.stopped || c.refusing || c.id != a.record.Server:
+		s.deliver(func() { n.attemptEnded(a, policy.ConnectFailed, 0) })
 		return
-	case c.silent: // a new connection never comes up
-		s.after(s.x.Service.ConnectTimeout.D(), func() { n.finished(a, policy.ConnectFailed, 0) })
+	case c.silent: // a new connection is never established
+		s.scheduleAfter(s.exp.Service.ConnectTimeout.D(), func() { n.attemptEnded(a, policy.ConnectFailed, 0) })
 		return
 	case a.done:
 		return
 	}
-	t, r := a.call.try.t, a.rec
+	t, r := a.request.try.record, a.record
 	r.FirstByteAt, r.LastByteAt = s.now, s.now
-	class := a.call.try.class
-	r.Work = world.WorkOf(s.x.Seed, class, t.ID)
+	class := a.request.try.class
+	r.Work = world.WorkOf(s.exp.Seed, class, t.ID)
 	r.Capacity, r.Cold = c.model.Capacity(s.now), c.model.Cold(s.now)
-	s.rec.Attempts = append(s.rec.Attempts, r)
-	if c.hangs {
+	s.record.Attempts = append(s.record.Attempts, r)
+	if c.hung {
 		return
 	}
-	if c.away {
+	if c.answersBusy {
 		c.reply(n, a, policy.Full, 0, seen.Busy)
 		return
 	}
 	c.serial++
 	token := c.serial
-	switch c.model.Offer(s.now, world.Job{Token: token, Key: t.Key, Work: r.Work, Write: t.Write, Size: s.valueOf(t, class), Idem: t.Idem}) {
+	switch c.model.Offer(s.now, world.Job{Token: token, Key: t.Key, Work: r.Work, Write: t.Write, Size: s.valueSize(t, class), Idem: t.Idem}) {
 	case world.Accepted:
 		c.jobs[token] = &job{n, a}
-		a.stop = func() {
+		a.cancelAtServer = func() {
 			if c.jobs[token] != nil {
 				delete(c.jobs, token)
 				c.model.Cancel(s.now, token)
-				c.plan()
+				c.scheduleNext()
 			}
 		}
 	case world.Busy:
 		c.reply(n, a, policy.Full, 0, seen.Busy)
 	}
-	c.look()
+	c.advance()
 }
 
 // reply sends an attempt's answer back.
-func (c *cache) reply(n *node, a *attempt, o policy.Outcome, note policy.CacheStatus, said seen.ServerAnswer) {
+func (c *cache) reply(n *node, a *attempt, o policy.Outcome, status policy.CacheStatus, answer seen.ServerAnswer) {
 	s := c.sim
 	if c.silent {
 		return
 	}
-	if a.rec.ClosedAt == 0 {
-		a.rec.Answer, a.rec.AnsweredAt = said, s.now
+	if a.record.ClosedAt == 0 {
+		a.record.Answer, a.record.AnsweredAt = answer, s.now
 	}
-	s.hop(func() { n.finished(a, o, note) })
+	s.deliver(func() { n.attemptEnded(a, o, status) })
 }
 
-// look takes what the model has done by now.
-func (c *cache) look() {
+// advance advances the model to now and handles what it has completed.
+func (c *cache) advance() {
 	s := c.sim
-	done, asks := c.model.Advance(s.now)
-	for _, d := range done {
+	completions, originRequests := c.model.Advance(s.now)
+	for _, d := range completions {
 		j := c.jobs[d.Token]
 		if j == nil {
 			continue
 		}
 		delete(c.jobs, d.Token)
-		r := j.a.rec
+		r := j.a.record
 		switch d.Outcome {
 		case world.Hit, world.Fetched:
 			r.Version = d.Version
-			note := policy.CacheHit
+			status := policy.CacheHit
 			if d.Outcome == world.Fetched {
-				note = policy.CacheMiss
+				status = policy.CacheMiss
 			}
-			c.reply(j.node, j.a, policy.OK, c.tells(note), seen.Value)
+			c.reply(j.node, j.a, policy.OK, c.reportedStatus(status), seen.Value)
 		case world.Stored:
 			r.Receipt = d.Receipt
 			c.reply(j.node, j.a, policy.OK, 0, seen.Receipt)
 		case world.Failed:
-			c.reply(j.node, j.a, policy.Errored, c.tells(policy.CacheMiss), seen.Error)
+			c.reply(j.node, j.a, policy.Errored, c.reportedStatus(policy.CacheMiss), seen.Error)
 		default:
-			note := policy.CacheMiss
+			status := policy.CacheMiss
 			if d.Outcome == world.Fetching {
-				note = policy.CacheFetching
+				status = policy.CacheFetching
 			}
-			j.a.call.missed = append(j.a.call.missed, c)
-			c.reply(j.node, j.a, policy.Miss, c.tells(note), seen.NoValue)
+			j.a.request.missedAt = append(j.a.request.missedAt, c)
+			c.reply(j.node, j.a, policy.Miss, c.reportedStatus(status), seen.NoValue)
 		}
 	}
-	for _, a := range asks {
+	for _, a := range originRequests {
 		if j := c.jobs[a.Token]; j != nil {
-			s.origin.ask(c, a, j)
+			s.origin.fetch(c, a, j)
 		}
 	}
-	if c.model.FellOver() && !c.fell {
-		c.fell = true
-		s.rec.FallOvers = append(s.rec.FallOvers, seen.Event{At: s.now, Text: c.id})
-		s.rec.Events = append(s.rec.Events, seen.Event{At: s.now, Text: c.name + " falls over"})
-		c.die()
+	if c.model.FellOver() && !c.fellOver {
+		c.fellOver = true
+		s.record.FallOvers = append(s.record.FallOvers, seen.Event{At: s.now, Text: c.id})
+		s.record.Events = append(s.record.Events, seen.Event{At: s.now, Text: c.name + " falls over"})
+		c.crash()
 	}
-	c.plan()
+	c.scheduleNext()
 }
 
-func (c *cache) tells(n policy.CacheStatus) policy.CacheStatus {
-	if !*c.sim.x.Service.Hits {
+func (c *cache) reportedStatus(n policy.CacheStatus) policy.CacheStatus {
+	if !*c.sim.exp.Service.Hits {
 		return policy.CacheUnreported
 	}
 	return n
 }
 
-// plan sees to it that the model is looked at when something happens there.
-func (c *cache) plan() {
+// scheduleNext schedules an advance at the model's next event.
+func (c *cache) scheduleNext() {
 	at, ok := c.model.Next()
-	if !ok || c.due > 0 && c.due <= at {
+	if !ok || c.nextAt > 0 && c.nextAt <= at {
 		return
 	}
-	c.due = at
-	c.sim.at(at, func() {
-		if c.due == at {
-			c.due = 0
-			c.look()
+	c.nextAt = at
+	c.sim.schedule(at, func() {
+		if c.nextAt == at {
+			c.nextAt = 0
+			c.advance()
 		}
 	})
 }
 
-// die ends the process: connections are reset.
-func (c *cache) die() {
+// crash ends the process; its connections are reset.
+func (c *cache) crash() {
 	s := c.sim
-	c.dead = true
+	c.stopped = true
 	c.model.Stop(s.now)
 	for _, j := range c.jobs {
-		if j.a.rec.ClosedAt == 0 {
-			j.a.rec.ClosedAt = s.now
+		if j.a.record.ClosedAt == 0 {
+			j.a.record.ClosedAt = s.now
 		}
-		s.hop(func() { j.node.finished(j.a, policy.Reset, 0) })
+		s.deliver(func() { j.node.attemptEnded(j.a, policy.Reset, 0) })
 	}
 	c.jobs = map[uint64]*job{}
 }
 
-func (s *sim) onServer(a fault.Action) {
+func (s *sim) applyToServer(a fault.Action) {
 	c := s.caches[a.Server]
-	v := s.x.Server(a.Server)
+	v := s.exp.Server(a.Server)
 	if a.Kind == fault.StartNew {
 		c = s.addCache(v, a.Value != 0)
-		s.entry(c, v, world.Serving)
+		s.setEntry(c, v, world.Serving)
 		return
 	}
 	if c == nil {
@@ -208,35 +208,35 @@
 	on := a.Value != 0
 	switch a.Kind {
 	case fault.Kill:
-		c.die()
+		c.crash()
 	case fault.Restart:
 		if a.NewName != "" {
-			v = s.x.Server(a.NewName)
+			v = s.exp.Server(a.NewName)
 			delete(s.byID, c.id)
 			c.id = v.ID
 			s.caches[a.NewName], s.byID[c.id] = c, c
 		}
-		c.dead, c.refuse, c.silent, c.hangs, c.away, c.fell = false, false, false, false, false, false
+		c.stopped, c.refusing, c.silent, c.hung, c.answersBusy, c.fellOver = false, false, false, false, false, false
 		c.model.Start(s.now, on)
-		c.noteStart(v, on)
-		s.entry(c, v, world.Serving)
+		c.recordStart(v, on)
+		s.setEntry(c, v, world.Serving)
 	case fault.Silent:
 		c.silent = on
 		if on {
 			for _, j := range c.jobs {
-				j.a.rec.ConnStateUnknown = true
+				j.a.record.ConnStateUnknown = true
 			}
 			return
 		}
-		for _, j := range c.jobs { // it is back: all that stood is reset
-			s.hop(func() { j.node.finished(j.a, policy.Reset, 0) })
+		for _, j := range c.jobs { // when the server is back, its old connections are reset
+			s.deliver(func() { j.node.attemptEnded(j.a, policy.Reset, 0) })
 		}
 	case fault.Hang:
-		c.hangs = on
+		c.hung = on
 	case fault.Refuse:
-		c.refuse = on
+		c.refusing = on
 	case fault.AnswerBusy:
-		c.away = on
+		c.answersBusy = on
 	case fault.Slow:
 		c.model.Slow(s.now, a.Value)
 	case fault.Steal:
@@ -246,129 +246,130 @@
 	case fault.Flush:
 		c.model.Flush(a.Value)
 	case fault.Drain:
-		s.entry(c, v, world.Draining)
+		s.setEntry(c, v, world.Draining)
 	case fault.ListRemove:
 		c.model.Drain(s.now, true)
-		s.entry(c, v, world.Deleted)
+		s.setEntry(c, v, world.Deleted)
 	}
-	if !c.dead {
-		c.look()
+	if !c.stopped {
+		c.advance()
 	}
 }
 
-// entry changes a server's entry in the list.
-func (s *sim) entry(c *cache, v *experiment.Server, phase world.Phase) {
+// setEntry changes a server's entry in the list.
+func (s *sim) setEntry(c *cache, v *experiment.Server, phase world.Phase) {
 	m := v.Member
 	m.ID, m.Phase = c.id, phase
 	if began, cold := c.model.Started(); cold {
 		m.Started = began
 	}
-	s.set(m)
+	s.setMember(m)
 }
 
-// origin is what is behind the caches.
+// origin is the simulated origin behind the caches.
 type origin struct {
-	sim    *sim
-	model  *world.Origin
-	serial uint64
-	due    time.Duration
-	jobs   map[uint64]*job
-	byWho  map[uint64]string
-	asks   map[uint64]func(world.Completion, bool)
+	sim        *sim
+	model      *world.Origin
+	serial     uint64
+	nextAt     time.Duration
+	jobs       map[uint64]*job
+	requestIDs map[uint64]string
+	fetches    map[uint64]func(world.Completion, bool)
 }
 
 func newOrigin(s *sim) *origin {
-	return &origin{sim: s, model: world.NewOrigin(s.x.OriginSpec(), s.x.Seed), jobs: map[uint64]*job{}, byWho: map[uint64]string{},
-		asks: map[uint64]func(world.Completion, bool){}}
+	return &origin{sim: s, model: world.NewOrigin(s.exp.OriginSpec(), s.exp.Seed), jobs: map[uint64]*job{}, requestIDs: map[uint64]string{},
+		fetches: map[uint64]func(world.Completion, bool){}}
 }
 
-// offer brings a job; what becomes of one that is taken is told to end.
+// offer submits a job to the model and returns its token and whether it was accepted.
 func (o *origin) offer(t *seen.Attempt, size int) (uint64, world.Admission) {
 	s := o.sim
 	o.serial++
-	o.byWho[o.serial] = t.Request
+	o.requestIDs[o.serial] = t.Request
 	stops := o.model.StopCount()
-	v, work := o.model.Offer(s.now, world.Job{Token: o.serial, Key: t.Key, Write: t.Write, Size: size, Idem: t.Idem})
+	admission, work := o.model.Offer(s.now, world.Job{Token: o.serial, Key: t.Key, Write: t.Write, Size: size, Idem: t.Idem})
 	t.Work, t.Capacity = work, o.model.Capacity()
 	if o.model.StopCount() > stops {
-		s.rec.OriginStops = append(s.rec.OriginStops, seen.Event{At: s.now, Text: "origin"})
-		s.rec.Events = append(s.rec.Events, seen.Event{At: s.now, Text: "the origin stops: too much was asked"})
+		s.record.OriginStops = append(s.record.OriginStops, seen.Event{At: s.now, Text: "origin"})
+		s.record.Events = append(s.record.Events, seen.Event{At: s.now, Text: "the origin stops: too much was asked"})
 	}
-	if v != world.Accepted {
-		delete(o.byWho, o.serial)
+	if admission != world.Accepted {
+		delete(o.requestIDs, o.serial)
 	}
-	return o.serial, v
+	return o.serial, admission
 }
 
-// arrive is a node's attempt.
+// arrive handles a node's attempt at the origin.
 func (o *origin) arrive(n *node, a *attempt) {
 	s := o.sim
 	if a.done {
 		return
 	}
-	r := a.rec
+	r := a.record
 	r.Origin, r.FirstByteAt, r.LastByteAt = true, s.now, s.now
-	s.rec.Attempts = append(s.rec.Attempts, r)
-	token, v := o.offer(r, 0)
-	switch v {
+	s.record.Attempts = append(s.record.Attempts, r)
+	token, admission := o.offer(r, 0)
+	switch admission {
 	case world.Accepted:
 		o.jobs[token] = &job{n, a}
-		a.stop = func() {
+		a.cancelAtServer = func() {
 			if o.jobs[token] != nil {
 				delete(o.jobs, token)
 				o.model.Cancel(s.now, token)
-				o.plan()
+				o.scheduleNext()
 			}
 		}
 	case world.Busy:
 		r.Answer, r.AnsweredAt = seen.Busy, s.now
-		s.hop(func() { n.finished(a, policy.Full, 0) })
+		s.deliver(func() { n.attemptEnded(a, policy.Full, 0) })
 	default:
 		r.ClosedAt = s.now
-		s.hop(func() { n.finished(a, policy.ConnectFailed, 0) })
+		s.deliver(func() { n.attemptEnded(a, policy.ConnectFailed, 0) })
 	}
-	o.look()
+	o.advance()
 }
 
-// ask is a cache's own request, in through mode.
-func (o *origin) ask(c *cache, a world.OriginRequest, j *job) {
+// fetch handles a cache's own request, in through mode.
+func (o *origin) fetch(c *cache, a world.OriginRequest, j *job) {
 	s := o.sim
-	t := &seen.Attempt{Server: s.x.OriginID(), Origin: true, Request: j.a.rec.Request, Key: a.Key, Write: a.Write, Idem: a.Idem}
+	t := &seen.Attempt{Server: s.exp.OriginID(), Origin: true, Request: j.a.record.Request, Key: a.Key, Write: a.Write, Idem: a.Idem}
 	model := c.model
 	end := func(d world.Completion, ok bool) {
 		if !ok {
 			d = world.Completion{Outcome: world.Failed}
 		}
-		s.hop(func() {
-			if !c.dead && c.model == model {
+		s.deliver(func() {
+			if !c.stopped && c.model == model {
 				c.model.OriginAnswered(s.now, a.Token, d)
-				c.look()
+				c.advance()
 			}
 		})
 	}
-	token, v := o.offer(t, 0)
-	if v == world.Accepted {
-		o.asks[token] = end
+	token, admission := o.offer(t, 0)
+	if admission == world.Accepted {
+		o.fetches[token] = end
 	} else {
 		end(world.Completion{}, false)
 	}
-	o.look()
+	o.advance()
 }
 
-func (o *origin) look() {
+// advance advances the model to now and handles the jobs that it has completed or lost.
+func (o *origin) advance() {
 	s := o.sim
 	for _, d := range o.model.Advance(s.now) {
 		if d.Applied {
-			s.rec.Effects = append(s.rec.Effects, seen.Effect{At: s.now, Request: o.byWho[d.Token], Key: d.Key, Idem: d.Idem, Receipt: d.Receipt})
-			for _, v := range s.x.Servers {
+			s.record.Effects = append(s.record.Effects, seen.Effect{At: s.now, Request: o.requestIDs[d.Token], Key: d.Key, Idem: d.Idem, Receipt: d.Receipt})
+			for _, v := range s.exp.Servers {
 				if c := s.caches[v.Name]; c != nil {
 					c.model.Invalidate(d.Key)
 				}
 			}
 		}
-		delete(o.byWho, d.Token)
-		if end := o.asks[d.Token]; end != nil {
-			delete(o.asks, d.Token)
+		delete(o.requestIDs, d.Token)
+		if end := o.fetches[d.Token]; end != nil {
+			delete(o.fetches, d.Token)
 			end(d, true)
 		}
 		j := o.jobs[d.Token]
@@ -376,57 +377,58 @@
 			continue
 		}
 		delete(o.jobs, d.Token)
-		r := j.a.rec
+		r := j.a.record
 		if r.AnsweredAt = s.now; r.Write {
 			r.Answer, r.Receipt = seen.Receipt, d.Receipt
 		} else {
 			r.Answer, r.Version = seen.Value, d.Version
-			list := j.a.call.missed
+			list := j.a.request.missedAt
 			for _, c := range list[:min(2, len(list))] {
-				c.model.Store(s.now, r.Key, d.Version, int64(s.valueOf(j.a.call.try.t, j.a.call.try.class)))
+				c.model.Store(s.now, r.Key, d.Version, int64(s.valueSize(j.a.request.try.record, j.a.request.try.class)))
 			}
 		}
-		s.hop(func() { j.node.finished(j.a, policy.OK, 0) })
+		s.deliver(func() { j.node.attemptEnded(j.a, policy.OK, 0) })
 	}
 	for _, token := range o.model.TakeLost() {
-		delete(o.byWho, token)
-		if end := o.asks[token]; end != nil {
-			delete(o.asks, token)
+		delete(o.requestIDs, token)
+		if end := o.fetches[token]; end != nil {
+			delete(o.fetches, token)
 			end(world.Completion{}, false)
 		}
 		if j := o.jobs[token]; j != nil {
 			delete(o.jobs, token)
-			j.a.rec.ClosedAt = s.now
-			s.hop(func() { j.node.finished(j.a, policy.Reset, 0) })
+			j.a.record.ClosedAt = s.now
+			s.deliver(func() { j.node.attemptEnded(j.a, policy.Reset, 0) })
 		}
 	}
-	o.plan()
+	o.scheduleNext()
 }
 
-func (o *origin) plan() {
+// scheduleNext schedules an advance at the model's next event.
+func (o *origin) scheduleNext() {
 	at, ok := o.model.Next()
-	if !ok || o.due > 0 && o.due <= at {
+	if !ok || o.nextAt > 0 && o.nextAt <= at {
 		return
 	}
-	o.due = at
-	o.sim.at(at, func() {
-		if o.due == at {
-			o.due = 0
-			o.look()
+	o.nextAt = at
+	o.sim.schedule(at, func() {
+		if o.nextAt == at {
+			o.nextAt = 0
+			o.advance()
 		}
 	})
 }
 
-// detach bans a server at a node by hand, or lifts that.
-func (s *sim) detach(number int, name string, on bool) {
-	n, id := s.nodes[number], s.x.Server(name).ID
+// setBan sets or lifts an operator's ban of a server at one node.
+func (s *sim) setBan(number int, name string, on bool) {
+	n, id := s.nodes[number], s.exp.Server(name).ID
 	if c := s.caches[name]; c != nil {
 		id = c.id
 	}
 	if !n.up {
 		return
 	}
-	s.rec.SetBan(number, id, on, s.now)
+	s.record.SetBan(number, id, on, s.now)
 	n.policy.Ban(n.clock(), id, on)
-	n.settle()
+	n.runDeferred()
 }
