--- a/lab/scale/child.go
+++ b/lab/scale/child.go
@@ -21,50 +21,50 @@
 	"lapisshelf/lab/world"
 )
 
-// The lab's own processes: hollow nodes and the list service. They are told what to do in lines of JSON on their standard
-// input and answer each with one on their standard output; they end with their input.
+// Child processes of the lab: groups of hollow nodes, and the list service. They read commands as lines of JSON from standard
+// input, answer each with a line on standard output, and exit at the end of their input.
 
-// Roles of the lab's own processes, as Child takes them.
+// Roles of child processes, as passed to Child.
 const (
 	NodesRole = "scale-nodes"
 	ListRole  = "scale-list"
 )
 
 const (
-	listPrefix  = "lapisshelf/servers/"
-	answerLimit = 60 * time.Second // of a process of the lab's own
-	forgetEvery = 2 * time.Second  // what the list service has seen
+	listPrefix       = "lapisshelf/servers/"
+	replyTimeout     = 60 * time.Second // of a child process
+	logClearInterval = 2 * time.Second  // between clearings of the list service's log, which would grow without bound
 )
 
-// order is what a process is told.
-type order struct {
+// command is one request to a child process. It travels as JSON under the field names, also to programs of other versions.
+type command struct {
 	Do      string
 	On      bool
-	Servers []int  // by number
+	Servers []int  // by index
 	Server  string // by id
-	Planner string // its id
+	Planner string // by id
 	Addr    string
-	Every   int // one node in so many
+	Every   int // restart one node in this many
 }
 
-// reply is what it answers.
+// reply is a child process's answer to a command.
 type reply struct {
 	Error  string  `json:",omitempty"`
 	Addr   string  `json:",omitempty"`
 	Sample *sample `json:",omitempty"`
-	Stamps []int64 `json:",omitempty"`
+	Stamps []int64 `json:",omitempty"` // per node: when the watched change was in force, Unix ns; 0: not yet
 }
 
-// Child is the whole life of a process of the lab's own.
+// Child runs a child process in a role until its input ends.
 func Child(role string, in io.Reader, out io.Writer) error {
-	d, e := json.NewDecoder(in), json.NewEncoder(out)
+	decoder, encoder := json.NewDecoder(in), json.NewEncoder(out)
 	switch role {
 	case NodesRole:
-		return nodesChild(d, e)
+		return nodesChild(decoder, encoder)
 	case ListRole:
-		return listChild(d, e)
+		return listChild(decoder, encoder)
 	}
-	return fmt.Errorf("%q is no part that a process of the lab plays", role)
+	return fmt.Errorf("unknown role %q of a lab process", role)
 }
 
 func nodesChild(d *json.Decoder, e *json.Encoder) error {
@@ -72,19 +72,19 @@
 	if err := d.Decode(&cfg); err != nil {
 		return err
 	}
-	h, err := newHollow(cfg)
+	h, err := newHollowProcess(cfg)
 	if err != nil {
 		e.Encode(reply{Error: err.Error()})
 		return err
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- h.loop.Run() }()
-	h.loop.Post(h.begin)
+	h.loop.Post(h.start)
 	if err := e.Encode(reply{}); err != nil {
 		return err
 	}
 	for {
-		var o order
+		var o command
 		if err := d.Decode(&o); err != nil {
 			h.loop.Post(h.loop.Stop)
 			<-ended
@@ -94,52 +94,52 @@
 			return err
 		}
 		done := make(chan reply, 1)
-		h.loop.Post(func() { done <- h.obey(o) })
+		h.loop.Post(func() { done <- h.execute(o) })
 		if err := e.Encode(<-done); err != nil {
 			return err
 		}
 	}
 }
 
-// obey does what a process of hollow nodes is told.
-func (h *hollow) obey(o order) (r reply) {
+// execute carries out a command in a process of hollow nodes.
+func (h *hollowProcess) execute(o command) (r reply) {
 	switch o.Do {
 	case "load":
-		h.load(o.On)
+		h.setLoad(o.On)
 	case "forward":
 		for _, n := range h.nodes {
-			n.forward()
+			n.startForwarder()
 		}
 	case "sample", "settled":
 		r.Sample = h.sample(o.Do == "settled")
 	case "late", "down":
 		for _, i := range o.Servers {
 			if o.Do == "late" {
-				h.tables.late[i] = o.On
+				h.tables.slow[i] = o.On
 			} else {
 				h.tables.down[i] = o.On
 			}
 		}
 	case "watch":
-		h.watched = o.Server
+		h.watchedServer = o.Server
 		for _, n := range h.nodes {
-			n.stamp = 0
+			n.inForceAt = 0
 		}
 	case "stamps":
 		for _, n := range h.nodes {
-			r.Stamps = append(r.Stamps, n.stamp)
+			r.Stamps = append(r.Stamps, n.inForceAt)
 		}
 	case "cut":
 		if !o.On {
-			h.cut.Delete(o.Planner)
+			h.cutPlanners.Delete(o.Planner)
 			break
 		}
-		h.cut.Store(o.Planner, true)
+		h.cutPlanners.Store(o.Planner, true)
 		addr, err := netip.ParseAddrPort(o.Addr)
 		if err != nil {
 			return reply{Error: err.Error()}
 		}
-		hangUp(addr)
+		closeConnections(addr)
 	case "restart":
 		for i, n := range h.nodes {
 			if o.Every > 0 && (h.cfg.First+i)%o.Every == 0 {
@@ -147,20 +147,21 @@
 			}
 		}
 	default:
-		r.Error = "unknown order " + o.Do
+		r.Error = "unknown command " + o.Do
 	}
 	return r
 }
 
-// listConfig is what the list service is told.
+// listConfig is the configuration of the list service, as JSON under the field names.
 type listConfig struct {
 	Servers int
 	Delay   time.Duration
 	Kind    string
 }
 
+// member returns the list entry of a server.
 func member(i int) world.Member {
-	// Nobody dials them; an address of its own each must have.
+	// Nothing dials the address, but addresses in a list must be distinct.
 	return world.Member{ID: serverID(i), Addr: fmt.Sprintf("127.%d.%d.1:11211", 1+i/250, 1+i%250), Zone: fmt.Sprintf("zone-%02d", 1+i%59), Kind: "cache", Weight: 1}
 }
 
@@ -170,7 +171,7 @@
 		return err
 	}
 	common := standin.NewCommon(seen.NewLog(), 1, nil)
-	// One address for all: who asks makes no difference here.
+	// One address serves all nodes: the list service need not know which node calls.
 	var members []world.Member
 	for i := range cfg.Servers {
 		members = append(members, member(i))
@@ -196,10 +197,10 @@
 		defer l.Close()
 		addr, set = l.Addr(0), l.Set
 	}
-	forget := time.NewTicker(forgetEvery)
+	forget := time.NewTicker(logClearInterval)
 	defer forget.Stop()
 	go func() {
-		for range forget.C { // until the process ends
+		for range forget.C { // until the process exits
 			common.Log.Update(func(r *seen.Record) { r.ListCalls, r.ListUpdates, r.Events = nil, nil, nil })
 		}
 	}()
@@ -207,7 +208,7 @@
 		return err
 	}
 	for {
-		var o order
+		var o command
 		if err := d.Decode(&o); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = nil
@@ -231,7 +232,7 @@
 				set(m)
 			}
 		default:
-			r.Error = "unknown order " + o.Do
+			r.Error = "unknown command " + o.Do
 		}
 		if err := e.Encode(r); err != nil {
 			return err
@@ -239,63 +240,64 @@
 	}
 }
 
-// child is a process of the lab's own, as the run holds it.
+// child is a running child process.
 type child struct {
 	cmd  *exec.Cmd
 	in   io.WriteCloser
 	e    *json.Encoder
 	d    *json.Decoder
 	done chan struct{}
-	mu   sync.Mutex // one order at a time
+	mu   sync.Mutex // held during a call: one command at a time
 }
 
-// startChild starts one with its configuration and waits until it answers.
-func startChild(self []string, role string, cfg any, log string) (*child, reply, error) {
-	out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// startChild starts a child process, sends its configuration and waits for the first reply.
+func startChild(program []string, role string, cfg any, logPath string) (*child, reply, error) {
+	out, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, reply{}, err
 	}
 	defer out.Close()
-	c := &child{cmd: exec.Command(self[0], append(self[1:len(self):len(self)], role)...), done: make(chan struct{})}
+	c := &child{cmd: exec.Command(program[0], append(program[1:len(program):len(program)], role)...), done: make(chan struct{})}
 	c.cmd.Stderr = out
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if c.in, err = c.cmd.StdinPipe(); err != nil {
 		return nil, reply{}, err
 	}
-	from, err := c.cmd.StdoutPipe()
+	stdout, err := c.cmd.StdoutPipe()
 	if err != nil {
 		return nil, reply{}, err
 	}
 	if err := c.cmd.Start(); err != nil {
 		return nil, reply{}, err
 	}
-	c.e, c.d = json.NewEncoder(c.in), json.NewDecoder(bufio.NewReader(from))
-	r, err := c.ask(cfg)
+	c.e, c.d = json.NewEncoder(c.in), json.NewDecoder(bufio.NewReader(stdout))
+	r, err := c.call(cfg)
 	if err != nil {
-		c.end()
-		return nil, r, fmt.Errorf("%s: %w: %s", role, err, lastLine(log))
+		c.stop()
+		return nil, r, fmt.Errorf("%s: %w: %s", role, err, lastLine(logPath))
 	}
 	return c, r, nil
 }
 
+// lastLine returns the last line of a log file.
 func lastLine(path string) string {
 	text, _ := os.ReadFile(path)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	return lines[len(lines)-1]
 }
 
-// ask tells a process something and waits for its answer.
-func (c *child) ask(what any) (r reply, err error) {
+// call sends a configuration or command and waits for the reply.
+func (c *child) call(request any) (r reply, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// One that answers nothing is ended, so that reading from it ends.
-	limit := time.AfterFunc(answerLimit, func() { c.cmd.Process.Kill() })
-	defer limit.Stop()
-	if err := c.e.Encode(what); err != nil {
+	// A process that does not reply in time is killed, which ends the read below.
+	timer := time.AfterFunc(replyTimeout, func() { c.cmd.Process.Kill() })
+	defer timer.Stop()
+	if err := c.e.Encode(request); err != nil {
 		return r, err
 	}
 	if err := c.d.Decode(&r); err != nil {
-		return r, fmt.Errorf("it ended, or said nothing for %v: %w", answerLimit, err)
+		return r, fmt.Errorf("process ended or did not reply within %v: %w", replyTimeout, err)
 	}
 	if r.Error != "" {
 		return r, errors.New(r.Error)
@@ -303,33 +305,33 @@
 	return r, nil
 }
 
-// end ends a process.
-func (c *child) end() {
+// stop closes the process's input and waits for it to exit; it is killed after 5 s.
+func (c *child) stop() {
 	if c == nil {
 		return
 	}
 	c.in.Close()
-	limit := time.AfterFunc(5*time.Second, func() { c.cmd.Process.Kill() })
-	defer limit.Stop()
+	timer := time.AfterFunc(5*time.Second, func() { c.cmd.Process.Kill() })
+	defer timer.Stop()
 	c.cmd.Wait()
 }
 
-// planner is a planner's process.
+// planner is a planner and its current process.
 type planner struct {
-	id, addr, control, file, log, program string
-	cmd                                   *exec.Cmd
-	done                                  chan struct{}
-	spent                                 time.Duration // CPU of its processes that have ended
-	lives                                 int           // processes that it has had
+	id, addr, control, configPath, logPath, program string
+	cmd                                             *exec.Cmd
+	done                                            chan struct{}
+	endedCPU                                        time.Duration // CPU time of its processes that have ended
+	starts                                          int           // processes started so far
 }
 
 func (p *planner) start() error {
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer out.Close()
-	cmd := exec.Command(p.program, "plan", "--config", p.file)
+	cmd := exec.Command(p.program, "plan", "--config", p.configPath)
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
@@ -341,21 +343,21 @@
 		close(done)
 	}()
 	p.cmd, p.done = cmd, done
-	p.lives++
+	p.starts++
 	return nil
 }
 
-// kill ends the process at once.
+// kill ends the process with SIGKILL.
 func (p *planner) kill() {
 	if p.cmd != nil {
 		p.cmd.Process.Kill()
 		<-p.done
-		p.spent += p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
+		p.endedCPU += p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
 		p.cmd = nil
 	}
 }
 
-// processCPU is the processor time that a process has used, in steps of the system's hundredths.
+// processCPU returns the CPU time that a process has used, from /proc, where it counts in 10 ms ticks.
 func processCPU(pid int) time.Duration {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	if err != nil {
@@ -371,7 +373,7 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// residentBytes is the memory that a process holds.
+// residentBytes returns the resident memory of a process.
 func residentBytes(pid int) int64 {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "statm"))
 	if err != nil {
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -26,21 +26,21 @@
 )
 
 const (
-	drawEvery = 200 * time.Millisecond
-	mostDraw  = 2 * time.Second // that a late draw makes up for
-	mostList  = 8 << 20
+	drawInterval = 200 * time.Millisecond
+	maxDrawSpan  = 2 * time.Second // load that a late draw catches up on at most
+	maxListBytes = 8 << 20
 )
 
-// hollowConfig is what a process of hollow nodes is told.
+// hollowConfig is the configuration of a process of hollow nodes, as JSON under the field names.
 type hollowConfig struct {
-	First, Count int // its nodes, of all
-	Nodes        int
-	Rate         float64
+	First, Count int     // index of its first node among all, and number of its nodes
+	Nodes        int     // of the whole fleet
+	Rate         float64 // requests per second at each node
 	Talk         string
-	Keys         string // directory of certificates
+	Keys         string // directory of certificates and keys
 	Planners     []string
-	Every, Fade  time.Duration
-	List, Kind   string
+	Every, Fade  time.Duration // see File.Nodes
+	List, Kind   string        // address and kind of the list service
 	Load         loadConfig
 }
 
@@ -61,85 +61,85 @@
 	BoundNodes int                `json:"Bound"`
 }
 
-// sample is a process's counters since its start.
+// sample holds the counters of a process of hollow nodes since its start. It travels as JSON; tags keep the field names there.
 type sample struct {
 	BytesIn, BytesOut, Digests, Views, Errors int64
 	Requests, Attempts                        int64
 	ListBytes, ListCalls                      int64
-	Listed                                    int // nodes that know all servers
+	Listed                                    int // nodes whose list holds all servers
 	CPU                                       time.Duration
-	Heap, RSS                                 int64         // what the nodes use themselves, in a settled sample alone; all that the process holds
-	Late                                      time.Duration // of the loop's timers, at most since the last sample
-	Seconds                                   []Second      // since the last sample
-	Low                                       map[string]int
-	Led                                       int
+	Heap, RSS                                 int64          // live memory of the nodes alone, only after a collection; resident memory of the process
+	MaxTimerDelay                             time.Duration  `json:"Late"` // of the event loop, since the last sample
+	Seconds                                   []Second       // since the last sample
+	LowFactors                                map[string]int `json:"Low"` // nodes with a factor below 1 in force, by server
+	Following                                 int            `json:"Led"` // nodes that follow a valid view
 }
 
-// hollow is a process of hollow nodes. All of it belongs to the loop but for cut.
-type hollow struct {
-	cfg     hollowConfig
-	loop    *loop.Loop
-	tables  *tables
-	nodes   []*hollowNode
-	loads   bool
-	seconds []Second
-	empty   int64  // memory before the nodes' parts were made: what they share
-	watched string // server whose factor or state is waited for
-	cut     sync.Map
+// hollowProcess is the state of a process of hollow nodes. The event loop owns all of it but cutPlanners.
+type hollowProcess struct {
+	cfg           hollowConfig
+	loop          *loop.Loop
+	tables        *tables
+	nodes         []*hollowNode
+	loadOn        bool
+	seconds       []Second
+	baseMemory    int64    // live memory before the nodes start: what they share
+	watchedServer string   // id of the server whose next change of factor or state each node records in inForceAt
+	cutPlanners   sync.Map // ids of planners to which connections are refused
 }
 
-// hollowNode is one node without sockets that serve.
+// hollowNode is one node without sockets towards clients and servers.
 type hollowNode struct {
-	h         *hollow
-	name      string
-	tls       *tls.Config
-	rng       *rand.Rand
-	drawnAt   time.Duration
-	balancer  *policy.Balancer
-	registry  *registry.Client
-	entries   map[string]roster.Entry
-	forwarder *forwarder.Forwarder
-	away      int // servers that are not ready or have a factor below 1
-	ready     []bool
-	factor    []float32
-	low       []int32
-	granted   map[string]float64 // sends a second, by server
-	lived     counters           // of forwarders and followers that it had before
-	last      counters           // at the last second
-	requests  int64
-	attempts  int64
-	stamp     int64 // when the watched change was in force, Unix ns; 0: not yet
+	process       *hollowProcess
+	name          string
+	tls           *tls.Config
+	rng           *rand.Rand
+	drawnAt       time.Duration
+	balancer      *policy.Balancer
+	registry      *registry.Client
+	entries       map[string]roster.Entry
+	forwarder     *forwarder.Forwarder
+	unavailable   int // number of servers that are not ready or have a factor below 1
+	ready         []bool
+	factor        []float32
+	lowFactors    []int32
+	granted       map[string]float64 // requests per second, by cold server
+	endedCounters counters           // of its forwarders and list clients before the last restart
+	lastCounters  counters           // at the last recorded second
+	requests      int64
+	attempts      int64
+	inForceAt     int64 // when the watched change was in force, Unix ns; 0: not yet
 }
 
 type counters struct{ in, out, digests, views, errors, listBytes, listCalls int64 }
 
-func newHollow(cfg hollowConfig) (*hollow, error) {
+func newHollowProcess(cfg hollowConfig) (*hollowProcess, error) {
 	l, err := loop.New()
 	if err != nil {
 		return nil, err
 	}
-	h := &hollow{cfg: cfg, loop: l, tables: newTables(cfg.Load)}
+	h := &hollowProcess{cfg: cfg, loop: l, tables: newTables(cfg.Load)}
 	for i := range cfg.Count {
 		name := nodeName(cfg.First + i)
 		pair, err := keys.Load(filepath.Join(cfg.Keys, "ca.pem"), filepath.Join(cfg.Keys, name+".pem"), filepath.Join(cfg.Keys, name+".key"))
 		if err != nil {
 			return nil, err
 		}
-		n := &hollowNode{h: h, name: name, tls: pair.Client(keys.Planner), rng: stream(cfg.Load.Seed, name)}
+		n := &hollowNode{process: h, name: name, tls: pair.Client(keys.Planner), rng: randomStream(cfg.Load.Seed, name)}
 		n.tls.VerifyConnection = func(s tls.ConnectionState) error {
-			if _, is := h.cut.Load(s.PeerCertificates[0].Subject.CommonName); is {
-				return errors.New("cut off")
+			if _, found := h.cutPlanners.Load(s.PeerCertificates[0].Subject.CommonName); found {
+				return errors.New("planner is cut off by a fault")
 			}
 			return nil
 		}
 		h.nodes = append(h.nodes, n)
 	}
-	h.empty = usedMemory()
+	h.baseMemory = liveMemory()
 	return h, nil
 }
 
-// usedMemory is the process's heap and stacks without what nobody uses any more.
-func usedMemory() int64 {
+// liveMemory returns the size of the heap and stacks after garbage collection.
+func liveMemory() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -149,14 +149,15 @@
 
 func nodeName(i int) string { return fmt.Sprintf("node-%04d", i+1) }
 
-// begin makes the nodes' lists and decision modules.
-func (h *hollow) begin() {
+// start starts the list clients and decision modules of all nodes.
+func (h *hollowProcess) start() {
 	for _, n := range h.nodes {
-		n.begin()
+		n.start()
 	}
-	h.second()
+	h.recordSecond()
 }
 
+// noActions ignores what a decision module asks for.
 type noActions struct{}
 
 func (noActions) Send(string, string, time.Duration, time.Duration) {}
@@ -170,26 +171,27 @@
 
 const originKind = "origin"
 
-func (n *hollowNode) begin() {
-	h, now := n.h, n.h.loop.Now()
-	n.entries, n.ready, n.factor, n.low = map[string]roster.Entry{}, make([]bool, len(h.tables.ids)), make([]float32, len(h.tables.ids)), nil
+// start creates the node's decision module and starts its list client.
+func (n *hollowNode) start() {
+	h, now := n.process, n.process.loop.Now()
+	n.entries, n.ready, n.factor, n.lowFactors = map[string]roster.Entry{}, make([]bool, len(h.tables.ids)), make([]float32, len(h.tables.ids)), nil
 	for i := range n.factor {
 		n.factor[i] = 1
 	}
-	n.away, n.granted = len(n.ready), nil
+	n.unavailable, n.granted = len(n.ready), nil
 	n.balancer = policy.New(now, policy.Settings{Classes: []policy.Class{{Name: "read", Aim: 600 * time.Millisecond, Worth: 1}}, Mode: policy.Aside, OriginKind: originKind,
 		Balancers: h.cfg.Nodes, Weighted: true, MaxAttempts: 4, ColdFrom: coldFrom, WarmUp: warmUp, FallMultiple: fallMultiple, FallWindow: fallWindow},
 		n.rng.Uint64(), noActions{})
-	c := registry.Config{Kind: registry.Kind(h.cfg.Kind), Endpoints: []netip.AddrPort{netip.MustParseAddrPort(h.cfg.List)}, Prefix: listPrefix, MostBody: mostList,
-		// As internal/node has them for a fleet of this size.
+	c := registry.Config{Kind: registry.Kind(h.cfg.Kind), Endpoints: []netip.AddrPort{netip.MustParseAddrPort(h.cfg.List)}, Prefix: listPrefix, MostBody: maxListBytes,
+		// The same as in internal/node for a fleet of this size.
 		Roster: roster.Config{Nodes: h.cfg.Nodes, CallTimeout: 1500 * time.Millisecond, ImmediateFirstWatch: true, PushedRetryDelay: 100 * time.Millisecond,
 			WatchTimeout: min(time.Minute, max(5*time.Second, time.Second*time.Duration(h.cfg.Nodes)))}}
-	n.registry = registry.New(h.loop, c, n.rng.Uint64(), n.told, func(string, string) {})
+	n.registry = registry.New(h.loop, c, n.rng.Uint64(), n.updateList, func(string, string) {})
 	n.registry.Start(0, nil)
 }
 
-// told takes list news.
-func (n *hollowNode) told(u roster.Update) {
+// updateList applies an update of the server list.
+func (n *hollowNode) updateList(u roster.Update) {
 	kind := policy.ListChanges
 	if u.Complete {
 		kind = policy.ListComplete
@@ -204,28 +206,28 @@
 		} else {
 			n.entries[e.ID] = e
 		}
-		if x, is := n.h.tables.index[e.ID]; is {
+		if x, found := n.process.tables.index[e.ID]; found {
 			n.ready[x] = e.State == policy.Ready
 		}
-		if e.ID == n.h.watched && e.State != policy.Ready && n.stamp == 0 {
-			n.stamp = time.Now().UnixNano()
+		if e.ID == n.process.watchedServer && e.State != policy.Ready && n.inForceAt == 0 {
+			n.inForceAt = time.Now().UnixNano()
 		}
 	}
-	n.balancer.Members(n.h.loop.Now(), kind, servers)
-	n.count()
+	n.balancer.Members(n.process.loop.Now(), kind, servers)
+	n.countUnavailable()
 }
 
-// count counts the servers that do not take their full part.
-func (n *hollowNode) count() {
-	n.away = 0
+// countUnavailable counts the servers that do not take their full share of the load.
+func (n *hollowNode) countUnavailable() {
+	n.unavailable = 0
 	for i := range n.ready {
 		if !n.ready[i] || n.factor[i] < 1 {
-			n.away++
+			n.unavailable++
 		}
 	}
 }
 
-// readyCaches are the caches that serve by the list, as internal/node gives them.
+// readyCaches returns the caches that are ready by the list, as internal/node does.
 func (n *hollowNode) readyCaches() (list []follow.Server) {
 	for _, id := range slices.Sorted(maps.Keys(n.entries)) {
 		if e := n.entries[id]; e.State == policy.Ready && e.Kind != originKind {
@@ -235,23 +237,23 @@
 	return list
 }
 
-// forward begins to talk to planners.
-func (n *hollowNode) forward() {
-	c := forwarder.Config{Name: n.name, TLS: n.tls, Every: n.h.cfg.Every, Fade: n.h.cfg.Fade}
-	speak(&c, n.h.cfg.Talk)
-	for _, a := range n.h.cfg.Planners {
+// startForwarder starts the forwarder, which connects to the planners.
+func (n *hollowNode) startForwarder() {
+	c := forwarder.Config{Name: n.name, TLS: n.tls, Every: n.process.cfg.Every, Fade: n.process.cfg.Fade}
+	setTalk(&c, n.process.cfg.Talk)
+	for _, a := range n.process.cfg.Planners {
 		c.Planners = append(c.Planners, netip.MustParseAddrPort(a))
 	}
-	n.forwarder = forwarder.New(n.h.loop, c, n.readyCaches, n.view, func(string, string) {})
+	n.forwarder = forwarder.New(n.process.loop, c, n.readyCaches, n.applyView, func(string, string) {})
 }
 
-// view puts a view in force.
-func (n *hollowNode) view(v policy.View) {
-	n.balancer.View(n.h.loop.Now(), v)
-	for _, i := range n.low {
+// applyView puts a view in force.
+func (n *hollowNode) applyView(v policy.View) {
+	n.balancer.View(n.process.loop.Now(), v)
+	for _, i := range n.lowFactors {
 		n.factor[i] = 1
 	}
-	n.low, n.granted = n.low[:0], nil
+	n.lowFactors, n.granted = n.lowFactors[:0], nil
 	for _, s := range v.Servers {
 		if s.Allow > 0 {
 			if n.granted == nil {
@@ -262,37 +264,38 @@
 		if s.Factor >= 1 {
 			continue
 		}
-		if i, is := n.h.tables.index[s.ID]; is {
-			n.factor[i], n.low = float32(s.Factor), append(n.low, i)
+		if i, found := n.process.tables.index[s.ID]; found {
+			n.factor[i], n.lowFactors = float32(s.Factor), append(n.lowFactors, i)
 		}
-		if s.ID == n.h.watched && n.stamp == 0 {
-			n.stamp = time.Now().UnixNano()
+		if s.ID == n.process.watchedServer && n.inForceAt == 0 {
+			n.inForceAt = time.Now().UnixNano()
 		}
 	}
-	n.count()
+	n.countUnavailable()
 }
 
-// end stops all that the node does, as the end of its process would.
-func (n *hollowNode) end() {
-	n.lived = n.counters()
+// stop closes all connections of the node, as the end of its process would.
+func (n *hollowNode) stop() {
+	n.endedCounters = n.counters()
 	n.forwarder.Close()
 	n.forwarder = nil
 	n.registry.Close()
 	n.registry = nil
 }
 
-// restart makes it a new process.
+// restart replaces the node's state by that of a new process.
 func (n *hollowNode) restart() {
 	forwards := n.forwarder != nil
-	n.end()
-	n.begin()
+	n.stop()
+	n.start()
 	if forwards {
-		n.forward()
+		n.startForwarder()
 	}
 }
 
+// counters returns the node's totals over all its restarts.
 func (n *hollowNode) counters() counters {
-	c := n.lived
+	c := n.endedCounters
 	if f := n.forwarder; f != nil {
 		c.in, c.out, c.digests, c.views, c.errors = c.in+f.BytesIn, c.out+f.BytesOut, c.digests+f.Digests, c.views+f.Views, c.errors+f.Errors
 	}
@@ -302,43 +305,43 @@
 	return c
 }
 
-// load draws what comes to all nodes, each at moments of its own.
-func (h *hollow) load(on bool) {
-	if h.loads = on; !on {
+// setLoad starts or stops the load of all nodes. Nodes draw at random offsets, so that their work is spread over time.
+func (h *hollowProcess) setLoad(on bool) {
+	if h.loadOn = on; !on {
 		return
 	}
 	for _, n := range h.nodes {
-		h.loop.After(time.Duration(n.rng.Int64N(int64(drawEvery))), func() {
+		h.loop.After(time.Duration(n.rng.Int64N(int64(drawInterval))), func() {
 			n.drawnAt = h.loop.Now()
 			n.draw()
 		})
 	}
 }
 
-// draw takes the requests since the last time and ends their attempts.
+// draw draws the requests since the last call, with their attempts and outcomes, and counts them in the forwarder.
 func (n *hollowNode) draw() {
-	h, t := n.h, n.h.tables
-	if !h.loads {
+	h, t := n.process, n.process.tables
+	if !h.loadOn {
 		return
 	}
 	now := h.loop.Now()
-	count := poisson(n.rng, h.cfg.Rate*min(mostDraw, now-n.drawnAt).Seconds())
+	count := poisson(n.rng, h.cfg.Rate*min(maxDrawSpan, now-n.drawnAt).Seconds())
 	n.drawnAt = now
 	f := n.forwarder
 	for range count {
 		r := n.rng.Uint64()
-		d := t.draws[r%drawn]
+		keyDraw := t.draws[r%drawCount]
 		tenant := ""
 		if len(t.tenants) > 0 {
 			tenant = t.tenants[r>>32%uint64(len(t.tenants))]
 		}
-		f.Request(t.keys[d.key], tenant)
-		for try := range 3 {
-			s := d.server
-			if try > 0 {
+		f.Request(t.keys[keyDraw.key], tenant)
+		for attempt := range 3 {
+			s := keyDraw.server
+			if attempt > 0 {
 				s = int32(n.rng.IntN(len(t.ids)))
 			}
-			for k := 0; n.away > 0 && k < 8 && (!n.ready[s] || n.factor[s] < 1 && n.rng.Float32() >= n.factor[s]); k++ {
+			for k := 0; n.unavailable > 0 && k < 8 && (!n.ready[s] || n.factor[s] < 1 && n.rng.Float32() >= n.factor[s]); k++ {
 				s = int32(n.rng.IntN(len(t.ids)))
 			}
 			n.attempts++
@@ -348,46 +351,46 @@
 				f.Attempt(t.ids[s], false, policy.ConnectFailed, time.Millisecond, false, false)
 				r = n.rng.Uint64()
 				continue
-			case t.late[s]:
+			case t.slow[s]:
 				f.Attempt(t.ids[s], false, policy.OK, 900*time.Millisecond, false, false)
-			case dice < t.bad && dice&3 == 0:
+			case dice < t.badLimit && dice&3 == 0:
 				f.Attempt(t.ids[s], false, policy.Full, time.Millisecond, false, false)
 				r = n.rng.Uint64()
 				continue
-			case dice < t.bad && dice&3 == 1:
+			case dice < t.badLimit && dice&3 == 1:
 				f.Attempt(t.ids[s], false, policy.Reset, time.Millisecond, false, false)
 				r = n.rng.Uint64()
 				continue
-			case dice < t.bad:
+			case dice < t.badLimit:
 				f.Attempt(t.ids[s], false, policy.OK, 900*time.Millisecond, false, false)
-			case dice-t.bad < t.miss:
-				f.Attempt(t.ids[s], false, policy.Miss, t.took[r&255], true, false)
+			case dice-t.badLimit < t.missLimit:
+				f.Attempt(t.ids[s], false, policy.Miss, t.latencies[r&255], true, false)
 				n.attempts++
 				f.Attempt("", true, policy.OK, 20*time.Millisecond, true, false)
 			default:
-				f.Attempt(t.ids[s], false, policy.OK, t.took[r&255], true, false)
+				f.Attempt(t.ids[s], false, policy.OK, t.latencies[r&255], true, false)
 			}
 			break
 		}
 	}
 	n.requests += int64(count)
-	h.loop.After(drawEvery, n.draw)
+	h.loop.After(drawInterval, n.draw)
 }
 
-// second notes what was seen in each second of the wall clock.
-func (h *hollow) second() {
+// recordSecond records the totals of the last wall-clock second.
+func (h *hollowProcess) recordSecond() {
 	wall := time.Now()
 	s := Second{At: wall.Unix() - 1, Nodes: len(h.nodes)}
 	for _, n := range h.nodes {
-		if n.led() { // which brings the bytes up to date
+		if n.followsValidView() { // reading the forwarder's status also updates its byte counters
 			s.Following++
 		}
 		c := n.counters()
-		in, out := c.in-n.last.in, c.out-n.last.out
-		s.In, s.Out, s.Digests, s.Views = s.In+in, s.Out+out, s.Digests+c.digests-n.last.digests, s.Views+c.views-n.last.views
+		in, out := c.in-n.lastCounters.in, c.out-n.lastCounters.out
+		s.In, s.Out, s.Digests, s.Views = s.In+in, s.Out+out, s.Digests+c.digests-n.lastCounters.digests, s.Views+c.views-n.lastCounters.views
 		s.MostIn, s.MostOut, s.MostBoth = max(s.MostIn, in), max(s.MostOut, out), max(s.MostBoth, in+out)
-		n.last = c
-		s.LowFactors += len(n.low)
+		n.lastCounters = c
+		s.LowFactors += len(n.lowFactors)
 		if len(n.granted) > 0 {
 			s.BoundNodes++
 		}
@@ -401,11 +404,11 @@
 	if h.seconds = append(h.seconds, s); len(h.seconds) > 600 {
 		h.seconds = h.seconds[1:]
 	}
-	h.loop.After(wall.Truncate(time.Second).Add(time.Second).Sub(wall), h.second)
+	h.loop.After(wall.Truncate(time.Second).Add(time.Second).Sub(wall), h.recordSecond)
 }
 
-// led reports whether the node follows a view that is valid.
-func (n *hollowNode) led() bool {
+// followsValidView reports whether the node follows a view that is valid.
+func (n *hollowNode) followsValidView() bool {
 	if n.forwarder == nil {
 		return false
 	}
@@ -413,13 +416,13 @@
 	return strings.HasPrefix(line, "view of ") && strings.HasSuffix(line, "trusted 1.00")
 }
 
-// sample reads all counters. Settled: what nobody uses any more is not counted as memory.
-func (h *hollow) sample(settled bool) *sample {
-	s := &sample{Late: h.loop.MaxTimerDelay, Seconds: h.seconds, Low: map[string]int{}}
+// sample reads all counters. If settled is set, it measures the live memory too, which collects garbage first.
+func (h *hollowProcess) sample(settled bool) *sample {
+	s := &sample{MaxTimerDelay: h.loop.MaxTimerDelay, Seconds: h.seconds, LowFactors: map[string]int{}}
 	h.seconds, h.loop.MaxTimerDelay = nil, 0
 	for _, n := range h.nodes {
-		if n.led() {
-			s.Led++
+		if n.followsValidView() {
+			s.Following++
 		}
 		c := n.counters()
 		s.BytesIn, s.BytesOut, s.Digests, s.Views, s.Errors = s.BytesIn+c.in, s.BytesOut+c.out, s.Digests+c.digests, s.Views+c.views, s.Errors+c.errors
@@ -428,12 +431,12 @@
 		if len(n.entries) == len(h.tables.ids) {
 			s.Listed++
 		}
-		for _, i := range n.low {
-			s.Low[h.tables.ids[i]]++
+		for _, i := range n.lowFactors {
+			s.LowFactors[h.tables.ids[i]]++
 		}
 	}
 	if settled {
-		s.Heap = usedMemory() - h.empty
+		s.Heap = liveMemory() - h.baseMemory
 	}
 	s.RSS = residentBytes(unix.Getpid())
 	var u unix.Rusage
@@ -443,8 +446,8 @@
 	return s
 }
 
-// hangUp ends all connections of this process to an address.
-func hangUp(addr netip.AddrPort) {
+// closeConnections shuts down all connections of this process to an address.
+func closeConnections(addr netip.AddrPort) {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil {
 		return
@@ -454,7 +457,7 @@
 		if err != nil {
 			continue
 		}
-		if to, is := peer.(*unix.SockaddrInet4); is && netip.AddrPortFrom(netip.AddrFrom4(to.Addr), uint16(to.Port)) == addr {
+		if to, ok := peer.(*unix.SockaddrInet4); ok && netip.AddrPortFrom(netip.AddrFrom4(to.Addr), uint16(to.Port)) == addr {
 			unix.Shutdown(fd, unix.SHUT_RDWR)
 		}
 	}
--- a/lab/scale/load.go
+++ b/lab/scale/load.go
@@ -10,12 +10,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Load is drawn from tables that are made once: a draw costs some tens of nanoseconds, so that the load of a whole fleet
-// leaves room for what is measured.
+// The load is drawn from precomputed tables. A draw takes some tens of nanoseconds, so that the load of a whole fleet leaves
+// enough CPU time for what is measured.
 
-const drawn = 1 << 18 // prepared draws of a key and its server
+const drawCount = 1 << 18 // precomputed draws of a key and its server
 
-// loadConfig is what the tables are made from.
+// loadConfig is the configuration of the load, as JSON under the field names; File.Load describes the fields.
 type loadConfig struct {
 	Seed         uint64
 	Servers      int
@@ -25,34 +25,36 @@
 	Tenants      int
 }
 
-// tables are shared by all nodes of a process.
+// tables are the precomputed tables of the load, shared by all nodes of a process.
 type tables struct {
-	cfg     loadConfig
-	keys    []string
-	tenants []string
-	ids     []string // of the servers
-	index   map[string]int32
-	draws   []hit
-	took    [256]time.Duration // of timely answers
-	bad     uint32             // below it, of 32 bits, an answer is bad
-	miss    uint32
-	// What is wrong with servers now.
-	late, down []bool
+	cfg       loadConfig
+	keys      []string
+	tenants   []string
+	ids       []string // of the servers
+	index     map[string]int32
+	draws     []keyDraw
+	latencies [256]time.Duration // of answers in time
+	badLimit  uint32             // an answer whose 32 random bits are below this is bad
+	missLimit uint32             // of the others, one whose bits less badLimit are below this is a miss
+	// Faults of the servers in force.
+	slow, down []bool
 }
 
-type hit struct{ key, server int32 }
+// keyDraw is the index of a key and of the server that is asked for it.
+type keyDraw struct{ key, server int32 }
 
-// serverID names a server.
+// serverID returns the id of the server with index i.
 func serverID(i int) string { return fmt.Sprintf("cache-%04d.example", i+1) }
 
-func stream(seed uint64, name string) *rand.Rand {
+// randomStream returns a random generator for a name, so that each has its own sequence under one seed.
+func randomStream(seed uint64, name string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(name)))
 }
 
-// newTables draws them from the seed.
+// newTables precomputes the tables from the seed.
 func newTables(c loadConfig) *tables {
-	t := &tables{cfg: c, index: map[string]int32{}, draws: make([]hit, drawn), late: make([]bool, c.Servers), down: make([]bool, c.Servers),
-		bad: uint32(c.Bad * math.MaxUint32), miss: uint32(c.Misses * math.MaxUint32)}
+	t := &tables{cfg: c, index: map[string]int32{}, draws: make([]keyDraw, drawCount), slow: make([]bool, c.Servers), down: make([]bool, c.Servers),
+		badLimit: uint32(c.Bad * math.MaxUint32), missLimit: uint32(c.Misses * math.MaxUint32)}
 	for i := range c.Servers {
 		t.ids = append(t.ids, serverID(i))
 		t.index[t.ids[i]] = int32(i)
@@ -66,28 +68,28 @@
 		sum += math.Pow(float64(i+1)+c.Offset, -c.Zipf)
 		sums[i] = sum
 	}
-	rng := stream(c.Seed, "draws")
+	rng := randomStream(c.Seed, "draws")
 	for i := range t.draws {
 		k := sort.SearchFloat64s(sums, rng.Float64()*sum)
 		k = min(k, c.Keys-1)
-		// A key that outruns a server is spread over several, as the decision module spreads it.
+		// A key with more load than a server can take is spread over several servers, as by the decision module.
 		weight := sums[k]
 		if k > 0 {
 			weight -= sums[k-1]
 		}
 		spread := 1 + int(2*weight/sum*float64(c.Servers))
-		home := int(xxhash.Sum64String(t.keys[k]) % uint64(c.Servers))
-		t.draws[i] = hit{int32(k), int32((home + rng.IntN(spread)) % c.Servers)}
+		first := int(xxhash.Sum64String(t.keys[k]) % uint64(c.Servers))
+		t.draws[i] = keyDraw{int32(k), int32((first + rng.IntN(spread)) % c.Servers)}
 	}
-	for i := range t.took {
-		t.took[i] = time.Duration(float64(time.Millisecond) * (0.5 + 2*rng.ExpFloat64()))
+	for i := range t.latencies {
+		t.latencies[i] = time.Duration(float64(time.Millisecond) * (0.5 + 2*rng.ExpFloat64()))
 	}
 	return t
 }
 
-// poisson draws how many come when mean are expected.
+// poisson draws from a Poisson distribution with the given mean.
 func poisson(rng *rand.Rand, mean float64) int {
-	if mean > 30 { // where the normal distribution is as good
+	if mean > 30 { // where the normal distribution is a good approximation
 		return max(0, int(math.Round(mean+math.Sqrt(mean)*rng.NormFloat64())))
 	}
 	n, left := 0, math.Exp(-mean)
--- a/lab/scale/result.go
+++ b/lab/scale/result.go
@@ -20,70 +20,71 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// superLinear is the exponent from which growth is called more than in line with its driver.
-const superLinear = 1.15
+// superLinearExponent is the exponent above which a measure is reported to grow faster than its driver.
+const superLinearExponent = 1.15
 
-// leastSizes are those that a fit needs.
-const leastSizes = 3
+// minFitSizes is the number of sizes that a fit needs.
+const minFitSizes = 3
 
-// Drivers of growth.
+// Drivers: the quantities that measures are expected to grow with.
 const (
 	byNodes   = "nodes"
 	byServers = "servers"
 	byBoth    = "nodes x servers"
 )
 
-// measures are all there are, in the order of the report: the unit, and what should carry the growth (empty: no fit is made).
+// measures lists all measures in the order of the report, each with its unit and the driver that it should grow with (empty: no
+// fit is made).
 var measures = []struct{ name, unit, driver, title string }{
-	{"node_bytes", "B/s", byServers, "talk with all planners, both ways, each node"},
-	{"node_bytes_out", "B/s", byServers, "digests to all planners, each node"},
-	{"node_bytes_in", "B/s", byServers, "views of all planners, each node"},
-	{"node_messages_out", "1/s", "", "digests sent, each node"},
-	{"node_messages_in", "1/s", "", "views and changes taken, each node"},
-	{"digest_bytes", "B", byServers, "bytes out for each digest"},
-	{"view_bytes", "B", byServers, "bytes in for each view or change"},
-	{"worst_second_mean", "B/s", byServers, "the worst second's bytes, the mean node"},
-	{"worst_second_any", "B/s", byServers, "the worst second's bytes of any node"},
-	{"node_cpu", "% of a core", byServers, "control work of a node: less the same process with forwarders off"},
-	{"node_cpu_idle", "% of a core", "", "load, list and decision module, forwarders off"},
+	{"node_bytes", "B/s", byServers, "bytes from and to all planners, per node"},
+	{"node_bytes_out", "B/s", byServers, "digests to all planners, per node"},
+	{"node_bytes_in", "B/s", byServers, "views from all planners, per node"},
+	{"node_messages_out", "1/s", "", "digests sent, per node"},
+	{"node_messages_in", "1/s", "", "views and changes received, per node"},
+	{"digest_bytes", "B", byServers, "bytes sent per digest"},
+	{"view_bytes", "B", byServers, "bytes received per view or change"},
+	{"worst_second_mean", "B/s", byServers, "bytes per node in the worst second, mean over the nodes"},
+	{"worst_second_any", "B/s", byServers, "bytes in the worst second of a single node"},
+	{"node_cpu", "% of a core", byServers, "CPU of a node's forwarder: of its process, less that with forwarders off"},
+	{"node_cpu_idle", "% of a core", "", "CPU of a node's load, list client and decision module, with forwarders off"},
 	{"node_heap", "KB", byServers, "heap and stacks of a node's forwarder"},
-	{"node_heap_rest", "KB", byServers, "heap and stacks of a node's list and decision module"},
-	{"node_rss", "KB", "", "resident memory of the nodes' processes, a node"},
-	{"planner_cpu", "cores", byNodes, "a planner's process"},
+	{"node_heap_rest", "KB", byServers, "heap and stacks of a node's list client and decision module"},
+	{"node_rss", "KB", "", "resident memory of the nodes' processes, per node"},
+	{"planner_cpu", "cores", byNodes, "CPU of a planner's process"},
 	{"planner_rss", "MB", byNodes, "a planner's resident memory"},
-	{"planner_messages_in", "1/s", byNodes, "digests taken, a planner"},
-	{"planner_messages_out", "1/s", byNodes, "views and changes sent, a planner"},
-	{"digests_taken", "of those sent", "", "digests that planners took"},
+	{"planner_messages_in", "1/s", byNodes, "digests received, per planner"},
+	{"planner_messages_out", "1/s", byNodes, "views and changes sent, per planner"},
+	{"digests_taken", "of those sent", "", "digests that planners received"},
 	{"digests_refused", "", "", "digests that planners refused"},
-	{"list_cpu", "cores", byNodes, "the list service's process"},
-	{"list_rss", "MB", byNodes, "its resident memory"},
-	{"list_bytes", "B/s", "", "list, each node, nothing changing"},
-	{"list_calls", "1/s", "", "calls of the list, each node"},
-	{"list_start_bytes", "B", byServers, "list at the start, each node"},
-	{"list_change_bytes", "B", byServers, "list for one change, each node"},
-	{"list_change_calls", "", "", "calls in that time, each node"},
-	{"machine_load", "threads", "", "the machine's load in the minute before: of other work, and of the size before"},
-	{"load_share", "of what is due", "", "requests that were drawn"},
-	{"loop_late", "s", "", "a timer of the lab's nodes was late, at most"},
-	{"followed_after", "s", "", "all nodes follow a view after the first start"},
-	{"in_force_first", "s", "", "the change is in force at the first node"},
-	{"in_force_median", "s", "", "at the middle one"},
-	{"in_force_p99", "s", "", "at 99 in 100"},
-	{"in_force_last", "s", "", "at the last"},
-	{"in_force_never", "nodes", "", "where it never was, in the time of the phase"},
-	{"connected_after", "s", "", "all connections stand again, from the fault's end"},
-	{"settled_after", "s", "", "all nodes follow a valid view and no factor is below 1, from the fault's end"},
-	{"unled_most", "nodes", "", "without a valid view, most at a time"},
-	{"unled_seconds", "s", "", "without a valid view, a node"},
-	{"unled_end", "nodes", "", "without a valid view when the time to settle was over"},
-	{"wrong_factors", "", "", "factors below 1 standing when all was well again, over nodes and servers"},
-	{"node_fault_bytes", "KB", byServers, "talk from the fault to the end of settling, each node"},
-	{"list_fault_bytes", "KB", byServers, "list in the same time, each node"},
-	{"states_sent", "", byNodes, "whole states that planners sent in that time, in all"},
-	{"states_paced", "", "", "times that one had to wait for its turn"},
-	{"doubts", "", "", "states that nodes said they don't have, though sent"},
-	{"granted_most", "of N", "", "all nodes' grants to a cold server, most at a time, of what it bears then; planners share out half"},
-	{"bound_most", "nodes", "", "that a grant to a cold server binds, most at a time"},
+	{"list_cpu", "cores", byNodes, "CPU of the list service's process"},
+	{"list_rss", "MB", byNodes, "resident memory of the list service"},
+	{"list_bytes", "B/s", "", "list bytes per node, while nothing changes"},
+	{"list_calls", "1/s", "", "calls to the list service, per node"},
+	{"list_start_bytes", "B", byServers, "list bytes at the start, per node"},
+	{"list_change_bytes", "B", byServers, "list bytes for one change, per node"},
+	{"list_change_calls", "", "", "calls to the list service in that time, per node"},
+	{"machine_load", "threads", "", "load average of the machine in the minute before the start: other work and the previous size"},
+	{"load_share", "of what is due", "", "requests drawn, of those due at the configured rate"},
+	{"loop_late", "s", "", "maximum delay of a timer in the nodes' event loops"},
+	{"followed_after", "s", "", "until all nodes follow a view, from the start of the forwarders"},
+	{"in_force_first", "s", "", "until a change is in force at the first node"},
+	{"in_force_median", "s", "", "at the median node"},
+	{"in_force_p99", "s", "", "at 99% of the nodes"},
+	{"in_force_last", "s", "", "at the last node"},
+	{"in_force_never", "nodes", "", "nodes where it was not in force by the end of the phase"},
+	{"connected_after", "s", "", "until all nodes are connected to all planners again, from the fault's end"},
+	{"settled_after", "s", "", "until all nodes follow a valid view and no factor is below 1, from the fault's end"},
+	{"unled_most", "nodes", "", "maximum number of nodes without a valid view"},
+	{"unled_seconds", "s", "", "time without a valid view, per node"},
+	{"unled_end", "nodes", "", "nodes without a valid view at the end of settling"},
+	{"wrong_factors", "", "", "factors below 1 in force after settling, over nodes and servers"},
+	{"node_fault_bytes", "KB", byServers, "bytes from and to planners from the fault to the end of settling, per node"},
+	{"list_fault_bytes", "KB", byServers, "list bytes in the same time, per node"},
+	{"states_sent", "", byNodes, "whole states that all planners sent in that time"},
+	{"states_paced", "", "", "whole states that were delayed to limit their rate"},
+	{"doubts", "", "", "states that were sent, but that nodes reported not to have"},
+	{"granted_most", "of N", "", "maximum of all nodes' grants to a cold server, relative to its capacity N at that time; planners grant half of N"},
+	{"bound_most", "nodes", "", "maximum number of nodes that a grant to a cold server limits"},
 	{"fault_seconds", "s", "", "from the fault to the end of settling"},
 }
 
@@ -95,7 +96,7 @@
 	return all
 }()
 
-// Row is one figure.
+// Row is one measured figure.
 type Row struct {
 	Size    Size
 	Variant string
@@ -105,16 +106,16 @@
 	Value   float64
 }
 
-// PhaseSecond is what all nodes saw in a second of a phase.
+// PhaseSecond holds the totals of all nodes in one second of a phase.
 type PhaseSecond struct {
 	Size    Size
 	Variant string
 	Phase   string
-	After   int64 // seconds from the phase's begin
+	After   int64 // seconds since the start of the phase
 	Second
 }
 
-// Result is what a run measured.
+// Result holds the figures of a run.
 type Result struct {
 	Name, File string
 	Seed       uint64
@@ -125,7 +126,7 @@
 	Seconds    []PhaseSecond
 }
 
-// Value is a figure; NaN where there is none.
+// Value returns a figure, or NaN where there is none.
 func (r *Result) Value(s Size, variant, phase, measure string) float64 {
 	for _, x := range r.Rows {
 		if x.Size == s && x.Variant == variant && x.Phase == phase && x.Measure == measure {
@@ -135,17 +136,17 @@
 	return math.NaN()
 }
 
-// Fit is a power law through a figure's values over the sizes: the exponents against each driver, least squares over logarithms.
+// Fit is a power law fitted to a measure's values over the sizes, by least squares over logarithms, against each driver.
 type Fit struct {
 	Variant, Phase, Measure string
-	Driver                  string // what should carry the growth
+	Driver                  string // that the measure should grow with
 	Sizes                   []Size
 	Nodes, Servers, Both    float64 // exponents
-	MinRatio, MaxRatio      float64 // ratio of value to fitted value, against the driver
-	SuperLinear             bool    // the exponent against the driver is over 1.15
+	MinRatio, MaxRatio      float64 // range of the ratio of value to fitted value, against Driver
+	SuperLinear             bool    // the exponent against Driver is above superLinearExponent
 }
 
-// exponent is that of the driver that should carry the growth.
+// exponent returns the exponent against f.Driver.
 func (f *Fit) exponent() float64 {
 	switch f.Driver {
 	case byNodes:
@@ -156,7 +157,7 @@
 	return f.Both
 }
 
-// powerLaw fits y = c x^e: e, c, and NaN where x does not vary or a value is not above 0.
+// powerLaw fits y = c x^e and returns e and c, or NaN where x does not vary or a value is not above 0.
 func powerLaw(x, y []float64) (e, c float64) {
 	var lx, ly []float64
 	for i := range x {
@@ -172,8 +173,8 @@
 	return b, math.Exp(a)
 }
 
-// fitted are the sizes that a fit goes over: the most that share one rate, since the rate of requests is a driver of its own.
-func (r *Result) fitted() (best []Size) {
+// fitSizes returns the sizes to fit over: the largest group with the same rate, since the request rate is a driver of its own.
+func (r *Result) fitSizes() (best []Size) {
 	for _, s := range r.Sizes {
 		var same []Size
 		for _, o := range r.Sizes {
@@ -188,10 +189,10 @@
 	return best
 }
 
-// Fits are all that can be made; none with under three sizes of one rate.
+// Fits returns a fit for each variant, phase and measure that allows one; none if fewer than minFitSizes sizes share a rate.
 func (r *Result) Fits() (all []Fit) {
-	sizes := r.fitted()
-	if len(sizes) < leastSizes {
+	sizes := r.fitSizes()
+	if len(sizes) < minFitSizes {
 		return nil
 	}
 	var nodes, servers, both []float64
@@ -222,7 +223,7 @@
 					ratio := y[i] / (c * math.Pow(x[i], e))
 					f.MinRatio, f.MaxRatio = min(f.MinRatio, ratio), max(f.MaxRatio, ratio)
 				}
-				f.SuperLinear = f.exponent() > superLinear
+				f.SuperLinear = f.exponent() > superLinearExponent
 				all = append(all, f)
 			}
 		}
@@ -230,7 +231,7 @@
 	return all
 }
 
-// phases are those that have figures, in their order.
+// phases returns the phases that have figures, in the order of the run.
 func (r *Result) phases() (all []string) {
 	for _, x := range r.Rows {
 		if !slices.Contains(all, x.Phase) {
@@ -240,8 +241,8 @@
 	return all
 }
 
-// figure writes a value in a few digits.
-func figure(v float64) string {
+// formatValue formats a value with a few significant digits.
+func formatValue(v float64) string {
 	switch a := math.Abs(v); {
 	case math.IsNaN(v):
 		return "-"
@@ -257,9 +258,9 @@
 	return strconv.FormatFloat(v, 'g', 3, 64)
 }
 
-// Text writes tables for a person: a block a phase, a line a measure and variant, a column a size.
+// Text writes tables for reading: a block for each phase, a line for each measure and variant, a column for each size.
 func (r *Result) Text(w io.Writer) {
-	fmt.Fprintf(w, "%s: seed %d, begun %s, hollow nodes on loopback (%s)\n", r.Name, r.Seed, r.StartedAt.UTC().Format(time.RFC3339), r.File)
+	fmt.Fprintf(w, "%s: seed %d, started %s, hollow nodes on loopback (%s)\n", r.Name, r.Seed, r.StartedAt.UTC().Format(time.RFC3339), r.File)
 	fits := r.Fits()
 	for _, phase := range r.phases() {
 		fmt.Fprintf(w, "\n%-20s %-14s %-10s", phase, "", "")
@@ -278,7 +279,7 @@
 				for _, s := range r.Sizes {
 					x := r.Value(s, v, phase, m.name)
 					known = known || !math.IsNaN(x)
-					line += fmt.Sprintf(" %12s", figure(x))
+					line += fmt.Sprintf(" %12s", formatValue(x))
 				}
 				if !known {
 					continue
@@ -296,34 +297,34 @@
 		}
 	}
 	if len(fits) == 0 {
-		fmt.Fprintf(w, "\nno fits: they want %d sizes or more of one rate\n", leastSizes)
+		fmt.Fprintf(w, "\nno fits: at least %d sizes with the same rate are needed\n", minFitSizes)
 		return
 	}
 	var sizes []string
 	for _, s := range fits[0].Sizes {
 		sizes = append(sizes, s.String())
 	}
-	fmt.Fprintf(w, "\nfits over %s: exponents against nodes, servers, nodes x servers; value over fit at the least and the most\n", strings.Join(sizes, ", "))
+	fmt.Fprintf(w, "\nfits over %s: exponents against nodes, servers, nodes x servers; min and max ratio of value to fit\n", strings.Join(sizes, ", "))
 	super := 0
 	for _, f := range fits {
 		mark := ""
 		if f.SuperLinear {
 			super++
-			mark = fmt.Sprintf("  SUPER-LINEAR: over %.2f against %s", superLinear, f.Driver)
+			mark = fmt.Sprintf("  SUPER-LINEAR: above %.2f against %s", superLinearExponent, f.Driver)
 		}
 		fmt.Fprintf(w, "%-10s %-14s %-20s %6.2f %6.2f %6.2f   %.2f to %.2f%s\n", f.Variant, f.Phase, f.Measure, f.Nodes, f.Servers, f.Both, f.MinRatio, f.MaxRatio, mark)
 	}
 	fmt.Fprintf(w, "%d of %d figures grow super-linearly\n", super, len(fits))
 }
 
-// Legend tells what the measures are.
+// Legend writes the name, unit and description of each measure.
 func Legend(w io.Writer) {
 	for _, m := range measures {
 		fmt.Fprintf(w, "%-20s %-14s %s\n", m.name, m.unit, m.title)
 	}
 }
 
-// CSV writes a row a figure, and beside it, under NAME-seconds.csv, one a second of each phase.
+// CSV writes a row for each figure and exponent to path, and a row for each second of each phase to NAME-seconds.csv beside it.
 func (r *Result) CSV(path string) error {
 	rows := [][]string{{"nodes", "servers", "rate", "variant", "phase", "measure", "unit", "value"}}
 	number := func(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
@@ -367,7 +368,7 @@
 var colors = []color.Color{color.RGBA{R: 0x1f, G: 0x5f, B: 0xa8, A: 0xff}, color.RGBA{R: 0xb8, G: 0x32, B: 0x2a, A: 0xff},
 	color.RGBA{R: 0x2d, G: 0x7d, B: 0x46, A: 0xff}, color.RGBA{R: 0xd0, G: 0x8a, B: 0x1c, A: 0xff}}
 
-// PNG writes a plot of each slope into a folder, which it makes: PHASE-MEASURE.png, both axes logarithmic.
+// PNG plots each fitted measure on logarithmic axes to PHASE-MEASURE.png in a directory, which it creates.
 func (r *Result) PNG(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -386,6 +387,7 @@
 	return nil
 }
 
+// plot writes the plot of one measure in one phase, with a line for each variant.
 func (r *Result) plot(path, phase, measure, driver string) error {
 	g := plot.New()
 	g.Title.Text = fmt.Sprintf("%s, %s", measure, phase)
@@ -395,7 +397,7 @@
 	g.Legend.Top, g.Legend.Left = true, true
 	for i, variant := range r.Variants {
 		var xy plotter.XYs
-		for _, s := range r.fitted() {
+		for _, s := range r.fitSizes() {
 			x := map[string]float64{byNodes: float64(s.Nodes), byServers: float64(s.Servers), byBoth: float64(s.Nodes) * float64(s.Servers)}[driver]
 			if y := r.Value(s, variant, phase, measure); y > 0 {
 				xy = append(xy, plotter.XY{X: x, Y: y})
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -18,12 +18,12 @@
 	"lapisshelf/policy"
 )
 
-// patience is how long a test waits for what must come, however busy the machine is.
-const patience = 2 * time.Minute
+// waitTimeout is how long tests wait for a condition; it leaves room for a busy machine.
+const waitTimeout = 2 * time.Minute
 
 var program string
 
-// TestMain plays the lab's own processes where it is started as one, and builds the planners' program around the tests.
+// TestMain runs a child process of the lab if started with a role; otherwise it builds lapisshelf for the planners and runs the tests.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && (os.Args[1] == NodesRole || os.Args[1] == ListRole) {
 		if err := Child(os.Args[1], os.Stdin, os.Stdout); err != nil {
@@ -46,8 +46,8 @@
 	os.Exit(code)
 }
 
-// small is a file of one small size.
-func small(t *testing.T, more string) *File {
+// smallFile returns a run's file with one small size; more is put at its head.
+func smallFile(t *testing.T, more string) *File {
 	t.Helper()
 	f, err := decode("small.toml", []byte(`name = "small"
 seed = 3
@@ -79,42 +79,42 @@
 	return f
 }
 
-// startBench starts a small fleet whose nodes all follow a view.
+// startBench starts a bench of the file's first size and variant and waits until all nodes follow a view.
 func startBench(t *testing.T, f *File) *bench {
 	t.Helper()
 	dir := t.TempDir()
-	b := &bench{f: f, size: f.Sizes[0], variant: f.Variants[0], keys: filepath.Join(dir, "keys"), dir: dir, seconds: map[int64]Second{}, result: &Result{},
-		o: RunOptions{Program: program, SelfCommand: []string{os.Args[0]}}}
-	if err := makeKeys(b.keys, b.size.Nodes, f.Planners.Count); err != nil {
+	b := &bench{f: f, size: f.Sizes[0], variant: f.Variants[0], keyDir: filepath.Join(dir, "keys"), dir: dir, seconds: map[int64]Second{}, result: &Result{},
+		opt: RunOptions{Program: program, SelfCommand: []string{os.Args[0]}}}
+	if err := makeKeys(b.keyDir, b.size.Nodes, f.Planners.Count); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.close)
-	if err := b.open(); err != nil {
+	if err := b.start(); err != nil {
 		t.Fatal(err)
 	}
 	b.wait(t, "all nodes have the list", func(s *snapshot) bool { return s.Listed == b.size.Nodes })
-	b.do(t, order{Do: "load", On: true})
-	b.do(t, order{Do: "forward"})
+	b.mustBroadcast(t, command{Do: "load", On: true})
+	b.mustBroadcast(t, command{Do: "forward"})
 	b.wait(t, "all nodes follow a view and no factor is below 1", b.settled)
 	return b
 }
 
-func (b *bench) do(t *testing.T, o order) {
+func (b *bench) mustBroadcast(t *testing.T, o command) {
 	t.Helper()
-	if _, err := b.tell(o); err != nil {
+	if _, err := b.broadcast(o); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (b *bench) wait(t *testing.T, what string, holds func(*snapshot) bool) {
+func (b *bench) wait(t *testing.T, what string, condition func(*snapshot) bool) {
 	t.Helper()
-	_, held, s, err := b.until(t.Context(), patience, holds)
-	if err != nil || !held {
-		t.Fatalf("never: %s (%v); %d of %d nodes follow a view, factors below 1: %v", what, err, s.Led, b.size.Nodes, s.Low)
+	_, met, s, err := b.poll(t.Context(), waitTimeout, condition)
+	if err != nil || !met {
+		t.Fatalf("timed out waiting until %s (%v); %d of %d nodes follow a view, factors below 1: %v", what, err, s.Following, b.size.Nodes, s.LowFactors)
 	}
 }
 
-// total is the sum of a counter over the planners.
+// total returns the sum of a counter over the planners.
 func (s *snapshot) total(name string) (sum float64) {
 	for _, p := range s.planners {
 		sum += p.vars[name]
@@ -122,39 +122,39 @@
 	return sum
 }
 
-// Real planners, a real list and hollow nodes on loopback: what nodes sent, planners took, to the message and the byte, both
-// ways; a jam is in force at every node; nothing of it, nor any other wrong factor, stands at a node once the planner that is
-// followed was killed, frozen and cut off, nodes were restarted and a zone was lost.
+// Runs real planners, a real list and hollow nodes on loopback. The messages and bytes that nodes and planners count agree in both
+// directions; the factor of a slow server is in force at every node; after all faults no node keeps a factor below 1 or is without
+// a valid view.
 func TestSmallFleet(t *testing.T) {
 	t.Parallel()
-	b := startBench(t, small(t, ""))
+	b := startBench(t, smallFile(t, ""))
 	all := b.size.Nodes
-	b.wait(t, "all connections stand", func(s *snapshot) bool { return s.total("connections") == float64(all*len(b.plans)) })
+	b.wait(t, "all nodes are connected to all planners", func(s *snapshot) bool { return s.total("connections") == float64(all*len(b.planners)) })
 
-	// Nothing is lost and nothing told twice. What is on its way makes the sums differ for a moment, a lost message for good.
-	books := func(what string, nodes func(*snapshot) int64, counter string) {
+	// No message is lost or counted twice. Messages in flight make the sums differ for a moment, a lost one makes them differ for good.
+	waitEqual := func(what string, nodes func(*snapshot) int64, counter string) {
 		t.Helper()
 		var a, n, c float64
-		for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(7 * time.Millisecond) {
-			first, err := b.look(false)
+		for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(7 * time.Millisecond) {
+			first, err := b.takeSnapshot(false)
 			if err != nil {
 				t.Fatal(err)
 			}
-			second, err := b.look(false)
+			second, err := b.takeSnapshot(false)
 			if err != nil {
 				t.Fatal(err)
 			}
-			// The nodes are asked before the planners: twice the same at the planners, and at the nodes in between.
+			// A snapshot asks the nodes before the planners: the planners' count is the same before and after that of the nodes.
 			if a, n, c = first.total(counter), float64(nodes(second)), second.total(counter); a == n && n == c {
 				return
 			}
 		}
-		t.Errorf("%s: nodes say %.0f, planners %.0f before and %.0f after", what, n, a, c)
+		t.Errorf("%s: nodes count %.0f, planners %.0f before and %.0f after", what, n, a, c)
 	}
-	books("digests", func(s *snapshot) int64 { return s.Digests }, "digests_total")
-	books("bytes of digests", func(s *snapshot) int64 { return s.BytesOut }, "bytes_in_total")
-	books("bytes of views", func(s *snapshot) int64 { return s.BytesIn }, "bytes_out_total")
-	s, err := b.look(false)
+	waitEqual("digests", func(s *snapshot) int64 { return s.Digests }, "digests_total")
+	waitEqual("bytes of digests", func(s *snapshot) int64 { return s.BytesOut }, "bytes_in_total")
+	waitEqual("bytes of views", func(s *snapshot) int64 { return s.BytesIn }, "bytes_out_total")
+	s, err := b.takeSnapshot(false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,29 +165,29 @@
 		t.Errorf("%d requests with %d attempts", s.Requests, s.Attempts)
 	}
 
-	b.do(t, order{Do: "late", Servers: []int{0}, On: true})
-	b.wait(t, "the jammed server's factor is in force at all nodes", func(s *snapshot) bool { return s.Low[serverID(0)] == all && len(s.Low) == 1 })
-	b.do(t, order{Do: "late", Servers: []int{0}}) // the first fault's end finds it in force at none
+	b.mustBroadcast(t, command{Do: "late", Servers: []int{0}, On: true})
+	b.wait(t, "the slow server's factor is in force at all nodes", func(s *snapshot) bool { return s.LowFactors[serverID(0)] == all && len(s.LowFactors) == 1 })
+	b.mustBroadcast(t, command{Do: "late", Servers: []int{0}}) // at the end of the first fault it is in force at no node
 	if err := b.watch(1); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := b.list.ask(order{Do: "drain", Servers: []int{1}, On: true}); err != nil {
+	if _, err := b.listService.call(command{Do: "drain", Servers: []int{1}, On: true}); err != nil {
 		t.Fatal(err)
 	}
-	b.wait(t, "all nodes know that a server drains", func(*snapshot) bool {
-		replies, err := b.tell(order{Do: "stamps"})
+	b.wait(t, "all nodes know that a server is draining", func(*snapshot) bool {
+		replies, err := b.broadcast(command{Do: "stamps"})
 		return err == nil && !slices.ContainsFunc(replies, func(r reply) bool { return slices.Contains(r.Stamps, 0) })
 	})
-	if _, err := b.list.ask(order{Do: "drain", Servers: []int{1}}); err != nil {
+	if _, err := b.listService.call(command{Do: "drain", Servers: []int{1}}); err != nil {
 		t.Fatal(err)
 	}
-	// Guards against a cut that cuts nothing: the planner's own count of its connections falls to none, the other's stays.
-	b.do(t, order{Do: "cut", Planner: b.plans[0].id, Addr: b.plans[0].addr, On: true})
-	b.wait(t, "the planner that is cut off has no connections", func(s *snapshot) bool {
+	// Guards against a cut without effect: the planner's own count of connections falls to 0, and that of the other one stays.
+	b.mustBroadcast(t, command{Do: "cut", Planner: b.planners[0].id, Addr: b.planners[0].addr, On: true})
+	b.wait(t, "only the planner that is cut off has no connections", func(s *snapshot) bool {
 		n, known := s.planners[0].vars["connections"]
 		return known && n == 0 && s.planners[1].vars["connections"] == float64(all)
 	})
-	b.do(t, order{Do: "cut", Planner: b.plans[0].id})
+	b.mustBroadcast(t, command{Do: "cut", Planner: b.planners[0].id})
 	for _, name := range Faults() {
 		if err := b.fault(t.Context(), name); err != nil {
 			t.Fatal(name, err)
@@ -198,14 +198,14 @@
 			}
 		}
 	}
-	b.wait(t, "all connections stand again", func(s *snapshot) bool { return s.total("connections") == float64(all*len(b.plans)) })
-	b.wait(t, "all is well", b.settled)
+	b.wait(t, "all nodes are connected to all planners again", func(s *snapshot) bool { return s.total("connections") == float64(all*len(b.planners)) })
+	b.wait(t, "the fleet has settled", b.settled)
 }
 
-// A whole run leaves a figure for each phase, in text, CSV and plots, and no process.
+// A complete run yields figures for each phase, as text, CSV and plots.
 func TestRun(t *testing.T) {
 	t.Parallel()
-	f := small(t, `faults = ["nodes_all"]`)
+	f := smallFile(t, `faults = ["nodes_all"]`)
 	f.Sizes = nil
 	for _, k := range []int{1, 2, 3} {
 		f.Sizes = append(f.Sizes, Size{Nodes: 4 * k, Servers: 4 * k, Rate: 20})
@@ -236,13 +236,13 @@
 	defer file.Close()
 	rows, err := csv.NewReader(file).ReadAll()
 	if err != nil || len(rows) < len(r.Rows) || slices.ContainsFunc(rows[1:], func(x []string) bool { return x[5] == "" || x[4] == "" }) {
-		t.Errorf("%d rows for %d figures: %v", len(rows), len(r.Rows), err)
+		t.Errorf("%d CSV rows for %d figures, or a row without phase or measure: %v", len(rows), len(r.Rows), err)
 	}
 	if err := r.PNG(filepath.Join(dir, "png")); err != nil {
 		t.Fatal(err)
 	}
 	if plots, _ := filepath.Glob(filepath.Join(dir, "png", "calm-*.png")); len(plots) < 5 {
-		t.Errorf("%d plots of the calm", len(plots))
+		t.Errorf("%d plots of the calm phase, want at least 5", len(plots))
 	}
 	var text strings.Builder
 	r.Text(&text)
@@ -251,39 +251,40 @@
 	}
 }
 
-// fleet is decisions and wire without sockets, on a clock that the test moves.
-type fleet struct {
-	size      Size
-	now       time.Duration
-	tables    *tables
-	nodes     []*plan.Collector
-	followers []*follow.Follower
-	plan      *plan.Planner
-	ready     []follow.Server
-	sent      []int // bytes of the last digests, by node
+// wireFleet exchanges encoded messages between a planner and nodes without sockets, on a clock that the test advances.
+type wireFleet struct {
+	size        Size
+	now         time.Duration
+	tables      *tables
+	collectors  []*plan.Collector
+	followers   []*follow.Follower
+	planner     *plan.Planner
+	ready       []follow.Server
+	digestBytes []int // size of each node's last digest
 }
 
-func newFleet(s Size) *fleet {
-	x := &fleet{size: s, now: 1e9 * time.Second, tables: newTables(loadConfig{Seed: 1, Servers: s.Servers, Keys: 1000, Zipf: 0.98, Offset: 5, Tenants: 3})}
-	x.plan = plan.New(plan.Config{ID: "p", History: 1 << 63, Mode: policy.Aside, OriginKind: originKind, Weighted: true, ColdFrom: 0.2, WarmUp: 8 * time.Second, FallMultiple: 3, FallWindow: time.Second})
+func newWireFleet(s Size) *wireFleet {
+	x := &wireFleet{size: s, now: 1e9 * time.Second, tables: newTables(loadConfig{Seed: 1, Servers: s.Servers, Keys: 1000, Zipf: 0.98, Offset: 5, Tenants: 3})}
+	x.planner = plan.New(plan.Config{ID: "p", History: 1 << 63, Mode: policy.Aside, OriginKind: originKind, Weighted: true, ColdFrom: 0.2, WarmUp: 8 * time.Second, FallMultiple: 3, FallWindow: time.Second})
 	var list []policy.Server
 	for i := range s.Servers {
 		list = append(list, policy.Server{ID: serverID(i), Kind: "cache", Weight: 1})
 		x.ready = append(x.ready, follow.Server{ID: serverID(i), Weight: 1})
 	}
-	x.plan.SetServers(x.now, list)
+	x.planner.SetServers(x.now, list)
 	for i := range s.Nodes {
-		x.nodes, x.followers = append(x.nodes, plan.NewCollector(x.now, nodeName(i))), append(x.followers, follow.New(follow.Config{}))
+		x.collectors, x.followers = append(x.collectors, plan.NewCollector(x.now, nodeName(i))), append(x.followers, follow.New(follow.Config{}))
 	}
-	x.sent = make([]int, s.Nodes)
+	x.digestBytes = make([]int, s.Nodes)
 	return x
 }
 
-// second has each node ask each server so often, one of them late, send its whole digest, and take a whole view.
-func (x *fleet) second(t *testing.T, each int, late int) (views []int) {
+// exchangeWhole simulates a second in which each node makes `each` attempts at each server, one of which (late) answers slowly, sends
+// a whole digest and receives a whole view. It returns the sizes of the views in bytes, by node.
+func (x *wireFleet) exchangeWhole(t *testing.T, each int, late int) (views []int) {
 	t.Helper()
 	x.now += time.Second
-	for i, g := range x.nodes {
+	for i, g := range x.collectors {
 		for s := range x.size.Servers {
 			for range each {
 				g.Attempt(serverID(s), false, policy.OK, 2*time.Millisecond, s != late, false)
@@ -293,18 +294,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		x.sent[i] = len(frame)
+		x.digestBytes[i] = len(frame)
 		m, used, err := planwire.Next(frame)
 		if err != nil || used != len(frame) {
 			t.Fatal(used, err)
 		}
-		if err := x.plan.Digest(x.now, *m.Digest); err != nil {
+		if err := x.planner.Digest(x.now, *m.Digest); err != nil {
 			t.Fatal(err)
 		}
 	}
-	x.plan.Update(x.now)
+	x.planner.Update(x.now)
 	for i, f := range x.followers {
-		v := x.plan.View(x.now, x.now, nodeName(i))
+		v := x.planner.View(x.now, x.now, nodeName(i))
 		frame, err := planwire.Append(nil, planwire.Message{View: &v})
 		if err != nil {
 			t.Fatal(err)
@@ -321,45 +322,47 @@
 	return views
 }
 
-// What whole talk costs on the wire is a straight line over the servers, to the byte: the figures that the page on capacity
-// multiplies by the size are the protocol's own and not a run's.
-func TestWholeTalkIsALine(t *testing.T) {
-	const each = 3 // a server's counts take the same bytes at each size
+// The sizes of whole digests and views are linear in the number of servers, to the byte, so that capacity figures may be scaled by
+// the size: they follow from the protocol and not from a single run.
+func TestWholeTalkGrowsLinearly(t *testing.T) {
+	const each = 3 // keeps a server's counts equally long at each size
 	sizes := []int{105, 210, 420}
 	var digests, views []int
 	for _, servers := range sizes {
-		x := newFleet(Size{Nodes: 4, Servers: servers})
+		x := newWireFleet(Size{Nodes: 4, Servers: servers})
 		var got []int
 		for range 3 {
-			got = x.second(t, each, -1)
+			got = x.exchangeWhole(t, each, -1)
 		}
-		for i := range x.nodes {
-			if x.sent[i] != x.sent[0] || got[i] != got[0] {
-				t.Errorf("%d servers: node %d sent %d bytes and got %d, the first %d and %d", servers, i, x.sent[i], got[i], x.sent[0], got[0])
+		for i := range x.collectors {
+			if x.digestBytes[i] != x.digestBytes[0] || got[i] != got[0] {
+				t.Errorf("%d servers: node %d sent %d bytes and received %d, the first node %d and %d", servers, i, x.digestBytes[i], got[i], x.digestBytes[0], got[0])
 			}
 		}
-		digests, views = append(digests, x.sent[0]), append(views, got[0])
+		digests, views = append(digests, x.digestBytes[0]), append(views, got[0])
 	}
-	// A server is a map of its id (22 bytes with its heads), three counts and a sketch; over 255 the array's head grows by a byte.
+	// A server is encoded as a map of its id (22 bytes with its CBOR headers), three counts and a sketch; above 255 servers the
+	// header of their array grows by a byte.
 	for name, list := range map[string][]int{"digest": digests, "view": views} {
 		per := (list[1] - list[0]) / (sizes[1] - sizes[0])
 		if over := list[1] - list[0] - per*(sizes[1]-sizes[0]); over != 0 {
-			t.Errorf("a %s grows by %d bytes a server and %d over", name, per, over)
+			t.Errorf("a %s grows by %d bytes per server with a remainder of %d, want 0", name, per, over)
 		}
 		if over := list[2] - list[1] - per*(sizes[2]-sizes[1]); over != 1 {
-			t.Errorf("from 210 to 420 servers a %s grows by %d bytes a server and %d over, not 1", name, per, over)
+			t.Errorf("from 210 to 420 servers a %s grows by %d bytes per server with a remainder of %d, want 1", name, per, over)
 		}
-		t.Logf("%s: %v bytes at %v servers, %d a server", name, list, sizes, per)
+		t.Logf("%s: %v bytes at %v servers, %d per server", name, list, sizes, per)
 	}
 }
 
-// brief has each node ask so many requests a second, the same number at each server, one of them late, and takes changes: what
-// each node sent and got, in bytes.
-func (x *fleet) brief(t *testing.T, requests, late int) (digests, changes []int) {
+// exchangeChanges simulates a second in which each node makes attempts for the given number of requests, spread evenly over the
+// servers, one of which (late) answers slowly, sends a brief digest and receives a change. It returns the sizes of the digests and
+// changes in bytes, by node.
+func (x *wireFleet) exchangeChanges(t *testing.T, requests, late int) (digests, changes []int) {
 	t.Helper()
 	x.now += time.Second
-	holds := make([]plan.Hold, len(x.nodes))
-	for i, g := range x.nodes {
+	holds := make([]plan.Hold, len(x.collectors))
+	for i, g := range x.collectors {
 		for s := range x.size.Servers {
 			for range requests / x.size.Servers {
 				g.Attempt(serverID(s), false, policy.OK, 2*time.Millisecond, s != late, false)
@@ -375,14 +378,14 @@
 		if err != nil || used != len(frame) {
 			t.Fatal(used, err)
 		}
-		if err := x.plan.Digest(x.now, *m.Digest); err != nil {
+		if err := x.planner.Digest(x.now, *m.Digest); err != nil {
 			t.Fatal(err)
 		}
 		holds[i] = *m.Hold
 	}
-	x.plan.Update(x.now)
+	x.planner.Update(x.now)
 	for i, f := range x.followers {
-		c, _ := x.plan.Change(x.now, holds[i])
+		c, _ := x.planner.Change(x.now, holds[i])
 		raw, err := planwire.EncodeChange(c)
 		if err != nil {
 			t.Fatal(err)
@@ -403,16 +406,16 @@
 	return digests, changes
 }
 
-// What changes cost on the wire has nothing to do with how many servers there are: in the calm, and while one of them is jammed,
-// a node at 840 requests a second sends and takes the same bytes before 105, 210 and 420 of them, but for the longer numbers;
-// and all nodes hold the same factors at each moment, to the last of them when the jam is over.
+// The sizes of brief digests and changes do not depend on the number of servers: without a fault and while one server is slow, a
+// node with 840 requests a second sends and receives as many bytes with 105, 210 and 420 servers, but for longer numbers. All nodes
+// hold the same factors at all times, and none below 1 a minute after the server has recovered.
 func TestChangesDoNotGrow(t *testing.T) {
-	const requests, longer = 840, 2 // bytes of the count of servers and of the sums' numbers
+	const requests, longer = 840, 2 // longer: bytes by which the count of servers and the sums may grow
 	type talk struct{ digest, change int }
 	calm, jam := map[int]talk{}, map[int]talk{}
 	sizes := []int{105, 210, 420}
 	for _, servers := range sizes {
-		x := newFleet(Size{Nodes: 5, Servers: servers})
+		x := newWireFleet(Size{Nodes: 5, Servers: servers})
 		same := func(when string) {
 			t.Helper()
 			first, trust := x.followers[0].Now(x.now)
@@ -421,13 +424,13 @@
 			}
 			for i, f := range x.followers {
 				if v, _ := f.Now(x.now); !slices.Equal(v.Servers, first.Servers) {
-					t.Errorf("%d servers, %s: node %d holds %v, the first %v", servers, when, i, v.Servers, first.Servers)
+					t.Errorf("%d servers, %s: node %d holds %v, the first node %v", servers, when, i, v.Servers, first.Servers)
 				}
 			}
 		}
 		step := func(late int) (most talk) {
 			t.Helper()
-			digests, changes := x.brief(t, requests, late)
+			digests, changes := x.exchangeChanges(t, requests, late)
 			for i := range digests {
 				most.digest, most.change = max(most.digest, digests[i]), max(most.change, changes[i])
 			}
@@ -438,23 +441,23 @@
 			calm[servers] = step(-1)
 		}
 		if v, _ := x.followers[0].Now(x.now); slices.ContainsFunc(v.Servers, func(s policy.ServerView) bool { return s.Factor < 1 }) {
-			t.Errorf("%d servers in the calm: %v", servers, v.Servers)
+			t.Errorf("%d servers: factors below 1 without a fault: %v", servers, v.Servers)
 		}
-		told := func() bool {
+		inForce := func() bool {
 			v, _ := x.followers[0].Now(x.now)
 			return slices.ContainsFunc(v.Servers, func(s policy.ServerView) bool { return s.ID == serverID(0) && s.Factor < 1 })
 		}
-		for k := 0; k < 10 && !told(); k++ {
+		for k := 0; k < 10 && !inForce(); k++ {
 			jam[servers] = step(0)
 		}
-		if !told() {
-			t.Errorf("%d servers: a jam of 10 s is in force nowhere", servers)
+		if !inForce() {
+			t.Errorf("%d servers: after 10 s the factor of the slow server is not in force", servers)
 		}
-		for k := 0; k < 60 && told(); k++ {
+		for k := 0; k < 60 && inForce(); k++ {
 			step(-1)
 		}
 		if v, _ := x.followers[0].Now(x.now); slices.ContainsFunc(v.Servers, func(s policy.ServerView) bool { return s.Factor < 1 }) {
-			t.Errorf("%d servers, a minute after the jam: %v", servers, v.Servers)
+			t.Errorf("%d servers: factors below 1 a minute after the server has recovered: %v", servers, v.Servers)
 		}
 	}
 	t.Logf("calm %v, jam %v", calm, jam)
@@ -467,36 +470,36 @@
 	}
 }
 
-// The same seed draws the same load; the parts that are asked for come out.
+// The same seed draws the same load, another seed a different one; each server is drawn, and poisson has the requested mean.
 func TestDraws(t *testing.T) {
 	c := loadConfig{Seed: 7, Servers: 50, Keys: 5000, Zipf: 0.98, Offset: 5, Bad: 0.01, Misses: 0.05, Tenants: 2}
 	a, b := newTables(c), newTables(c)
-	if !slices.Equal(a.draws, b.draws) || a.took != b.took {
-		t.Error("one seed, two loads")
+	if !slices.Equal(a.draws, b.draws) || a.latencies != b.latencies {
+		t.Error("the same seed drew different loads")
 	}
 	c.Seed++
 	if slices.Equal(a.draws, newTables(c).draws) {
-		t.Error("two seeds, one load")
+		t.Error("two seeds drew the same load")
 	}
 	counts := make([]int, c.Servers)
 	for _, d := range a.draws {
 		counts[d.server]++
 	}
 	if least := slices.Min(counts); least == 0 {
-		t.Error("a server that nobody asks")
+		t.Error("a server is never drawn")
 	}
 	for _, mean := range []float64{0.4, 5, 168} {
-		rng, sum, n := stream(1, "poisson"), 0, 20000
+		rng, sum, n := randomStream(1, "poisson"), 0, 20000
 		for range n {
 			sum += poisson(rng, mean)
 		}
 		if got := float64(sum) / float64(n); math.Abs(got-mean) > 5*math.Sqrt(mean/float64(n)) {
-			t.Errorf("poisson of %v has the mean %v", mean, got)
+			t.Errorf("poisson with mean %v has the mean %v", mean, got)
 		}
 	}
 }
 
-// Growth is told by its exponent against what should carry it, and named where it is more than in line.
+// Fits yield a measure's exponent against its driver and mark super-linear growth.
 func TestFits(t *testing.T) {
 	r := &Result{Variants: []string{"v"}, Sizes: []Size{{400, 80, 6}, {475, 105, 842}, {950, 210, 842}, {1900, 420, 842}}}
 	for _, s := range r.Sizes {
@@ -509,21 +512,21 @@
 	for _, f := range r.Fits() {
 		got[f.Measure] = f
 	}
-	if len(got) != 3 { // none of what has no driver, or a value of 0
+	if len(got) != 3 { // no fits for measures without a driver or with a value of 0
 		t.Errorf("fits: %v", got)
 	}
 	near := func(name string, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > 1e-9 {
-			t.Errorf("%s: %v, not %v", name, got, want)
+			t.Errorf("%s: %v, want %v", name, got, want)
 		}
 	}
-	near("planner_cpu over nodes", got["planner_cpu"].Nodes, 2) // servers grow with the nodes
+	near("planner_cpu over nodes", got["planner_cpu"].Nodes, 2) // 2, as the servers grow with the nodes
 	near("planner_cpu over both", got["planner_cpu"].Both, 1)
 	near("node_bytes over servers", got["node_bytes"].Servers, 1)
 	near("digest_bytes over servers", got["digest_bytes"].Servers, 0)
 	if !got["planner_cpu"].SuperLinear || got["node_bytes"].SuperLinear || got["digest_bytes"].SuperLinear {
-		t.Errorf("super-linear: %+v", got)
+		t.Errorf("wrong measures marked as super-linear: %+v", got)
 	}
 	var text strings.Builder
 	r.Text(&text)
@@ -532,7 +535,7 @@
 	}
 }
 
-// A file that makes no sense is refused in one line that names file, line and key.
+// An invalid file or option is rejected with a one-line error, that of a file with file name, line and key.
 func TestBadFiles(t *testing.T) {
 	const good = "name = \"x\"\n[[size]]\nnodes = 4\nservers = 4\nrate = 1\n"
 	for text, want := range map[string]string{
@@ -542,28 +545,28 @@
 		"faults=[\"flood\"]\n" + good:                                            "x.toml:1: faults[1]: must be one of planner_kill,",
 		good + "[[size]]\nnodes=5000\nservers=4\nrate=1\n":                       "x.toml:7: size[2].nodes: must be 1 to 4000",
 		good + "[[variant]]\nname=\"a\"\ntalk=\"loud\"\n":                        "x.toml:8: variant[1].talk: must be whole or changes",
-		good + "[[variant]]\nname=\"a\"\ntalk=\"whole\"\nplanner=\"/no/such\"\n": "x.toml:9: variant[1].planner: must be a program that is there and runs",
+		good + "[[variant]]\nname=\"a\"\ntalk=\"whole\"\nplanner=\"/no/such\"\n": "x.toml:9: variant[1].planner: must be an executable program",
 		good + "[phases]\nidle=\"5\"\n":                                          "x.toml:7: ",
 		good + "[phases]\ncalm=\"1h\"\n":                                         "x.toml:7: phases.calm: must be 1s to 2m0s",
 		good + "[planners]\nvalid=\"500ms\"\n":                                   "x.toml:7: planners.valid: must be twice every to 100s",
 	} {
 		_, err := decode("x.toml", []byte(text), Options{})
 		if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, not %q", text, err, want)
+			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
 	for _, o := range []Options{{Size: "3"}, {Size: "3x"}, {Size: "1x1"}, {Size: "9999x9"}, {Size: "4x4 "}, {Only: []string{"flood"}}} {
 		if _, err := decode("x.toml", []byte(good), o); err == nil {
-			t.Errorf("%+v is taken", o)
+			t.Errorf("%+v was accepted", o)
 		}
 	}
 }
 
-// The files that come with the project are sound.
+// The project's own capacity experiments are valid and have enough sizes for fits.
 func TestFiles(t *testing.T) {
 	files, _ := filepath.Glob("../experiments/capacity/*.toml")
 	if len(files) == 0 {
-		t.Fatal("there are none")
+		t.Fatal("no files found")
 	}
 	for _, path := range files {
 		f, err := Read(path, Options{})
@@ -571,64 +574,65 @@
 			t.Error(err)
 			continue
 		}
-		if len((&Result{Sizes: f.Sizes}).fitted()) < leastSizes {
-			t.Errorf("%s: no %d sizes of one rate", path, leastSizes)
+		if len((&Result{Sizes: f.Sizes}).fitSizes()) < minFitSizes {
+			t.Errorf("%s: fewer than %d sizes with the same rate", path, minFitSizes)
 		}
 	}
 }
 
-// A process that is told nonsense says so and goes on; one that was told nothing ends with its input.
+// A child process answers an unknown command with an error and goes on, and exits at the end of its input. Nodes without
+// certificates and unknown roles are errors.
 func TestChild(t *testing.T) {
 	c, r, err := startChild([]string{os.Args[0]}, ListRole, listConfig{Servers: 2, Kind: "discovery"}, filepath.Join(t.TempDir(), "log"))
 	if err != nil || r.Addr == "" {
 		t.Fatal(r, err)
 	}
-	if _, err := c.ask(order{Do: "dance"}); err == nil {
-		t.Error("it dances")
+	if _, err := c.call(command{Do: "dance"}); err == nil {
+		t.Error("an unknown command was accepted")
 	}
-	if _, err := c.ask(order{Do: "drain", Servers: []int{1}, On: true}); err != nil {
+	if _, err := c.call(command{Do: "drain", Servers: []int{1}, On: true}); err != nil {
 		t.Error(err)
 	}
-	c.end()
+	c.stop()
 	if !c.cmd.ProcessState.Success() {
 		t.Error(c.cmd.ProcessState)
 	}
 	if _, _, err := startChild([]string{os.Args[0]}, NodesRole, hollowConfig{Count: 1, Load: loadConfig{Servers: 2, Keys: 1}, Keys: t.TempDir()}, filepath.Join(t.TempDir(), "log")); err == nil {
-		t.Error("nodes without certificates")
+		t.Error("nodes started without certificates")
 	}
 	if err := Child("dancer", nil, nil); err == nil {
-		t.Error("there is such a part")
+		t.Error("an unknown role was accepted")
 	}
 }
 
-// What a planner counted over a fault is told by its processes, not by which of two counters is larger.
-// Guards against a new process that has sent more whole states than the one before: they were counted less the old one's.
+// The increase of a planner's counter over a fault depends on whether its process was restarted, not on which value is larger.
+// Guards against a new process that has sent more whole states than its predecessor: the predecessor's count was subtracted.
 func TestCountersOfANewProcess(t *testing.T) {
-	is := func(lives int, value float64) planned {
-		return planned{lives: lives, vars: map[string]float64{"states_total": value}}
+	sampleOf := func(lives int, value float64) plannerSample {
+		return plannerSample{starts: lives, vars: map[string]float64{"states_total": value}}
 	}
 	for _, x := range []struct {
-		before, after planned
+		before, after plannerSample
 		more          float64
 		known         bool
 	}{
-		{is(1, 400), is(1, 430), 30, true},
-		{is(1, 400), is(2, 430), 430, true},
-		{is(1, 400), is(2, 30), 30, true},
-		{is(1, 400), is(3, 400), 400, true},
-		{planned{lives: 1}, is(2, 30), 30, true},
-		{planned{lives: 1}, is(1, 430), 0, false},
-		{is(1, 400), planned{lives: 1}, 0, false},
-		{is(1, 400), is(1, 30), 0, false},
+		{sampleOf(1, 400), sampleOf(1, 430), 30, true},
+		{sampleOf(1, 400), sampleOf(2, 430), 430, true},
+		{sampleOf(1, 400), sampleOf(2, 30), 30, true},
+		{sampleOf(1, 400), sampleOf(3, 400), 400, true},
+		{plannerSample{starts: 1}, sampleOf(2, 30), 30, true},
+		{plannerSample{starts: 1}, sampleOf(1, 430), 0, false},
+		{sampleOf(1, 400), plannerSample{starts: 1}, 0, false},
+		{sampleOf(1, 400), sampleOf(1, 30), 0, false},
 	} {
-		if more, known := x.before.grown(x.after, "states_total"); more != x.more || known != x.known {
+		if more, known := x.before.increase(x.after, "states_total"); more != x.more || known != x.known {
 			t.Errorf("from %+v to %+v: %v, %v", x.before, x.after, more, known)
 		}
 	}
-	p := &planner{program: "true", log: filepath.Join(t.TempDir(), "log")}
+	p := &planner{program: "true", logPath: filepath.Join(t.TempDir(), "log")}
 	for want := range 3 {
-		if p.lives != want {
-			t.Errorf("%d processes, want %d", p.lives, want)
+		if p.starts != want {
+			t.Errorf("%d starts, want %d", p.starts, want)
 		}
 		if err := p.start(); err != nil {
 			t.Fatal(err)
@@ -637,22 +641,22 @@
 	}
 }
 
-// Servers that start are granted to nodes by both planners: every node is bound, and all together stay within what a server
-// bears. Guards against a phase that measures no grants.
+// Both planners grant sends to servers that start: a grant limits every node, and all grants together stay within what such a
+// server can take. Guards against a phase that measures no grants.
 func TestGrantsToAZoneThatStarts(t *testing.T) {
-	b := startBench(t, small(t, ""))
+	b := startBench(t, smallFile(t, ""))
 	if err := b.fault(t.Context(), ZoneCold); err != nil {
 		t.Fatal(err)
 	}
 	value := func(measure string) float64 { return b.result.Value(b.size, b.variant.Name, ZoneCold, measure) }
 	if got := value("bound_most"); got != float64(b.size.Nodes) {
-		t.Errorf("%v of %d nodes are bound", got, b.size.Nodes)
+		t.Errorf("grants limit %v of %d nodes", got, b.size.Nodes)
 	}
 	if got := value("granted_most"); !(got > 0 && got <= 1) {
-		t.Errorf("granted %v of what a server bears", got)
+		t.Errorf("granted %v of what a server can take, want above 0 and at most 1", got)
 	}
-	b.wait(t, "nobody is bound any more", func(s *snapshot) bool {
-		last := b.between(time.Now().Add(-3*time.Second), time.Now())
+	b.wait(t, "no node is limited by a grant any more", func(s *snapshot) bool {
+		last := b.secondsBetween(time.Now().Add(-3*time.Second), time.Now())
 		return len(last) > 0 && last[len(last)-1].BoundNodes == 0
 	})
 }
--- a/lab/scale/speak.go
+++ b/lab/scale/speak.go
@@ -2,5 +2,5 @@
 
 import "lapisshelf/internal/forwarder"
 
-// speak has a forwarder talk as a variant wants it.
-func speak(c *forwarder.Config, talk string) { c.Whole = talk == TalkWhole }
+// setTalk configures the kind of messages that a forwarder sends, by Variant.Talk.
+func setTalk(c *forwarder.Config, talk string) { c.Whole = talk == TalkWhole }
