--- a/cmd/lapislab/commands.go
+++ b/cmd/lapislab/commands.go
@@ -341,7 +341,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%-34s %4.0f s  %s\n", path, x.Length.D().Seconds(), x.About)
+				fmt.Fprintf(c.OutOrStdout(), "%-34s %4.0f s  %s\n", path, x.Length.D().Seconds(), x.Description)
 			}
 			return nil
 		}}
@@ -357,10 +357,10 @@
 			}
 			out := c.OutOrStdout()
 			for _, v := range x.Servers {
-				fmt.Fprintf(out, "server %s id=%s later=%t\n", v.Name, v.ID, v.Later)
+				fmt.Fprintf(out, "server %s id=%s later=%t\n", v.Name, v.ID, v.StartsLater)
 			}
 			io.WriteString(out, stage.Timeline(x))
-			for _, a := range x.Plan() {
+			for _, a := range x.Arrivals() {
 				fmt.Fprintf(out, "%s %s\n", a.ID(x.Seed, 0), a.String())
 			}
 			return nil
@@ -374,7 +374,7 @@
 	var jsonTo, htmlTo, pngTo string
 	c := &cobra.Command{Use: "model FILE", Short: "Play an experiment in virtual time: the decisions before models, hundreds of nodes in seconds", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s.Model = true
+			s.VirtualTime = true
 			x, err := s.read(args[0])
 			if err != nil {
 				return err
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -17,14 +17,14 @@
 	"lapisshelf/lab/world"
 )
 
-// Span is a time span as in "250ms".
-type Span = tomlfile.Duration
+// Duration is a time span as in "250ms".
+type Duration = tomlfile.Duration
 
 // File is an experiment file as it stands. Every key has a default but length, class and fleet.count.
 type File struct {
 	Name     string
 	Seed     uint64
-	Length   Span
+	Length   Duration
 	Short    Short
 	Service  Service
 	Class    []Class
@@ -42,7 +42,7 @@
 
 // Short is what --short changes: for CI and for a first look.
 type Short struct {
-	Length Span
+	Length Duration
 	Rate   float64
 }
 
@@ -52,21 +52,21 @@
 	Attempts       int
 	Parallel       *bool
 	Cancel         *bool
-	RetryAfter     *bool   `toml:"retry_after"`
-	MaxRetryAfter  Span    `toml:"max_retry_after"`
-	ConnIdle       Span    `toml:"conn_idle"`
-	ConnectTimeout Span    `toml:"connect_timeout"`
-	PerConn        int     `toml:"per_conn"`
-	MostHeld       int     `toml:"most_held"`
-	AnswerSlack    Span    `toml:"answer_slack"`
-	DrainGrace     Span    `toml:"drain_grace"`
-	AskWithin      Span    `toml:"ask_within"`
-	WarmUp         Span    `toml:"warm_up"`
-	ColdFrom       float64 `toml:"cold_from"`
-	FallMultiple   float64 `toml:"fall_multiple"`
-	FallWindow     Span    `toml:"fall_window"`
+	RetryAfter     *bool    `toml:"retry_after"`
+	MaxRetryAfter  Duration `toml:"max_retry_after"`
+	ConnIdle       Duration `toml:"conn_idle"`
+	ConnectTimeout Duration `toml:"connect_timeout"`
+	PerConn        int      `toml:"per_conn"`
+	MaxHeld        int      `toml:"most_held"`
+	AnswerSlack    Duration `toml:"answer_slack"`
+	DrainGrace     Duration `toml:"drain_grace"`
+	AskWithin      Duration `toml:"ask_within"`
+	WarmUp         Duration `toml:"warm_up"`
+	ColdFrom       float64  `toml:"cold_from"`
+	FallMultiple   float64  `toml:"fall_multiple"`
+	FallWindow     Duration `toml:"fall_window"`
 	Weights        string
-	OverWorth      float64 `toml:"over_worth"`
+	OverShareWorth float64 `toml:"over_worth"`
 	Hits           *bool   // answers tell hit or miss
 	Reports        *bool   // answers carry load reports
 }
@@ -74,16 +74,16 @@
 // Class is a class of requests.
 type Class struct {
 	Name      string
-	Effect    string // safe, keyed or unsafe
-	Scope     string // all, zone or cell, for keyed
-	Window    Span   // for keyed
+	Effect    string   // safe, keyed or unsafe
+	Scope     string   // all, zone or cell, for keyed
+	Window    Duration // for keyed
 	Share     float64
-	Work      Span
+	Work      Duration
 	Sigma     float64
 	Size      int
 	SizeSigma float64 `toml:"size_sigma"`
-	Aim       Span
-	Deadline  Span
+	Aim       Duration
+	Deadline  Duration
 	Worth     float64
 	LateShare float64 `toml:"late_share"`
 	Write     bool
@@ -110,76 +110,76 @@
 // Planners are what nodes talk to, where there are any.
 type Planners struct {
 	Count int
-	Every Span   // between digests and views
-	Valid Span   // how long a view holds
-	Fade  Span   // how long it fades after that
-	Talk  string // changes: brief digests and what changed of views; whole: both whole
+	Every Duration // between digests and views
+	Valid Duration // how long a view holds
+	Fade  Duration // how long it fades after that
+	Talk  string   // changes: brief digests and what changed of views; whole: both whole
 }
 
 // Fleet is the cache servers that have no group of their own.
 type Fleet struct {
 	Count     int
-	Group          // figures of each
-	Tolerance Span // of the judge; what the lab may notice late
+	Group              // figures of each
+	Tolerance Duration // of the judge; what the lab may notice late
 }
 
 // Group is a number of servers that are alike.
 type Group struct {
-	Count       int
-	Kind        string
-	Zone        string
-	Cell        int
-	Weight      float64
-	Cores       int
-	Speed       float64
-	Slots       int
-	Room        int
-	MemoryMB    float64 `toml:"memory_mb"`
-	ReportEvery Span    `toml:"report_every"`
-	ReportNoise float64 `toml:"report_noise"`
-	Handshake   Span
-	MaxConns    int  `toml:"max_conns"`
-	Coalesce    bool // in through mode: fetches of one key are shared
-	Lease       Span // a miss within it is told as another's fetch
-	KeepsWork   bool `toml:"keeps_work"`
-	Cold        bool // they start cold
+	Count         int
+	Kind          string
+	Zone          string
+	Cell          int
+	Weight        float64
+	Cores         int
+	Speed         float64
+	Slots         int
+	Room          int
+	MemoryMB      float64  `toml:"memory_mb"`
+	ReportEvery   Duration `toml:"report_every"`
+	ReportNoise   float64  `toml:"report_noise"`
+	Handshake     Duration
+	MaxConns      int      `toml:"max_conns"`
+	Coalesce      bool     // in through mode: fetches of one key are shared
+	Lease         Duration // a miss within it is told as another's fetch
+	IgnoresCancel bool     `toml:"keeps_work"`
+	Cold          bool     // they start cold
 }
 
 // Origin is what is behind the caches.
 type Origin struct {
-	Cores        int
-	Slots, Room  int
-	Work         Span
-	Sigma        float64
-	WriteFactor  float64 `toml:"write_factor"`
-	FallMultiple float64 `toml:"fall_multiple"`
-	FallFor      Span    `toml:"fall_for"`
-	Down         Span
-	KeepsWork    bool `toml:"keeps_work"`
-	None         bool // there is none
+	Cores         int
+	Slots, Room   int
+	Work          Duration
+	Sigma         float64
+	WriteFactor   float64  `toml:"write_factor"`
+	FallMultiple  float64  `toml:"fall_multiple"`
+	FallFor       Duration `toml:"fall_for"`
+	Down          Duration
+	IgnoresCancel bool `toml:"keeps_work"`
+	None          bool // there is none
 }
 
 // List is where the nodes have their list from.
 type List struct {
-	Delay Span
+	Delay Duration
 	Keep  int
 	Whole bool
-	Wait  Span
-
-	Kind      string  // discovery, etcd or consul
-	Endpoints int     // of a registry
-	Lease     Span    // servers keep their entries under leases of that time; 0: they stand until they are taken out
-	Progress  Span    // between progress notices of a quiet watch
-	Token     string  // that the registry wants
-	Hold      Span    // what the nodes are told, see the operator's file
-	HoldPart  float64 `toml:"hold_part"`
-	Rewind    Span
-	Watch     Span
+	Wait  Duration
+
+	Kind      string   // discovery, etcd or consul
+	Endpoints int      // of a registry
+	Lease     Duration // servers keep their entries under leases of that time; 0: they stand until they are taken out
+	Progress  Duration // between progress notices of a quiet watch
+	Token     string   // that the registry wants
+	Hold      Duration // what the nodes are told, see the operator's file
+	HoldPart  float64  `toml:"hold_part"`
+	Rewind    Duration
+	Watch     Duration
 	Announce  bool // nodes keep entries of themselves
 }
 
-// Registry reports whether the list is in a key-value registry.
-func (l *List) Registry() bool { return l.Kind != "discovery" }
+// InRegistry reports whether the list is in a key-value registry.
+func (l *List) InRegistry() bool { return l.Kind != "discovery" }
 
 // Clients are who asks.
 type Clients struct {
@@ -190,7 +190,7 @@
 	Drift      float64
 	Patience   []float64
 	Retries    int
-	Pause      Span
+	Pause      Duration
 	MarksRetry bool `toml:"marks_retry"`
 	Leaves     float64
 	Skew       []float64
@@ -199,45 +199,45 @@
 
 // Expectation is one line of [expect].
 type Expectation struct {
-	Figure string
-	Most   bool // at most, else at least
-	Limit  float64
-	Line   string // where it stands
+	Figure   string
+	IsMax    bool // at most, else at least
+	Limit    float64
+	Location string // where it stands
 }
 
 // Experiment is a file that makes sense, with its defaults filled in.
 type Experiment struct {
 	File
-	Path     string
-	About    string // the comment at the file's head
-	Classes  []world.Class
-	Tenants  []world.Tenant
-	Servers  []Server
-	Timeline *fault.Timeline
-	Expects  []Expectation
-	Broken   []string // rules that are expected to be broken
-	Source   world.ClientSpec
+	Path         string
+	Description  string // the comment at the file's head
+	Classes      []world.Class
+	Tenants      []world.Tenant
+	Servers      []Server
+	Timeline     *fault.Timeline
+	Expectations []Expectation
+	BrokenRules  []string // rules that are expected to be broken
+	ClientSpec   world.ClientSpec
 
 	model bool
 }
 
 // Server is a cache server of the plan.
 type Server struct {
-	Name   string
-	ID     string
-	Spec   world.CacheSpec
-	Member world.Member // without its address
-	Group  Group
-	Later  bool // it starts in the course of the run
+	Name        string
+	ID          string
+	Spec        world.CacheSpec
+	Member      world.Member // without its address
+	Group       Group
+	StartsLater bool // it starts in the course of the run
 }
 
 // Options are what the command line changes.
 type Options struct {
-	Seed   uint64 // 0: the file's
-	Short  bool
-	Length time.Duration // 0: the file's
-	Rate   float64       // 0: the file's
-	Model  bool          // for virtual time: more nodes are allowed, and nothing is expected of their processes
+	Seed        uint64 // 0: the file's
+	Short       bool
+	Length      time.Duration // 0: the file's
+	Rate        float64       // 0: the file's
+	VirtualTime bool          // for virtual time: more nodes are allowed, and nothing is expected of their processes
 }
 
 // Read reads a file.
@@ -256,7 +256,7 @@
 	if err != nil {
 		return nil, err
 	}
-	x.About = about(string(text))
+	x.Description = about(string(text))
 	if opt.Short {
 		if x.Short.Length.D() > 0 {
 			x.Length = x.Short.Length
@@ -274,12 +274,12 @@
 	if opt.Rate > 0 {
 		x.Clients.Rate = opt.Rate
 	}
-	x.model = opt.Model
+	x.model = opt.VirtualTime
 	if err := x.check(f); err != nil {
 		return nil, err
 	}
-	if opt.Model {
-		x.Expects = slices.DeleteFunc(x.Expects, func(e Expectation) bool {
+	if opt.VirtualTime {
+		x.Expectations = slices.DeleteFunc(x.Expectations, func(e Expectation) bool {
 			return strings.HasPrefix(e.Figure, "said_") || strings.HasPrefix(e.Figure, "node_")
 		})
 	}
@@ -302,15 +302,15 @@
 func yes() *bool { b := true; return &b }
 func no() *bool  { b := false; return &b }
 
-func ms(n int) Span { return tomlfile.Span(time.Duration(n) * time.Millisecond) }
+func ms(n int) Duration { return tomlfile.Span(time.Duration(n) * time.Millisecond) }
 
 // defaults is a small deployment; docs/lab.md has the same figures.
 func defaults() File {
 	return File{Seed: 1, Length: ms(10000),
 		Service: Service{Mode: "aside", Attempts: 6, Parallel: no(), Cancel: yes(), RetryAfter: yes(), MaxRetryAfter: ms(1000),
-			ConnIdle: ms(10000), ConnectTimeout: ms(250), PerConn: 8, MostHeld: 5000, AnswerSlack: ms(20), DrainGrace: ms(400),
+			ConnIdle: ms(10000), ConnectTimeout: ms(250), PerConn: 8, MaxHeld: 5000, AnswerSlack: ms(20), DrainGrace: ms(400),
 			AskWithin: ms(4000), WarmUp: ms(8000), ColdFrom: 0.2, FallMultiple: 3, FallWindow: ms(1500), Weights: "nominal",
-			OverWorth: 0.05, Hits: yes(), Reports: yes()},
+			OverShareWorth: 0.05, Hits: yes(), Reports: yes()},
 		Nodes:    Nodes{Count: 2, MemoryMB: 192, Sockets: 1024},
 		Planners: Planners{Every: ms(500), Valid: ms(3000), Fade: ms(10000), Talk: "changes"},
 		Fleet: Fleet{Group: Group{Kind: "std", Zone: "a", Weight: 1, Cores: 2, Speed: 1, Slots: 16, Room: 32, MemoryMB: 2,
@@ -346,10 +346,10 @@
 		rule{s.Mode != "aside" && s.Mode != "through", at("service", "mode"), fmt.Sprintf("%q is neither aside nor through", s.Mode)},
 		rule{s.Attempts < 1 || s.Attempts > 100, at("service", "attempts"), "must be 1 to 100"},
 		rule{s.PerConn < 1, at("service", "per_conn"), "must be at least 1"},
-		rule{s.MostHeld < 1, at("service", "most_held"), "must be at least 1"},
+		rule{s.MaxHeld < 1, at("service", "most_held"), "must be at least 1"},
 		rule{!(s.ColdFrom > 0 && s.ColdFrom <= 1), at("service", "cold_from"), "must be above 0 and at most 1"},
 		rule{!(s.FallMultiple >= 0), at("service", "fall_multiple"), "must not be negative"},
-		rule{!(s.OverWorth >= 0 && s.OverWorth <= 1), at("service", "over_worth"), "must be 0 to 1"},
+		rule{!(s.OverShareWorth >= 0 && s.OverShareWorth <= 1), at("service", "over_worth"), "must be 0 to 1"},
 		rule{!slices.Contains([]string{"off", "nominal", "rough", "live"}, s.Weights), at("service", "weights"), "must be off, nominal, rough or live"},
 		rule{len(x.Class) == 0, at("class"), "an experiment needs a class of requests"},
 		rule{x.Fleet.Count+len(x.File.Group) == 0, at("fleet", "count"), "an experiment needs a cache server"},
@@ -379,8 +379,8 @@
 		rule{x.List.Endpoints < 1 || x.List.Endpoints > 8, at("list", "endpoints"), "must be 1 to 8"},
 		rule{x.List.Lease.D() < 0 || x.List.Lease.D() > 0 && x.List.Lease.D() < time.Second, at("list", "lease"), "must be 0s, or at least 1s"},
 		rule{x.List.Progress.D() < 0, at("list", "progress"), "must not be negative"},
-		rule{x.List.Registry() && n.Config != "", at("nodes", "config"), "the lab writes the operator's file itself where the list is in a registry"},
-		rule{!x.List.Registry() && (x.List.Endpoints > 1 || x.List.Lease.D() > 0 || x.List.Token != "" || x.List.Announce), at("list", "kind"), "endpoints, leases and tokens need a registry: etcd or consul"},
+		rule{x.List.InRegistry() && n.Config != "", at("nodes", "config"), "the lab writes the operator's file itself where the list is in a registry"},
+		rule{!x.List.InRegistry() && (x.List.Endpoints > 1 || x.List.Lease.D() > 0 || x.List.Token != "" || x.List.Announce), at("list", "kind"), "endpoints, leases and tokens need a registry: etcd or consul"},
 		rule{!(c.Rate > 0 && c.Rate <= 200000), at("clients", "rate"), "must be above 0 and at most 200000 a second"},
 		rule{c.Rate*x.Length.D().Seconds() > 20e6, at("clients", "rate"), "over 20 million requests in a run"},
 		rule{c.Keys < 1 || c.Keys > 5e6, at("clients", "keys"), "must be 1 to 5000000"},
@@ -405,7 +405,7 @@
 	if err := x.expects(f); err != nil {
 		return err
 	}
-	x.Source = world.ClientSpec{Rate: c.Rate, Keys: c.Keys, Zipf: c.Zipf, Offset: c.Offset, Drift: c.Drift,
+	x.ClientSpec = world.ClientSpec{Rate: c.Rate, Keys: c.Keys, Zipf: c.Zipf, Offset: c.Offset, Drift: c.Drift,
 		TimeoutRange: [2]float64{c.Patience[0], c.Patience[1]}, MaxRetries: c.Retries, RetryDelay: c.Pause.D(), MarksRetry: c.MarksRetry,
 		LeaveShare: c.Leaves, Nodes: n.Count, NodeShares: c.Skew}
 	return x.faults(f)
@@ -541,8 +541,8 @@
 	spec := world.CacheSpec{Name: name, Cores: g.Cores, Speed: g.Speed, Slots: g.Slots, QueueLimit: g.Room, MemoryBytes: int64(g.MemoryMB * (1 << 20)),
 		WarmUp: s.WarmUp.D(), ColdFrom: s.ColdFrom, FallMultiple: s.FallMultiple, FallWindow: s.FallWindow.D(),
 		ReportInterval: g.ReportEvery.D(), ReportNoise: g.ReportNoise, HandshakeWork: g.Handshake.D(), Through: s.Mode == "through",
-		Coalesce: g.Coalesce, Lease: g.Lease.D(), IgnoresCancel: g.KeepsWork}
-	x.Servers = append(x.Servers, Server{Name: name, ID: x.id(name), Spec: spec, Group: g, Later: later,
+		Coalesce: g.Coalesce, Lease: g.Lease.D(), IgnoresCancel: g.IgnoresCancel}
+	x.Servers = append(x.Servers, Server{Name: name, ID: x.id(name), Spec: spec, Group: g, StartsLater: later,
 		Member: world.Member{ID: x.id(name), Zone: g.Zone, Kind: g.Kind, Cell: g.Cell, Weight: g.Weight}})
 	return &x.Servers[len(x.Servers)-1]
 }
@@ -571,7 +571,7 @@
 	set("max_conns", func() { out.MaxConns = g.MaxConns })
 	set("coalesce", func() { out.Coalesce = g.Coalesce })
 	set("lease", func() { out.Lease = g.Lease })
-	set("keeps_work", func() { out.KeepsWork = g.KeepsWork })
+	set("keeps_work", func() { out.IgnoresCancel = g.IgnoresCancel })
 	set("cold", func() { out.Cold = g.Cold })
 	return out
 }
@@ -608,7 +608,7 @@
 }
 
 func (x *Experiment) ends() int {
-	if !x.List.Registry() {
+	if !x.List.InRegistry() {
 		return 0
 	}
 	return x.List.Endpoints
@@ -629,7 +629,7 @@
 				if !slices.Contains(judge.RuleNames, name) {
 					return f.Errorf(at, "%q is no rule; there are %s", v, strings.Join(judge.RuleNames, ", "))
 				}
-				x.Broken = append(x.Broken, name)
+				x.BrokenRules = append(x.BrokenRules, name)
 			}
 			continue
 		}
@@ -645,15 +645,15 @@
 		if math.IsNaN(limit) {
 			return f.Errorf(at, "must be a number")
 		}
-		e := Expectation{Limit: limit, Line: where}
+		e := Expectation{Limit: limit, Location: where}
 		var least, most bool
 		if e.Figure, least = strings.CutSuffix(key, "_min"); !least {
 			if e.Figure, most = strings.CutSuffix(key, "_max"); !most {
 				return f.Errorf(at, "must end in _min or _max")
 			}
 		}
-		e.Most = most
-		x.Expects = append(x.Expects, e)
+		e.IsMax = most
+		x.Expectations = append(x.Expectations, e)
 	}
 	return nil
 }
@@ -667,35 +667,35 @@
 	return all
 }
 
-// Miss is an expectation that falls short.
-type Miss struct {
+// Shortfall is an expectation that falls short.
+type Shortfall struct {
 	Expectation
-	Was   float64
-	Known bool
+	Value     float64
+	HasFigure bool
 }
 
 // String is the miss in one line.
-func (m Miss) String() string {
+func (m Shortfall) String() string {
 	word := "at least"
-	if m.Most {
+	if m.IsMax {
 		word = "at most"
 	}
-	if !m.Known {
-		return fmt.Sprintf("%s: no figure %q", m.Line, m.Figure)
+	if !m.HasFigure {
+		return fmt.Sprintf("%s: no figure %q", m.Location, m.Figure)
 	}
-	return fmt.Sprintf("%s: %s was %.4g, %s %.4g is wanted", m.Line, m.Figure, m.Was, word, m.Limit)
+	return fmt.Sprintf("%s: %s was %.4g, %s %.4g is wanted", m.Location, m.Figure, m.Value, word, m.Limit)
 }
 
-// Falls gives what falls short of the file's expectations, and the rules that are broken against them.
-func (x *Experiment) Falls(v *judge.Verdict) (misses []Miss, broken []string) {
-	for _, e := range x.Expects {
+// Evaluate gives what falls short of the file's expectations, and the rules that are broken against them.
+func (x *Experiment) Evaluate(v *judge.Verdict) (misses []Shortfall, broken []string) {
+	for _, e := range x.Expectations {
 		was, ok := v.Figures[e.Figure]
-		if !ok || e.Most && was > e.Limit || !e.Most && was < e.Limit {
-			misses = append(misses, Miss{e, was, ok})
+		if !ok || e.IsMax && was > e.Limit || !e.IsMax && was < e.Limit {
+			misses = append(misses, Shortfall{e, was, ok})
 		}
 	}
 	for _, name := range judge.RuleNames {
-		want := slices.Contains(x.Broken, name)
+		want := slices.Contains(x.BrokenRules, name)
 		switch {
 		case v.Broken[name] > 0 && !want:
 			broken = append(broken, name+" was broken")
@@ -706,9 +706,9 @@
 	return misses, broken
 }
 
-// Plan draws all arrivals.
-func (x *Experiment) Plan() []world.Arrival {
-	return world.NewSource(x.Source, x.Classes, x.Tenants, x.Timeline.Shapes, x.Seed, x.Length.D()).Plan()
+// Arrivals draws all arrivals.
+func (x *Experiment) Arrivals() []world.Arrival {
+	return world.NewSource(x.ClientSpec, x.Classes, x.Tenants, x.Timeline.Shapes, x.Seed, x.Length.D()).Plan()
 }
 
 // Rules are the judge's.
@@ -716,10 +716,10 @@
 	s := &x.Service
 	r := judge.Rules{Seed: x.Seed, Classes: x.Classes, Tenants: x.Tenants, Members: map[string]world.Member{}, Parallel: *s.Parallel,
 		MostTries: s.Attempts, AnswerSlack: s.AnswerSlack.D(), DrainGrace: s.DrainGrace.D(), AskWithin: s.AskWithin.D(),
-		OverWorth: s.OverWorth, Tolerance: x.Fleet.Tolerance.D(), ColdFrom: s.ColdFrom, WarmUp: s.WarmUp.D(),
+		OverWorth: s.OverShareWorth, Tolerance: x.Fleet.Tolerance.D(), ColdFrom: s.ColdFrom, WarmUp: s.WarmUp.D(),
 		FallMultiple: s.FallMultiple, FallWindow: s.FallWindow.D(), OriginFor: x.Origin.FallFor.D(), OriginKind: originKind,
 		Length: x.Length.D()}
-	if x.List.Registry() {
+	if x.List.InRegistry() {
 		r.Hold, r.HoldPart = x.List.Hold.D(), x.List.HoldPart
 	}
 	for _, v := range x.Servers {
@@ -746,13 +746,13 @@
 		window = max(window, c.Window)
 	}
 	return world.OriginSpec{Cores: o.Cores, Slots: o.Slots, QueueLimit: o.Room, Work: o.Work.D(), Sigma: o.Sigma, WriteFactor: o.WriteFactor,
-		FallMultiple: o.FallMultiple, FallWindow: o.FallFor.D(), Downtime: o.Down.D(), DedupWindow: window, IgnoresCancel: o.KeepsWork}
+		FallMultiple: o.FallMultiple, FallWindow: o.FallFor.D(), Downtime: o.Down.D(), DedupWindow: window, IgnoresCancel: o.IgnoresCancel}
 }
 
 // Settings is the object that a node is told, with the names and units of the platform.
 func (x *Experiment) Settings(node int) map[string]any {
 	s := &x.Service
-	ns := func(d Span) int64 { return int64(d.D()) }
+	ns := func(d Duration) int64 { return int64(d.D()) }
 	var classes, tenants []any
 	for _, c := range x.Classes {
 		classes = append(classes, map[string]any{"Name": c.Name, "Effect": [...]string{"retryable", "dedup", "fragile"}[c.Effect],
@@ -780,11 +780,11 @@
 	return map[string]any{
 		"Balancers": x.Nodes.Count, "Position": node, "Tick": int64(5 * time.Millisecond), "Weights": s.Weights,
 		"MembershipMode": "subscribe", "Models": kinds, "Classes": classes, "Tenants": tenants, "FamilyInfo": info,
-		"Feedback": feedback, "OverShareWorth": s.OverWorth, "Clients": map[string]any{"MarksRetry": x.Clients.MarksRetry},
+		"Feedback": feedback, "OverShareWorth": s.OverShareWorth, "Clients": map[string]any{"MarksRetry": x.Clients.MarksRetry},
 		"Guarantees": map[string]any{"AnswerSlack": ns(s.AnswerSlack), "AskWithin": ns(s.AskWithin), "ColdFrom": s.ColdFrom,
 			"DrainGrace": ns(s.DrainGrace), "FallMultiple": s.FallMultiple, "OverloadFor": ns(s.FallWindow), "WarmUp": ns(s.WarmUp)},
 		"Limits": map[string]any{"Cancel": *s.Cancel, "ConnIdle": ns(s.ConnIdle), "ConnectTimeout": ns(s.ConnectTimeout),
-			"MaxRetryAfter": ns(s.MaxRetryAfter), "MayTell": false, "MostHeld": s.MostHeld, "ParallelTries": *s.Parallel,
+			"MaxRetryAfter": ns(s.MaxRetryAfter), "MayTell": false, "MostHeld": s.MaxHeld, "ParallelTries": *s.Parallel,
 			"Probes": false, "RetryAfter": *s.RetryAfter, "SendCap": s.Attempts, "StreamsPerConn": s.PerConn},
 	}
 }
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -79,11 +79,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if x.About != "What it guards, in two lines." || x.Length.D() != 4*time.Second || x.Clients.Rate != 200 {
-		t.Errorf("%q %v %v", x.About, x.Length, x.Clients.Rate)
+	if x.Description != "What it guards, in two lines." || x.Length.D() != 4*time.Second || x.Clients.Rate != 200 {
+		t.Errorf("%q %v %v", x.Description, x.Length, x.Clients.Rate)
 	}
 	if len(x.Servers) != 6 || x.Servers[4].Member.Weight != 2.5 || x.Servers[4].Spec.Cores != 4 || x.Servers[5].Name != "c5.2" ||
-		!x.Servers[5].Later || x.Servers[5].ID == x.Servers[4].ID || x.Servers[5].Member.Weight != 2.5 {
+		!x.Servers[5].StartsLater || x.Servers[5].ID == x.Servers[4].ID || x.Servers[5].Member.Weight != 2.5 {
 		t.Errorf("%+v", x.Servers)
 	}
 	short, err := read(t, small, Options{Short: true, Seed: 9})
@@ -123,13 +123,13 @@
 		t.Fatal(err)
 	}
 	v := &judge.Verdict{Broken: map[string]int{judge.Cold: 1, judge.Drains: 2}, Figures: map[string]float64{"service": 0.8}}
-	misses, broken := x.Falls(v)
+	misses, broken := x.Evaluate(v)
 	if len(misses) != 2 || len(broken) != 1 || !strings.Contains(misses[1].String(), "service was 0.8, at least 0.9 is wanted") ||
 		!strings.Contains(misses[0].String(), `no figure "p99_ms"`) || broken[0] != "drains was broken" {
 		t.Errorf("%v %v", misses, broken)
 	}
 	v = &judge.Verdict{Broken: map[string]int{}, Figures: map[string]float64{"service": 0.9, "p99_ms": 100}}
-	if misses, broken = x.Falls(v); len(misses) != 0 || len(broken) != 1 || !strings.Contains(broken[0], "cold was kept") {
+	if misses, broken = x.Evaluate(v); len(misses) != 0 || len(broken) != 1 || !strings.Contains(broken[0], "cold was kept") {
 		t.Errorf("%v %v", misses, broken)
 	}
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -112,7 +112,7 @@
 	var members []world.Member
 	for i := range x.Servers {
 		v := &x.Servers[i]
-		if v.Later {
+		if v.StartsLater {
 			continue
 		}
 		s.addCache(v, v.Group.Cold)
@@ -160,7 +160,7 @@
 	if class < 0 || x.Clients.Warm <= 0 {
 		return
 	}
-	src := world.NewSource(x.Source, x.Classes, x.Tenants, nil, x.Seed, x.Length.D())
+	src := world.NewSource(x.ClientSpec, x.Classes, x.Tenants, nil, x.Seed, x.Length.D())
 	room := map[string]int64{}
 	for _, v := range x.Servers {
 		if !v.Group.Cold {
@@ -189,7 +189,7 @@
 
 // run plays the plan with its troubles.
 func (s *sim) run() *Result {
-	plan := s.x.Plan()
+	plan := s.x.Arrivals()
 	for _, a := range s.x.Timeline.Actions {
 		s.at(a.At, func() {
 			s.do(a)
@@ -272,7 +272,7 @@
 	x.over = true
 	change()
 	t := x.t
-	wait := max(s.x.Source.RetryDelay, t.RetryAfter)
+	wait := max(s.x.ClientSpec.RetryDelay, t.RetryAfter)
 	again := t.Answer != seen.Served && t.LeftAt == 0 && t.Number+1 < x.a.MaxTries && s.now+wait+20*time.Millisecond < x.wish+x.class.Deadline
 	if harmless := t.Answer == seen.Refused || t.ConnectFailed; again && !harmless {
 		again = x.class.Effect == world.Safe || x.class.Effect == world.Keyed && x.class.Scope == world.ScopeAll && s.now+wait < x.wish+x.class.Window
--- a/lab/fleet/planners_test.go
+++ b/lab/fleet/planners_test.go
@@ -51,7 +51,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x, err := experiment.Read(path, experiment.Options{Model: true})
+	x, err := experiment.Read(path, experiment.Options{VirtualTime: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -78,8 +78,8 @@
 
 // New makes the report of a run.
 func New(x *experiment.Experiment, command string, r *stage.Result) *Run {
-	misses, broken := x.Falls(r.Verdict)
-	out := &Run{Schema: Schema, Name: x.Name, File: x.Path, About: x.About, Seed: x.Seed, Seconds: x.Length.D().Seconds(),
+	misses, broken := x.Evaluate(r.Verdict)
+	out := &Run{Schema: Schema, Name: x.Name, File: x.Path, About: x.Description, Seed: x.Seed, Seconds: x.Length.D().Seconds(),
 		Command: command, Verdict: Holds, Misses: []string{}, Rules: r.Verdict.Broken, Breaches: r.Verdict.Breaches, Figures: r.Verdict.Figures,
 		Classes: r.Verdict.Classes, Tenants: r.Verdict.Tenants, Series: r.Verdict.Seconds, Lab: r.Lab}
 	if out.Breaches == nil {
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -50,7 +50,7 @@
 }
 
 func TestVerdicts(t *testing.T) {
-	x := &experiment.Experiment{Expects: []experiment.Expectation{{Figure: "service", Limit: 0.9, Line: "x.toml:3"}}}
+	x := &experiment.Experiment{Expectations: []experiment.Expectation{{Figure: "service", Limit: 0.9, Location: "x.toml:3"}}}
 	x.Name = "x"
 	result := func(service float64, lab stage.Lab, cut bool, broken int) *stage.Result {
 		v := &judge.Verdict{Broken: map[string]int{judge.Drains: broken}, Figures: map[string]float64{"service": service},
--- a/lab/stage/list.go
+++ b/lab/stage/list.go
@@ -78,7 +78,7 @@
 // openList starts what the nodes have their list from.
 func (s *Stage) openList(members []world.Member) error {
 	x := s.X
-	if !x.List.Registry() {
+	if !x.List.InRegistry() {
 		// Planners have addresses of their own there, behind the nodes'.
 		l, err := standin.NewList(s.Common, standin.ListOptions{Addr: s.net + "201:0", Nodes: x.Nodes.Count + x.Planners.Count, Delay: x.List.Delay.D(),
 			Keep: x.List.Keep, Whole: x.List.Whole, Wait: x.List.Wait.D()}, members...)
@@ -118,7 +118,7 @@
 
 // known is the list that a node is started with: none where it is in a registry, which a node asks itself.
 func (s *Stage) known() (int64, []world.Member) {
-	if s.X.List.Registry() {
+	if s.X.List.InRegistry() {
 		return 0, nil
 	}
 	return s.list.Members()
@@ -127,7 +127,7 @@
 // operatorFile writes a node's operator's file.
 func (s *Stage) operatorFile(node int) (string, error) {
 	var b strings.Builder
-	if s.X.List.Registry() {
+	if s.X.List.InRegistry() {
 		text, err := s.registryTable(node)
 		if err != nil {
 			return "", err
--- a/lab/stage/planners.go
+++ b/lab/stage/planners.go
@@ -85,7 +85,7 @@
 	x := s.X
 	var b strings.Builder
 	fmt.Fprintf(&b, "[node]\ncontrol = %q\n", p.control)
-	if x.List.Registry() {
+	if x.List.InRegistry() {
 		table, err := s.registryTable(x.Nodes.Count + number)
 		if err != nil {
 			return "", err
--- a/lab/stage/stage.go
+++ b/lab/stage/stage.go
@@ -95,7 +95,7 @@
 
 // Open puts a deployment up; when it returns without an error, all nodes are ready.
 func Open(x *experiment.Experiment, opt Options) (*Stage, error) {
-	s := &Stage{X: x, Log: seen.NewLog(), opt: opt, caches: map[string]*standin.Cache{}, lames: map[int]*seen.LameDuckCheck{}, quit: make(chan struct{}), rules: x.Rules(), plan: x.Plan()}
+	s := &Stage{X: x, Log: seen.NewLog(), opt: opt, caches: map[string]*standin.Cache{}, lames: map[int]*seen.LameDuckCheck{}, quit: make(chan struct{}), rules: x.Rules(), plan: x.Arrivals()}
 	s.net = fmt.Sprintf("127.%d.%d.", 10+rand.IntN(200), rand.IntN(250))
 	s.Common = standin.NewCommon(s.Log, x.Seed, x.Classes)
 	s.missed = [2]map[string][]func(version, size int64){{}, {}}
@@ -111,7 +111,7 @@
 	var members []world.Member
 	for i := range x.Servers {
 		v := &x.Servers[i]
-		if v.Later {
+		if v.StartsLater {
 			continue
 		}
 		c, err := s.startCache(v, v.Group.Cold)
@@ -154,7 +154,7 @@
 	for _, n := range s.Nodes {
 		addrs = append(addrs, n.Addr())
 	}
-	s.load = load.New(load.Options{Log: s.Log, Seed: x.Seed, Spec: x.Source, Classes: x.Classes, Tenants: x.Tenants, NodeAddrs: addrs,
+	s.load = load.New(load.Options{Log: s.Log, Seed: x.Seed, Spec: x.ClientSpec, Classes: x.Classes, Tenants: x.Tenants, NodeAddrs: addrs,
 		Generation: s.lifeOf})
 	return nil
 }
@@ -207,7 +207,7 @@
 	for _, v := range x.Servers {
 		names[v.ID] = v.Name
 	}
-	src := world.NewSource(x.Source, x.Classes, x.Tenants, nil, x.Seed, x.Length.D())
+	src := world.NewSource(x.ClientSpec, x.Classes, x.Tenants, nil, x.Seed, x.Length.D())
 	put := func(m world.Member, key string) {
 		size := int64(world.SizeOf(x.Seed, &x.Classes[class], key))
 		if room[m.ID] < size {
@@ -273,12 +273,12 @@
 			}
 			opt.Env = append(opt.Env, "LAPISSHELF_CONFIG="+path)
 		}
-		if x.List.Registry() || x.Planners.Count > 0 {
+		if x.List.InRegistry() || x.Planners.Count > 0 {
 			path, err := s.operatorFile(i)
 			if err != nil {
 				return err
 			}
-			if x.List.Registry() {
+			if x.List.InRegistry() {
 				opt.List = "" // the operator's file tells it
 			}
 			opt.Env = append(opt.Env, "LAPISSHELF_CONFIG="+path)
