--- a/cmd/lapislab/commands.go
+++ b/cmd/lapislab/commands.go
@@ -62,14 +62,14 @@
 }
 
 // progress writes a line a second where someone watches.
-func (s *setup) progress(prefix string) func(stage.Moment) {
+func (s *setup) progress(prefix string) func(stage.Progress) {
 	info, err := os.Stderr.Stat()
 	if s.quiet || err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return nil
 	}
-	return func(m stage.Moment) {
-		fmt.Fprintf(os.Stderr, "\r\x1b[K%s%.0f of %.0f s  %d tries  %d attempts  %s", prefix, m.At.Seconds(), m.Length.Seconds(),
-			m.Sent, m.Attempts, m.Last)
+	return func(m stage.Progress) {
+		fmt.Fprintf(os.Stderr, "\r\x1b[K%s%.0f of %.0f s  %d tries  %d attempts  %s", prefix, m.Elapsed.Seconds(), m.Length.Seconds(),
+			m.TriesSent, m.Attempts, m.LastEvent)
 	}
 }
 
@@ -359,7 +359,7 @@
 			for _, v := range x.Servers {
 				fmt.Fprintf(out, "server %s id=%s later=%t\n", v.Name, v.ID, v.StartsLater)
 			}
-			io.WriteString(out, stage.Timeline(x))
+			io.WriteString(out, stage.TimelineText(x))
 			for _, a := range x.Arrivals() {
 				fmt.Fprintf(out, "%s %s\n", a.ID(x.Seed, 0), a.String())
 			}
--- a/cmd/lapislab/lapislab_test.go
+++ b/cmd/lapislab/lapislab_test.go
@@ -101,7 +101,7 @@
 			t.Fatalf("%v: %s", err, out)
 		}
 		if r.Verdict == report.Void {
-			t.Logf("void, played again: %s", r.Lab.Void)
+			t.Logf("void, played again: %s", r.Lab.VoidReason)
 			continue
 		}
 		if code := cmd.ProcessState.ExitCode(); code != map[string]int{report.Holds: 0, report.FallsShort: statusShort}[r.Verdict] {
--- a/cmd/lapisshelf/harness_test.go
+++ b/cmd/lapisshelf/harness_test.go
@@ -154,7 +154,7 @@
 	config map[string]any // as it was at the start
 }
 
-func (n *process) log() string { return n.Text() }
+func (n *process) log() string { return n.LogText() }
 
 // serving is an entry that serves.
 func serving(id, addr, kind string) world.Member {
@@ -226,7 +226,7 @@
 		sockets = told.Limits.Sockets
 	}
 	n := &process{t: t, addr: listen, tmp: tmp, Node: stage.NewNode(stage.NodeOptions{Log: seen.NewLog(), Command: strings.Join(append([]string{binary}, args...), " "),
-		Dir: t.TempDir(), Listen: listen, MemoryMB: 1 << 10, Sockets: sockets, Text: config, Output: to, Env: []string{"TMPDIR=" + tmp}})}
+		Dir: t.TempDir(), Listen: listen, MemoryMB: 1 << 10, Sockets: sockets, ConfigText: config, LogOutput: to, Env: []string{"TMPDIR=" + tmp}})}
 	if err := n.Start(0, nil); err != nil {
 		t.Fatal(err)
 	}
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -43,7 +43,7 @@
 	Tenants  map[string]judge.Service `json:"tenants"`
 	Series   []judge.Second           `json:"by_second"`
 	Events   []Event                  `json:"events"`
-	Lab      stage.Lab                `json:"lab"`
+	Lab      stage.LabDelays          `json:"lab"`
 	Nodes    []Life                   `json:"nodes"`
 }
 
@@ -92,9 +92,9 @@
 		out.Misses = append(out.Misses, m.String())
 	}
 	switch {
-	case r.Cut:
+	case r.Interrupted:
 		out.Verdict = Cut
-	case r.Lab.Void != "":
+	case r.Lab.VoidReason != "":
 		out.Verdict = Void
 	case len(out.Misses) > 0:
 		out.Verdict = FallsShort
@@ -132,8 +132,8 @@
 	for _, m := range r.Misses {
 		fmt.Fprintln(w, "  "+m)
 	}
-	if r.Lab.Void != "" {
-		fmt.Fprintln(w, "  void: "+r.Lab.Void)
+	if r.Lab.VoidReason != "" {
+		fmt.Fprintln(w, "  void: "+r.Lab.VoidReason)
 	}
 	var rules []string
 	for _, name := range judge.RuleNames {
@@ -160,7 +160,7 @@
 	fmt.Fprintf(w, "nodes    add %.3f ms at the median, %.3f at 99%%, %.3f at 99.9%%; %.1f MB, %.0f descriptors, %.1f ms of CPU for 1,000 requests\n",
 		f["added_p50_ms"], f["added_p99_ms"], f["added_p999_ms"], f["node_memory_mb"], f["node_descriptors"], f["node_cpu_ms_per_1000"])
 	fmt.Fprintf(w, "the lab  sent %.2f ms behind its plan at the median, %.2f at 99%%, %.1f at most; stand-ins %.2f ms late in the mean, %.1f at most; stood still %.1f ms at most\n",
-		r.Lab.SendP50, r.Lab.SendP99, r.Lab.SendMax, r.Lab.StandMean, r.Lab.StandMax, r.Lab.StallMax)
+		r.Lab.SendP50, r.Lab.SendP99, r.Lab.SendMax, r.Lab.StandInMean, r.Lab.StandInMax, r.Lab.StallMax)
 	r.broken(w)
 }
 
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -52,23 +52,23 @@
 func TestVerdicts(t *testing.T) {
 	x := &experiment.Experiment{Expectations: []experiment.Expectation{{Figure: "service", Limit: 0.9, Location: "x.toml:3"}}}
 	x.Name = "x"
-	result := func(service float64, lab stage.Lab, cut bool, broken int) *stage.Result {
+	result := func(service float64, lab stage.LabDelays, cut bool, broken int) *stage.Result {
 		v := &judge.Verdict{Broken: map[string]int{judge.Drains: broken}, Figures: map[string]float64{"service": service},
 			Seconds: []judge.Second{{At: 0, Service: service}, {At: 1, Service: 1}}}
 		if broken > 0 {
 			v.Breaches = []judge.Breach{{Rule: judge.Drains, What: judge.ToDraining, Why: "why", Story: []string{"a line"}}}
 		}
-		return &stage.Result{Verdict: v, Record: &seen.Record{Events: []seen.Event{{At: time.Second, Text: "c1 <dies>"}}}, Lab: lab, Cut: cut}
+		return &stage.Result{Verdict: v, Record: &seen.Record{Events: []seen.Event{{At: time.Second, Text: "c1 <dies>"}}}, Lab: lab, Interrupted: cut}
 	}
 	for _, c := range []struct {
 		r    *stage.Result
 		want string
 	}{
-		{result(0.95, stage.Lab{}, false, 0), Holds},
-		{result(0.85, stage.Lab{}, false, 0), FallsShort},
-		{result(0.95, stage.Lab{}, false, 1), FallsShort},
-		{result(0.85, stage.Lab{Void: "late"}, false, 0), Void},
-		{result(0.85, stage.Lab{Void: "late"}, true, 0), Cut},
+		{result(0.95, stage.LabDelays{}, false, 0), Holds},
+		{result(0.85, stage.LabDelays{}, false, 0), FallsShort},
+		{result(0.95, stage.LabDelays{}, false, 1), FallsShort},
+		{result(0.85, stage.LabDelays{VoidReason: "late"}, false, 0), Void},
+		{result(0.85, stage.LabDelays{VoidReason: "late"}, true, 0), Cut},
 	} {
 		r := New(x, "node", c.r)
 		if r.Verdict != c.want {
@@ -85,7 +85,7 @@
 		}
 	}
 	dir := filepath.Join(t.TempDir(), "page")
-	if err := New(x, "node", result(0.95, stage.Lab{}, false, 1)).HTML(dir); err != nil {
+	if err := New(x, "node", result(0.95, stage.LabDelays{}, false, 1)).HTML(dir); err != nil {
 		t.Fatal(err)
 	}
 	page, _ := os.ReadFile(filepath.Join(dir, "index.html"))
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -253,7 +253,7 @@
 
 // ready waits until a planner has the list.
 func (b *bench) ready(p *planner) error {
-	for end := time.Now().Add(readyWithin); stage.Call(p.control, "GET", "/_ready") != nil; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(readyWithin); stage.CallControl(p.control, "GET", "/_ready") != nil; time.Sleep(20 * time.Millisecond) {
 		select {
 		case <-p.done:
 			return fmt.Errorf("%s ended: %s", p.id, lastLine(p.log))
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -60,15 +60,15 @@
 		return nil, err
 	}
 	defer os.Unsetenv(faultsVariable)
-	s, err := stage.Open(x, stage.Options{Command: r.Command, Dir: dir, Lasts: true})
+	s, err := stage.Open(x, stage.Options{Command: r.Command, Dir: dir, KeepState: true})
 	if err != nil {
 		return nil, fmt.Errorf("seed %d: %w", p.Seed, err)
 	}
 	defer s.Close()
 	result := s.Run(ctx)
 	length := x.Length.D()
-	o := &Outcome{Plan: p, Void: result.Lab.Void, Requests: len(result.Record.Tries), Attempts: len(result.Record.Attempts), Processes: len(result.Record.NodeProcesses), Dir: dir}
-	if result.Cut {
+	o := &Outcome{Plan: p, Void: result.Lab.VoidReason, Requests: len(result.Record.Tries), Attempts: len(result.Record.Attempts), Processes: len(result.Record.NodeProcesses), Dir: dir}
+	if result.Interrupted {
 		o.Void = "interrupted"
 	}
 	for _, l := range result.Record.NodeProcesses {
--- a/lab/stage/list.go
+++ b/lab/stage/list.go
@@ -76,8 +76,8 @@
 }
 
 // openList starts what the nodes have their list from.
-func (s *Stage) openList(members []world.Member) error {
-	x := s.X
+func (s *Deployment) openList(members []world.Member) error {
+	x := s.Experiment
 	if !x.List.InRegistry() {
 		// Planners have addresses of their own there, behind the nodes'.
 		l, err := standin.NewList(s.Common, standin.ListOptions{Addr: s.net + "201:0", Nodes: x.Nodes.Count + x.Planners.Count, Delay: x.List.Delay.D(),
@@ -117,17 +117,17 @@
 const registryPrefix = "lapisshelf/servers/"
 
 // known is the list that a node is started with: none where it is in a registry, which a node asks itself.
-func (s *Stage) known() (int64, []world.Member) {
-	if s.X.List.InRegistry() {
+func (s *Deployment) known() (int64, []world.Member) {
+	if s.Experiment.List.InRegistry() {
 		return 0, nil
 	}
 	return s.list.Members()
 }
 
 // operatorFile writes a node's operator's file.
-func (s *Stage) operatorFile(node int) (string, error) {
+func (s *Deployment) operatorFile(node int) (string, error) {
 	var b strings.Builder
-	if s.X.List.InRegistry() {
+	if s.Experiment.List.InRegistry() {
 		text, err := s.registryTable(node)
 		if err != nil {
 			return "", err
@@ -140,8 +140,8 @@
 }
 
 // registryTable is what an operator's file says of the registry to a node, or to a planner, whose numbers go on from them.
-func (s *Stage) registryTable(node int) (string, error) {
-	l := &s.X.List
+func (s *Deployment) registryTable(node int) (string, error) {
+	l := &s.Experiment.List
 	var b strings.Builder
 	fmt.Fprintf(&b, "[registry]\nkind = %q\nprefix = %q\nhold = %q\nhold_part = %g\nrewind = %q\n", l.Kind, registryPrefix, l.Hold.D(), l.HoldPart, l.Rewind.D())
 	fmt.Fprintf(&b, "endpoints = [\"%s\"]\n", strings.Join(s.list.Where(node), "\", \""))
@@ -154,14 +154,14 @@
 		}
 		b.WriteString("token_file = \"token\"\n")
 	}
-	if l.Announce && node < s.X.Nodes.Count {
+	if l.Announce && node < s.Experiment.Nodes.Count {
 		b.WriteString("[announce]\nttl = \"2s\"\n")
 	}
 	return b.String(), nil
 }
 
 // onRegistry breaks a registry.
-func (s *Stage) onRegistry(a fault.Action) error {
+func (s *Deployment) onRegistry(a fault.Action) error {
 	r := s.list.(*store)
 	end, on := a.Endpoint-1, a.Value != 0
 	switch a.Kind {
@@ -191,7 +191,7 @@
 
 // keeper keeps the servers' entries under leases, each as a server of its own would: by the registry's protocol.
 type keeper struct {
-	stage *Stage
+	stage *Deployment
 	loop  *loop.Loop
 	cfg   registry.Config
 	done  chan error
@@ -200,13 +200,13 @@
 	all map[string]*registry.Announcer // by the server's name
 }
 
-func newKeeper(s *Stage, r *standin.Registry) (*keeper, error) {
+func newKeeper(s *Deployment, r *standin.Registry) (*keeper, error) {
 	l, err := loop.New()
 	if err != nil {
 		return nil, err
 	}
 	k := &keeper{stage: s, loop: l, done: make(chan error, 1), all: map[string]*registry.Announcer{},
-		cfg: registry.Config{Kind: registry.Kind(s.X.List.Kind), Token: s.X.List.Token, MostBody: 1 << 20}}
+		cfg: registry.Config{Kind: registry.Kind(s.Experiment.List.Kind), Token: s.Experiment.List.Token, MostBody: 1 << 20}}
 	for _, a := range r.Addrs(0) {
 		addr, err := netip.ParseAddrPort(a)
 		if err != nil {
@@ -233,7 +233,7 @@
 		case a != nil:
 			a.Change(value)
 		default:
-			a = registry.NewAnnouncer(k.loop, k.cfg, registryPrefix+m.ID, value, k.stage.X.List.Lease.D(), k.stage.X.Seed, func(event, why string) {
+			a = registry.NewAnnouncer(k.loop, k.cfg, registryPrefix+m.ID, value, k.stage.Experiment.List.Lease.D(), k.stage.Experiment.Seed, func(event, why string) {
 				k.stage.Log.AddEvent(fmt.Sprintf("%s: %s %s", name, event, why))
 			})
 			k.all[name] = a
--- a/lab/stage/node.go
+++ b/lab/stage/node.go
@@ -32,22 +32,22 @@
 
 // NodeOptions describe a node's process.
 type NodeOptions struct {
-	Log      *seen.Log
-	Number   int // from 0
-	Command  string
-	Dir      string // for its files
-	Listen   string
-	List     string // the list service's address
-	MemoryMB int
-	Sockets  int
-	Seed     uint64
-	Settings map[string]any
-	Env      []string
-	Longest  time.Duration // deadline of any request
-	Text     string        // the whole configuration, in place of one made of the above
-	Output   *os.File      // takes its log; nil: a file in Dir
-	Lasts    bool          // that directory lasts over restarts too, where the platform empties it
-	Operated bool          // it is told a second address, for operators, and a directory that lasts over upgrades
+	Log         *seen.Log
+	Number      int // from 0
+	Command     string
+	Dir         string // for its files
+	Listen      string
+	ListAddr    string // the list service's address
+	MemoryMB    int
+	Sockets     int
+	Seed        uint64
+	Settings    map[string]any
+	Env         []string
+	MaxDeadline time.Duration // deadline of any request
+	ConfigText  string        // the whole configuration, in place of one made of the above
+	LogOutput   *os.File      // takes its log; nil: a file in Dir
+	KeepState   bool          // that directory lasts over restarts too, where the platform empties it
+	Controlled  bool          // it is told a second address, for operators, and a directory that lasts over upgrades
 }
 
 // Node is a balancer: one process after another at one address.
@@ -70,23 +70,23 @@
 // Addr is where clients find it.
 func (n *Node) Addr() string { return n.opt.Listen }
 
-// LifeNumber is which process is running, or was last.
-func (n *Node) LifeNumber() int {
+// Generation is which process is running, or was last.
+func (n *Node) Generation() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return max(0, n.n-1)
 }
 
-// Life is the running process's record.
-func (n *Node) Life() *seen.NodeProcess {
+// Process is the running process's record.
+func (n *Node) Process() *seen.NodeProcess {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.life
 }
 
-// Config writes the configuration file, with the list as the node last had it.
-func (n *Node) Config(revision int64, members []world.Member) error {
-	config := map[string]any{"name": fmt.Sprintf("n%d", n.opt.Number+1), "listen": n.opt.Listen, "discovery": n.opt.List,
+// UpdateConfig writes the configuration file, with the list as the node last had it.
+func (n *Node) UpdateConfig(revision int64, members []world.Member) error {
+	config := map[string]any{"name": fmt.Sprintf("n%d", n.opt.Number+1), "listen": n.opt.Listen, "discovery": n.opt.ListAddr,
 		"seed":     fmt.Sprintf("%016x", n.opt.Seed+uint64(n.n)),
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": n.opt.MemoryMB, "sockets": n.opt.Sockets},
 		"known":    standin.Wire(n.opt.Log.StartTime(), revision, true, members),
@@ -98,8 +98,8 @@
 	if err != nil {
 		return err
 	}
-	if n.opt.Text != "" {
-		text = []byte(n.opt.Text)
+	if n.opt.ConfigText != "" {
+		text = []byte(n.opt.ConfigText)
 	}
 	return n.WriteConfig(text)
 }
@@ -130,8 +130,8 @@
 	if n.cmd != nil {
 		return errors.New("the node is running")
 	}
-	if n.opt.Operated {
-		if !n.opt.Lasts { // a node starts with nothing
+	if n.opt.Controlled {
+		if !n.opt.KeepState { // a node starts with nothing
 			if err := os.RemoveAll(n.state()); err != nil {
 				return err
 			}
@@ -151,7 +151,7 @@
 // launch begins a process, perhaps beside another.
 func (n *Node) launch(revision int64, members []world.Member) error {
 	env := n.opt.Env
-	if n.opt.Operated {
+	if n.opt.Controlled {
 		host, _, err := net.SplitHostPort(n.opt.Listen)
 		if err != nil {
 			return err
@@ -161,11 +161,11 @@
 		}
 		env = append([]string{"TMPDIR=" + n.state()}, env...)
 	}
-	if err := n.Config(revision, members); err != nil {
+	if err := n.UpdateConfig(revision, members); err != nil {
 		return err
 	}
 	logPath := filepath.Join(n.opt.Dir, fmt.Sprintf("node%d.%d.log", n.opt.Number+1, n.n))
-	out := n.opt.Output
+	out := n.opt.LogOutput
 	if out == nil {
 		var err error
 		if out, err = os.Create(logPath); err != nil {
@@ -196,7 +196,7 @@
 		go n.awaitReady(life, n.done, func() bool { return load.Ready(n.opt.Listen) })
 	} else { // the address for clients may be another process's
 		control := n.control
-		go n.awaitReady(life, n.done, func() bool { return Call(control, "GET", "/_ready") == nil })
+		go n.awaitReady(life, n.done, func() bool { return CallControl(control, "GET", "/_ready") == nil })
 	}
 	return nil
 }
@@ -348,7 +348,7 @@
 	n.Signal(syscall.SIGTERM)
 	select {
 	case <-done:
-	case <-time.After(n.opt.Longest + killAfter):
+	case <-time.After(n.opt.MaxDeadline + killAfter):
 		cmd.Process.Kill() // its status tells
 		<-done
 	}
@@ -365,8 +365,8 @@
 	}
 }
 
-// Text is the log of the running process, or of the last.
-func (n *Node) Text() string {
+// LogText is the log of the running process, or of the last.
+func (n *Node) LogText() string {
 	if n.life == nil {
 		return ""
 	}
--- a/lab/stage/operators.go
+++ b/lab/stage/operators.go
@@ -22,8 +22,8 @@
 	killBehind   = 700 * time.Millisecond // past the longest deadline, after SIGTERM: when an old process is killed
 )
 
-// Call makes an operator's call; nil means yes.
-func Call(addr, method, path string) error {
+// CallControl makes an operator's call; nil means yes.
+func CallControl(addr, method, path string) error {
 	req, err := http.NewRequest(method, "http://"+addr+path, nil)
 	if err != nil {
 		return err
@@ -41,22 +41,22 @@
 	return nil
 }
 
-// Control is the running process's second address.
-func (n *Node) Control() string {
+// ControlAddr is the running process's second address.
+func (n *Node) ControlAddr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.control
 }
 
 // detach bans a server at a node, or lifts that.
-func (s *Stage) detach(node int, name string, on bool) error {
-	id := s.X.Server(name).ID
+func (s *Deployment) detach(node int, name string, on bool) error {
+	id := s.Experiment.Server(name).ID
 	if c := s.cache(name); c != nil {
 		id = c.ID()
 	}
 	at := s.Log.Now() // a ban may end with the call, and begins with its answer
 	word := map[bool]string{true: "detach", false: "attach"}[on]
-	if err := Call(s.Nodes[node].Control(), "POST", "/_cache-servers/"+word+"/"+id); err != nil {
+	if err := CallControl(s.Nodes[node].ControlAddr(), "POST", "/_cache-servers/"+word+"/"+id); err != nil {
 		if !on { // a call that was not answered may be carried out all the same, by a node that was stopped
 			s.Log.Update(func(r *seen.Record) { r.SetBan(node, id, on, at) })
 		}
@@ -70,10 +70,10 @@
 }
 
 // lameduck drains a node or takes that back. A front follows what the node says, and looks whether it lets its clients go.
-func (s *Stage) lameduck(node int, on bool) error {
+func (s *Deployment) lameduck(node int, on bool) error {
 	n := s.Nodes[node]
 	word := map[bool]string{true: "on", false: "off"}[on]
-	if err := Call(n.Control(), "POST", "/_lameduck/"+word); err != nil {
+	if err := CallControl(n.ControlAddr(), "POST", "/_lameduck/"+word); err != nil {
 		return err
 	}
 	now := s.Log.Now()
@@ -112,10 +112,10 @@
 }
 
 // upgrade has a new process take the place of a node's running one.
-func (s *Stage) upgrade(node int) error {
+func (s *Deployment) upgrade(node int) error {
 	rev, members := s.known()
 	n := s.Nodes[node]
-	return n.Upgrade(rev, members, func() { s.list.Lives(node, n.LifeNumber()) })
+	return n.Upgrade(rev, members, func() { s.list.Lives(node, n.Generation()) })
 }
 
 // Upgrade starts a process beside the running one; when it is ready, the old one is told to end, and killed in the end as
@@ -123,7 +123,7 @@
 func (n *Node) Upgrade(revision int64, members []world.Member, begun func()) error {
 	n.mu.Lock()
 	old, life, done := n.cmd, n.life, n.done
-	if old == nil || !n.opt.Operated {
+	if old == nil || !n.opt.Controlled {
 		n.mu.Unlock()
 		return fmt.Errorf("node %d does not run, or has no second address", n.opt.Number+1)
 	}
@@ -141,7 +141,7 @@
 	old.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-done:
-	case <-time.After(n.opt.Longest + killBehind):
+	case <-time.After(n.opt.MaxDeadline + killBehind):
 		n.opt.Log.Update(func(*seen.Record) { life.Replaced = true })
 		old.Process.Kill()
 		<-done
--- a/lab/stage/planners.go
+++ b/lab/stage/planners.go
@@ -27,8 +27,8 @@
 const keysFor = 24 * time.Hour
 
 // startPlanners makes certificates for all parts and starts the planners. When it returns they have the list.
-func (s *Stage) startPlanners() error {
-	x := s.X
+func (s *Deployment) startPlanners() error {
+	x := s.Experiment
 	if x.Planners.Count == 0 {
 		return nil
 	}
@@ -69,7 +69,7 @@
 		}
 	}
 	for _, p := range s.plans {
-		for end := time.Now().Add(readyWithin); Call(p.control, "GET", "/_ready") != nil; time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(readyWithin); CallControl(p.control, "GET", "/_ready") != nil; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				return fmt.Errorf("planner %s is not ready after %v: %s", p.id, readyWithin, lastLine(p.log))
 			}
@@ -78,11 +78,11 @@
 	return nil
 }
 
-func (s *Stage) keys() string { return filepath.Join(s.opt.Dir, "keys") }
+func (s *Deployment) keys() string { return filepath.Join(s.opt.Dir, "keys") }
 
 // plannerFile is a planner's operator's file.
-func (s *Stage) plannerFile(p *planner, number int, gossip []string) (string, error) {
-	x := s.X
+func (s *Deployment) plannerFile(p *planner, number int, gossip []string) (string, error) {
+	x := s.Experiment
 	var b strings.Builder
 	fmt.Fprintf(&b, "[node]\ncontrol = %q\n", p.control)
 	if x.List.InRegistry() {
@@ -113,7 +113,7 @@
 }
 
 // plannersTable is what an operator's file says of the planners to a node.
-func (s *Stage) plannersTable(node int) string {
+func (s *Deployment) plannersTable(node int) string {
 	if len(s.plans) == 0 {
 		return ""
 	}
@@ -123,7 +123,7 @@
 	}
 	name := fmt.Sprintf("n%d", node+1)
 	return fmt.Sprintf("[planners]\naddresses = [\"%s\"]\nca_file = %q\ncert_file = %q\nkey_file = %q\nevery = %q\nfade = %q\n", strings.Join(addrs, `", "`),
-		filepath.Join(s.keys(), "ca.pem"), filepath.Join(s.keys(), name+".pem"), filepath.Join(s.keys(), name+".key"), s.X.Planners.Every.D(), s.X.Planners.Fade.D())
+		filepath.Join(s.keys(), "ca.pem"), filepath.Join(s.keys(), name+".pem"), filepath.Join(s.keys(), name+".key"), s.Experiment.Planners.Every.D(), s.Experiment.Planners.Fade.D())
 }
 
 // start begins a process, whose log goes on in the same file.
@@ -158,7 +158,7 @@
 }
 
 // onPlanner breaks a planner.
-func (s *Stage) onPlanner(a fault.Action) error {
+func (s *Deployment) onPlanner(a fault.Action) error {
 	p := s.plans[a.Planner-1]
 	switch {
 	case a.Kind == fault.PlannerCut:
--- a/lab/stage/stage.go
+++ b/lab/stage/stage.go
@@ -33,38 +33,38 @@
 
 // Options say how a deployment is put up.
 type Options struct {
-	Command  string       // of the nodes
-	Dir      string       // for files; it must exist
-	Lasts    bool         // what nodes keep for their next processes outlasts restarts
-	Progress func(Moment) // told each second of a run; nil: nobody is
+	Command   string         // of the nodes
+	Dir       string         // for files; it must exist
+	KeepState bool           // what nodes keep for their next processes outlasts restarts
+	Progress  func(Progress) // told each second of a run; nil: nobody is
 }
 
-// Moment is how far a run has come.
-type Moment struct {
-	At       time.Duration
-	Length   time.Duration
-	Sent     int64
-	Attempts int
-	Last     string // what happened last
+// Progress is how far a run has come.
+type Progress struct {
+	Elapsed   time.Duration
+	Length    time.Duration
+	TriesSent int64
+	Attempts  int
+	LastEvent string // what happened last
 }
 
-// Stage is a deployment that is up.
-type Stage struct {
-	X      *experiment.Experiment
-	Log    *seen.Log
-	Common *standin.Common
-	Nodes  []*Node
-	opt    Options
-	caches map[string]*standin.Cache // by name
-	origin *standin.Origin
-	list   lister
-	hands  sync.WaitGroup // operators at work
-	quit   chan struct{}  // closed when the plan is over
-	keeper *keeper        // of servers' leases; nil: none
-	load   *load.Load
-	plan   []world.Arrival
-	plans  []*planner
-	net    string // the first three numbers of its loopback addresses
+// Deployment is a deployment that is up.
+type Deployment struct {
+	Experiment *experiment.Experiment
+	Log        *seen.Log
+	Common     *standin.Common
+	Nodes      []*Node
+	opt        Options
+	caches     map[string]*standin.Cache // by name
+	origin     *standin.Origin
+	list       lister
+	hands      sync.WaitGroup // operators at work
+	quit       chan struct{}  // closed when the plan is over
+	keeper     *keeper        // of servers' leases; nil: none
+	load       *load.Load
+	plan       []world.Arrival
+	plans      []*planner
+	net        string // the first three numbers of its loopback addresses
 
 	mu     sync.Mutex
 	lames  map[int]*seen.LameDuckCheck               // drains of nodes that last
@@ -73,29 +73,29 @@
 	rules  judge.Rules
 }
 
-// Lab tells how well the lab kept up.
-type Lab struct {
-	SendP50   float64 `json:"send_late_p50_ms"` // wishes behind their plan
-	SendP99   float64 `json:"send_late_p99_ms"`
-	SendMax   float64 `json:"send_late_max_ms"`
-	StandMean float64 `json:"standin_late_mean_ms"` // stand-ins behind their models
-	StandMax  float64 `json:"standin_late_max_ms"`
-	StallMax  float64 `json:"stall_max_ms"` // the longest that the lab's process stood still
-	Void      string  `json:"void,omitempty"`
+// LabDelays tells how well the lab kept up.
+type LabDelays struct {
+	SendP50     float64 `json:"send_late_p50_ms"` // wishes behind their plan
+	SendP99     float64 `json:"send_late_p99_ms"`
+	SendMax     float64 `json:"send_late_max_ms"`
+	StandInMean float64 `json:"standin_late_mean_ms"` // stand-ins behind their models
+	StandInMax  float64 `json:"standin_late_max_ms"`
+	StallMax    float64 `json:"stall_max_ms"` // the longest that the lab's process stood still
+	VoidReason  string  `json:"void,omitempty"`
 }
 
 // Result is a run that is over.
 type Result struct {
-	Verdict *judge.Verdict
-	Record  *seen.Record
-	Lab     Lab
-	Cut     bool // it was broken off
-	Plan    int  // wishes in the plan
+	Verdict     *judge.Verdict
+	Record      *seen.Record
+	Lab         LabDelays
+	Interrupted bool // it was broken off
+	Arrivals    int  // wishes in the plan
 }
 
 // Open puts a deployment up; when it returns without an error, all nodes are ready.
-func Open(x *experiment.Experiment, opt Options) (*Stage, error) {
-	s := &Stage{X: x, Log: seen.NewLog(), opt: opt, caches: map[string]*standin.Cache{}, lames: map[int]*seen.LameDuckCheck{}, quit: make(chan struct{}), rules: x.Rules(), plan: x.Arrivals()}
+func Open(x *experiment.Experiment, opt Options) (*Deployment, error) {
+	s := &Deployment{Experiment: x, Log: seen.NewLog(), opt: opt, caches: map[string]*standin.Cache{}, lames: map[int]*seen.LameDuckCheck{}, quit: make(chan struct{}), rules: x.Rules(), plan: x.Arrivals()}
 	s.net = fmt.Sprintf("127.%d.%d.", 10+rand.IntN(200), rand.IntN(250))
 	s.Common = standin.NewCommon(s.Log, x.Seed, x.Classes)
 	s.missed = [2]map[string][]func(version, size int64){{}, {}}
@@ -106,8 +106,8 @@
 	return s, nil
 }
 
-func (s *Stage) open() error {
-	x := s.X
+func (s *Deployment) open() error {
+	x := s.Experiment
 	var members []world.Member
 	for i := range x.Servers {
 		v := &x.Servers[i]
@@ -159,15 +159,15 @@
 	return nil
 }
 
-func (s *Stage) lifeOf(node int) int {
+func (s *Deployment) lifeOf(node int) int {
 	if node < len(s.Nodes) {
-		return s.Nodes[node].LifeNumber()
+		return s.Nodes[node].Generation()
 	}
 	return 0
 }
 
-func (s *Stage) startCache(v *experiment.Server, cold bool) (*standin.Cache, error) {
-	x := s.X
+func (s *Deployment) startCache(v *experiment.Server, cold bool) (*standin.Cache, error) {
+	x := s.Experiment
 	spec := v.Spec
 	opt := standin.CacheOptions{ID: v.ID, Name: v.Name, Addr: fmt.Sprintf("%s%d:0", s.net, 1+len(s.caches)%199), Spec: &spec, Cold: cold,
 		PerConn: x.Service.PerConn, MaxConns: v.Group.MaxConns, ConnIdle: x.Service.ConnIdle.D(), Tells: *x.Service.Hits,
@@ -188,8 +188,8 @@
 
 // warm lets the servers that run at the start hold what they were asked for lately: popular keys, each where the shared
 // ranking puts it; with no nodes between, everywhere.
-func (s *Stage) warm(members []world.Member) {
-	x := s.X
+func (s *Deployment) warm(members []world.Member) {
+	x := s.Experiment
 	part := x.Clients.Warm
 	class := slices.IndexFunc(x.Classes, func(c world.Class) bool { return !c.Write })
 	if part <= 0 || class < 0 {
@@ -241,8 +241,8 @@
 	}
 }
 
-func (s *Stage) startNodes() error {
-	x := s.X
+func (s *Deployment) startNodes() error {
+	x := s.Experiment
 	longest := time.Duration(0)
 	for _, c := range x.Classes {
 		longest = max(longest, c.Deadline)
@@ -263,9 +263,9 @@
 				return err
 			}
 		}
-		opt := NodeOptions{Log: s.Log, Number: i, Command: s.opt.Command, Dir: s.opt.Dir, Listen: addr, List: s.list.Where(i)[0],
+		opt := NodeOptions{Log: s.Log, Number: i, Command: s.opt.Command, Dir: s.opt.Dir, Listen: addr, ListAddr: s.list.Where(i)[0],
 			MemoryMB: x.Nodes.MemoryMB, Sockets: x.Nodes.Sockets, Seed: world.RandomStream(x.Seed, "node", fmt.Sprint(i)).Uint64(),
-			Settings: x.Settings(i), Longest: longest, Operated: true, Lasts: s.opt.Lasts}
+			Settings: x.Settings(i), MaxDeadline: longest, Controlled: true, KeepState: s.opt.KeepState}
 		if x.Nodes.Config != "" {
 			path := x.Nodes.Config
 			if !filepath.IsAbs(path) {
@@ -279,7 +279,7 @@
 				return err
 			}
 			if x.List.InRegistry() {
-				opt.List = "" // the operator's file tells it
+				opt.ListAddr = "" // the operator's file tells it
 			}
 			opt.Env = append(opt.Env, "LAPISSHELF_CONFIG="+path)
 		}
@@ -298,7 +298,7 @@
 }
 
 // noteMiss remembers the first two caches that missed for a request.
-func (s *Stage) noteMiss(request string, store func(version, size int64)) {
+func (s *Deployment) noteMiss(request string, store func(version, size int64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if time.Since(s.turned) > 10*time.Second {
@@ -311,7 +311,7 @@
 }
 
 // served stores what the origin has answered where the request missed.
-func (s *Stage) served(request string, version, size int64) {
+func (s *Deployment) served(request string, version, size int64) {
 	s.mu.Lock()
 	list := append(s.missed[0][request], s.missed[1][request]...)
 	delete(s.missed[0], request)
@@ -323,7 +323,7 @@
 }
 
 // wrote voids the copies of a key.
-func (s *Stage) wrote(key string) {
+func (s *Deployment) wrote(key string) {
 	s.mu.Lock()
 	all := make([]*standin.Cache, 0, len(s.caches))
 	for _, c := range s.caches {
@@ -338,24 +338,24 @@
 }
 
 // Addresses are where the parts of the deployment are, for hand use.
-func (s *Stage) Addresses() []string {
+func (s *Deployment) Addresses() []string {
 	var out []string
 	for i, n := range s.Nodes {
 		out = append(out, fmt.Sprintf("node %d      %s", i+1, n.Addr()))
 	}
-	for _, v := range s.X.Servers {
+	for _, v := range s.Experiment.Servers {
 		if c := s.caches[v.Name]; c != nil {
 			out = append(out, fmt.Sprintf("cache %-6s %s  id %s", v.Name, c.Addr(), c.ID()))
 		}
 	}
 	if s.origin != nil {
-		out = append(out, fmt.Sprintf("origin      %s  id %s", s.origin.Addr(), s.X.OriginID()))
+		out = append(out, fmt.Sprintf("origin      %s  id %s", s.origin.Addr(), s.Experiment.OriginID()))
 	}
 	return append(out, "list        "+strings.Join(s.list.Where(0), " "))
 }
 
 // Run plays the plan with its troubles, then ends the nodes and judges what was seen. It ends early with the context.
-func (s *Stage) Run(ctx context.Context) *Result {
+func (s *Deployment) Run(ctx context.Context) *Result {
 	begin := s.Log.Now() + 50*time.Millisecond
 	stop := make(chan struct{})
 	var others sync.WaitGroup
@@ -372,16 +372,16 @@
 }
 
 // finish ends the nodes and judges.
-func (s *Stage) finish(ctx context.Context, begin time.Duration, stall time.Duration) *Result {
+func (s *Deployment) finish(ctx context.Context, begin time.Duration, stall time.Duration) *Result {
 	var ends sync.WaitGroup
 	for _, n := range s.Nodes {
 		ends.Go(n.End)
 	}
 	ends.Wait()
-	r := &Result{Cut: ctx.Err() != nil, Plan: len(s.plan)}
+	r := &Result{Interrupted: ctx.Err() != nil, Arrivals: len(s.plan)}
 	s.Log.Update(func(rec *seen.Record) { r.Record = rec })
 	plan := s.plan
-	if r.Cut { // only what was begun can be judged
+	if r.Interrupted { // only what was begun can be judged
 		n := 0
 		for _, t := range r.Record.Tries {
 			n = max(n, t.ArrivalNumber+1)
@@ -398,16 +398,16 @@
 	h := s.load.SendDelays()
 	most, mean := s.Common.Late()
 	ms := func(d time.Duration) float64 { return math.Round(float64(d)/float64(time.Microsecond)) / 1000 }
-	r.Lab = Lab{SendP50: judge.Millis(h, 50), SendP99: judge.Millis(h, 99), SendMax: float64(h.Max()) / 1000,
-		StandMean: ms(mean), StandMax: ms(most), StallMax: ms(stall)}
+	r.Lab = LabDelays{SendP50: judge.Millis(h, 50), SendP99: judge.Millis(h, 99), SendMax: float64(h.Max()) / 1000,
+		StandInMean: ms(mean), StandInMax: ms(most), StallMax: ms(stall)}
 	tolerance := s.rules.Tolerance
 	switch {
 	case r.Lab.SendP99 > ms(lateTail):
-		r.Lab.Void = fmt.Sprintf("one wish in a hundred was sent over %.1f ms behind its plan", r.Lab.SendP99)
+		r.Lab.VoidReason = fmt.Sprintf("one wish in a hundred was sent over %.1f ms behind its plan", r.Lab.SendP99)
 	case mean > lateMean:
-		r.Lab.Void = fmt.Sprintf("the stand-ins were %.1f ms late in the mean", r.Lab.StandMean)
+		r.Lab.VoidReason = fmt.Sprintf("the stand-ins were %.1f ms late in the mean", r.Lab.StandInMean)
 	case stall > tolerance:
-		r.Lab.Void = fmt.Sprintf("the lab stood still for %.1f ms, over the judge's tolerance of %v", r.Lab.StallMax, tolerance)
+		r.Lab.VoidReason = fmt.Sprintf("the lab stood still for %.1f ms, over the judge's tolerance of %v", r.Lab.StallMax, tolerance)
 	}
 	return r
 }
@@ -468,7 +468,7 @@
 }
 
 // watchdog measures how long the lab's process stands still.
-func (s *Stage) watchdog(stop chan struct{}) (most time.Duration) {
+func (s *Deployment) watchdog(stop chan struct{}) (most time.Duration) {
 	t := time.NewTicker(watchEvery)
 	defer t.Stop()
 	last := s.Log.Now()
@@ -484,7 +484,7 @@
 	}
 }
 
-func (s *Stage) progress(begin time.Duration, stop chan struct{}) {
+func (s *Deployment) progress(begin time.Duration, stop chan struct{}) {
 	if s.opt.Progress == nil {
 		return
 	}
@@ -495,11 +495,11 @@
 		case <-stop:
 			return
 		case <-t.C:
-			m := Moment{At: s.Log.Now() - begin, Length: s.X.Length.D(), Sent: s.load.TriesSent()}
+			m := Progress{Elapsed: s.Log.Now() - begin, Length: s.Experiment.Length.D(), TriesSent: s.load.TriesSent()}
 			s.Log.Update(func(r *seen.Record) {
 				m.Attempts = len(r.Attempts)
 				if n := len(r.Events); n > 0 {
-					m.Last = r.Events[n-1].Text
+					m.LastEvent = r.Events[n-1].Text
 				}
 			})
 			s.opt.Progress(m)
@@ -508,8 +508,8 @@
 }
 
 // act carries out the timeline.
-func (s *Stage) act(begin time.Duration, stop chan struct{}) {
-	for _, a := range s.X.Timeline.Actions {
+func (s *Deployment) act(begin time.Duration, stop chan struct{}) {
+	for _, a := range s.Experiment.Timeline.Actions {
 		select {
 		case <-stop:
 			return
@@ -524,7 +524,7 @@
 }
 
 // do carries out one action.
-func (s *Stage) do(a fault.Action) error {
+func (s *Deployment) do(a fault.Action) error {
 	switch {
 	case a.Kind == fault.BanServer:
 		return s.detach(a.Node, a.Server, a.Value != 0)
@@ -567,7 +567,7 @@
 	return nil
 }
 
-func (s *Stage) onNode(a fault.Action) error {
+func (s *Deployment) onNode(a fault.Action) error {
 	if a.Kind == fault.ListCut {
 		s.list.Cut(a.Node, a.Value != 0)
 		return nil
@@ -580,7 +580,7 @@
 		n.Signal(syscall.SIGTERM)
 	case fault.NodeHup:
 		rev, members := s.known()
-		if err := n.Config(rev, members); err != nil {
+		if err := n.UpdateConfig(rev, members); err != nil {
 			return err
 		}
 		n.Signal(syscall.SIGHUP)
@@ -603,21 +603,21 @@
 			return fmt.Errorf("node %d has not ended", a.Node+1)
 		}
 		rev, members := s.known()
-		s.list.Lives(a.Node, n.LifeNumber()+1)
+		s.list.Lives(a.Node, n.Generation()+1)
 		return n.Start(rev, members)
 	}
 	return nil
 }
 
-func (s *Stage) cache(name string) *standin.Cache {
+func (s *Deployment) cache(name string) *standin.Cache {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.caches[name]
 }
 
 // set changes a server's entry in the list.
-func (s *Stage) set(name string, phase world.Phase, started time.Duration) {
-	v, c := s.X.Server(name), s.cache(name)
+func (s *Deployment) set(name string, phase world.Phase, started time.Duration) {
+	v, c := s.Experiment.Server(name), s.cache(name)
 	m := v.Member
 	m.ID, m.Addr, m.Phase, m.Started = c.ID(), c.Addr(), phase, started
 	if s.keeper != nil {
@@ -627,10 +627,10 @@
 	s.list.Set(m)
 }
 
-func (s *Stage) onServer(a fault.Action) error {
+func (s *Deployment) onServer(a fault.Action) error {
 	c := s.cache(a.Server)
 	if a.Kind == fault.StartNew {
-		v := s.X.Server(a.Server)
+		v := s.Experiment.Server(a.Server)
 		if _, err := s.startCache(v, a.Value != 0); err != nil {
 			return err
 		}
@@ -651,7 +651,7 @@
 		id, name := "", a.Server
 		if a.NewName != "" {
 			name = a.NewName
-			id = s.X.Server(name).ID
+			id = s.Experiment.Server(name).ID
 			s.mu.Lock()
 			s.caches[name] = c // the same place under another name
 			s.mu.Unlock()
@@ -692,7 +692,7 @@
 }
 
 // startedOf is when a server's process started, as the list tells it.
-func (s *Stage) startedOf(c *standin.Cache) (at time.Duration) {
+func (s *Deployment) startedOf(c *standin.Cache) (at time.Duration) {
 	c.Do(func(_ time.Duration, m *world.Cache) {
 		if began, cold := m.Started(); cold {
 			at = began
@@ -702,7 +702,7 @@
 }
 
 // Close ends whatever is still up. It may be called more than once.
-func (s *Stage) Close() {
+func (s *Deployment) Close() {
 	for _, n := range s.Nodes {
 		n.Kill()
 	}
@@ -729,8 +729,8 @@
 	}
 }
 
-// Timeline is the plan's troubles as text.
-func Timeline(x *experiment.Experiment) string {
+// TimelineText is the plan's troubles as text.
+func TimelineText(x *experiment.Experiment) string {
 	var b strings.Builder
 	for _, a := range x.Timeline.Actions {
 		fmt.Fprintln(&b, a)
