--- a/cmd/lapislab/soak.go
+++ b/cmd/lapislab/soak.go
@@ -102,8 +102,8 @@
 		if ctx.Err() != nil {
 			break
 		}
-		p := soak.Draw(f.seed+uint64(i), soak.Options{Length: f.length, Processes: f.processes, Rate: f.rate, Faults: f.faults})
-		o, err := r.Play(ctx, p, fmt.Sprintf("seed-%d", p.Seed))
+		p := soak.Draw(f.seed+uint64(i), soak.Options{Length: f.length, Processes: f.processes, Rate: f.rate, SystemFaults: f.faults})
+		o, err := r.Run(ctx, p, fmt.Sprintf("seed-%d", p.Seed))
 		if err != nil {
 			return err
 		}
@@ -118,7 +118,7 @@
 			if err := os.WriteFile(kept, []byte(small.Text()), 0o644); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "  %d of %d troubles are enough; replay: lapislab soak --replay %s\n", len(small.Troubles), len(p.Troubles), kept)
+			fmt.Fprintf(out, "  %d of %d troubles are enough; replay: lapislab soak --replay %s\n", len(small.Faults), len(p.Faults), kept)
 		}
 		if !o.Failed() {
 			os.RemoveAll(o.Dir)
@@ -138,7 +138,7 @@
 		return err
 	}
 	var sum tally
-	o, err := r.PlayFile(ctx, f.replay, r.Dir, &soak.Plan{Seed: x.Seed, Calls: soak.CallsOf(string(text))})
+	o, err := r.RunFile(ctx, f.replay, r.Dir, &soak.Plan{Seed: x.Seed, SystemFaults: soak.SystemFaultsOf(string(text))})
 	if err != nil {
 		return err
 	}
@@ -151,30 +151,30 @@
 func (f *soakFlags) tell(out io.Writer, o *soak.Outcome) {
 	verdict := "held"
 	switch {
-	case o.Void != "":
-		verdict = "void: " + o.Void
+	case o.VoidReason != "":
+		verdict = "void: " + o.VoidReason
 	case o.Failed():
 		verdict = "FAILED"
 	}
-	fmt.Fprintf(out, "seed %d: %s; %d requests, %d attempts, %d processes, served %.3f, %d troubles\n", o.Plan.Seed, verdict, o.Requests, o.Attempts, o.Processes, o.Share,
-		len(o.Plan.Troubles))
+	fmt.Fprintf(out, "seed %d: %s; %d requests, %d attempts, %d processes, served %.3f, %d troubles\n", o.Plan.Seed, verdict, o.Requests, o.Attempts, o.Processes, o.WorthShare,
+		len(o.Plan.Faults))
 	if !o.Failed() {
 		return
 	}
 	for _, x := range o.Findings {
 		fmt.Fprintf(out, "  %s\n", x)
 	}
-	for _, t := range o.Plan.Troubles {
+	for _, t := range o.Plan.Faults {
 		fmt.Fprintf(out, "  trouble %s at %v for %v\n", t.Kind, t.At, t.For)
 	}
-	if o.Plan.Calls != "" {
-		fmt.Fprintf(out, "  calls that fail: %s\n", o.Plan.Calls)
+	if o.Plan.SystemFaults != "" {
+		fmt.Fprintf(out, "  calls that fail: %s\n", o.Plan.SystemFaults)
 	}
 	fmt.Fprintf(out, "  files: %s\n", o.Dir)
 }
 
 func (s *tally) add(o *soak.Outcome, length time.Duration) {
-	if o.Void != "" {
+	if o.VoidReason != "" {
 		s.void++
 		return
 	}
@@ -185,13 +185,13 @@
 	s.requests += o.Requests
 	s.attempts += o.Attempts
 	s.processes += o.Processes
-	s.time += o.Time
+	s.time += o.ProcessTime
 	s.coverage.Add(o.Plan, length)
 }
 
 // end prints what came of all and gives the program's end.
 func (s *tally) end(out io.Writer, csvTo string) error {
-	missing := s.coverage.Missing(append(soak.Kinds(), soak.CallsFail))
+	missing := s.coverage.Missing(append(soak.FaultKinds(), soak.SystemFaultsKind))
 	fmt.Fprintf(out, "%d seeds judged, %d failed, %d void; %d requests, %d attempts, %d processes, %.2f process hours; %d pairs of troubles overlapped, %d never\n",
 		s.judged, s.failed, s.void, s.requests, s.attempts, s.processes, s.time.Hours(), len(s.coverage.Pairs), len(missing))
 	if csvTo != "" {
--- a/lab/soak/coverage.go
+++ b/lab/soak/coverage.go
@@ -17,8 +17,8 @@
 	Pairs map[Pair]int
 }
 
-// CallsFail names the failing system calls of a plan among the kinds of troubles.
-const CallsFail = "calls_fail"
+// SystemFaultsKind names the failing system calls of a plan among the kinds of troubles.
+const SystemFaultsKind = "calls_fail"
 
 // Add counts the pairs of a plan that was played.
 func (c *Coverage) Add(p *Plan, length time.Duration) {
@@ -26,9 +26,9 @@
 		c.Pairs = map[Pair]int{}
 	}
 	c.Runs++
-	list := slices.Clone(p.Troubles)
-	if p.Calls != "" {
-		list = append(list, Trouble{Kind: CallsFail, For: length})
+	list := slices.Clone(p.Faults)
+	if p.SystemFaults != "" {
+		list = append(list, Fault{Kind: SystemFaultsKind, For: length})
 	}
 	for i, a := range list {
 		for _, b := range list[i+1:] {
--- a/lab/soak/draw.go
+++ b/lab/soak/draw.go
@@ -14,14 +14,14 @@
 
 // Options bound what a seed may draw.
 type Options struct {
-	Length    time.Duration // of the load
-	Processes int           // nodes
-	Rate      float64       // of first requests a second
-	Faults    bool          // the nodes are built to have system calls and clocks fail
+	Length       time.Duration // of the load
+	Processes    int           // nodes
+	Rate         float64       // of first requests a second
+	SystemFaults bool          // the nodes are built to have system calls and clocks fail
 }
 
-// Trouble is one trouble of a schedule.
-type Trouble struct {
+// Fault is one trouble of a schedule.
+type Fault struct {
 	Kind   string
 	At     time.Duration
 	For    time.Duration
@@ -29,28 +29,28 @@
 }
 
 // end is when it is over; one that lasts for a moment counts as lasting for a moment's effects.
-func (t Trouble) end() time.Duration { return t.At + max(t.For, momentLasts) }
+func (t Fault) end() time.Duration { return t.At + max(t.For, momentLasts) }
 
 // momentLasts is how long the effects of a trouble that is over at once are taken to last, for coverage.
 const momentLasts = 500 * time.Millisecond
 
 // Plan is what a seed has drawn.
 type Plan struct {
-	Seed       uint64
-	Deployment string // the experiment file without its troubles
-	Troubles   []Trouble
-	Calls      string // the plan of failing system calls and of the wall clock; empty: none
+	Seed         uint64
+	Deployment   string // the experiment file without its troubles
+	Faults       []Fault
+	SystemFaults string // the plan of failing system calls and of the wall clock; empty: none
 }
 
 // Text is the plan as an experiment file.
 func (p *Plan) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# Soak, seed %d: drawn, not written by hand.\n", p.Seed)
-	if p.Calls != "" {
-		fmt.Fprintf(&b, "# faults: %s\n", p.Calls)
+	if p.SystemFaults != "" {
+		fmt.Fprintf(&b, "# faults: %s\n", p.SystemFaults)
 	}
 	b.WriteString(p.Deployment)
-	for _, t := range p.Troubles {
+	for _, t := range p.Faults {
 		fmt.Fprintf(&b, "\n[[fault]]\nkind = %q\nat = %q\n", t.Kind, t.At)
 		if t.For > 0 {
 			fmt.Fprintf(&b, "for = %q\n", t.For)
@@ -93,13 +93,13 @@
 			at := begin + d.between(0, opt.Length/10)
 			lasts := d.between(opt.Length/10, opt.Length/5)
 			if t, ok := d.trouble(at, lasts); ok {
-				p.Troubles = append(p.Troubles, t)
+				p.Faults = append(p.Faults, t)
 			}
 		}
 	}
-	slices.SortStableFunc(p.Troubles, func(a, b Trouble) int { return int(a.At - b.At) })
-	if opt.Faults && d.rng.IntN(3) > 0 {
-		p.Calls = d.calls(seed)
+	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return int(a.At - b.At) })
+	if opt.SystemFaults && d.rng.IntN(3) > 0 {
+		p.SystemFaults = d.calls(seed)
 	}
 	return p
 }
@@ -158,17 +158,17 @@
 	return "nodes = [" + strings.Join(list, ", ") + "]\n", true
 }
 
-// Kinds are the kinds of troubles that a soak draws.
-func Kinds() []string {
+// FaultKinds are the kinds of troubles that a soak draws.
+func FaultKinds() []string {
 	return []string{"node_kill", "node_term", "node_freeze", "node_hup", "upgrade", "lameduck", "detach", "list_down", "list_garble", "list_lag", "list_cut",
 		"crash", "silent", "hang", "refuse", "busy", "reset", "garble", "surplus", "slow", "pause", "drain", "deploy",
 		"origin_slow", "origin_stop", "origin_garble", "rude", "surge"}
 }
 
 // trouble draws one trouble, unless the seed's nodes are all taken.
-func (d *drawer) trouble(at, lasts time.Duration) (Trouble, bool) {
-	kinds := Kinds()
-	t := Trouble{Kind: kinds[d.rng.IntN(len(kinds))], At: at, For: lasts}
+func (d *drawer) trouble(at, lasts time.Duration) (Fault, bool) {
+	kinds := FaultKinds()
+	t := Fault{Kind: kinds[d.rng.IntN(len(kinds))], At: at, For: lasts}
 	ok := true
 	part := func(least, most float64) string {
 		return fmt.Sprintf("part = %.2f\n", least+(most-least)*d.rng.Float64())
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -17,19 +17,19 @@
 
 // Outcome is what came of one run.
 type Outcome struct {
-	Plan      *Plan
-	Findings  []string // what is wrong
-	Void      string   // why the run says nothing; empty: it does
-	Requests  int
-	Attempts  int
-	Processes int           // that were started
-	Time      time.Duration // of all processes together
-	Share     float64       // of the worth that was served
-	Dir       string        // with logs and the experiment file
+	Plan        *Plan
+	Findings    []string // what is wrong
+	VoidReason  string   // why the run says nothing; empty: it does
+	Requests    int
+	Attempts    int
+	Processes   int           // that were started
+	ProcessTime time.Duration // of all processes together
+	WorthShare  float64       // of the worth that was served
+	Dir         string        // with logs and the experiment file
 }
 
 // Failed reports whether the run found something.
-func (o *Outcome) Failed() bool { return o.Void == "" && len(o.Findings) > 0 }
+func (o *Outcome) Failed() bool { return o.VoidReason == "" && len(o.Findings) > 0 }
 
 // Runner plays plans.
 type Runner struct {
@@ -37,8 +37,8 @@
 	Dir     string // for the files of runs
 }
 
-// Play plays a plan once.
-func (r *Runner) Play(ctx context.Context, p *Plan, name string) (*Outcome, error) {
+// Run plays a plan once.
+func (r *Runner) Run(ctx context.Context, p *Plan, name string) (*Outcome, error) {
 	dir := filepath.Join(r.Dir, name)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -47,16 +47,16 @@
 	if err := os.WriteFile(path, []byte(p.Text()), 0o644); err != nil {
 		return nil, err
 	}
-	return r.PlayFile(ctx, path, dir, p)
+	return r.RunFile(ctx, path, dir, p)
 }
 
-// PlayFile plays an experiment file as a soak; the plan may tell only its seed.
-func (r *Runner) PlayFile(ctx context.Context, path, dir string, p *Plan) (*Outcome, error) {
+// RunFile plays an experiment file as a soak; the plan may tell only its seed.
+func (r *Runner) RunFile(ctx context.Context, path, dir string, p *Plan) (*Outcome, error) {
 	x, err := experiment.Read(path, experiment.Options{})
 	if err != nil {
 		return nil, err
 	}
-	if err := os.Setenv(faultsVariable, p.Calls); err != nil {
+	if err := os.Setenv(faultsVariable, p.SystemFaults); err != nil {
 		return nil, err
 	}
 	defer os.Unsetenv(faultsVariable)
@@ -67,16 +67,16 @@
 	defer s.Close()
 	result := s.Run(ctx)
 	length := x.Length.D()
-	o := &Outcome{Plan: p, Void: result.Lab.VoidReason, Requests: len(result.Record.Tries), Attempts: len(result.Record.Attempts), Processes: len(result.Record.NodeProcesses), Dir: dir}
+	o := &Outcome{Plan: p, VoidReason: result.Lab.VoidReason, Requests: len(result.Record.Tries), Attempts: len(result.Record.Attempts), Processes: len(result.Record.NodeProcesses), Dir: dir}
 	if result.Interrupted {
-		o.Void = "interrupted"
+		o.VoidReason = "interrupted"
 	}
 	for _, l := range result.Record.NodeProcesses {
 		end := l.EndedAt
 		if end == 0 {
 			end = length
 		}
-		o.Time += end - l.StartedAt
+		o.ProcessTime += end - l.StartedAt
 	}
 	worth, got := 0.0, 0.0
 	for _, c := range result.Verdict.Classes {
@@ -84,14 +84,14 @@
 		got += c.Got
 	}
 	if worth > 0 {
-		o.Share = got / worth
+		o.WorthShare = got / worth
 	}
 	o.Findings = judge(result, length)
 	return o, nil
 }
 
-// CallsOf reads the plan of failing calls off an experiment file that a soak has kept.
-func CallsOf(text string) string {
+// SystemFaultsOf reads the plan of failing calls off an experiment file that a soak has kept.
+func SystemFaultsOf(text string) string {
 	for _, line := range strings.Split(text, "\n") {
 		if rest, ok := strings.CutPrefix(line, "# faults: "); ok {
 			return rest
@@ -103,10 +103,10 @@
 // Shrink drops troubles while the plan still fails, with so many runs at most, and gives the smallest plan that failed.
 func (r *Runner) Shrink(ctx context.Context, p *Plan, most int) (*Plan, error) {
 	smallest := p
-	for i := 0; i < len(smallest.Troubles) && most > 0 && ctx.Err() == nil; most-- {
+	for i := 0; i < len(smallest.Faults) && most > 0 && ctx.Err() == nil; most-- {
 		less := *smallest
-		less.Troubles = append(append([]Trouble{}, smallest.Troubles[:i]...), smallest.Troubles[i+1:]...)
-		o, err := r.Play(ctx, &less, fmt.Sprintf("shrink-%d-%d", p.Seed, most))
+		less.Faults = append(append([]Fault{}, smallest.Faults[:i]...), smallest.Faults[i+1:]...)
+		o, err := r.Run(ctx, &less, fmt.Sprintf("shrink-%d-%d", p.Seed, most))
 		if err != nil {
 			return smallest, err
 		}
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -14,7 +14,7 @@
 	"lapisshelf/lab/stage"
 )
 
-var usual = Options{Length: 20 * time.Second, Processes: 10, Rate: 300, Faults: true}
+var usual = Options{Length: 20 * time.Second, Processes: 10, Rate: 300, SystemFaults: true}
 
 // Every seed draws a deployment that can be put up, the same each time, and over some hundred seeds each kind of trouble is drawn
 // and each two kinds that can meet do.
@@ -27,10 +27,10 @@
 		if again := Draw(seed, usual); again.Text() != p.Text() {
 			t.Fatalf("seed %d draws two plans", seed)
 		}
-		if p.Calls != "" {
+		if p.SystemFaults != "" {
 			calls++
-			if CallsOf(p.Text()) != p.Calls {
-				t.Fatalf("seed %d: the file tells %q of %q", seed, CallsOf(p.Text()), p.Calls)
+			if SystemFaultsOf(p.Text()) != p.SystemFaults {
+				t.Fatalf("seed %d: the file tells %q of %q", seed, SystemFaultsOf(p.Text()), p.SystemFaults)
 			}
 		}
 		c.Add(p, usual.Length)
@@ -45,7 +45,7 @@
 			t.Fatalf("seed %d: %v\n%s", seed, err, p.Text())
 		}
 	}
-	if missing := c.Missing(append(Kinds(), CallsFail)); len(missing) > 1 || len(missing) == 1 && missing[0] != (Pair{CallsFail, CallsFail}) {
+	if missing := c.Missing(append(FaultKinds(), SystemFaultsKind)); len(missing) > 1 || len(missing) == 1 && missing[0] != (Pair{SystemFaultsKind, SystemFaultsKind}) {
 		t.Errorf("pairs that never meet: %v", missing)
 	}
 	if calls < seeds/2 || calls == seeds {
