--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -218,7 +218,7 @@
 	BrokenRules  []string // rules that are expected to be broken
 	ClientSpec   world.ClientSpec
 
-	model bool
+	virtualTime bool
 }
 
 // Server is a cache server of the plan.
@@ -245,9 +245,9 @@
 	x := &Experiment{Path: path}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		var why *os.PathError
-		if errors.As(err, &why) {
-			err = &tomlfile.Error{Path: path, Why: why.Err.Error()}
+		var pathErr *os.PathError
+		if errors.As(err, &pathErr) {
+			err = &tomlfile.Error{Path: path, Why: pathErr.Err.Error()}
 		}
 		return nil, err
 	}
@@ -256,7 +256,7 @@
 	if err != nil {
 		return nil, err
 	}
-	x.Description = about(string(text))
+	x.Description = headComment(string(text))
 	if opt.Short {
 		if x.Short.Length.D() > 0 {
 			x.Length = x.Short.Length
@@ -274,7 +274,7 @@
 	if opt.Rate > 0 {
 		x.Clients.Rate = opt.Rate
 	}
-	x.model = opt.VirtualTime
+	x.virtualTime = opt.VirtualTime
 	if err := x.check(f); err != nil {
 		return nil, err
 	}
@@ -286,8 +286,8 @@
 	return x, nil
 }
 
-// about is the comment at a file's head.
-func about(text string) string {
+// headComment is the comment at a file's head.
+func headComment(text string) string {
 	var lines []string
 	for _, l := range strings.Split(text, "\n") {
 		rest, ok := strings.CutPrefix(l, "#")
@@ -299,18 +299,18 @@
 	return strings.Join(lines, " ")
 }
 
-func yes() *bool { b := true; return &b }
-func no() *bool  { b := false; return &b }
+func newTrue() *bool  { b := true; return &b }
+func newFalse() *bool { b := false; return &b }
 
 func ms(n int) Duration { return tomlfile.Span(time.Duration(n) * time.Millisecond) }
 
 // defaults is a small deployment; docs/lab.md has the same figures.
 func defaults() File {
 	return File{Seed: 1, Length: ms(10000),
-		Service: Service{Mode: "aside", Attempts: 6, Parallel: no(), Cancel: yes(), RetryAfter: yes(), MaxRetryAfter: ms(1000),
+		Service: Service{Mode: "aside", Attempts: 6, Parallel: newFalse(), Cancel: newTrue(), RetryAfter: newTrue(), MaxRetryAfter: ms(1000),
 			ConnIdle: ms(10000), ConnectTimeout: ms(250), PerConn: 8, MaxHeld: 5000, AnswerSlack: ms(20), DrainGrace: ms(400),
 			AskWithin: ms(4000), WarmUp: ms(8000), ColdFrom: 0.2, FallMultiple: 3, FallWindow: ms(1500), Weights: "nominal",
-			OverShareWorth: 0.05, Hits: yes(), Reports: yes()},
+			OverShareWorth: 0.05, Hits: newTrue(), Reports: newTrue()},
 		Nodes:    Nodes{Count: 2, MemoryMB: 192, Sockets: 1024},
 		Planners: Planners{Every: ms(500), Valid: ms(3000), Fade: ms(10000), Talk: "changes"},
 		Fleet: Fleet{Group: Group{Kind: "std", Zone: "a", Weight: 1, Cores: 2, Speed: 1, Slots: 16, Room: 32, MemoryMB: 2,
@@ -331,7 +331,7 @@
 		at   []any
 		text string
 	}
-	first := func(rules ...rule) error {
+	firstViolated := func(rules ...rule) error {
 		for _, r := range rules {
 			if r.bad {
 				return f.Errorf(r.at, "%s", r.text)
@@ -340,7 +340,7 @@
 		return nil
 	}
 	s, c, n, o := &x.Service, &x.Clients, &x.Nodes, &x.Origin
-	if err := first(
+	if err := firstViolated(
 		rule{x.Length.D() <= 0 || x.Length.D() > 24*time.Hour, at("length"), "must be above 0 and at most 24h"},
 		rule{x.Short.Length.D() < 0, at("short", "length"), "must not be negative"},
 		rule{s.Mode != "aside" && s.Mode != "through", at("service", "mode"), fmt.Sprintf("%q is neither aside nor through", s.Mode)},
@@ -354,8 +354,8 @@
 		rule{len(x.Class) == 0, at("class"), "an experiment needs a class of requests"},
 		rule{x.Fleet.Count+len(x.File.Group) == 0, at("fleet", "count"), "an experiment needs a cache server"},
 		rule{x.Fleet.Count < 0 || x.Fleet.Count > 1000, at("fleet", "count"), "must be 0 to 1000"},
-		rule{n.Count < 1 || n.Count > mostNodes && !x.model, at("nodes", "count"), "must be 1 to 64 on sockets; lapislab model takes more"},
-		rule{n.Count > mostModelled, at("nodes", "count"), "must be at most 5000"},
+		rule{n.Count < 1 || n.Count > maxNodes && !x.virtualTime, at("nodes", "count"), "must be 1 to 64 on sockets; lapislab model takes more"},
+		rule{n.Count > maxVirtualNodes, at("nodes", "count"), "must be at most 5000"},
 		rule{n.MemoryMB < 8, at("nodes", "memory_mb"), "must be at least 8"},
 		rule{n.Sockets < 64, at("nodes", "sockets"), "must be at least 64"},
 		rule{x.Planners.Count < 0 || x.Planners.Count > 8, at("planners", "count"), "must be 0 to 8"},
@@ -363,7 +363,7 @@
 		rule{x.Planners.Valid.D() < 2*x.Planners.Every.D() || x.Planners.Valid.D() > 100*time.Second, at("planners", "valid"), "must be twice every to 100s"},
 		rule{x.Planners.Fade.D() < time.Second || x.Planners.Fade.D() > time.Hour, at("planners", "fade"), "must be 1s to 1h"},
 		rule{x.Planners.Talk != "changes" && x.Planners.Talk != "whole", at("planners", "talk"), fmt.Sprintf("%q is neither changes nor whole", x.Planners.Talk)},
-		rule{x.Planners.Talk == "whole" && !x.model, at("planners", "talk"), "lapislab model alone can choose it"},
+		rule{x.Planners.Talk == "whole" && !x.virtualTime, at("planners", "talk"), "lapislab model alone can choose it"},
 		rule{x.Planners.Count > 0 && n.Config != "", at("nodes", "config"), "the lab writes the operator's file itself where there are planners"},
 		rule{len(n.Listen) > 0 && len(n.Listen) != n.Count, at("nodes", "listen"), "wants an address for each node"},
 		rule{o.Cores < 1, at("origin", "cores"), "must be at least 1"},
@@ -396,28 +396,28 @@
 	); err != nil {
 		return err
 	}
-	if err := x.classes(f); err != nil {
+	if err := x.checkClasses(f); err != nil {
 		return err
 	}
-	if err := x.servers(f); err != nil {
+	if err := x.checkServers(f); err != nil {
 		return err
 	}
-	if err := x.expects(f); err != nil {
+	if err := x.parseExpectations(f); err != nil {
 		return err
 	}
 	x.ClientSpec = world.ClientSpec{Rate: c.Rate, Keys: c.Keys, Zipf: c.Zipf, Offset: c.Offset, Drift: c.Drift,
 		TimeoutRange: [2]float64{c.Patience[0], c.Patience[1]}, MaxRetries: c.Retries, RetryDelay: c.Pause.D(), MarksRetry: c.MarksRetry,
 		LeaveShare: c.Leaves, Nodes: n.Count, NodeShares: c.Skew}
-	return x.faults(f)
+	return x.expandFaults(f)
 }
 
-func (x *Experiment) classes(f *tomlfile.File) error {
+func (x *Experiment) checkClasses(f *tomlfile.File) error {
 	effects := map[string]world.Effect{"safe": world.Safe, "": world.Safe, "keyed": world.Keyed, "unsafe": world.Unsafe}
 	scopes := map[string]world.Scope{"all": world.ScopeAll, "": world.ScopeAll, "zone": world.ScopeZone, "cell": world.ScopeCell}
 	total := 0.0
 	for i, c := range x.Class {
-		effect, ok := effects[c.Effect]
-		scope, okay := scopes[c.Scope]
+		effect, effectOK := effects[c.Effect]
+		scope, scopeOK := scopes[c.Scope]
 		bad := func(key, format string, args ...any) error {
 			return f.Errorf(tomlfile.At("class", i, key), format, args...)
 		}
@@ -426,9 +426,9 @@
 			return bad("name", "%q cannot be a class's name", c.Name)
 		case slices.ContainsFunc(x.Class[:i], func(o Class) bool { return o.Name == c.Name }):
 			return bad("name", "%q stands twice", c.Name)
-		case !ok:
+		case !effectOK:
 			return bad("effect", "%q is none of safe, keyed, unsafe", c.Effect)
-		case !okay:
+		case !scopeOK:
 			return bad("scope", "%q is none of all, zone, cell", c.Scope)
 		case effect == world.Keyed && c.Window.D() <= 0:
 			return bad("window", "a keyed class needs the time for which repeats are dropped")
@@ -478,8 +478,8 @@
 	return nil
 }
 
-// servers draws the fleet: names c1, c2, ... and ids that tell nothing.
-func (x *Experiment) servers(f *tomlfile.File) error {
+// checkServers draws the fleet: names c1, c2, ... and ids that tell nothing.
+func (x *Experiment) checkServers(f *tomlfile.File) error {
 	groups := []Group{}
 	if x.Fleet.Count > 0 {
 		g := x.Fleet.Group
@@ -487,7 +487,7 @@
 		groups = append(groups, g)
 	}
 	for i, g := range x.File.Group {
-		g = merge(x.Fleet.Group, g, func(key string) bool { return f.Has("group", i, key) })
+		g = applyFleetDefaults(x.Fleet.Group, g, func(key string) bool { return f.Has("group", i, key) })
 		if !f.Has("group", i, "count") {
 			g.Count = 1
 		}
@@ -524,15 +524,15 @@
 }
 
 const (
-	originKind   = "origin"
-	mostNodes    = 64   // processes on one machine
-	mostModelled = 5000 // in virtual time
+	originKind      = "origin"
+	maxNodes        = 64   // processes on one machine
+	maxVirtualNodes = 5000 // in virtual time
 )
 
 // OriginID is the id under which the list has the origin.
-func (x *Experiment) OriginID() string { return x.id("origin") }
+func (x *Experiment) OriginID() string { return x.serverID("origin") }
 
-func (x *Experiment) id(name string) string {
+func (x *Experiment) serverID(name string) string {
 	return fmt.Sprintf("s-%08x", world.RandomStream(x.Seed, "server", name).Uint32())
 }
 
@@ -542,13 +542,13 @@
 		WarmUp: s.WarmUp.D(), ColdFrom: s.ColdFrom, FallMultiple: s.FallMultiple, FallWindow: s.FallWindow.D(),
 		ReportInterval: g.ReportEvery.D(), ReportNoise: g.ReportNoise, HandshakeWork: g.Handshake.D(), Through: s.Mode == "through",
 		Coalesce: g.Coalesce, Lease: g.Lease.D(), IgnoresCancel: g.IgnoresCancel}
-	x.Servers = append(x.Servers, Server{Name: name, ID: x.id(name), Spec: spec, Group: g, StartsLater: later,
-		Member: world.Member{ID: x.id(name), Zone: g.Zone, Kind: g.Kind, Cell: g.Cell, Weight: g.Weight}})
+	x.Servers = append(x.Servers, Server{Name: name, ID: x.serverID(name), Spec: spec, Group: g, StartsLater: later,
+		Member: world.Member{ID: x.serverID(name), Zone: g.Zone, Kind: g.Kind, Cell: g.Cell, Weight: g.Weight}})
 	return &x.Servers[len(x.Servers)-1]
 }
 
-// merge takes the fleet's figures where a group does not tell its own.
-func merge(fleet, g Group, has func(key string) bool) Group {
+// applyFleetDefaults takes the fleet's figures where a group does not tell its own.
+func applyFleetDefaults(fleet, g Group, has func(key string) bool) Group {
 	out := fleet
 	out.Count = g.Count
 	set := func(key string, f func()) {
@@ -576,8 +576,8 @@
 	return out
 }
 
-// faults draws the timeline, and the servers that start in its course.
-func (x *Experiment) faults(f *tomlfile.File) error {
+// expandFaults draws the timeline, and the servers that start in its course.
+func (x *Experiment) expandFaults(f *tomlfile.File) error {
 	var names, tenants []string
 	for _, s := range x.Servers {
 		names = append(names, s.Name)
@@ -585,7 +585,7 @@
 	for _, t := range x.Tenants {
 		tenants = append(tenants, t.Name)
 	}
-	line, err := fault.Expand(x.Fault, fault.Deployment{Length: x.Length.D(), Servers: names, Nodes: x.Nodes.Count, Tenants: tenants, Endpoints: x.ends(), Planners: x.Planners.Count}, x.Seed)
+	timeline, err := fault.Expand(x.Fault, fault.Deployment{Length: x.Length.D(), Servers: names, Nodes: x.Nodes.Count, Tenants: tenants, Endpoints: x.endpointCount(), Planners: x.Planners.Count}, x.Seed)
 	var bad *fault.Error
 	if errors.As(err, &bad) {
 		return f.Errorf(tomlfile.At("fault", bad.Spec, bad.Key), "%s", bad.Why)
@@ -593,12 +593,12 @@
 	if err != nil {
 		return err
 	}
-	x.Timeline = line
-	for _, name := range line.NewServers {
+	x.Timeline = timeline
+	for _, name := range timeline.NewServers {
 		g := x.Servers[0].Group
-		old, _, _ := strings.Cut(name, ".")
+		base, _, _ := strings.Cut(name, ".")
 		for _, s := range x.Servers {
-			if s.Name == old {
+			if s.Name == base {
 				g = s.Group // it takes that one's place
 			}
 		}
@@ -607,18 +607,18 @@
 	return nil
 }
 
-func (x *Experiment) ends() int {
+func (x *Experiment) endpointCount() int {
 	if !x.List.InRegistry() {
 		return 0
 	}
 	return x.List.Endpoints
 }
 
-// expects reads [expect]: FIGURE_min and FIGURE_max, and broken, the rules that are to be broken.
-func (x *Experiment) expects(f *tomlfile.File) error {
+// parseExpectations reads [expect]: FIGURE_min and FIGURE_max, and broken, the rules that are to be broken.
+func (x *Experiment) parseExpectations(f *tomlfile.File) error {
 	for _, key := range sortedKeys(x.Expect) {
 		at := tomlfile.At("expect", key)
-		where := strings.SplitN(f.Errorf(at, "").Error(), ": ", 2)[0]
+		location := strings.SplitN(f.Errorf(at, "").Error(), ": ", 2)[0]
 		if key == "broken" {
 			list, ok := x.Expect[key].([]any)
 			if !ok {
@@ -645,14 +645,14 @@
 		if math.IsNaN(limit) {
 			return f.Errorf(at, "must be a number")
 		}
-		e := Expectation{Limit: limit, Location: where}
-		var least, most bool
-		if e.Figure, least = strings.CutSuffix(key, "_min"); !least {
-			if e.Figure, most = strings.CutSuffix(key, "_max"); !most {
+		e := Expectation{Limit: limit, Location: location}
+		var isMin, isMax bool
+		if e.Figure, isMin = strings.CutSuffix(key, "_min"); !isMin {
+			if e.Figure, isMax = strings.CutSuffix(key, "_max"); !isMax {
 				return f.Errorf(at, "must end in _min or _max")
 			}
 		}
-		e.IsMax = most
+		e.IsMax = isMax
 		x.Expectations = append(x.Expectations, e)
 	}
 	return nil
@@ -687,23 +687,23 @@
 }
 
 // Evaluate gives what falls short of the file's expectations, and the rules that are broken against them.
-func (x *Experiment) Evaluate(v *judge.Verdict) (misses []Shortfall, broken []string) {
+func (x *Experiment) Evaluate(v *judge.Verdict) (shortfalls []Shortfall, wrongRules []string) {
 	for _, e := range x.Expectations {
-		was, ok := v.Figures[e.Figure]
-		if !ok || e.IsMax && was > e.Limit || !e.IsMax && was < e.Limit {
-			misses = append(misses, Shortfall{e, was, ok})
+		value, ok := v.Figures[e.Figure]
+		if !ok || e.IsMax && value > e.Limit || !e.IsMax && value < e.Limit {
+			shortfalls = append(shortfalls, Shortfall{e, value, ok})
 		}
 	}
 	for _, name := range judge.RuleNames {
 		want := slices.Contains(x.BrokenRules, name)
 		switch {
 		case v.Broken[name] > 0 && !want:
-			broken = append(broken, name+" was broken")
+			wrongRules = append(wrongRules, name+" was broken")
 		case v.Broken[name] == 0 && want:
-			broken = append(broken, name+" was kept, though it is to be broken")
+			wrongRules = append(wrongRules, name+" was kept, though it is to be broken")
 		}
 	}
-	return misses, broken
+	return shortfalls, wrongRules
 }
 
 // Arrivals draws all arrivals.
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 	"lapisshelf/policy"
 )
 
-const small = `# What it guards,
+const smallExperiment = `# What it guards,
 # in two lines.
 length = "4s"
 [short]
@@ -75,7 +75,7 @@
 func (e errText) Error() string { return string(e) }
 
 func TestRead(t *testing.T) {
-	x, err := read(t, small, Options{})
+	x, err := read(t, smallExperiment, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 		!x.Servers[5].StartsLater || x.Servers[5].ID == x.Servers[4].ID || x.Servers[5].Member.Weight != 2.5 {
 		t.Errorf("%+v", x.Servers)
 	}
-	short, err := read(t, small, Options{Short: true, Seed: 9})
+	short, err := read(t, smallExperiment, Options{Short: true, Seed: 9})
 	if err != nil || short.Length.D() != 2*time.Second || short.Clients.Rate != 50 || short.Timeline.Actions[0].At != time.Second {
 		t.Errorf("%+v %v", short, err)
 	}
@@ -97,7 +97,7 @@
 
 // What a node is told reads back as what the file says.
 func TestSettingsReadBack(t *testing.T) {
-	x, err := read(t, small, Options{})
+	x, err := read(t, smallExperiment, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,20 +117,20 @@
 	}
 }
 
-func TestFalls(t *testing.T) {
-	x, err := read(t, small, Options{})
+func TestEvaluate(t *testing.T) {
+	x, err := read(t, smallExperiment, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	v := &judge.Verdict{Broken: map[string]int{judge.Cold: 1, judge.Drains: 2}, Figures: map[string]float64{"service": 0.8}}
-	misses, broken := x.Evaluate(v)
-	if len(misses) != 2 || len(broken) != 1 || !strings.Contains(misses[1].String(), "service was 0.8, at least 0.9 is wanted") ||
-		!strings.Contains(misses[0].String(), `no figure "p99_ms"`) || broken[0] != "drains was broken" {
-		t.Errorf("%v %v", misses, broken)
+	shortfalls, wrongRules := x.Evaluate(v)
+	if len(shortfalls) != 2 || len(wrongRules) != 1 || !strings.Contains(shortfalls[1].String(), "service was 0.8, at least 0.9 is wanted") ||
+		!strings.Contains(shortfalls[0].String(), `no figure "p99_ms"`) || wrongRules[0] != "drains was broken" {
+		t.Errorf("%v %v", shortfalls, wrongRules)
 	}
 	v = &judge.Verdict{Broken: map[string]int{}, Figures: map[string]float64{"service": 0.9, "p99_ms": 100}}
-	if misses, broken = x.Evaluate(v); len(misses) != 0 || len(broken) != 1 || !strings.Contains(broken[0], "cold was kept") {
-		t.Errorf("%v %v", misses, broken)
+	if shortfalls, wrongRules = x.Evaluate(v); len(shortfalls) != 0 || len(wrongRules) != 1 || !strings.Contains(wrongRules[0], "cold was kept") {
+		t.Errorf("%v %v", shortfalls, wrongRules)
 	}
 }
 
@@ -163,10 +163,10 @@
 		{"rate = 50", "rate = 50\n[planners]\ncount = 1\ntalk = \"whole\"", "x.toml:9: planners.talk: lapislab model alone can choose it"},
 		{"[expect]", "[expect", "x.toml:3"},
 	} {
-		if !strings.Contains(small, c.from) {
+		if !strings.Contains(smallExperiment, c.from) {
 			t.Fatalf("%q is not in the file", c.from)
 		}
-		_, err := read(t, strings.Replace(small, c.from, c.to, 1), Options{})
+		_, err := read(t, strings.Replace(smallExperiment, c.from, c.to, 1), Options{})
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%q: %v, want %q", c.to, err, c.want)
 		}
