--- a/lab/stage/node.go
+++ b/lab/stage/node.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	sampleEvery = 100 * time.Millisecond
-	readyWithin = 15 * time.Second
-	killAfter   = 1500 * time.Millisecond // past the longest deadline, after SIGTERM
+	sampleInterval = 100 * time.Millisecond
+	readyTimeout   = 15 * time.Second
+	endKillDelay   = 1500 * time.Millisecond // past the longest deadline, after SIGTERM
 )
 
 // NodeOptions describe a node's process.
@@ -52,16 +52,16 @@
 
 // Node is a balancer: one process after another at one address.
 type Node struct {
-	opt  NodeOptions
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	life *seen.NodeProcess
-	done chan struct{} // closed when the process has ended
-	n    int           // processes so far
-	path string
-	stop chan struct{}
+	opt        NodeOptions
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	process    *seen.NodeProcess
+	done       chan struct{} // closed when the process has ended
+	launches   int           // processes so far
+	configPath string
+	stop       chan struct{}
 
-	control string // the running process's second address; empty: none
+	controlAddr string // the running process's second address; empty: none
 }
 
 // NewNode describes a node; Start begins its first process.
@@ -74,25 +74,25 @@
 func (n *Node) Generation() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return max(0, n.n-1)
+	return max(0, n.launches-1)
 }
 
 // Process is the running process's record.
 func (n *Node) Process() *seen.NodeProcess {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.life
+	return n.process
 }
 
 // UpdateConfig writes the configuration file, with the list as the node last had it.
 func (n *Node) UpdateConfig(revision int64, members []world.Member) error {
 	config := map[string]any{"name": fmt.Sprintf("n%d", n.opt.Number+1), "listen": n.opt.Listen, "discovery": n.opt.ListAddr,
-		"seed":     fmt.Sprintf("%016x", n.opt.Seed+uint64(n.n)),
+		"seed":     fmt.Sprintf("%016x", n.opt.Seed+uint64(n.launches)),
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": n.opt.MemoryMB, "sockets": n.opt.Sockets},
 		"known":    standin.Wire(n.opt.Log.StartTime(), revision, true, members),
 		"settings": n.opt.Settings}
-	if n.control != "" {
-		config["control"] = n.control
+	if n.controlAddr != "" {
+		config["control"] = n.controlAddr
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
@@ -106,11 +106,11 @@
 
 // WriteConfig replaces the configuration file, whatever it says.
 func (n *Node) WriteConfig(text []byte) error {
-	n.path = filepath.Join(n.opt.Dir, fmt.Sprintf("node%d.json", n.opt.Number+1))
-	if err := os.WriteFile(n.path+".new", text, 0o600); err != nil {
+	n.configPath = filepath.Join(n.opt.Dir, fmt.Sprintf("node%d.json", n.opt.Number+1))
+	if err := os.WriteFile(n.configPath+".new", text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(n.path+".new", n.path)
+	return os.Rename(n.configPath+".new", n.configPath)
 }
 
 // Pid is the running process's number; 0 where none runs.
@@ -132,19 +132,19 @@
 	}
 	if n.opt.Controlled {
 		if !n.opt.KeepState { // a node starts with nothing
-			if err := os.RemoveAll(n.state()); err != nil {
+			if err := os.RemoveAll(n.stateDir()); err != nil {
 				return err
 			}
 		}
-		if err := os.MkdirAll(n.state(), 0o700); err != nil {
+		if err := os.MkdirAll(n.stateDir(), 0o700); err != nil {
 			return err
 		}
 	}
 	return n.launch(revision, members)
 }
 
-// state is the directory for temporary files of the node's processes.
-func (n *Node) state() string {
+// stateDir is the directory for temporary files of the node's processes.
+func (n *Node) stateDir() string {
 	return filepath.Join(n.opt.Dir, fmt.Sprintf("state%d", n.opt.Number+1))
 }
 
@@ -156,15 +156,15 @@
 		if err != nil {
 			return err
 		}
-		if n.control, err = FreeAddr(host, n.opt.Listen); err != nil {
+		if n.controlAddr, err = FreeAddr(host, n.opt.Listen); err != nil {
 			return err
 		}
-		env = append([]string{"TMPDIR=" + n.state()}, env...)
+		env = append([]string{"TMPDIR=" + n.stateDir()}, env...)
 	}
 	if err := n.UpdateConfig(revision, members); err != nil {
 		return err
 	}
-	logPath := filepath.Join(n.opt.Dir, fmt.Sprintf("node%d.%d.log", n.opt.Number+1, n.n))
+	logPath := filepath.Join(n.opt.Dir, fmt.Sprintf("node%d.%d.log", n.opt.Number+1, n.launches))
 	out := n.opt.LogOutput
 	if out == nil {
 		var err error
@@ -175,7 +175,7 @@
 	}
 	// As the platform does it: by the shell, with no descriptors but the standard ones; it dies with the lab.
 	cmd := exec.Command("/bin/sh", "-c", "exec "+n.opt.Command)
-	cmd.Env = append(append(os.Environ(), "EDGE_CONFIG="+n.path), env...)
+	cmd.Env = append(append(os.Environ(), "EDGE_CONFIG="+n.configPath), env...)
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
@@ -187,32 +187,32 @@
 		cmd.Wait()
 		return fmt.Errorf("limit of descriptors: %w", err)
 	}
-	life := &seen.NodeProcess{Node: n.opt.Number, Generation: n.n, StartedAt: n.opt.Log.Now(), InitialList: members, LogFile: logPath}
-	n.opt.Log.Update(func(r *seen.Record) { r.NodeProcesses = append(r.NodeProcesses, life) })
-	n.n++
-	n.cmd, n.life, n.done = cmd, life, make(chan struct{})
-	go n.watch(cmd, life, n.done)
-	if n.n == 1 || n.control == "" { // an older version may have no second address
-		go n.awaitReady(life, n.done, func() bool { return load.Ready(n.opt.Listen) })
+	process := &seen.NodeProcess{Node: n.opt.Number, Generation: n.launches, StartedAt: n.opt.Log.Now(), InitialList: members, LogFile: logPath}
+	n.opt.Log.Update(func(r *seen.Record) { r.NodeProcesses = append(r.NodeProcesses, process) })
+	n.launches++
+	n.cmd, n.process, n.done = cmd, process, make(chan struct{})
+	go n.monitor(cmd, process, n.done)
+	if n.launches == 1 || n.controlAddr == "" { // an older version may have no second address
+		go n.awaitReady(process, n.done, func() bool { return load.Ready(n.opt.Listen) })
 	} else { // the address for clients may be another process's
-		control := n.control
-		go n.awaitReady(life, n.done, func() bool { return CallControl(control, "GET", "/_ready") == nil })
+		control := n.controlAddr
+		go n.awaitReady(process, n.done, func() bool { return CallControl(control, "GET", "/_ready") == nil })
 	}
 	return nil
 }
 
-// watch samples what a process uses, ends one that uses more memory than it may, and notes its end.
-func (n *Node) watch(cmd *exec.Cmd, life *seen.NodeProcess, done chan struct{}) {
+// monitor samples what a process uses, ends one that uses more memory than it may, and notes its end.
+func (n *Node) monitor(cmd *exec.Cmd, process *seen.NodeProcess, done chan struct{}) {
 	stopped := make(chan struct{})
 	go func() {
-		t := time.NewTicker(sampleEvery)
+		t := time.NewTicker(sampleInterval)
 		defer t.Stop()
 		for {
 			select {
 			case <-stopped:
 				return
 			case <-t.C:
-				n.sample(cmd.Process, life)
+				n.sample(cmd.Process, process)
 			}
 		}
 	}()
@@ -225,22 +225,22 @@
 	}
 	n.mu.Unlock()
 	n.opt.Log.Update(func(*seen.Record) {
-		life.EndedAt = now
-		if life.ExitStatus = "exit status 0"; err != nil {
-			life.ExitStatus = err.Error()
+		process.EndedAt = now
+		if process.ExitStatus = "exit status 0"; err != nil {
+			process.ExitStatus = err.Error()
 		}
-		life.CPU = cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+		process.CPU = cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 	})
 	close(done)
 }
 
-func (n *Node) sample(p *os.Process, life *seen.NodeProcess) {
+func (n *Node) sample(p *os.Process, process *seen.NodeProcess) {
 	dir := fmt.Sprintf("/proc/%d", p.Pid)
 	status, err := os.ReadFile(dir + "/status")
 	if err != nil {
 		return
 	}
-	now, peak := int64(0), int64(0)
+	resident, peak := int64(0), int64(0)
 	for _, line := range bytes.Split(status, []byte("\n")) {
 		f := strings.Fields(string(line))
 		if len(f) < 2 {
@@ -249,28 +249,28 @@
 		kb, _ := strconv.ParseInt(f[1], 10, 64)
 		switch f[0] {
 		case "VmRSS:":
-			now = kb << 10
+			resident = kb << 10
 		case "VmHWM:":
 			peak = kb << 10
 		}
 	}
-	descs := 0
+	descriptors := 0
 	if d, err := os.Open(dir + "/fd"); err == nil {
 		names, _ := d.Readdirnames(-1)
 		d.Close()
-		descs = len(names)
+		descriptors = len(names)
 	}
 	n.opt.Log.Update(func(*seen.Record) {
-		life.PeakMemory, life.PeakDescriptors = max(life.PeakMemory, peak), max(life.PeakDescriptors, descs)
+		process.PeakMemory, process.PeakDescriptors = max(process.PeakMemory, peak), max(process.PeakDescriptors, descriptors)
 	})
-	if now > int64(n.opt.MemoryMB)<<20 {
-		n.opt.Log.AddEvent(fmt.Sprintf("node %d is ended: it uses %d MB of %d", n.opt.Number+1, now>>20, n.opt.MemoryMB))
+	if resident > int64(n.opt.MemoryMB)<<20 {
+		n.opt.Log.AddEvent(fmt.Sprintf("node %d is ended: it uses %d MB of %d", n.opt.Number+1, resident>>20, n.opt.MemoryMB))
 		p.Kill()
 	}
 }
 
 // awaitReady notes when a process takes clients.
-func (n *Node) awaitReady(life *seen.NodeProcess, done chan struct{}, ready func() bool) {
+func (n *Node) awaitReady(process *seen.NodeProcess, done chan struct{}, ready func() bool) {
 	for !ready() {
 		select {
 		case <-done:
@@ -281,27 +281,27 @@
 		}
 	}
 	now := n.opt.Log.Now()
-	n.opt.Log.Update(func(*seen.Record) { life.ReadyAt = now })
+	n.opt.Log.Update(func(*seen.Record) { process.ReadyAt = now })
 }
 
 // Ready waits until the running process is ready.
 func (n *Node) Ready() error {
 	n.mu.Lock()
-	life, done := n.life, n.done
+	process, done := n.process, n.done
 	n.mu.Unlock()
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for limit := time.Now().Add(readyTimeout); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
 		ready := false
-		n.opt.Log.Update(func(*seen.Record) { ready = life.ReadyAt > 0 })
+		n.opt.Log.Update(func(*seen.Record) { ready = process.ReadyAt > 0 })
 		if ready {
 			return nil
 		}
 		select {
 		case <-done:
-			return fmt.Errorf("node %d ended at its start (%s): %s", n.opt.Number+1, life.ExitStatus, lastLine(life.LogFile))
+			return fmt.Errorf("node %d ended at its start (%s): %s", n.opt.Number+1, process.ExitStatus, lastLine(process.LogFile))
 		default:
 		}
 	}
-	return fmt.Errorf("node %d is not ready after %v: %s", n.opt.Number+1, readyWithin, lastLine(life.LogFile))
+	return fmt.Errorf("node %d is not ready after %v: %s", n.opt.Number+1, readyTimeout, lastLine(process.LogFile))
 }
 
 func lastLine(path string) string {
@@ -313,7 +313,7 @@
 // Signal sends a signal to the running process.
 func (n *Node) Signal(s syscall.Signal) {
 	n.mu.Lock()
-	cmd, life := n.cmd, n.life
+	cmd, process := n.cmd, n.process
 	n.mu.Unlock()
 	if cmd == nil {
 		return
@@ -322,14 +322,14 @@
 	n.opt.Log.Update(func(*seen.Record) {
 		switch s {
 		case syscall.SIGKILL:
-			life.Killed = true
+			process.Killed = true
 		case syscall.SIGTERM:
-			life.TerminatedAt = now
+			process.TerminatedAt = now
 		case syscall.SIGSTOP:
-			life.Frozen = append(life.Frozen, [2]time.Duration{now})
+			process.Frozen = append(process.Frozen, [2]time.Duration{now})
 		case syscall.SIGCONT:
-			if i := len(life.Frozen) - 1; i >= 0 {
-				life.Frozen[i][1] = now
+			if i := len(process.Frozen) - 1; i >= 0 {
+				process.Frozen[i][1] = now
 			}
 		}
 	})
@@ -348,7 +348,7 @@
 	n.Signal(syscall.SIGTERM)
 	select {
 	case <-done:
-	case <-time.After(n.opt.MaxDeadline + killAfter):
+	case <-time.After(n.opt.MaxDeadline + endKillDelay):
 		cmd.Process.Kill() // its status tells
 		<-done
 	}
@@ -367,44 +367,44 @@
 
 // LogText is the log of the running process, or of the last.
 func (n *Node) LogText() string {
-	if n.life == nil {
+	if n.process == nil {
 		return ""
 	}
-	text, _ := os.ReadFile(n.life.LogFile)
+	text, _ := os.ReadFile(n.process.LogFile)
 	return string(text)
 }
 
 // Wait waits for the process's end and gives its status.
-func (n *Node) Wait(most time.Duration) (status string, ended bool) {
+func (n *Node) Wait(timeout time.Duration) (status string, ended bool) {
 	n.mu.Lock()
-	done, life := n.done, n.life
+	done, process := n.done, n.process
 	n.mu.Unlock()
 	select {
 	case <-done:
-		return life.ExitStatus, true
-	case <-time.After(most):
+		return process.ExitStatus, true
+	case <-time.After(timeout):
 		return "", false
 	}
 }
 
 // FreeAddr finds an address on which nothing listens, on an address of the loopback network of its own. Those that are
 // promised already, though nobody listens there yet, are passed over: the system may offer one again.
-func FreeAddr(ip string, promised ...string) (string, error) {
+func FreeAddr(ip string, reserved ...string) (string, error) {
 	for {
 		ln, err := net.Listen("tcp", ip+":0")
 		if err != nil {
 			return "", err
 		}
 		addr := ln.Addr().String()
-		if !slices.Contains(promised, addr) {
+		if !slices.Contains(reserved, addr) {
 			return addr, ln.Close()
 		}
 		defer ln.Close() // held until another is found
 	}
 }
 
-// counters are the figures of a log's last line of counters.
-func counters(path string) map[string]float64 {
+// lastCounters are the figures of a log's last line of counters.
+func lastCounters(path string) map[string]float64 {
 	text, _ := os.ReadFile(path)
 	out := map[string]float64{}
 	lines := strings.Split(string(text), "\n")
--- a/lab/stage/planners.go
+++ b/lab/stage/planners.go
@@ -18,86 +18,86 @@
 
 // planner is one process after another at one address.
 type planner struct {
-	id, addr, control, file, log string
-	command                      string
-	cmd                          *exec.Cmd
-	done                         chan struct{}
+	id, addr, controlAddr, configFile, logFile string
+	command                                    string
+	cmd                                        *exec.Cmd
+	done                                       chan struct{}
 }
 
-const keysFor = 24 * time.Hour
+const certValidity = 24 * time.Hour
 
 // startPlanners makes certificates for all parts and starts the planners. When it returns they have the list.
-func (s *Deployment) startPlanners() error {
-	x := s.Experiment
+func (d *Deployment) startPlanners() error {
+	x := d.Experiment
 	if x.Planners.Count == 0 {
 		return nil
 	}
-	dir := s.keys()
-	if err := keys.MakeAuthority(dir, time.Now(), 2*keysFor); err != nil {
+	dir := d.keysDir()
+	if err := keys.MakeAuthority(dir, time.Now(), 2*certValidity); err != nil {
 		return err
 	}
 	for i := range x.Nodes.Count {
-		if err := keys.Make(dir, fmt.Sprintf("n%d", i+1), keys.Forwarder, time.Now(), keysFor, false); err != nil {
+		if err := keys.Make(dir, fmt.Sprintf("n%d", i+1), keys.Forwarder, time.Now(), certValidity, false); err != nil {
 			return err
 		}
 	}
 	var gossip []string
 	for i := range x.Planners.Count {
-		p := &planner{id: fmt.Sprintf("p%d", i+1), command: s.opt.Command, log: filepath.Join(s.opt.Dir, fmt.Sprintf("planner%d.log", i+1)),
-			file: filepath.Join(s.opt.Dir, fmt.Sprintf("planner%d.toml", i+1))}
-		if err := keys.Make(dir, p.id, keys.Planner, time.Now(), keysFor, false); err != nil {
+		p := &planner{id: fmt.Sprintf("p%d", i+1), command: d.opt.Command, logFile: filepath.Join(d.opt.Dir, fmt.Sprintf("planner%d.log", i+1)),
+			configFile: filepath.Join(d.opt.Dir, fmt.Sprintf("planner%d.toml", i+1))}
+		if err := keys.Make(dir, p.id, keys.Planner, time.Now(), certValidity, false); err != nil {
 			return err
 		}
-		var talk string
-		for _, to := range []*string{&p.addr, &p.control, &talk} {
+		var gossipAddr string
+		for _, addr := range []*string{&p.addr, &p.controlAddr, &gossipAddr} {
 			var err error
-			if *to, err = FreeAddr(fmt.Sprintf("%s%d", s.net, 202+i), p.addr, p.control); err != nil {
+			if *addr, err = FreeAddr(fmt.Sprintf("%s%d", d.netPrefix, 202+i), p.addr, p.controlAddr); err != nil {
 				return err
 			}
 		}
-		gossip = append(gossip, talk)
-		text, err := s.plannerFile(p, i, gossip)
+		gossip = append(gossip, gossipAddr)
+		text, err := d.plannerConfig(p, i, gossip)
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(p.file, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(p.configFile, []byte(text), 0o600); err != nil {
 			return err
 		}
-		s.plans = append(s.plans, p)
+		d.planners = append(d.planners, p)
 		if err := p.start(); err != nil {
 			return err
 		}
 	}
-	for _, p := range s.plans {
-		for end := time.Now().Add(readyWithin); CallControl(p.control, "GET", "/_ready") != nil; time.Sleep(10 * time.Millisecond) {
-			if time.Now().After(end) {
-				return fmt.Errorf("planner %s is not ready after %v: %s", p.id, readyWithin, lastLine(p.log))
+	for _, p := range d.planners {
+		for limit := time.Now().Add(readyTimeout); CallControl(p.controlAddr, "GET", "/_ready") != nil; time.Sleep(10 * time.Millisecond) {
+			if time.Now().After(limit) {
+				return fmt.Errorf("planner %s is not ready after %v: %s", p.id, readyTimeout, lastLine(p.logFile))
 			}
 		}
 	}
 	return nil
 }
 
-func (s *Deployment) keys() string { return filepath.Join(s.opt.Dir, "keys") }
+func (d *Deployment) keysDir() string { return filepath.Join(d.opt.Dir, "keys") }
 
-// plannerFile is a planner's operator's file.
-func (s *Deployment) plannerFile(p *planner, number int, gossip []string) (string, error) {
-	x := s.Experiment
+// plannerConfig is a planner's operator's file.
+func (d *Deployment) plannerConfig(p *planner, number int, gossip []string) (string, error) {
+	x := d.Experiment
 	var b strings.Builder
-	fmt.Fprintf(&b, "[node]\ncontrol = %q\n", p.control)
+	fmt.Fprintf(&b, "[node]\ncontrol = %q\n", p.controlAddr)
 	if x.List.InRegistry() {
-		table, err := s.registryTable(x.Nodes.Count + number)
+		table, err := d.registryTable(x.Nodes.Count + number)
 		if err != nil {
 			return "", err
 		}
 		b.WriteString(table)
 	} else {
-		fmt.Fprintf(&b, "discovery = %q\n", s.list.Where(x.Nodes.Count + number)[0])
+		fmt.Fprintf(&b, "discovery = %q\n", d.list.AddrsFor(x.Nodes.Count + number)[0])
 	}
-	falls := x.Service.FallMultiple > 0
-	fmt.Fprintf(&b, "[service]\nmode = %q\norigin_kind = \"origin\"\norigin_falls = %t\nweighted = %t\nwarm_up = %q\ncold_from = %g\nfall_window = %q\n", x.Service.Mode, falls,
+	originFalls := x.Service.FallMultiple > 0
+	fmt.Fprintf(&b, "[service]\nmode = %q\norigin_kind = \"origin\"\norigin_falls = %t\nweighted = %t\nwarm_up = %q\ncold_from = %g\nfall_window = %q\n", x.Service.Mode, originFalls,
 		x.Service.Weights != "off", x.Service.WarmUp.D(), x.Service.ColdFrom, x.Service.FallWindow.D())
-	if falls {
+	if originFalls {
 		fmt.Fprintf(&b, "fall_multiple = %g\n", x.Service.FallMultiple)
 	}
 	for _, c := range x.Classes {
@@ -107,33 +107,33 @@
 		}
 	}
 	fmt.Fprintf(&b, "[planner]\nid = %q\nlisten = %q\ngossip = %q\njoin = [%q]\nevery = %q\nvalid = %q\n", p.id, p.addr, gossip[number], gossip[0], x.Planners.Every.D(), x.Planners.Valid.D())
-	fmt.Fprintf(&b, "gossip_key_file = %q\nca_file = %q\ncert_file = %q\nkey_file = %q\nsnapshot = %q\n", filepath.Join(s.keys(), "gossip.key"), filepath.Join(s.keys(), "ca.pem"),
-		filepath.Join(s.keys(), p.id+".pem"), filepath.Join(s.keys(), p.id+".key"), filepath.Join(s.opt.Dir, p.id+".db"))
+	fmt.Fprintf(&b, "gossip_key_file = %q\nca_file = %q\ncert_file = %q\nkey_file = %q\nsnapshot = %q\n", filepath.Join(d.keysDir(), "gossip.key"), filepath.Join(d.keysDir(), "ca.pem"),
+		filepath.Join(d.keysDir(), p.id+".pem"), filepath.Join(d.keysDir(), p.id+".key"), filepath.Join(d.opt.Dir, p.id+".db"))
 	return b.String(), nil
 }
 
 // plannersTable is what an operator's file says of the planners to a node.
-func (s *Deployment) plannersTable(node int) string {
-	if len(s.plans) == 0 {
+func (d *Deployment) plannersTable(node int) string {
+	if len(d.planners) == 0 {
 		return ""
 	}
 	var addrs []string
-	for _, p := range s.plans {
+	for _, p := range d.planners {
 		addrs = append(addrs, p.addr)
 	}
 	name := fmt.Sprintf("n%d", node+1)
 	return fmt.Sprintf("[planners]\naddresses = [\"%s\"]\nca_file = %q\ncert_file = %q\nkey_file = %q\nevery = %q\nfade = %q\n", strings.Join(addrs, `", "`),
-		filepath.Join(s.keys(), "ca.pem"), filepath.Join(s.keys(), name+".pem"), filepath.Join(s.keys(), name+".key"), s.Experiment.Planners.Every.D(), s.Experiment.Planners.Fade.D())
+		filepath.Join(d.keysDir(), "ca.pem"), filepath.Join(d.keysDir(), name+".pem"), filepath.Join(d.keysDir(), name+".key"), d.Experiment.Planners.Every.D(), d.Experiment.Planners.Fade.D())
 }
 
 // start begins a process, whose log goes on in the same file.
 func (p *planner) start() error {
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer out.Close()
-	p.cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf("exec %s plan --config '%s'", p.command, p.file))
+	p.cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf("exec %s plan --config '%s'", p.command, p.configFile))
 	p.cmd.Stdout, p.cmd.Stderr = out, out
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
@@ -157,9 +157,9 @@
 	}
 }
 
-// onPlanner breaks a planner.
-func (s *Deployment) onPlanner(a fault.Action) error {
-	p := s.plans[a.Planner-1]
+// applyToPlanner breaks a planner.
+func (d *Deployment) applyToPlanner(a fault.Action) error {
+	p := d.planners[a.Planner-1]
 	switch {
 	case a.Kind == fault.PlannerCut:
 		return fmt.Errorf("nodes are parted from planners in the model alone (lapislab model)")
--- a/lab/stage/stage.go
+++ b/lab/stage/stage.go
@@ -26,9 +26,9 @@
 
 // What makes a run void: the lab itself was late.
 const (
-	lateMean   = 2 * time.Millisecond  // of stand-ins, in the mean
-	lateTail   = 10 * time.Millisecond // of wishes, the 99th percentile
-	watchEvery = 5 * time.Millisecond
+	maxMeanLateness    = 2 * time.Millisecond  // of stand-ins, in the mean
+	maxP99Lateness     = 10 * time.Millisecond // of wishes, the 99th percentile
+	stallCheckInterval = 5 * time.Millisecond
 )
 
 // Options say how a deployment is put up.
@@ -50,27 +50,27 @@
 
 // Deployment is a deployment that is up.
 type Deployment struct {
-	Experiment *experiment.Experiment
-	Log        *seen.Log
-	Common     *standin.Common
-	Nodes      []*Node
-	opt        Options
-	caches     map[string]*standin.Cache // by name
-	origin     *standin.Origin
-	list       lister
-	hands      sync.WaitGroup // operators at work
-	quit       chan struct{}  // closed when the plan is over
-	keeper     *keeper        // of servers' leases; nil: none
-	load       *load.Load
-	plan       []world.Arrival
-	plans      []*planner
-	net        string // the first three numbers of its loopback addresses
-
-	mu     sync.Mutex
-	lames  map[int]*seen.LameDuckCheck               // drains of nodes that last
-	missed [2]map[string][]func(version, size int64) // by request, the newer generation first
-	turned time.Time
-	rules  judge.Rules
+	Experiment    *experiment.Experiment
+	Log           *seen.Log
+	Common        *standin.Common
+	Nodes         []*Node
+	opt           Options
+	caches        map[string]*standin.Cache // by name
+	origin        *standin.Origin
+	list          serverList
+	operatorTasks sync.WaitGroup // operators at work
+	loadDone      chan struct{}  // closed when the plan is over
+	leases        *leaseKeeper   // of servers' leases; nil: none
+	load          *load.Load
+	arrivals      []world.Arrival
+	planners      []*planner
+	netPrefix     string // the first three numbers of its loopback addresses
+
+	mu               sync.Mutex
+	lameDuckChecks   map[int]*seen.LameDuckCheck               // drains of nodes that last
+	pendingFills     [2]map[string][]func(version, size int64) // by request, the newer generation first
+	pendingRotatedAt time.Time
+	rules            judge.Rules
 }
 
 // LabDelays tells how well the lab kept up.
@@ -95,112 +95,112 @@
 
 // Open puts a deployment up; when it returns without an error, all nodes are ready.
 func Open(x *experiment.Experiment, opt Options) (*Deployment, error) {
-	s := &Deployment{Experiment: x, Log: seen.NewLog(), opt: opt, caches: map[string]*standin.Cache{}, lames: map[int]*seen.LameDuckCheck{}, quit: make(chan struct{}), rules: x.Rules(), plan: x.Arrivals()}
-	s.net = fmt.Sprintf("127.%d.%d.", 10+rand.IntN(200), rand.IntN(250))
-	s.Common = standin.NewCommon(s.Log, x.Seed, x.Classes)
-	s.missed = [2]map[string][]func(version, size int64){{}, {}}
-	if err := s.open(); err != nil {
-		s.Close()
+	d := &Deployment{Experiment: x, Log: seen.NewLog(), opt: opt, caches: map[string]*standin.Cache{}, lameDuckChecks: map[int]*seen.LameDuckCheck{}, loadDone: make(chan struct{}), rules: x.Rules(), arrivals: x.Arrivals()}
+	d.netPrefix = fmt.Sprintf("127.%d.%d.", 10+rand.IntN(200), rand.IntN(250))
+	d.Common = standin.NewCommon(d.Log, x.Seed, x.Classes)
+	d.pendingFills = [2]map[string][]func(version, size int64){{}, {}}
+	if err := d.open(); err != nil {
+		d.Close()
 		return nil, err
 	}
-	return s, nil
+	return d, nil
 }
 
-func (s *Deployment) open() error {
-	x := s.Experiment
+func (d *Deployment) open() error {
+	x := d.Experiment
 	var members []world.Member
 	for i := range x.Servers {
 		v := &x.Servers[i]
 		if v.StartsLater {
 			continue
 		}
-		c, err := s.startCache(v, v.Group.Cold)
+		c, err := d.startCache(v, v.Group.Cold)
 		if err != nil {
 			return err
 		}
 		m := v.Member
 		m.Addr = c.Addr()
 		if v.Group.Cold {
-			m.Started = s.Log.Now()
+			m.Started = d.Log.Now()
 		}
 		members = append(members, m)
 	}
-	s.warm(members)
+	d.warmCaches(members)
 	if !x.Origin.None {
 		spec := x.OriginSpec()
 		var err error
-		s.origin, err = standin.NewOrigin(s.Common, standin.OriginOptions{ID: x.OriginID(), Name: "origin", Addr: s.net + "200:0",
-			Spec: &spec, Served: s.served, Wrote: s.wrote})
+		d.origin, err = standin.NewOrigin(d.Common, standin.OriginOptions{ID: x.OriginID(), Name: "origin", Addr: d.netPrefix + "200:0",
+			Spec: &spec, Served: d.fillCaches, Wrote: d.invalidateCopies})
 		if err != nil {
 			return err
 		}
 		if x.Service.Mode == "aside" {
-			members = append(members, world.Member{ID: x.OriginID(), Addr: s.origin.Addr(), Kind: "origin", Zone: "a", Weight: 1})
+			members = append(members, world.Member{ID: x.OriginID(), Addr: d.origin.Addr(), Kind: "origin", Zone: "a", Weight: 1})
 		}
 	}
-	if err := s.openList(members); err != nil {
+	if err := d.openList(members); err != nil {
 		return err
 	}
 	var addrs []string
 	if x.Nodes.Direct {
 		for i := range x.Nodes.Count {
-			addrs = append(addrs, s.caches[x.Servers[i%len(x.Servers)].Name].Addr())
+			addrs = append(addrs, d.caches[x.Servers[i%len(x.Servers)].Name].Addr())
 		}
-	} else if err := s.startPlanners(); err != nil {
+	} else if err := d.startPlanners(); err != nil {
 		return err
-	} else if err := s.startNodes(); err != nil {
+	} else if err := d.startNodes(); err != nil {
 		return err
 	}
-	for _, n := range s.Nodes {
+	for _, n := range d.Nodes {
 		addrs = append(addrs, n.Addr())
 	}
-	s.load = load.New(load.Options{Log: s.Log, Seed: x.Seed, Spec: x.ClientSpec, Classes: x.Classes, Tenants: x.Tenants, NodeAddrs: addrs,
-		Generation: s.lifeOf})
+	d.load = load.New(load.Options{Log: d.Log, Seed: x.Seed, Spec: x.ClientSpec, Classes: x.Classes, Tenants: x.Tenants, NodeAddrs: addrs,
+		Generation: d.generationOf})
 	return nil
 }
 
-func (s *Deployment) lifeOf(node int) int {
-	if node < len(s.Nodes) {
-		return s.Nodes[node].Generation()
+func (d *Deployment) generationOf(node int) int {
+	if node < len(d.Nodes) {
+		return d.Nodes[node].Generation()
 	}
 	return 0
 }
 
-func (s *Deployment) startCache(v *experiment.Server, cold bool) (*standin.Cache, error) {
-	x := s.Experiment
+func (d *Deployment) startCache(v *experiment.Server, cold bool) (*standin.Cache, error) {
+	x := d.Experiment
 	spec := v.Spec
-	opt := standin.CacheOptions{ID: v.ID, Name: v.Name, Addr: fmt.Sprintf("%s%d:0", s.net, 1+len(s.caches)%199), Spec: &spec, Cold: cold,
+	opt := standin.CacheOptions{ID: v.ID, Name: v.Name, Addr: fmt.Sprintf("%s%d:0", d.netPrefix, 1+len(d.caches)%199), Spec: &spec, Cold: cold,
 		PerConn: x.Service.PerConn, MaxConns: v.Group.MaxConns, ConnIdle: x.Service.ConnIdle.D(), Tells: *x.Service.Hits,
-		Reports: *x.Service.Reports, Missed: s.noteMiss}
+		Reports: *x.Service.Reports, Missed: d.recordMiss}
 	if spec.Through {
 		opt.Ask = func(a world.OriginRequest, request, class string, answer func(world.Completion)) {
-			s.origin.Ask(a, request, class, answer)
+			d.origin.Ask(a, request, class, answer)
 		}
 	}
-	c, err := standin.NewCache(s.Common, opt)
+	c, err := standin.NewCache(d.Common, opt)
 	if err == nil {
-		s.mu.Lock()
-		s.caches[v.Name] = c
-		s.mu.Unlock()
+		d.mu.Lock()
+		d.caches[v.Name] = c
+		d.mu.Unlock()
 	}
 	return c, err
 }
 
-// warm lets the servers that run at the start hold what they were asked for lately: popular keys, each where the shared
+// warmCaches lets the servers that run at the start hold what they were asked for lately: popular keys, each where the shared
 // ranking puts it; with no nodes between, everywhere.
-func (s *Deployment) warm(members []world.Member) {
-	x := s.Experiment
-	part := x.Clients.Warm
+func (d *Deployment) warmCaches(members []world.Member) {
+	x := d.Experiment
+	warmShare := x.Clients.Warm
 	class := slices.IndexFunc(x.Classes, func(c world.Class) bool { return !c.Write })
-	if part <= 0 || class < 0 {
+	if warmShare <= 0 || class < 0 {
 		return
 	}
-	room := map[string]int64{}
-	left := len(members)
+	spaceLeft := map[string]int64{}
+	cachesLeft := len(members)
 	for _, v := range x.Servers {
-		room[v.ID] = int64(part * float64(v.Spec.MemoryBytes))
+		spaceLeft[v.ID] = int64(warmShare * float64(v.Spec.MemoryBytes))
 		if v.Group.Cold {
-			room[v.ID] = 0
+			spaceLeft[v.ID] = 0
 		}
 	}
 	names := map[string]string{}
@@ -210,15 +210,15 @@
 	src := world.NewSource(x.ClientSpec, x.Classes, x.Tenants, nil, x.Seed, x.Length.D())
 	put := func(m world.Member, key string) {
 		size := int64(world.SizeOf(x.Seed, &x.Classes[class], key))
-		if room[m.ID] < size {
-			if room[m.ID] > 0 {
-				left--
+		if spaceLeft[m.ID] < size {
+			if spaceLeft[m.ID] > 0 {
+				cachesLeft--
 			}
-			room[m.ID] = 0
+			spaceLeft[m.ID] = 0
 			return
 		}
-		room[m.ID] -= size
-		s.caches[names[m.ID]].Do(func(now time.Duration, c *world.Cache) { c.Store(now, key, 0, size) })
+		spaceLeft[m.ID] -= size
+		d.caches[names[m.ID]].Do(func(now time.Duration, c *world.Cache) { c.Store(now, key, 0, size) })
 	}
 	keys := src.PopularKeys(x.Clients.Keys)
 	slices.Reverse(keys) // what is used last is kept longest
@@ -232,7 +232,7 @@
 	}
 	slices.Reverse(keys)
 	for _, k := range keys {
-		if left <= 0 {
+		if cachesLeft <= 0 {
 			break
 		}
 		if i := world.TopRanked(k, members); i >= 0 {
@@ -241,13 +241,13 @@
 	}
 }
 
-func (s *Deployment) startNodes() error {
-	x := s.Experiment
-	longest := time.Duration(0)
+func (d *Deployment) startNodes() error {
+	x := d.Experiment
+	maxDeadline := time.Duration(0)
 	for _, c := range x.Classes {
-		longest = max(longest, c.Deadline)
+		maxDeadline = max(maxDeadline, c.Deadline)
 	}
-	rev, members := s.known()
+	rev, members := d.initialList()
 	for i := range x.Nodes.Count {
 		addr := ""
 		if len(x.Nodes.Listen) > 0 {
@@ -259,13 +259,13 @@
 			ln.Close()
 		} else {
 			var err error
-			if addr, err = FreeAddr(fmt.Sprintf("%s%d", s.net, 210+i%40)); err != nil {
+			if addr, err = FreeAddr(fmt.Sprintf("%s%d", d.netPrefix, 210+i%40)); err != nil {
 				return err
 			}
 		}
-		opt := NodeOptions{Log: s.Log, Number: i, Command: s.opt.Command, Dir: s.opt.Dir, Listen: addr, ListAddr: s.list.Where(i)[0],
+		opt := NodeOptions{Log: d.Log, Number: i, Command: d.opt.Command, Dir: d.opt.Dir, Listen: addr, ListAddr: d.list.AddrsFor(i)[0],
 			MemoryMB: x.Nodes.MemoryMB, Sockets: x.Nodes.Sockets, Seed: world.RandomStream(x.Seed, "node", fmt.Sprint(i)).Uint64(),
-			Settings: x.Settings(i), MaxDeadline: longest, Controlled: true, KeepState: s.opt.KeepState}
+			Settings: x.Settings(i), MaxDeadline: maxDeadline, Controlled: true, KeepState: d.opt.KeepState}
 		if x.Nodes.Config != "" {
 			path := x.Nodes.Config
 			if !filepath.IsAbs(path) {
@@ -274,7 +274,7 @@
 			opt.Env = append(opt.Env, "LAPISSHELF_CONFIG="+path)
 		}
 		if x.List.InRegistry() || x.Planners.Count > 0 {
-			path, err := s.operatorFile(i)
+			path, err := d.writeOperatorFile(i)
 			if err != nil {
 				return err
 			}
@@ -287,9 +287,9 @@
 		if err := n.Start(rev, members); err != nil {
 			return err
 		}
-		s.Nodes = append(s.Nodes, n)
+		d.Nodes = append(d.Nodes, n)
 	}
-	for _, n := range s.Nodes {
+	for _, n := range d.Nodes {
 		if err := n.Ready(); err != nil {
 			return err
 		}
@@ -297,39 +297,39 @@
 	return nil
 }
 
-// noteMiss remembers the first two caches that missed for a request.
-func (s *Deployment) noteMiss(request string, store func(version, size int64)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if time.Since(s.turned) > 10*time.Second {
-		s.missed = [2]map[string][]func(version, size int64){{}, s.missed[0]}
-		s.turned = time.Now()
+// recordMiss remembers the first two caches that missed for a request.
+func (d *Deployment) recordMiss(request string, store func(version, size int64)) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if time.Since(d.pendingRotatedAt) > 10*time.Second {
+		d.pendingFills = [2]map[string][]func(version, size int64){{}, d.pendingFills[0]}
+		d.pendingRotatedAt = time.Now()
 	}
-	if list := s.missed[0][request]; len(list) < 2 {
-		s.missed[0][request] = append(list, store)
+	if list := d.pendingFills[0][request]; len(list) < 2 {
+		d.pendingFills[0][request] = append(list, store)
 	}
 }
 
-// served stores what the origin has answered where the request missed.
-func (s *Deployment) served(request string, version, size int64) {
-	s.mu.Lock()
-	list := append(s.missed[0][request], s.missed[1][request]...)
-	delete(s.missed[0], request)
-	delete(s.missed[1], request)
-	s.mu.Unlock()
+// fillCaches stores what the origin has answered where the request missed.
+func (d *Deployment) fillCaches(request string, version, size int64) {
+	d.mu.Lock()
+	list := append(d.pendingFills[0][request], d.pendingFills[1][request]...)
+	delete(d.pendingFills[0], request)
+	delete(d.pendingFills[1], request)
+	d.mu.Unlock()
 	for _, store := range list[:min(2, len(list))] {
 		store(version, size)
 	}
 }
 
-// wrote voids the copies of a key.
-func (s *Deployment) wrote(key string) {
-	s.mu.Lock()
-	all := make([]*standin.Cache, 0, len(s.caches))
-	for _, c := range s.caches {
+// invalidateCopies voids the copies of a key.
+func (d *Deployment) invalidateCopies(key string) {
+	d.mu.Lock()
+	all := make([]*standin.Cache, 0, len(d.caches))
+	for _, c := range d.caches {
 		all = append(all, c)
 	}
-	s.mu.Unlock()
+	d.mu.Unlock()
 	go func() { // the origin holds its lock
 		for _, c := range all {
 			c.Do(func(_ time.Duration, m *world.Cache) { m.Invalidate(key) })
@@ -338,49 +338,49 @@
 }
 
 // Addresses are where the parts of the deployment are, for hand use.
-func (s *Deployment) Addresses() []string {
+func (d *Deployment) Addresses() []string {
 	var out []string
-	for i, n := range s.Nodes {
+	for i, n := range d.Nodes {
 		out = append(out, fmt.Sprintf("node %d      %s", i+1, n.Addr()))
 	}
-	for _, v := range s.Experiment.Servers {
-		if c := s.caches[v.Name]; c != nil {
+	for _, v := range d.Experiment.Servers {
+		if c := d.caches[v.Name]; c != nil {
 			out = append(out, fmt.Sprintf("cache %-6s %s  id %s", v.Name, c.Addr(), c.ID()))
 		}
 	}
-	if s.origin != nil {
-		out = append(out, fmt.Sprintf("origin      %s  id %s", s.origin.Addr(), s.Experiment.OriginID()))
+	if d.origin != nil {
+		out = append(out, fmt.Sprintf("origin      %s  id %s", d.origin.Addr(), d.Experiment.OriginID()))
 	}
-	return append(out, "list        "+strings.Join(s.list.Where(0), " "))
+	return append(out, "list        "+strings.Join(d.list.AddrsFor(0), " "))
 }
 
 // Run plays the plan with its troubles, then ends the nodes and judges what was seen. It ends early with the context.
-func (s *Deployment) Run(ctx context.Context) *Result {
-	begin := s.Log.Now() + 50*time.Millisecond
+func (d *Deployment) Run(ctx context.Context) *Result {
+	begin := d.Log.Now() + 50*time.Millisecond
 	stop := make(chan struct{})
-	var others sync.WaitGroup
+	var background sync.WaitGroup
 	stall := time.Duration(0)
-	others.Go(func() { stall = s.watchdog(stop) })
-	others.Go(func() { s.act(begin, stop) })
-	others.Go(func() { s.progress(begin, stop) })
-	s.load.Run(ctx, begin, s.plan)
+	background.Go(func() { stall = d.measureStalls(stop) })
+	background.Go(func() { d.runTimeline(begin, stop) })
+	background.Go(func() { d.reportProgress(begin, stop) })
+	d.load.Run(ctx, begin, d.arrivals)
 	close(stop)
-	others.Wait()
-	close(s.quit)
-	s.hands.Wait()
-	return s.finish(ctx, begin, stall)
+	background.Wait()
+	close(d.loadDone)
+	d.operatorTasks.Wait()
+	return d.stopAndJudge(ctx, begin, stall)
 }
 
-// finish ends the nodes and judges.
-func (s *Deployment) finish(ctx context.Context, begin time.Duration, stall time.Duration) *Result {
-	var ends sync.WaitGroup
-	for _, n := range s.Nodes {
-		ends.Go(n.End)
+// stopAndJudge ends the nodes and judges.
+func (d *Deployment) stopAndJudge(ctx context.Context, begin time.Duration, stall time.Duration) *Result {
+	var nodeEnds sync.WaitGroup
+	for _, n := range d.Nodes {
+		nodeEnds.Go(n.End)
 	}
-	ends.Wait()
-	r := &Result{Interrupted: ctx.Err() != nil, Arrivals: len(s.plan)}
-	s.Log.Update(func(rec *seen.Record) { r.Record = rec })
-	plan := s.plan
+	nodeEnds.Wait()
+	r := &Result{Interrupted: ctx.Err() != nil, Arrivals: len(d.arrivals)}
+	d.Log.Update(func(rec *seen.Record) { r.Record = rec })
+	plan := d.arrivals
 	if r.Interrupted { // only what was begun can be judged
 		n := 0
 		for _, t := range r.Record.Tries {
@@ -388,23 +388,23 @@
 		}
 		plan = plan[:n]
 	}
-	shift(r.Record, begin)
-	r.Verdict = judge.Judge(r.Record, s.rules, plan)
+	rebaseTimes(r.Record, begin)
+	r.Verdict = judge.Judge(r.Record, d.rules, plan)
 	for _, l := range r.Record.NodeProcesses {
-		for name, v := range counters(l.LogFile) {
+		for name, v := range lastCounters(l.LogFile) {
 			r.Verdict.Figures["said_"+name] += v
 		}
 	}
-	h := s.load.SendDelays()
-	most, mean := s.Common.Late()
+	h := d.load.SendDelays()
+	maxLate, meanLate := d.Common.Late()
 	ms := func(d time.Duration) float64 { return math.Round(float64(d)/float64(time.Microsecond)) / 1000 }
 	r.Lab = LabDelays{SendP50: judge.Millis(h, 50), SendP99: judge.Millis(h, 99), SendMax: float64(h.Max()) / 1000,
-		StandInMean: ms(mean), StandInMax: ms(most), StallMax: ms(stall)}
-	tolerance := s.rules.Tolerance
+		StandInMean: ms(meanLate), StandInMax: ms(maxLate), StallMax: ms(stall)}
+	tolerance := d.rules.Tolerance
 	switch {
-	case r.Lab.SendP99 > ms(lateTail):
+	case r.Lab.SendP99 > ms(maxP99Lateness):
 		r.Lab.VoidReason = fmt.Sprintf("one wish in a hundred was sent over %.1f ms behind its plan", r.Lab.SendP99)
-	case mean > lateMean:
+	case meanLate > maxMeanLateness:
 		r.Lab.VoidReason = fmt.Sprintf("the stand-ins were %.1f ms late in the mean", r.Lab.StandInMean)
 	case stall > tolerance:
 		r.Lab.VoidReason = fmt.Sprintf("the lab stood still for %.1f ms, over the judge's tolerance of %v", r.Lab.StallMax, tolerance)
@@ -412,12 +412,12 @@
 	return r
 }
 
-// shift counts the record's times from the plan's beginning, as the plan does. What came before is below 0.
-func shift(rec *seen.Record, by time.Duration) {
+// rebaseTimes counts the record's times from the plan's beginning, as the plan does. What came before is below 0.
+func rebaseTimes(rec *seen.Record, origin time.Duration) {
 	move := func(times ...*time.Duration) {
 		for _, t := range times {
 			if *t != 0 {
-				*t -= by
+				*t -= origin
 			}
 		}
 	}
@@ -467,25 +467,25 @@
 	}
 }
 
-// watchdog measures how long the lab's process stands still.
-func (s *Deployment) watchdog(stop chan struct{}) (most time.Duration) {
-	t := time.NewTicker(watchEvery)
+// measureStalls measures how long the lab's process stands still.
+func (d *Deployment) measureStalls(stop chan struct{}) (longest time.Duration) {
+	t := time.NewTicker(stallCheckInterval)
 	defer t.Stop()
-	last := s.Log.Now()
+	last := d.Log.Now()
 	for {
 		select {
 		case <-stop:
-			return most
+			return longest
 		case <-t.C:
-			now := s.Log.Now()
-			most = max(most, now-last-watchEvery)
+			now := d.Log.Now()
+			longest = max(longest, now-last-stallCheckInterval)
 			last = now
 		}
 	}
 }
 
-func (s *Deployment) progress(begin time.Duration, stop chan struct{}) {
-	if s.opt.Progress == nil {
+func (d *Deployment) reportProgress(begin time.Duration, stop chan struct{}) {
+	if d.opt.Progress == nil {
 		return
 	}
 	t := time.NewTicker(time.Second)
@@ -495,91 +495,91 @@
 		case <-stop:
 			return
 		case <-t.C:
-			m := Progress{Elapsed: s.Log.Now() - begin, Length: s.Experiment.Length.D(), TriesSent: s.load.TriesSent()}
-			s.Log.Update(func(r *seen.Record) {
-				m.Attempts = len(r.Attempts)
+			p := Progress{Elapsed: d.Log.Now() - begin, Length: d.Experiment.Length.D(), TriesSent: d.load.TriesSent()}
+			d.Log.Update(func(r *seen.Record) {
+				p.Attempts = len(r.Attempts)
 				if n := len(r.Events); n > 0 {
-					m.LastEvent = r.Events[n-1].Text
+					p.LastEvent = r.Events[n-1].Text
 				}
 			})
-			s.opt.Progress(m)
+			d.opt.Progress(p)
 		}
 	}
 }
 
-// act carries out the timeline.
-func (s *Deployment) act(begin time.Duration, stop chan struct{}) {
-	for _, a := range s.Experiment.Timeline.Actions {
+// runTimeline carries out the timeline.
+func (d *Deployment) runTimeline(begin time.Duration, stop chan struct{}) {
+	for _, a := range d.Experiment.Timeline.Actions {
 		select {
 		case <-stop:
 			return
-		case <-time.After(begin + a.At - s.Log.Now()):
+		case <-time.After(begin + a.At - d.Log.Now()):
 		}
-		if err := s.do(a); err != nil {
-			s.Log.AddEvent(fmt.Sprintf("%s failed: %v", a, err))
+		if err := d.apply(a); err != nil {
+			d.Log.AddEvent(fmt.Sprintf("%s failed: %v", a, err))
 			continue
 		}
-		s.Log.AddEvent(a.String())
+		d.Log.AddEvent(a.String())
 	}
 }
 
-// do carries out one action.
-func (s *Deployment) do(a fault.Action) error {
+// apply carries out one action.
+func (d *Deployment) apply(a fault.Action) error {
 	switch {
 	case a.Kind == fault.BanServer:
-		return s.detach(a.Node, a.Server, a.Value != 0)
+		return d.setBan(a.Node, a.Server, a.Value != 0)
 	case a.Server != "":
-		return s.onServer(a)
+		return d.applyToServer(a)
 	case a.Node >= 0:
-		return s.onNode(a)
+		return d.applyToNode(a)
 	}
 	on := a.Value != 0
 	if a.Planner > 0 {
-		return s.onPlanner(a)
+		return d.applyToPlanner(a)
 	}
 	if strings.HasPrefix(string(a.Kind), "registry_") {
-		return s.onRegistry(a)
+		return d.applyToRegistry(a)
 	}
 	switch a.Kind {
 	case fault.ListDown:
-		s.list.Fail(on)
+		d.list.SetDown(on)
 	case fault.ListGarble:
-		s.list.Nonsense(on)
+		d.list.SetGarbled(on)
 	case fault.ListLag:
-		s.list.Lag(time.Duration(a.Value * float64(time.Second)))
+		d.list.Lag(time.Duration(a.Value * float64(time.Second)))
 	case fault.Rude:
-		s.load.SetRudeClients(int(a.Value))
+		d.load.SetRudeClients(int(a.Value))
 	default:
-		if s.origin == nil {
+		if d.origin == nil {
 			return fmt.Errorf("there is no origin")
 		}
 		switch a.Kind {
 		case fault.OriginSlow:
-			s.origin.Do(func(now time.Duration, m *world.Origin) { m.Slow(now, a.Value) })
+			d.origin.Do(func(now time.Duration, m *world.Origin) { m.Slow(now, a.Value) })
 		case fault.OriginPause:
-			s.origin.Do(func(now time.Duration, m *world.Origin) { m.Pause(now, on) })
+			d.origin.Do(func(now time.Duration, m *world.Origin) { m.Pause(now, on) })
 		case fault.OriginGarble:
-			s.origin.Spoil(a.Value)
+			d.origin.Spoil(a.Value)
 		case fault.OriginStop:
-			return s.origin.Refuse(on)
+			return d.origin.Refuse(on)
 		}
 	}
 	return nil
 }
 
-func (s *Deployment) onNode(a fault.Action) error {
+func (d *Deployment) applyToNode(a fault.Action) error {
 	if a.Kind == fault.ListCut {
-		s.list.Cut(a.Node, a.Value != 0)
+		d.list.Cut(a.Node, a.Value != 0)
 		return nil
 	}
-	n := s.Nodes[a.Node]
+	n := d.Nodes[a.Node]
 	switch a.Kind {
 	case fault.NodeKill:
 		n.Kill()
 	case fault.NodeTerm:
 		n.Signal(syscall.SIGTERM)
 	case fault.NodeHup:
-		rev, members := s.known()
+		rev, members := d.initialList()
 		if err := n.UpdateConfig(rev, members); err != nil {
 			return err
 		}
@@ -591,50 +591,50 @@
 			n.Signal(syscall.SIGCONT)
 		}
 	case fault.NodeLameDuck:
-		return s.lameduck(a.Node, a.Value != 0)
+		return d.setLameDuck(a.Node, a.Value != 0)
 	case fault.NodeUpgrade:
-		s.hands.Go(func() {
-			if err := s.upgrade(a.Node); err != nil {
-				s.Log.AddEvent(fmt.Sprintf("%s failed: %v", a, err))
+		d.operatorTasks.Go(func() {
+			if err := d.upgrade(a.Node); err != nil {
+				d.Log.AddEvent(fmt.Sprintf("%s failed: %v", a, err))
 			}
 		})
 	case fault.NodeStart:
-		if _, ended := n.Wait(readyWithin); !ended {
+		if _, ended := n.Wait(readyTimeout); !ended {
 			return fmt.Errorf("node %d has not ended", a.Node+1)
 		}
-		rev, members := s.known()
-		s.list.Lives(a.Node, n.Generation()+1)
+		rev, members := d.initialList()
+		d.list.Lives(a.Node, n.Generation()+1)
 		return n.Start(rev, members)
 	}
 	return nil
 }
 
-func (s *Deployment) cache(name string) *standin.Cache {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.caches[name]
+func (d *Deployment) cache(name string) *standin.Cache {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.caches[name]
 }
 
-// set changes a server's entry in the list.
-func (s *Deployment) set(name string, phase world.Phase, started time.Duration) {
-	v, c := s.Experiment.Server(name), s.cache(name)
+// setEntry changes a server's entry in the list.
+func (d *Deployment) setEntry(name string, phase world.Phase, started time.Duration) {
+	v, c := d.Experiment.Server(name), d.cache(name)
 	m := v.Member
 	m.ID, m.Addr, m.Phase, m.Started = c.ID(), c.Addr(), phase, started
-	if s.keeper != nil {
-		s.keeper.set(name, m)
+	if d.leases != nil {
+		d.leases.setEntry(name, m)
 		return
 	}
-	s.list.Set(m)
+	d.list.Set(m)
 }
 
-func (s *Deployment) onServer(a fault.Action) error {
-	c := s.cache(a.Server)
+func (d *Deployment) applyToServer(a fault.Action) error {
+	c := d.cache(a.Server)
 	if a.Kind == fault.StartNew {
-		v := s.Experiment.Server(a.Server)
-		if _, err := s.startCache(v, a.Value != 0); err != nil {
+		v := d.Experiment.Server(a.Server)
+		if _, err := d.startCache(v, a.Value != 0); err != nil {
 			return err
 		}
-		s.set(a.Server, world.Serving, s.Log.Now())
+		d.setEntry(a.Server, world.Serving, d.Log.Now())
 		return nil
 	}
 	if c == nil {
@@ -644,26 +644,26 @@
 	switch a.Kind {
 	case fault.Kill:
 		c.Die()
-		if s.keeper != nil { // its lease lapses
-			s.keeper.die(a.Server)
+		if d.leases != nil { // its lease lapses
+			d.leases.abandon(a.Server)
 		}
 	case fault.Restart:
 		id, name := "", a.Server
 		if a.NewName != "" {
 			name = a.NewName
-			id = s.Experiment.Server(name).ID
-			s.mu.Lock()
-			s.caches[name] = c // the same place under another name
-			s.mu.Unlock()
+			id = d.Experiment.Server(name).ID
+			d.mu.Lock()
+			d.caches[name] = c // the same place under another name
+			d.mu.Unlock()
 		}
 		if err := c.Rise(id, on); err != nil {
 			return err
 		}
 		started := time.Duration(0)
 		if on {
-			started = s.Log.Now()
+			started = d.Log.Now()
 		}
-		s.set(name, world.Serving, started)
+		d.setEntry(name, world.Serving, started)
 	case fault.Silent:
 		c.Silence(on)
 	case fault.Hang:
@@ -683,16 +683,16 @@
 	case fault.Flush:
 		c.Do(func(_ time.Duration, m *world.Cache) { m.Flush(a.Value) })
 	case fault.Drain:
-		s.set(a.Server, world.Draining, s.startedOf(c))
+		d.setEntry(a.Server, world.Draining, d.processStart(c))
 	case fault.ListRemove:
 		c.Do(func(now time.Duration, m *world.Cache) { m.Drain(now, true) }) // what still comes is turned away
-		s.set(a.Server, world.Deleted, 0)
+		d.setEntry(a.Server, world.Deleted, 0)
 	}
 	return nil
 }
 
-// startedOf is when a server's process started, as the list tells it.
-func (s *Deployment) startedOf(c *standin.Cache) (at time.Duration) {
+// processStart is when a server's process started, as the list tells it.
+func (d *Deployment) processStart(c *standin.Cache) (at time.Duration) {
 	c.Do(func(_ time.Duration, m *world.Cache) {
 		if began, cold := m.Started(); cold {
 			at = began
@@ -702,30 +702,30 @@
 }
 
 // Close ends whatever is still up. It may be called more than once.
-func (s *Deployment) Close() {
-	for _, n := range s.Nodes {
+func (d *Deployment) Close() {
+	for _, n := range d.Nodes {
 		n.Kill()
 	}
-	for _, p := range s.plans {
+	for _, p := range d.planners {
 		p.kill()
 	}
-	s.mu.Lock()
+	d.mu.Lock()
 	all := map[*standin.Cache]bool{}
-	for _, c := range s.caches {
+	for _, c := range d.caches {
 		all[c] = true
 	}
-	s.mu.Unlock()
+	d.mu.Unlock()
 	for c := range all {
 		c.Close()
 	}
-	if s.origin != nil {
-		s.origin.Close()
+	if d.origin != nil {
+		d.origin.Close()
 	}
-	if s.keeper != nil {
-		s.keeper.close()
+	if d.leases != nil {
+		d.leases.close()
 	}
-	if s.list != nil {
-		s.list.Close()
+	if d.list != nil {
+		d.list.Close()
 	}
 }
 
