--- a/lab/soak/draw.go
+++ b/lab/soak/draw.go
@@ -29,10 +29,10 @@
 }
 
 // end is when it is over; one that lasts for a moment counts as lasting for a moment's effects.
-func (t Fault) end() time.Duration { return t.At + max(t.For, momentLasts) }
+func (t Fault) end() time.Duration { return t.At + max(t.For, instantFaultSpan) }
 
-// momentLasts is how long the effects of a trouble that is over at once are taken to last, for coverage.
-const momentLasts = 500 * time.Millisecond
+// instantFaultSpan is how long the effects of a trouble that is over at once are taken to last, for coverage.
+const instantFaultSpan = 500 * time.Millisecond
 
 // Plan is what a seed has drawn.
 type Plan struct {
@@ -60,80 +60,80 @@
 	return b.String()
 }
 
-// drawer draws one plan.
-type drawer struct {
-	rng    *rand.Rand
-	opt    Options
-	caches int
-	kind   string // of the list
-	free   []int  // nodes whose processes no trouble has been given yet
+// planDrawer draws one plan.
+type planDrawer struct {
+	rng        *rand.Rand
+	opt        Options
+	cacheCount int
+	listKind   string // of the list
+	freeNodes  []int  // nodes whose processes no trouble has been given yet
 }
 
-// between draws a time, in whole milliseconds.
-func (d *drawer) between(least, most time.Duration) time.Duration {
-	span := (most - least) / time.Millisecond
-	return least + time.Duration(d.rng.Int64N(int64(span)+1))*time.Millisecond
+// duration draws a time, in whole milliseconds.
+func (d *planDrawer) duration(lower, upper time.Duration) time.Duration {
+	span := (upper - lower) / time.Millisecond
+	return lower + time.Duration(d.rng.Int64N(int64(span)+1))*time.Millisecond
 }
 
-func (d *drawer) one(of ...string) string { return of[d.rng.IntN(len(of))] }
+func (d *planDrawer) oneOf(choices ...string) string { return choices[d.rng.IntN(len(choices))] }
 
 // Draw draws the plan of a seed. The same seed and options draw the same plan.
 func Draw(seed uint64, opt Options) *Plan {
-	d := &drawer{rng: rand.New(rand.NewPCG(seed, 0x736f616b)), opt: opt}
+	d := &planDrawer{rng: rand.New(rand.NewPCG(seed, 0x736f616b)), opt: opt}
 	for n := range opt.Processes {
-		d.free = append(d.free, n+1)
+		d.freeNodes = append(d.freeNodes, n+1)
 	}
-	d.rng.Shuffle(len(d.free), func(i, j int) { d.free[i], d.free[j] = d.free[j], d.free[i] })
+	d.rng.Shuffle(len(d.freeNodes), func(i, j int) { d.freeNodes[i], d.freeNodes[j] = d.freeNodes[j], d.freeNodes[i] })
 	p := &Plan{Seed: seed, Deployment: d.deployment(seed)}
 	// Two clusters of two or three troubles that overlap, between a tenth and seven tenths of the load: behind them service
 	// has to come back.
-	for _, from := range []float64{0.1, 0.4} {
-		begin := time.Duration(from * float64(opt.Length))
+	for _, fraction := range []float64{0.1, 0.4} {
+		begin := time.Duration(fraction * float64(opt.Length))
 		for range 2 + d.rng.IntN(2) {
-			at := begin + d.between(0, opt.Length/10)
-			lasts := d.between(opt.Length/10, opt.Length/5)
-			if t, ok := d.trouble(at, lasts); ok {
+			at := begin + d.duration(0, opt.Length/10)
+			length := d.duration(opt.Length/10, opt.Length/5)
+			if t, ok := d.fault(at, length); ok {
 				p.Faults = append(p.Faults, t)
 			}
 		}
 	}
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return int(a.At - b.At) })
 	if opt.SystemFaults && d.rng.IntN(3) > 0 {
-		p.SystemFaults = d.calls(seed)
+		p.SystemFaults = d.systemFaults(seed)
 	}
 	return p
 }
 
 // deployment draws classes, limits and the kind of list.
-func (d *drawer) deployment(seed uint64) string {
-	d.caches = 5 + d.rng.IntN(4)
-	d.kind = "discovery"
+func (d *planDrawer) deployment(seed uint64) string {
+	d.cacheCount = 5 + d.rng.IntN(4)
+	d.listKind = "discovery"
 	if d.rng.IntN(4) == 0 {
-		d.kind = d.one("etcd", "consul")
+		d.listKind = d.oneOf("etcd", "consul")
 	}
-	deadline := d.between(400*time.Millisecond, 1500*time.Millisecond)
+	deadline := d.duration(400*time.Millisecond, 1500*time.Millisecond)
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = \"soak-%d\"\nlength = %q\nseed = %d\n", seed, d.opt.Length, seed)
-	fmt.Fprintf(&b, "\n[service]\nconn_idle = %q\ncancel = %t\nparallel = false\n", d.between(time.Second, 8*time.Second), d.rng.IntN(2) == 0)
+	fmt.Fprintf(&b, "\n[service]\nconn_idle = %q\ncancel = %t\nparallel = false\n", d.duration(time.Second, 8*time.Second), d.rng.IntN(2) == 0)
 	fmt.Fprintf(&b, "\n[nodes]\ncount = %d\nmemory_mb = %d\nsockets = %d\n", d.opt.Processes, 96+32*d.rng.IntN(4), 96+32*d.rng.IntN(8))
-	fmt.Fprintf(&b, "\n[fleet]\ncount = %d\nslots = 16\nroom = 32\n", d.caches)
-	fmt.Fprintf(&b, "\n[list]\nkind = %q\n", d.kind)
+	fmt.Fprintf(&b, "\n[fleet]\ncount = %d\nslots = 16\nroom = 32\n", d.cacheCount)
+	fmt.Fprintf(&b, "\n[list]\nkind = %q\n", d.listKind)
 	fmt.Fprintf(&b, "\n[clients]\nrate = %g\nkeys = 2000\nleaves = %g\nretries = 1\n", d.opt.Rate, 0.02+0.1*d.rng.Float64())
-	class := func(name, effect string, share float64, write bool, more string) {
+	writeClass := func(name, effect string, share float64, write bool, extra string) {
 		fmt.Fprintf(&b, "\n[[class]]\nname = %q\neffect = %q\nshare = %g\nwork = \"4ms\"\nsigma = 0.3\nsize = 600\naim = %q\ndeadline = %q\nworth = 2\nwrite = %t\n%s",
-			name, effect, share, deadline/3, deadline, write, more)
+			name, effect, share, deadline/3, deadline, write, extra)
 	}
-	class("read", "safe", 0.8, false, "")
-	class("keyed", "keyed", 0.12, true, fmt.Sprintf("window = %q\nscope = %q\n", d.between(400*time.Millisecond, 1500*time.Millisecond), d.one("all", "zone")))
-	class("once", "unsafe", 0.08, true, "")
+	writeClass("read", "safe", 0.8, false, "")
+	writeClass("keyed", "keyed", 0.12, true, fmt.Sprintf("window = %q\nscope = %q\n", d.duration(400*time.Millisecond, 1500*time.Millisecond), d.oneOf("all", "zone")))
+	writeClass("once", "unsafe", 0.08, true, "")
 	return b.String()
 }
 
 // servers draws some caches, as a line of a table.
-func (d *drawer) servers(most int) string {
+func (d *planDrawer) servers(maxServers int) string {
 	names := map[string]bool{}
-	for range 1 + d.rng.IntN(most) {
-		names[fmt.Sprintf("%q", fmt.Sprint("c", 1+d.rng.IntN(d.caches)))] = true
+	for range 1 + d.rng.IntN(maxServers) {
+		names[fmt.Sprintf("%q", fmt.Sprint("c", 1+d.rng.IntN(d.cacheCount)))] = true
 	}
 	var list []string
 	for name := range names {
@@ -144,13 +144,13 @@
 }
 
 // nodes takes some nodes whose processes no other trouble ends, upgrades or stops.
-func (d *drawer) nodes(most int) (string, bool) {
-	count := min(1+d.rng.IntN(most), len(d.free))
+func (d *planDrawer) nodes(maxNodes int) (string, bool) {
+	count := min(1+d.rng.IntN(maxNodes), len(d.freeNodes))
 	if count == 0 {
 		return "", false
 	}
-	taken := d.free[:count]
-	d.free = d.free[count:]
+	taken := d.freeNodes[:count]
+	d.freeNodes = d.freeNodes[count:]
 	var list []string
 	for _, n := range taken {
 		list = append(list, fmt.Sprint(n))
@@ -165,23 +165,23 @@
 		"origin_slow", "origin_stop", "origin_garble", "rude", "surge"}
 }
 
-// trouble draws one trouble, unless the seed's nodes are all taken.
-func (d *drawer) trouble(at, lasts time.Duration) (Fault, bool) {
+// fault draws one trouble, unless the seed's nodes are all taken.
+func (d *planDrawer) fault(at, length time.Duration) (Fault, bool) {
 	kinds := FaultKinds()
-	t := Fault{Kind: kinds[d.rng.IntN(len(kinds))], At: at, For: lasts}
+	t := Fault{Kind: kinds[d.rng.IntN(len(kinds))], At: at, For: length}
 	ok := true
-	part := func(least, most float64) string {
-		return fmt.Sprintf("part = %.2f\n", least+(most-least)*d.rng.Float64())
+	partLine := func(lower, upper float64) string {
+		return fmt.Sprintf("part = %.2f\n", lower+(upper-lower)*d.rng.Float64())
 	}
 	switch t.Kind {
 	case "node_kill", "node_term":
-		t.For = d.between(500*time.Millisecond, 3*time.Second)
+		t.For = d.duration(500*time.Millisecond, 3*time.Second)
 		if t.Kind == "node_term" { // a planned end takes that long
 			t.For += 4 * time.Second
 		}
 		t.Detail, ok = d.nodes(max(1, d.opt.Processes/2))
 	case "node_freeze":
-		t.For = d.between(50*time.Millisecond, 3*time.Second)
+		t.For = d.duration(50*time.Millisecond, 3*time.Second)
 		t.Detail, ok = d.nodes(2)
 	case "upgrade":
 		t.For = 0
@@ -194,7 +194,7 @@
 		t.Detail = fmt.Sprintf("nodes = [%d]\n", 1+d.rng.IntN(d.opt.Processes))
 	case "list_lag":
 		t.Detail = "factor = 1\n"
-		if d.kind != "discovery" {
+		if d.listKind != "discovery" {
 			t.Kind, t.Detail = "list_down", ""
 		}
 	case "detach":
@@ -204,13 +204,13 @@
 	case "deploy":
 		t.Detail = "length = \"1s\"\ncount = 1\n" + d.servers(2)
 	case "reset", "garble", "surplus":
-		t.Detail = part(0.05, 0.4) + d.servers(3)
+		t.Detail = partLine(0.05, 0.4) + d.servers(3)
 	case "slow":
 		t.Detail = fmt.Sprintf("factor = %d\n", 3+d.rng.IntN(8)) + d.servers(2)
 	case "origin_slow":
 		t.Detail = "factor = 4\n"
 	case "origin_garble":
-		t.Detail = part(0.05, 0.3)
+		t.Detail = partLine(0.05, 0.3)
 	case "rude":
 		t.Detail = fmt.Sprintf("count = %d\n", 4+d.rng.IntN(20))
 	case "surge":
@@ -219,8 +219,8 @@
 	return t, ok
 }
 
-// calls draws which system calls fail and how far processes' wall clocks are off.
-func (d *drawer) calls(seed uint64) string {
+// systemFaults draws which system calls fail and how far processes' wall clocks are off.
+func (d *planDrawer) systemFaults(seed uint64) string {
 	sockets := []string{"accept", "socket", "connect", "epoll_wait", "epoll_add", "epoll_mod", "send", "recv", "peek"}
 	files := []string{"open", "write", "fsync", "rename", "read"}
 	var chosen []string
@@ -231,6 +231,6 @@
 		chosen = append(chosen, files[d.rng.IntN(len(files))])
 	}
 	slices.Sort(chosen)
-	return fmt.Sprintf("seed=%d,rate=%.3f,after=%s,every=%s,for=%s,drift=1h,calls=%s", seed, 0.002+0.03*d.rng.Float64(), d.between(500*time.Millisecond, 3*time.Second),
-		d.between(2*time.Second, 5*time.Second), d.between(200*time.Millisecond, time.Second), strings.Join(slices.Compact(chosen), "+"))
+	return fmt.Sprintf("seed=%d,rate=%.3f,after=%s,every=%s,for=%s,drift=1h,calls=%s", seed, 0.002+0.03*d.rng.Float64(), d.duration(500*time.Millisecond, 3*time.Second),
+		d.duration(2*time.Second, 5*time.Second), d.duration(200*time.Millisecond, time.Second), strings.Join(slices.Compact(chosen), "+"))
 }
--- a/lab/soak/oracle.go
+++ b/lab/soak/oracle.go
@@ -13,18 +13,18 @@
 
 // What must hold besides the rules.
 const (
-	readyWithin  = 10 * time.Second // nine in ten processes that start are ready
-	readyPart    = 0.9
-	tailPart     = 0.15 // of the load at its end, behind all troubles
-	tailService  = 0.7  // served of it at least
-	mostFindings = 12   // told of one run
-	mostLine     = 1 << 20
+	readyTimeout   = 10 * time.Second // nine in ten processes that start are ready
+	minReadyShare  = 0.9
+	tailShare      = 0.15 // of the load at its end, behind all troubles
+	minTailService = 0.7  // served of it at least
+	maxFindings    = 12   // told of one run
+	maxLogLine     = 1 << 20
 )
 
-// judge gives what of a run is wrong; empty: nothing.
-func judge(r *stage.Result, length time.Duration) (findings []string) {
+// findFailures gives what of a run is wrong; empty: nothing.
+func findFailures(r *stage.Result, length time.Duration) (findings []string) {
 	add := func(format string, args ...any) {
-		if len(findings) < mostFindings {
+		if len(findings) < maxFindings {
 			findings = append(findings, fmt.Sprintf(format, args...))
 		}
 	}
@@ -43,60 +43,60 @@
 	}
 	starts, ready := 0, 0
 	for _, l := range r.Record.NodeProcesses {
-		if lines := violations(l.LogFile); len(lines) > 0 {
+		if lines := violationLines(l.LogFile); len(lines) > 0 {
 			add("node %d process %d: %s", l.Node+1, l.Generation+1, lines[0])
 		}
-		if !expectsReady(l, length) {
+		if !mustBecomeReady(l, length) {
 			continue
 		}
 		starts++
-		if l.ReadyAt != 0 && l.ReadyAt-l.StartedAt <= readyWithin {
+		if l.ReadyAt != 0 && l.ReadyAt-l.StartedAt <= readyTimeout {
 			ready++
 		}
 	}
-	if float64(ready) < readyPart*float64(starts) {
-		add("ready within %v: %d of %d processes", readyWithin, ready, starts)
+	if float64(ready) < minReadyShare*float64(starts) {
+		add("ready within %v: %d of %d processes", readyTimeout, ready, starts)
 	}
-	if share := tail(r, length); share < tailService {
+	if share := serviceOfTail(r, length); share < minTailService {
 		add("service behind all troubles: %.2f", share)
 	}
 	return findings
 }
 
-// expectsReady reports whether a process had the time to be ready.
-func expectsReady(l *seen.NodeProcess, length time.Duration) bool {
+// mustBecomeReady reports whether a process had the time to be ready.
+func mustBecomeReady(l *seen.NodeProcess, length time.Duration) bool {
 	ended := l.EndedAt
 	if ended == 0 {
 		ended = length
 	}
-	return ended-l.StartedAt > readyWithin && l.StartedAt < length-readyWithin
+	return ended-l.StartedAt > readyTimeout && l.StartedAt < length-readyTimeout
 }
 
-// tail is the service of the load's end.
-func tail(r *stage.Result, length time.Duration) float64 {
-	from := int((1 - tailPart) * length.Seconds())
-	asked, got := 0.0, 0.0
+// serviceOfTail is the service of the load's end.
+func serviceOfTail(r *stage.Result, length time.Duration) float64 {
+	from := int((1 - tailShare) * length.Seconds())
+	total, served := 0.0, 0.0
 	for _, s := range r.Verdict.Seconds {
 		if s.At >= from && time.Duration(s.At)*time.Second < length {
-			asked += float64(s.Asked)
-			got += float64(s.Asked) * s.Service
+			total += float64(s.Asked)
+			served += float64(s.Asked) * s.Service
 		}
 	}
-	if asked == 0 {
+	if total == 0 {
 		return 1
 	}
-	return got / asked
+	return served / total
 }
 
-// violations are the lines of a log that tell of one.
-func violations(path string) (lines []string) {
+// violationLines are the lines of a log that tell of one.
+func violationLines(path string) (lines []string) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil
 	}
 	defer f.Close()
 	in := bufio.NewScanner(f)
-	in.Buffer(make([]byte, 0, 64<<10), mostLine)
+	in.Buffer(make([]byte, 0, 64<<10), maxLogLine)
 	for in.Scan() {
 		if strings.Contains(in.Text(), "event=violation ") || strings.Contains(in.Text(), "event=panic ") {
 			lines = append(lines, in.Text())
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -12,8 +12,8 @@
 	"lapisshelf/lab/stage"
 )
 
-// faultsVariable names the plan of failing calls to the nodes, see internal/system.
-const faultsVariable = "LAPISSHELF_FAULTS"
+// faultsEnv names the plan of failing calls to the nodes, see internal/system.
+const faultsEnv = "LAPISSHELF_FAULTS"
 
 // Outcome is what came of one run.
 type Outcome struct {
@@ -56,10 +56,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := os.Setenv(faultsVariable, p.SystemFaults); err != nil {
+	if err := os.Setenv(faultsEnv, p.SystemFaults); err != nil {
 		return nil, err
 	}
-	defer os.Unsetenv(faultsVariable)
+	defer os.Unsetenv(faultsEnv)
 	s, err := stage.Open(x, stage.Options{Command: r.Command, Dir: dir, KeepState: true})
 	if err != nil {
 		return nil, fmt.Errorf("seed %d: %w", p.Seed, err)
@@ -78,15 +78,15 @@
 		}
 		o.ProcessTime += end - l.StartedAt
 	}
-	worth, got := 0.0, 0.0
+	worth, worthServed := 0.0, 0.0
 	for _, c := range result.Verdict.Classes {
 		worth += c.Worth
-		got += c.Got
+		worthServed += c.Got
 	}
 	if worth > 0 {
-		o.WorthShare = got / worth
+		o.WorthShare = worthServed / worth
 	}
-	o.Findings = judge(result, length)
+	o.Findings = findFailures(result, length)
 	return o, nil
 }
 
@@ -101,17 +101,17 @@
 }
 
 // Shrink drops troubles while the plan still fails, with so many runs at most, and gives the smallest plan that failed.
-func (r *Runner) Shrink(ctx context.Context, p *Plan, most int) (*Plan, error) {
+func (r *Runner) Shrink(ctx context.Context, p *Plan, maxRuns int) (*Plan, error) {
 	smallest := p
-	for i := 0; i < len(smallest.Faults) && most > 0 && ctx.Err() == nil; most-- {
-		less := *smallest
-		less.Faults = append(append([]Fault{}, smallest.Faults[:i]...), smallest.Faults[i+1:]...)
-		o, err := r.Run(ctx, &less, fmt.Sprintf("shrink-%d-%d", p.Seed, most))
+	for i := 0; i < len(smallest.Faults) && maxRuns > 0 && ctx.Err() == nil; maxRuns-- {
+		candidate := *smallest
+		candidate.Faults = append(append([]Fault{}, smallest.Faults[:i]...), smallest.Faults[i+1:]...)
+		o, err := r.Run(ctx, &candidate, fmt.Sprintf("shrink-%d-%d", p.Seed, maxRuns))
 		if err != nil {
 			return smallest, err
 		}
 		if o.Failed() {
-			smallest = &less
+			smallest = &candidate
 		} else {
 			i++
 		}
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -14,7 +14,7 @@
 	"lapisshelf/lab/stage"
 )
 
-var usual = Options{Length: 20 * time.Second, Processes: 10, Rate: 300, SystemFaults: true}
+var usualOptions = Options{Length: 20 * time.Second, Processes: 10, Rate: 300, SystemFaults: true}
 
 // Every seed draws a deployment that can be put up, the same each time, and over some hundred seeds each kind of trouble is drawn
 // and each two kinds that can meet do.
@@ -23,8 +23,8 @@
 	calls := 0
 	const seeds = 3000
 	for seed := range uint64(seeds) {
-		p := Draw(seed, usual)
-		if again := Draw(seed, usual); again.Text() != p.Text() {
+		p := Draw(seed, usualOptions)
+		if again := Draw(seed, usualOptions); again.Text() != p.Text() {
 			t.Fatalf("seed %d draws two plans", seed)
 		}
 		if p.SystemFaults != "" {
@@ -33,7 +33,7 @@
 				t.Fatalf("seed %d: the file tells %q of %q", seed, SystemFaultsOf(p.Text()), p.SystemFaults)
 			}
 		}
-		c.Add(p, usual.Length)
+		c.Add(p, usualOptions.Length)
 		if seed%20 > 0 {
 			continue
 		}
@@ -58,7 +58,7 @@
 }
 
 // The oracle can fail: each thing that must hold besides the rules is found where it does not.
-func TestTheOracleFinds(t *testing.T) {
+func TestFindFailures(t *testing.T) {
 	log := filepath.Join(t.TempDir(), "node.log")
 	if err := os.WriteFile(log, []byte("x event=start\nx event=violation rule=send why=answered\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 		r.Verdict.Seconds[18].Service, r.Verdict.Seconds[17].Service = 1, 0.5
 		r.Verdict.Seconds[19].Service = 1
 		change(r)
-		got := judge(r, 20*time.Second)
+		got := findFailures(r, 20*time.Second)
 		if want == "" && len(got) > 0 || want != "" && (len(got) != 1 || !strings.Contains(got[0], want)) {
 			t.Errorf("%q: %q", want, got)
 		}
