--- a/cmd/lapislab/build.go
+++ b/cmd/lapislab/build.go
@@ -14,19 +14,19 @@
 
 // nodeCommand is the command that runs a node: the one asked for, the file's, the program beside this one, or one built
 // from the module that the working folder belongs to.
-func nodeCommand(ctx context.Context, asked string, x *experiment.Experiment, dir string) (string, error) {
-	for _, command := range []string{asked, x.Nodes.Command} {
+func nodeCommand(ctx context.Context, requested string, x *experiment.Experiment, dir string) (string, error) {
+	for _, command := range []string{requested, x.Nodes.Command} {
 		if command != "" {
-			return command, exists(command)
+			return command, checkCommand(command)
 		}
 	}
 	if x.Nodes.Direct {
 		return "", nil
 	}
 	if self, err := os.Executable(); err == nil {
-		beside := filepath.Join(filepath.Dir(self), "lapisshelf")
-		if exists(beside) == nil {
-			return beside, nil
+		sibling := filepath.Join(filepath.Dir(self), "lapisshelf")
+		if checkCommand(sibling) == nil {
+			return sibling, nil
 		}
 	}
 	built := filepath.Join(dir, "lapisshelf")
@@ -38,8 +38,8 @@
 	return built, nil
 }
 
-// exists reports whether a command's program is there.
-func exists(command string) error {
+// checkCommand reports whether a command's program is there.
+func checkCommand(command string) error {
 	words := strings.Fields(command)
 	for len(words) > 0 && strings.Contains(words[0], "=") { // NAME=VALUE in front
 		words = words[1:]
--- a/cmd/lapislab/commands.go
+++ b/cmd/lapislab/commands.go
@@ -19,15 +19,15 @@
 	"lapisshelf/lab/stage"
 )
 
-// setup is what the commands that read an experiment have in common.
-type setup struct {
+// runFlags is what the commands that read an experiment have in common.
+type runFlags struct {
 	experiment.Options
-	node  string
-	files string // where the runs' files are kept; empty: nowhere
-	quiet bool
+	nodeCommand string
+	filesDir    string // where the runs' files are kept; empty: nowhere
+	quiet       bool
 }
 
-func (s *setup) flags(c *cobra.Command) {
+func (s *runFlags) flags(c *cobra.Command) {
 	f := c.Flags()
 	f.Uint64Var(&s.Seed, "seed", 0, "draw arrivals, keys and troubles from this seed (default: the file's)")
 	f.BoolVar(&s.Short, "short", false, "the file's short form")
@@ -35,13 +35,13 @@
 	f.Float64Var(&s.Rate, "rate", 0, "another rate of requests a second")
 }
 
-func (s *setup) nodeFlags(c *cobra.Command) {
-	c.Flags().StringVar(&s.node, "node", "", "command that runs a node (default: the file's, else lapisshelf beside lapislab, else one built from this module)")
-	c.Flags().StringVar(&s.files, "files", "", "folder that keeps the nodes' configurations and logs")
+func (s *runFlags) nodeFlags(c *cobra.Command) {
+	c.Flags().StringVar(&s.nodeCommand, "node", "", "command that runs a node (default: the file's, else lapisshelf beside lapislab, else one built from this module)")
+	c.Flags().StringVar(&s.filesDir, "files", "", "folder that keeps the nodes' configurations and logs")
 	c.Flags().BoolVar(&s.quiet, "quiet", false, "no progress on the terminal")
 }
 
-func (s *setup) read(path string) (*experiment.Experiment, error) {
+func (s *runFlags) read(path string) (*experiment.Experiment, error) {
 	if s.Rate < 0 || s.Length < 0 {
 		return nil, errors.New("--rate and --length must not be negative")
 	}
@@ -52,17 +52,17 @@
 	return x, err
 }
 
-// place makes the folder for a run's files; done removes it if nobody asked for it.
-func (s *setup) place() (dir string, done func(), err error) {
-	if s.files != "" {
-		return s.files, func() {}, os.MkdirAll(s.files, 0o755)
+// runDir makes the folder for a run's files; done removes it if nobody asked for it.
+func (s *runFlags) runDir() (dir string, cleanup func(), err error) {
+	if s.filesDir != "" {
+		return s.filesDir, func() {}, os.MkdirAll(s.filesDir, 0o755)
 	}
 	dir, err = os.MkdirTemp("", "lapislab")
 	return dir, func() { os.RemoveAll(dir) }, err
 }
 
-// progress writes a line a second where someone watches.
-func (s *setup) progress(prefix string) func(stage.Progress) {
+// progressPrinter writes a line a second where someone watches.
+func (s *runFlags) progressPrinter(prefix string) func(stage.Progress) {
 	info, err := os.Stderr.Stat()
 	if s.quiet || err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return nil
@@ -73,8 +73,8 @@
 	}
 }
 
-// play puts a deployment up, runs it and takes it down.
-func play(ctx context.Context, x *experiment.Experiment, opt stage.Options) (*report.Run, error) {
+// playExperiment puts a deployment up, runs it and takes it down.
+func playExperiment(ctx context.Context, x *experiment.Experiment, opt stage.Options) (*report.Run, error) {
 	s, err := stage.Open(x, opt)
 	if err != nil {
 		return nil, err
@@ -87,52 +87,52 @@
 }
 
 func runCommand() *cobra.Command {
-	var s setup
-	var jsonTo, htmlTo, pngTo string
+	var s runFlags
+	var jsonPath, htmlDir, pngDir string
 	c := &cobra.Command{Use: "run FILE", Short: "Play an experiment and judge it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			x, err := s.read(args[0])
 			if err != nil {
 				return err
 			}
-			dir, done, err := s.place()
+			dir, cleanup, err := s.runDir()
 			if err != nil {
 				return err
 			}
-			defer done()
-			command, err := nodeCommand(c.Context(), s.node, x, dir)
+			defer cleanup()
+			command, err := nodeCommand(c.Context(), s.nodeCommand, x, dir)
 			if err != nil {
 				return err
 			}
-			r, err := play(c.Context(), x, stage.Options{Command: command, Dir: dir, Progress: s.progress("")})
+			r, err := playExperiment(c.Context(), x, stage.Options{Command: command, Dir: dir, Progress: s.progressPrinter("")})
 			if err != nil {
 				return err
 			}
 			r.Text(c.OutOrStdout())
-			if err := write(r, jsonTo, htmlTo, pngTo); err != nil {
+			if err := writeReport(r, jsonPath, htmlDir, pngDir); err != nil {
 				return err
 			}
-			return status(r)
+			return exitStatus(r)
 		}}
 	s.flags(c)
 	s.nodeFlags(c)
-	c.Flags().StringVar(&jsonTo, "json", "", "write the report as JSON to this file; - is standard output")
-	c.Flags().StringVar(&htmlTo, "html", "", "write a page with plots into this folder")
-	c.Flags().StringVar(&pngTo, "png", "", "write the plots into this folder")
+	c.Flags().StringVar(&jsonPath, "json", "", "write the report as JSON to this file; - is standard output")
+	c.Flags().StringVar(&htmlDir, "html", "", "write a page with plots into this folder")
+	c.Flags().StringVar(&pngDir, "png", "", "write the plots into this folder")
 	return c
 }
 
-// status is the program's end after a run.
-func status(r *report.Run) error {
+// exitStatus is the program's end after a run.
+func exitStatus(r *report.Run) error {
 	switch r.Verdict {
 	case report.Holds:
 		return nil
 	case report.Void:
-		return errStatus(statusVoid)
+		return exitError(statusVoid)
 	case report.Cut:
-		return errStatus(statusCut)
+		return exitError(statusInterrupted)
 	}
-	return errStatus(statusShort)
+	return exitError(statusFallsShort)
 }
 
 // jsonWriter is a report with a stable form.
@@ -153,26 +153,26 @@
 	return f.Close()
 }
 
-func write(r *report.Run, jsonTo, htmlTo, pngTo string) error {
-	if jsonTo != "" {
-		if err := writeJSON(r, jsonTo); err != nil {
+func writeReport(r *report.Run, jsonPath, htmlDir, pngDir string) error {
+	if jsonPath != "" {
+		if err := writeJSON(r, jsonPath); err != nil {
 			return err
 		}
 	}
-	if htmlTo != "" {
-		if err := r.HTML(htmlTo); err != nil {
+	if htmlDir != "" {
+		if err := r.HTML(htmlDir); err != nil {
 			return err
 		}
 	}
-	if pngTo != "" {
-		return r.PNG(pngTo)
+	if pngDir != "" {
+		return r.PNG(pngDir)
 	}
 	return nil
 }
 
 func compareCommand() *cobra.Command {
-	var s setup
-	var a, b, jsonTo string
+	var s runFlags
+	var a, b, jsonPath string
 	var pairs int
 	var figures []string
 	c := &cobra.Command{Use: "compare FILE --a CMD --b CMD", Args: cobra.ExactArgs(1),
@@ -185,12 +185,12 @@
 				return fmt.Errorf("--pairs %d: 1 to 1000 are allowed", pairs)
 			}
 			p := &report.Pair{Schema: report.Schema, A: a, B: b, Level: report.Confidence}
-			dir, done, err := s.place()
+			dir, cleanup, err := s.runDir()
 			if err != nil {
 				return err
 			}
-			defer done()
-			cut := false
+			defer cleanup()
+			interrupted := false
 			for i := range pairs {
 				first, err := s.read(args[0])
 				if err != nil {
@@ -202,34 +202,34 @@
 				// The order changes from pair to pair, so that what drifts on the machine favours neither.
 				for k := range 2 {
 					side := (i + k) % 2
-					o := s
-					o.Seed = seed
-					x, err := o.read(args[0])
+					pairFlags := s
+					pairFlags.Seed = seed
+					x, err := pairFlags.read(args[0])
 					if err != nil {
 						return err
 					}
 					command := []string{a, b}[side]
-					if err := exists(command); err != nil {
+					if err := checkCommand(command); err != nil {
 						return err
 					}
-					sub := filepath.Join(dir, fmt.Sprintf("%d%c", i+1, 'a'+side))
-					if err := os.MkdirAll(sub, 0o755); err != nil {
+					sideDir := filepath.Join(dir, fmt.Sprintf("%d%c", i+1, 'a'+side))
+					if err := os.MkdirAll(sideDir, 0o755); err != nil {
 						return err
 					}
 					prefix := fmt.Sprintf("pair %d of %d, %c: ", i+1, pairs, 'a'+side)
-					if runs[side], err = playSound(c.Context(), x, stage.Options{Command: command, Dir: sub, Progress: s.progress(prefix)}); err != nil {
+					if runs[side], err = playUntilValid(c.Context(), x, stage.Options{Command: command, Dir: sideDir, Progress: s.progressPrinter(prefix)}); err != nil {
 						return err
 					}
-					cut = cut || runs[side].Verdict == report.Cut
+					interrupted = interrupted || runs[side].Verdict == report.Cut
 				}
-				if cut {
+				if interrupted {
 					break
 				}
 				p.Seeds = append(p.Seeds, seed)
 				p.RunsA, p.RunsB = append(p.RunsA, runs[0]), append(p.RunsB, runs[1])
 			}
 			if len(p.Seeds) == 0 {
-				return errStatus(statusCut)
+				return exitError(statusInterrupted)
 			}
 			for _, f := range figures {
 				if _, ok := p.RunsA[0].Figures[f]; !ok {
@@ -238,18 +238,18 @@
 				p.Differences = append(p.Differences, report.Compare(p.RunsA, p.RunsB, f))
 			}
 			p.Text(c.OutOrStdout())
-			if jsonTo != "" {
-				if err := writeJSON(p, jsonTo); err != nil {
+			if jsonPath != "" {
+				if err := writeJSON(p, jsonPath); err != nil {
 					return err
 				}
 			}
 			switch {
-			case cut:
-				return errStatus(statusCut)
+			case interrupted:
+				return exitError(statusInterrupted)
 			case slices.ContainsFunc(append(p.RunsA, p.RunsB...), func(r *report.Run) bool { return r.Verdict == report.Void }):
-				return errStatus(statusVoid)
+				return exitError(statusVoid)
 			case slices.ContainsFunc(append(p.RunsA, p.RunsB...), func(r *report.Run) bool { return r.Verdict == report.FallsShort }):
-				return errStatus(statusShort)
+				return exitError(statusFallsShort)
 			}
 			return nil
 		}}
@@ -262,17 +262,17 @@
 	c.Flags().StringSliceVar(&figures, "figures", []string{"service", "worst_10s", "p50_ms", "p99_ms", "p999_ms", "refused_share",
 		"attempts_per_request", "origin_per_request", "added_p50_ms", "added_p99_ms", "node_memory_mb", "node_cpu_ms_per_1000", "broken"},
 		"which figures to tell")
-	c.Flags().StringVar(&jsonTo, "json", "", "write the comparison as JSON to this file; - is standard output")
+	c.Flags().StringVar(&jsonPath, "json", "", "write the comparison as JSON to this file; - is standard output")
 	return c
 }
 
-// soundTries is how often a run that is void is played.
-const soundTries = 3
+// maxVoidRuns is how often a run that is void is played.
+const maxVoidRuns = 3
 
-// playSound plays a run again while the lab was late.
-func playSound(ctx context.Context, x *experiment.Experiment, opt stage.Options) (r *report.Run, err error) {
-	for range soundTries {
-		if r, err = play(ctx, x, opt); err != nil || r.Verdict != report.Void {
+// playUntilValid plays a run again while the lab was late.
+func playUntilValid(ctx context.Context, x *experiment.Experiment, opt stage.Options) (r *report.Run, err error) {
+	for range maxVoidRuns {
+		if r, err = playExperiment(ctx, x, opt); err != nil || r.Verdict != report.Void {
 			break
 		}
 	}
@@ -280,39 +280,39 @@
 }
 
 func upCommand() *cobra.Command {
-	var s setup
+	var s runFlags
 	c := &cobra.Command{Use: "up FILE", Short: "Put a deployment up for hand use, until it is interrupted", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			x, err := s.read(args[0])
 			if err != nil {
 				return err
 			}
-			dir, done, err := s.place()
+			dir, cleanup, err := s.runDir()
 			if err != nil {
 				return err
 			}
-			defer done()
-			command, err := nodeCommand(c.Context(), s.node, x, dir)
+			defer cleanup()
+			command, err := nodeCommand(c.Context(), s.nodeCommand, x, dir)
 			if err != nil {
 				return err
 			}
-			d, err := stage.Open(x, stage.Options{Command: command, Dir: dir})
+			deployment, err := stage.Open(x, stage.Options{Command: command, Dir: dir})
 			if err != nil {
 				return err
 			}
-			defer d.Close()
+			defer deployment.Close()
 			out := c.OutOrStdout()
-			for _, line := range d.Addresses() {
+			for _, line := range deployment.Addresses() {
 				fmt.Fprintln(out, line)
 			}
 			fmt.Fprintf(out, "files       %s\n", dir)
 			class := x.Classes[0]
-			if len(d.Nodes) > 0 {
+			if len(deployment.Nodes) > 0 {
 				fmt.Fprintf(out, "try         printf 'mg some-key v O%x Pc=%s,d=%d\\r\\n' | nc -q1 %s\n", time.Now().UnixNano(), class.Name,
-					class.Deadline.Milliseconds(), strings.Replace(d.Nodes[0].Addr(), ":", " ", 1))
+					class.Deadline.Milliseconds(), strings.Replace(deployment.Nodes[0].Addr(), ":", " ", 1))
 			}
 			<-c.Context().Done()
-			for _, n := range d.Nodes {
+			for _, n := range deployment.Nodes {
 				n.End()
 			}
 			return nil
@@ -348,7 +348,7 @@
 }
 
 func planCommand() *cobra.Command {
-	var s setup
+	var s runFlags
 	c := &cobra.Command{Use: "plan FILE", Short: "Print what will happen in a run: troubles and arrivals, as the seed draws them", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			x, err := s.read(args[0])
@@ -370,8 +370,8 @@
 }
 
 func modelCommand() *cobra.Command {
-	var s setup
-	var jsonTo, htmlTo, pngTo string
+	var s runFlags
+	var jsonPath, htmlDir, pngDir string
 	c := &cobra.Command{Use: "model FILE", Short: "Play an experiment in virtual time: the decisions before models, hundreds of nodes in seconds", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s.VirtualTime = true
@@ -386,14 +386,14 @@
 			out := report.New(x, "model", &stage.Result{Verdict: r.Verdict, Record: r.Record})
 			out.Model = true
 			out.Text(c.OutOrStdout())
-			if err := write(out, jsonTo, htmlTo, pngTo); err != nil {
+			if err := writeReport(out, jsonPath, htmlDir, pngDir); err != nil {
 				return err
 			}
-			return status(out)
+			return exitStatus(out)
 		}}
 	s.flags(c)
-	c.Flags().StringVar(&jsonTo, "json", "", "write the report as JSON to this file; - is standard output")
-	c.Flags().StringVar(&htmlTo, "html", "", "write a page with plots into this folder")
-	c.Flags().StringVar(&pngTo, "png", "", "write the plots into this folder")
+	c.Flags().StringVar(&jsonPath, "json", "", "write the report as JSON to this file; - is standard output")
+	c.Flags().StringVar(&htmlDir, "html", "", "write a page with plots into this folder")
+	c.Flags().StringVar(&pngDir, "png", "", "write the plots into this folder")
 	return c
 }
--- a/cmd/lapislab/lapislab_test.go
+++ b/cmd/lapislab/lapislab_test.go
@@ -20,29 +20,29 @@
 	"lapisshelf/lab/report"
 )
 
-const patience = 90 * time.Second
+const interruptTimeout = 90 * time.Second
 
 var (
-	folder string // of the built programs
-	root   string // of the module
-	lanes  = make(chan bool, 4)
+	binDir     string // of the built programs
+	moduleRoot string // of the module
+	runSlots   = make(chan bool, 4)
 )
 
 func TestMain(m *testing.M) {
-	testscript.Main(tests{m}, map[string]func(){"lapislab": func() { os.Exit(run(os.Args[1:])) }})
+	testscript.Main(suite{m}, map[string]func(){"lapislab": func() { os.Exit(run(os.Args[1:])) }})
 }
 
-// tests builds the programs around the tests; the commands of scripts need none of that.
-type tests struct{ m *testing.M }
+// suite builds the programs around the tests; the commands of scripts need none of that.
+type suite struct{ m *testing.M }
 
-func (t tests) Run() int {
+func (t suite) Run() int {
 	dir, err := os.MkdirTemp("", "lapislab-test")
 	if err != nil {
 		panic(err)
 	}
 	defer os.RemoveAll(dir)
-	folder = dir
-	if root, err = filepath.Abs("../.."); err != nil {
+	binDir = dir
+	if moduleRoot, err = filepath.Abs("../.."); err != nil {
 		panic(err)
 	}
 	for _, name := range []string{"lapislab", "lapisshelf"} {
@@ -57,22 +57,22 @@
 // What the command line says to arguments and files that make no sense, and what it prints of those that do.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata", Setup: func(e *testscript.Env) error {
-		e.Setenv("ROOT", root)
-		e.Setenv("NODE", filepath.Join(folder, "lapisshelf"))
+		e.Setenv("ROOT", moduleRoot)
+		e.Setenv("NODE", filepath.Join(binDir, "lapisshelf"))
 		return nil
-	}, Cmds: map[string]func(*testscript.TestScript, bool, []string){"play": scripted}})
+	}, Cmds: map[string]func(*testscript.TestScript, bool, []string){"play": playCommand}})
 }
 
 const (
-	mostVoid = 12          // runs of one experiment that may say nothing, because the lab was late
-	oneRun   = time.Minute // left of the tests' time, for another one to begin
+	maxAttempts   = 12          // runs of one experiment that may say nothing, because the lab was late
+	minTimeForRun = time.Minute // left of the tests' time, for another one to begin
 )
 
-// scripted is play, a script's command: exec lapislab, whose run is played again where it says nothing.
+// playCommand is play, a script's command: exec lapislab, whose run is played again where it says nothing.
 // Guards against a script that fails because the machine was busy.
-func scripted(ts *testscript.TestScript, neg bool, args []string) {
+func playCommand(ts *testscript.TestScript, neg bool, args []string) {
 	var err error
-	for range mostVoid {
+	for range maxAttempts {
 		var exit *exec.ExitError
 		if err = ts.Exec("lapislab", args...); !errors.As(err, &exit) || exit.ExitCode() != statusVoid {
 			break
@@ -83,17 +83,17 @@
 	}
 }
 
-// verdictOf runs an experiment with the built program; a run in which the lab was late says nothing and is played again.
-func verdictOf(t *testing.T, file string, args ...string) *report.Run {
+// judgedRun runs an experiment with the built program; a run in which the lab was late says nothing and is played again.
+func judgedRun(t *testing.T, file string, args ...string) *report.Run {
 	t.Helper()
-	lanes <- true
-	defer func() { <-lanes }()
+	runSlots <- true
+	defer func() { <-runSlots }()
 	to := filepath.Join(t.TempDir(), "report.json")
-	for range mostVoid {
-		if end, ok := t.Deadline(); ok && time.Until(end) < oneRun {
+	for range maxAttempts {
+		if end, ok := t.Deadline(); ok && time.Until(end) < minTimeForRun {
 			break
 		}
-		cmd := exec.Command(filepath.Join(folder, "lapislab"), append([]string{"run", file, "--json", to, "--quiet"}, args...)...)
+		cmd := exec.Command(filepath.Join(binDir, "lapislab"), append([]string{"run", file, "--json", to, "--quiet"}, args...)...)
 		out, err := cmd.CombinedOutput()
 		text, bad := os.ReadFile(to)
 		var r report.Run
@@ -104,7 +104,7 @@
 			t.Logf("void, played again: %s", r.Lab.VoidReason)
 			continue
 		}
-		if code := cmd.ProcessState.ExitCode(); code != map[string]int{report.Holds: 0, report.FallsShort: statusShort}[r.Verdict] {
+		if code := cmd.ProcessState.ExitCode(); code != map[string]int{report.Holds: 0, report.FallsShort: statusFallsShort}[r.Verdict] {
 			t.Errorf("status %d with the verdict %s", code, r.Verdict)
 		}
 		if t.Failed() || testing.Verbose() {
@@ -118,14 +118,14 @@
 
 // Every experiment that the repository ships holds, in its short form.
 func TestExperiments(t *testing.T) {
-	files, err := filepath.Glob(filepath.Join(root, "lab", "experiments", "*.toml"))
+	files, err := filepath.Glob(filepath.Join(moduleRoot, "lab", "experiments", "*.toml"))
 	if err != nil || len(files) < 10 {
 		t.Fatalf("%d experiments, %v", len(files), err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".toml"), func(t *testing.T) {
 			t.Parallel()
-			if r := verdictOf(t, file, "--short"); r.Verdict != report.Holds {
+			if r := judgedRun(t, file, "--short"); r.Verdict != report.Holds {
 				for _, b := range r.Breaches {
 					t.Logf("%s\n  %s", b.Summary(), strings.Join(b.Story, "\n  "))
 				}
@@ -215,12 +215,12 @@
 				t.Fatal(err)
 			}
 			once, _ := clean.LoadOrStore(c.with, sync.OnceFunc(func() {
-				if r := verdictOf(t, file); len(r.Breaches) > 0 {
+				if r := judgedRun(t, file); len(r.Breaches) > 0 {
 					t.Errorf("found without the mistake: %s", r.Breaches[0].Summary())
 				}
 			}))
 			once.(func())()
-			r := verdictOf(t, file, "--node", plant(t, dir, c.file, c.from, c.to))
+			r := judgedRun(t, file, "--node", buildPlanted(t, dir, c.file, c.from, c.to))
 			if !slices.ContainsFunc(r.Breaches, func(b judge.Breach) bool { return b.Rule == c.rule && b.What == c.what }) || r.Verdict != report.FallsShort {
 				t.Errorf("not found: %s, %v", r.Verdict, r.Rules)
 			}
@@ -228,10 +228,10 @@
 	}
 }
 
-// plant builds a copy of the node in which one piece of one file is another.
-func plant(t *testing.T, dir, file, from, to string) string {
+// buildPlanted builds a copy of the node in which one piece of one file is another.
+func buildPlanted(t *testing.T, dir, file, from, to string) string {
 	t.Helper()
-	path := filepath.Join(root, file)
+	path := filepath.Join(moduleRoot, file)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -259,7 +259,7 @@
 
 // An interrupt ends all that was started and still prints the report so far.
 func TestInterrupted(t *testing.T) {
-	cmd := exec.Command(filepath.Join(folder, "lapislab"), "run", filepath.Join(root, "lab", "experiments", "calm.toml"), "--length", "60s")
+	cmd := exec.Command(filepath.Join(binDir, "lapislab"), "run", filepath.Join(moduleRoot, "lab", "experiments", "calm.toml"), "--length", "60s")
 	var out strings.Builder
 	cmd.Stdout = &out
 	if err := cmd.Start(); err != nil {
@@ -272,11 +272,11 @@
 	go func() { done <- cmd.Wait() }()
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(interruptTimeout):
 		cmd.Process.Kill()
 		t.Fatal("it does not end")
 	}
-	if code := cmd.ProcessState.ExitCode(); code != statusCut {
+	if code := cmd.ProcessState.ExitCode(); code != statusInterrupted {
 		t.Errorf("status %d", code)
 	}
 	if !strings.Contains(out.String(), "calm: cut") || !strings.Contains(out.String(), "service  1.0") {
--- a/cmd/lapislab/main.go
+++ b/cmd/lapislab/main.go
@@ -17,16 +17,16 @@
 
 // Statuses of the program's end.
 const (
-	statusShort = 1   // an expectation falls short, or a rule is broken
-	statusBad   = 2   // a bad file, bad arguments, a deployment that cannot be put up
-	statusVoid  = 3   // the lab itself was late: the run says nothing
-	statusCut   = 130 // it was broken off
+	statusFallsShort  = 1   // an expectation falls short, or a rule is broken
+	statusError       = 2   // a bad file, bad arguments, a deployment that cannot be put up
+	statusVoid        = 3   // the lab itself was late: the run says nothing
+	statusInterrupted = 130 // it was broken off
 )
 
-// errStatus ends the program with a status and nothing more to say.
-type errStatus int
+// exitError ends the program with a status and nothing more to say.
+type exitError int
 
-func (e errStatus) Error() string { return fmt.Sprintf("status %d", int(e)) }
+func (e exitError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
@@ -38,10 +38,10 @@
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.AddCommand(upCommand(), runCommand(), compareCommand(), listCommand(), planCommand(), modelCommand(), scaleCommand(), soakCommand(),
-		scaleChild(scale.NodesRole), scaleChild(scale.ListRole))
+		scaleChildCommand(scale.NodesRole), scaleChildCommand(scale.ListRole))
 	root.SetArgs(args)
 	err := root.ExecuteContext(ctx)
-	var status errStatus
+	var status exitError
 	switch {
 	case err == nil:
 		return 0
@@ -49,5 +49,5 @@
 		return int(status)
 	}
 	fmt.Fprintln(os.Stderr, "lapislab:", err)
-	return statusBad
+	return statusError
 }
--- a/cmd/lapislab/planted_test.go
+++ b/cmd/lapislab/planted_test.go
@@ -14,42 +14,42 @@
 // planted has the soak play builds with a guard taken out, which takes minutes: go test ./cmd/lapislab -run SoakFinds -planted
 var planted = flag.Bool("planted", false, "have the soak find planted faults; each plays seeds of 12 s")
 
-// replacement is one place of a planted fault.
-type replacement struct{ file, old, new string }
+// sourceEdit is one place of a planted fault.
+type sourceEdit struct{ file, old, new string }
 
 // plantedFault is a guard taken out, and within how many seeds the soak is to find it, or why it is blind to it.
 type plantedFault struct {
 	name  string
 	seeds int
 	blind string
-	edits []replacement
+	edits []sourceEdit
 }
 
 // plantedFaults are those that the soak is tried on. Each build has one of them.
 var plantedFaults = []plantedFault{
-	{name: "unsafe requests are repeated", seeds: 20, edits: []replacement{
+	{name: "unsafe requests are repeated", seeds: 20, edits: []sourceEdit{
 		{"decide/safety/safety.go", "return MayHaveRun", "return Allowed"}}},
-	{name: "servers that leave get new requests", seeds: 6, edits: []replacement{
+	{name: "servers that leave get new requests", seeds: 6, edits: []sourceEdit{
 		{"policy/state.go", "return s.State == Ready && !s.banned", "return s.State != Gone && !s.banned"},
 		{"internal/node/pool.go", "return p.ready && !p.banned", "return !p.banned"}}},
-	{name: "servers get more time told than is left", seeds: 2, edits: []replacement{
+	{name: "servers get more time told than is left", seeds: 2, edits: []sourceEdit{
 		{"internal/node/caches.go", "return max(1, wait.Milliseconds())", "return max(1, wait.Milliseconds()+1000)"}}},
-	{name: "what stood unread counts from when it is read", seeds: 20, edits: []replacement{
+	{name: "what stood unread counts from when it is read", seeds: 20, edits: []sourceEdit{
 		{"internal/loop/loop.go", "func (l *Loop) EarliestArrival() time.Duration { return l.earliestArrival }", "func (l *Loop) EarliestArrival() time.Duration { return l.Now() }"}}},
-	{name: "bans are not taken over", seeds: 12, edits: []replacement{
+	{name: "bans are not taken over", seeds: 12, edits: []sourceEdit{
 		{"internal/node/succession.go", "n.guard(\"hand\", func() { n.policy.Override(now, h) })", "_ = now"}}},
-	{name: "requests are not failed as their time ends", seeds: 20, edits: []replacement{
+	{name: "requests are not failed as their time ends", seeds: 20, edits: []sourceEdit{
 		{"internal/node/node.go", "c.timer = n.loop.After(c.deadline-margin-now, func() { n.failOverdue(c) })", "c.timer = n.loop.After(c.deadline+5*time.Second+0*margin-now, func() { n.failOverdue(c) })"}}},
-	{name: "a planned end closes over open requests", seeds: 6, edits: []replacement{
+	{name: "a planned end closes over open requests", seeds: 6, edits: []sourceEdit{
 		{"internal/node/drain.go", "if len(c.requests) > 0 || c.conn.Pending() > 0 {", "if n.shuttingDown && len(c.requests) > 0 {\n\t\t\tc.closeNow(closedByDrain)\n\t\t\tcontinue\n\t\t}\n\t\tif len(c.requests) > 0 || c.conn.Pending() > 0 {"}}},
-	{name: "clients that leave are not seen", seeds: 6, edits: []replacement{
+	{name: "clients that leave are not seen", seeds: 6, edits: []sourceEdit{
 		{"internal/loop/conn.go", "func (c *Conn) WatchPeerClose() {\n\tc.source.watchPeerClose = true", "func (c *Conn) WatchPeerClose() {\n\tc.source.watchPeerClose = false"},
 		{"internal/loop/conn.go", "case n == 0:\n\t\tc.end(io.EOF)", "case n == 0 && c.source.watchPeerClose:\n\t\tc.end(io.EOF)"}}},
-	{name: "an answer may be another request's", seeds: 8, edits: []replacement{
+	{name: "an answer may be another request's", seeds: 8, edits: []sourceEdit{
 		{"internal/node/caches.go", "case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID): // another request's answer\n\t\t\treturn response{}, 0, meta.ErrResponse", "case len(m.ID) > 0 && !bytes.Equal(m.ID, c.ID) && false:\n\t\t\treturn response{}, 0, meta.ErrResponse"}}},
-	{name: "a listener does not go on after a shortage", seeds: 12, edits: []replacement{
+	{name: "a listener does not go on after a shortage", seeds: 12, edits: []sourceEdit{
 		{"internal/loop/conn.go", "ln.resourceShortage = false", "ln.resourceShortage = true"}}},
-	{name: "a lost process is never replaced by one that is ready", seeds: 4, edits: []replacement{
+	{name: "a lost process is never replaced by one that is ready", seeds: 4, edits: []sourceEdit{
 		{"internal/node/members.go", "readyWithin = 2 * time.Second", "readyWithin = 200 * time.Second"},
 		{"internal/node/members.go", "n.registry.Heard = n.listHeard", "n.registry.Heard = nil"}}},
 }
@@ -59,7 +59,7 @@
 	t.Helper()
 	replace := map[string]string{}
 	for i, e := range p.edits {
-		path := filepath.Join(root, e.file)
+		path := filepath.Join(moduleRoot, e.file)
 		from := path
 		if changed, is := replace[path]; is {
 			from = changed
@@ -107,12 +107,12 @@
 				t.Fatalf("%v: %s", err, out)
 			}
 			for seed := 1; seed <= p.seeds; seed++ {
-				out, err := exec.Command(filepath.Join(folder, "lapislab"), "soak", "--node", node, "--seed", fmt.Sprint(seed), "--for", "12s", "--shrink", "0", "--files", dir).CombinedOutput()
+				out, err := exec.Command(filepath.Join(binDir, "lapislab"), "soak", "--node", node, "--seed", fmt.Sprint(seed), "--for", "12s", "--shrink", "0", "--files", dir).CombinedOutput()
 				exit, is := err.(*exec.ExitError)
 				if is && exit.ExitCode() == statusVoid {
 					t.Logf("seed %d was void", seed)
 				}
-				if is && exit.ExitCode() == statusShort {
+				if is && exit.ExitCode() == statusFallsShort {
 					t.Logf("found by seed %d:\n%s", seed, out)
 					return
 				}
@@ -127,10 +127,10 @@
 	for _, seed := range []string{"7", "8"} {
 		t.Run(seed, func(t *testing.T) {
 			t.Parallel()
-			lanes <- true
-			defer func() { <-lanes }()
-			for range mostVoid {
-				out, err := exec.Command(filepath.Join(folder, "lapislab"), "soak", "--seed", seed, "--for", "8s", "--processes", "4", "--rate", "120", "--shrink", "0", "--files", t.TempDir()).CombinedOutput()
+			runSlots <- true
+			defer func() { <-runSlots }()
+			for range maxAttempts {
+				out, err := exec.Command(filepath.Join(binDir, "lapislab"), "soak", "--seed", seed, "--for", "8s", "--processes", "4", "--rate", "120", "--shrink", "0", "--files", t.TempDir()).CombinedOutput()
 				if exit, is := err.(*exec.ExitError); is && exit.ExitCode() == statusVoid {
 					continue
 				}
--- a/cmd/lapislab/scale.go
+++ b/cmd/lapislab/scale.go
@@ -15,7 +15,7 @@
 // scaleCommand measures what the control plane costs as the deployment grows.
 func scaleCommand() *cobra.Command {
 	var o scale.Options
-	var node, csvTo, pngTo, files string
+	var node, csvPath, pngDir, filesDir string
 	var quiet, legend bool
 	c := &cobra.Command{Use: "scale FILE", Short: "Measure the control plane over sizes: hollow nodes before real planners and a list service",
 		Long: "Goes through the sizes and variants of a TOML file: planners and the list service are processes, nodes are hollow, hundreds in a process,\n" +
@@ -36,7 +36,7 @@
 			if err != nil {
 				return err
 			}
-			dir := files
+			dir := filesDir
 			if dir == "" {
 				if dir, err = os.MkdirTemp("", "lapisscale"); err != nil {
 					return err
@@ -60,22 +60,22 @@
 			r, err := scale.Run(c.Context(), f, opt)
 			if r != nil && len(r.Rows) > 0 {
 				r.Text(c.OutOrStdout())
-				if csvTo != "" {
-					if err := os.MkdirAll(filepath.Dir(csvTo), 0o755); err != nil {
+				if csvPath != "" {
+					if err := os.MkdirAll(filepath.Dir(csvPath), 0o755); err != nil {
 						return err
 					}
-					if err := r.CSV(csvTo); err != nil {
+					if err := r.CSV(csvPath); err != nil {
 						return err
 					}
 				}
-				if pngTo != "" {
-					if err := r.PNG(pngTo); err != nil {
+				if pngDir != "" {
+					if err := r.PNG(pngDir); err != nil {
 						return err
 					}
 				}
 			}
 			if err != nil && errors.Is(err, c.Context().Err()) {
-				return errStatus(statusCut)
+				return exitError(statusInterrupted)
 			}
 			return err
 		}}
@@ -85,16 +85,16 @@
 	fl.StringVar(&o.Size, "size", "", "NODESxSERVERS in place of the file's sizes, at the file's rate for it, else its highest")
 	fl.StringSliceVar(&o.Only, "only", nil, "only these variants, or only the calm and these faults")
 	fl.StringVar(&node, "node", "", "lapisshelf program that runs the planners (default: the one beside lapislab, else one built from this module)")
-	fl.StringVar(&csvTo, "csv", "", "write a row a figure to this file, and one a second of each phase to NAME-seconds.csv beside it")
-	fl.StringVar(&pngTo, "png", "", "write a plot of each slope into this folder")
-	fl.StringVar(&files, "files", "", "folder that keeps keys, configurations and logs")
+	fl.StringVar(&csvPath, "csv", "", "write a row a figure to this file, and one a second of each phase to NAME-seconds.csv beside it")
+	fl.StringVar(&pngDir, "png", "", "write a plot of each slope into this folder")
+	fl.StringVar(&filesDir, "files", "", "folder that keeps keys, configurations and logs")
 	fl.BoolVar(&quiet, "quiet", false, "no progress on standard error")
 	fl.BoolVar(&legend, "legend", false, "tell what each measure is, and end")
 	return c
 }
 
-// scaleChild plays a process of the scale tests' own: it is told what to do on its standard input.
-func scaleChild(role string) *cobra.Command {
+// scaleChildCommand plays a process of the scale tests' own: it is told what to do on its standard input.
+func scaleChildCommand(role string) *cobra.Command {
 	return &cobra.Command{Use: role, Hidden: true, Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return scale.Child(role, os.Stdin, os.Stdout) }}
 }
--- a/cmd/lapislab/soak.go
+++ b/cmd/lapislab/soak.go
@@ -17,17 +17,17 @@
 
 // soakFlags are what the command line says.
 type soakFlags struct {
-	seed      uint64
-	seeds     int
-	length    time.Duration
-	processes int
-	rate      float64
-	node      string
-	faults    bool
-	replay    string
-	files     string
-	csv       string
-	shrink    int
+	seed          uint64
+	seeds         int
+	length        time.Duration
+	processes     int
+	rate          float64
+	nodeCommand   string
+	faults        bool
+	replay        string
+	filesDir      string
+	csvPath       string
+	maxShrinkRuns int
 }
 
 func soakCommand() *cobra.Command {
@@ -37,26 +37,26 @@
 			"that is down or lies, servers and clients that misbehave, and, with --faults, system calls, disks and wall clocks that fail in the nodes.\n" +
 			"The rules are judged from what clients and servers saw. A seed that fails is shrunk, and its files are kept. Status 1: a seed failed;\n" +
 			"3: no seed could be judged, the machine was too busy.",
-		RunE: func(c *cobra.Command, _ []string) error { return f.run(c.Context(), c.OutOrStdout()) }}
+		RunE: func(c *cobra.Command, _ []string) error { return f.runSeeds(c.Context(), c.OutOrStdout()) }}
 	l := c.Flags()
 	l.Uint64Var(&f.seed, "seed", 1, "the first seed")
 	l.IntVar(&f.seeds, "seeds", 1, "how many seeds, one after the other")
 	l.DurationVar(&f.length, "for", 20*time.Second, "how long the load of a seed lasts")
 	l.IntVar(&f.processes, "processes", 10, "nodes, 2 to 40")
 	l.Float64Var(&f.rate, "rate", 300, "first requests a second")
-	l.StringVar(&f.node, "node", "", "command that runs a node (default: one built from this module)")
+	l.StringVar(&f.nodeCommand, "node", "", "command that runs a node (default: one built from this module)")
 	l.BoolVar(&f.faults, "faults", true, "have system calls, disks and clocks fail: the node is built with the tag faults")
 	l.StringVar(&f.replay, "replay", "", "play this file, which a soak has kept, in place of seeds")
-	l.StringVar(&f.files, "files", "", "folder that keeps the files of seeds that fail (default: one for temporary files, which is named)")
-	l.StringVar(&f.csv, "csv", "", "write which pairs of troubles overlapped to this file")
-	l.IntVar(&f.shrink, "shrink", 6, "runs at most to shrink the schedule of a seed that fails")
+	l.StringVar(&f.filesDir, "files", "", "folder that keeps the files of seeds that fail (default: one for temporary files, which is named)")
+	l.StringVar(&f.csvPath, "csv", "", "write which pairs of troubles overlapped to this file")
+	l.IntVar(&f.maxShrinkRuns, "shrink", 6, "runs at most to shrink the schedule of a seed that fails")
 	return c
 }
 
-// build builds a node, with or without what makes its system calls fail.
-func (f *soakFlags) build(ctx context.Context, dir string) (string, error) {
-	if f.node != "" {
-		return f.node, exists(f.node)
+// buildNode builds a node, with or without what makes its system calls fail.
+func (f *soakFlags) buildNode(ctx context.Context, dir string) (string, error) {
+	if f.nodeCommand != "" {
+		return f.nodeCommand, checkCommand(f.nodeCommand)
 	}
 	out := filepath.Join(dir, "lapisshelf")
 	args := []string{"build", "-o", out}
@@ -69,18 +69,18 @@
 	return out, nil
 }
 
-// tally is what came of all seeds.
-type tally struct {
+// totals is what came of all seeds.
+type totals struct {
 	judged, void, failed, requests, attempts, processes int
-	time                                                time.Duration
+	processTime                                         time.Duration
 	coverage                                            soak.Coverage
 }
 
-func (f *soakFlags) run(ctx context.Context, out io.Writer) error {
+func (f *soakFlags) runSeeds(ctx context.Context, out io.Writer) error {
 	if f.processes < 2 || f.processes > 40 || f.seeds < 1 || f.length < 2*time.Second || f.length > 10*time.Minute || f.rate <= 0 {
 		return fmt.Errorf("--processes 2 to 40, --seeds from 1, --for 2s to 10m and --rate above 0 are allowed")
 	}
-	dir := f.files
+	dir := f.filesDir
 	if dir == "" {
 		var err error
 		if dir, err = os.MkdirTemp("", "lapissoak"); err != nil {
@@ -89,15 +89,15 @@
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	command, err := f.build(ctx, dir)
+	command, err := f.buildNode(ctx, dir)
 	if err != nil {
 		return err
 	}
 	r := &soak.Runner{Command: command, Dir: dir}
 	if f.replay != "" {
-		return f.again(ctx, out, r)
+		return f.replayFile(ctx, out, r)
 	}
-	var sum tally
+	var sum totals
 	for i := range f.seeds {
 		if ctx.Err() != nil {
 			break
@@ -107,28 +107,28 @@
 		if err != nil {
 			return err
 		}
-		f.tell(out, o)
+		f.printOutcome(out, o)
 		sum.add(o, f.length)
-		if o.Failed() && f.shrink > 0 {
-			small, err := r.Shrink(ctx, p, f.shrink)
+		if o.Failed() && f.maxShrinkRuns > 0 {
+			smallest, err := r.Shrink(ctx, p, f.maxShrinkRuns)
 			if err != nil {
 				return err
 			}
-			kept := filepath.Join(o.Dir, "shrunk.toml")
-			if err := os.WriteFile(kept, []byte(small.Text()), 0o644); err != nil {
+			path := filepath.Join(o.Dir, "shrunk.toml")
+			if err := os.WriteFile(path, []byte(smallest.Text()), 0o644); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "  %d of %d troubles are enough; replay: lapislab soak --replay %s\n", len(small.Faults), len(p.Faults), kept)
+			fmt.Fprintf(out, "  %d of %d troubles are enough; replay: lapislab soak --replay %s\n", len(smallest.Faults), len(p.Faults), path)
 		}
 		if !o.Failed() {
 			os.RemoveAll(o.Dir)
 		}
 	}
-	return sum.end(out, f.csv)
+	return sum.finish(out, f.csvPath)
 }
 
-// again plays a file that was kept.
-func (f *soakFlags) again(ctx context.Context, out io.Writer, r *soak.Runner) error {
+// replayFile plays a file that was kept.
+func (f *soakFlags) replayFile(ctx context.Context, out io.Writer, r *soak.Runner) error {
 	text, err := os.ReadFile(f.replay)
 	if err != nil {
 		return err
@@ -137,18 +137,18 @@
 	if err != nil {
 		return err
 	}
-	var sum tally
+	var sum totals
 	o, err := r.RunFile(ctx, f.replay, r.Dir, &soak.Plan{Seed: x.Seed, SystemFaults: soak.SystemFaultsOf(string(text))})
 	if err != nil {
 		return err
 	}
-	f.tell(out, o)
+	f.printOutcome(out, o)
 	sum.add(o, x.Length.D())
-	return sum.end(out, "")
+	return sum.finish(out, "")
 }
 
-// tell prints a seed's outcome, and the schedule of one that fails.
-func (f *soakFlags) tell(out io.Writer, o *soak.Outcome) {
+// printOutcome prints a seed's outcome, and the schedule of one that fails.
+func (f *soakFlags) printOutcome(out io.Writer, o *soak.Outcome) {
 	verdict := "held"
 	switch {
 	case o.VoidReason != "":
@@ -173,7 +173,7 @@
 	fmt.Fprintf(out, "  files: %s\n", o.Dir)
 }
 
-func (s *tally) add(o *soak.Outcome, length time.Duration) {
+func (s *totals) add(o *soak.Outcome, length time.Duration) {
 	if o.VoidReason != "" {
 		s.void++
 		return
@@ -185,17 +185,17 @@
 	s.requests += o.Requests
 	s.attempts += o.Attempts
 	s.processes += o.Processes
-	s.time += o.ProcessTime
+	s.processTime += o.ProcessTime
 	s.coverage.Add(o.Plan, length)
 }
 
-// end prints what came of all and gives the program's end.
-func (s *tally) end(out io.Writer, csvTo string) error {
+// finish prints what came of all and gives the program's end.
+func (s *totals) finish(out io.Writer, csvPath string) error {
 	missing := s.coverage.Missing(append(soak.FaultKinds(), soak.SystemFaultsKind))
 	fmt.Fprintf(out, "%d seeds judged, %d failed, %d void; %d requests, %d attempts, %d processes, %.2f process hours; %d pairs of troubles overlapped, %d never\n",
-		s.judged, s.failed, s.void, s.requests, s.attempts, s.processes, s.time.Hours(), len(s.coverage.Pairs), len(missing))
-	if csvTo != "" {
-		f, err := os.Create(csvTo)
+		s.judged, s.failed, s.void, s.requests, s.attempts, s.processes, s.processTime.Hours(), len(s.coverage.Pairs), len(missing))
+	if csvPath != "" {
+		f, err := os.Create(csvPath)
 		if err != nil {
 			return err
 		}
@@ -209,9 +209,9 @@
 	}
 	switch {
 	case s.failed > 0:
-		return errStatus(statusShort)
+		return exitError(statusFallsShort)
 	case s.judged == 0:
-		return errStatus(statusVoid)
+		return exitError(statusVoid)
 	}
 	return nil
 }
