--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment reads experiment files: a deployment, its load, its troubles and what is expected of it. A fault in
-// a file is one line with file, line and key.
+// Package experiment reads experiment files. A file describes a deployment, its load, the faults that are injected and the
+// figures that are expected of the run. An error in a file is reported in one line with file, line and key.
 package experiment
 
 import (
@@ -17,10 +17,11 @@
 	"lapisshelf/lab/world"
 )
 
-// Duration is a time span as in "250ms".
+// Duration is a duration in the notation of Go, such as "250ms".
 type Duration = tomlfile.Duration
 
-// File is an experiment file as it stands. Every key has a default but length, class and fleet.count.
+// File is an experiment file as it is written. Every key has a default, except length, class and fleet.count. Here and in the
+// types below, fields without a tag have the name of their key.
 type File struct {
 	Name     string
 	Seed     uint64
@@ -40,15 +41,15 @@
 	Expect   map[string]any
 }
 
-// Short is what --short changes: for CI and for a first look.
+// Short has the values that --short uses, for CI and for a quick look.
 type Short struct {
 	Length Duration
 	Rate   float64
 }
 
-// Service is what the nodes are told of the deployment besides its classes.
+// Service holds the settings of the nodes, except for the classes and tenants.
 type Service struct {
-	Mode           string // aside or through
+	Mode           string // "aside" or "through"
 	Attempts       int
 	Parallel       *bool
 	Cancel         *bool
@@ -67,16 +68,17 @@
 	FallWindow     Duration `toml:"fall_window"`
 	Weights        string
 	OverShareWorth float64 `toml:"over_worth"`
-	Hits           *bool   // answers tell hit or miss
-	Reports        *bool   // answers carry load reports
+	Hits           *bool   // responses of caches state whether they are a hit or a miss
+	Reports        *bool   // responses of caches carry load reports
 }
 
-// Class is a class of requests.
+// Class is a class of requests. Work is the mean work of a request, Sigma the standard deviation of its logarithm; Size is the
+// size of a value in bytes.
 type Class struct {
 	Name      string
-	Effect    string   // safe, keyed or unsafe
-	Scope     string   // all, zone or cell, for keyed
-	Window    Duration // for keyed
+	Effect    string   // "safe", "keyed" or "unsafe"
+	Scope     string   // "all", "zone" or "cell"; of a keyed class
+	Window    Duration // how long repeats of a keyed request are dropped
 	Share     float64
 	Work      Duration
 	Sigma     float64
@@ -89,41 +91,41 @@
 	Write     bool
 }
 
-// Tenant is one who shares the service.
+// Tenant is a customer of the service, with its share of the requests and its quota.
 type Tenant struct {
 	Name  string
 	Share float64
 	Quota float64
 }
 
-// Nodes are the balancers.
+// Nodes describes the balancers.
 type Nodes struct {
 	Count    int
-	Command  string // the program; empty: it is built, or found beside lapislab
-	Config   string // an operator's file for it, beside the experiment file
+	Command  string // runs a node; empty: lapisshelf in the folder of lapislab, or one that is built
+	Config   string // path of an operator's file for the nodes, relative to the experiment file
 	MemoryMB int    `toml:"memory_mb"`
 	Sockets  int
-	Listen   []string // addresses; empty: any on loopback
-	Direct   bool     // no nodes: clients speak to caches, key by key; measures the lab itself
+	Listen   []string // addresses, one a node; empty: free loopback addresses
+	Direct   bool     // without nodes: clients send to the caches directly, which measures the lab itself
 }
 
-// Planners are what nodes talk to, where there are any.
+// Planners describes the planners; a Count of 0 means that there are none.
 type Planners struct {
 	Count int
-	Every Duration // between digests and views
-	Valid Duration // how long a view holds
-	Fade  Duration // how long it fades after that
-	Talk  string   // changes: brief digests and what changed of views; whole: both whole
+	Every Duration // interval between digests, and between views
+	Valid Duration // how long a view is valid
+	Fade  Duration // how long an expired view keeps a decreasing influence
+	Talk  string   // "changes": brief digests and changes of views; "whole": complete digests and views
 }
 
-// Fleet is the cache servers that have no group of their own.
+// Fleet describes the cache servers that belong to no group, and the defaults of the groups.
 type Fleet struct {
 	Count     int
-	Group              // figures of each
-	Tolerance Duration // of the judge; what the lab may notice late
+	Group              // properties of each server
+	Tolerance Duration // how late the lab may observe an event; the judge allows for it
 }
 
-// Group is a number of servers that are alike.
+// Group describes a number of identical cache servers. Room is the limit of the queue for one of the Slots.
 type Group struct {
 	Count         int
 	Kind          string
@@ -139,13 +141,13 @@
 	ReportNoise   float64  `toml:"report_noise"`
 	Handshake     Duration
 	MaxConns      int      `toml:"max_conns"`
-	Coalesce      bool     // in through mode: fetches of one key are shared
-	Lease         Duration // a miss within it is told as another's fetch
+	Coalesce      bool     // in through mode, concurrent fetches of a key share one origin request
+	Lease         Duration // after a miss, other misses of the key are reported as being fetched for this long; 0: never
 	IgnoresCancel bool     `toml:"keeps_work"`
-	Cold          bool     // they start cold
+	Cold          bool     // the servers are cold at the start of the run
 }
 
-// Origin is what is behind the caches.
+// Origin describes the origin server. Room is the limit of the queue for one of its Slots.
 type Origin struct {
 	Cores         int
 	Slots, Room   int
@@ -156,32 +158,32 @@
 	FallFor       Duration `toml:"fall_for"`
 	Down          Duration
 	IgnoresCancel bool `toml:"keeps_work"`
-	None          bool // there is none
+	None          bool // there is no origin
 }
 
-// List is where the nodes have their list from.
+// List describes the source of the server list: the list service, or a registry.
 type List struct {
-	Delay Duration
-	Keep  int
-	Whole bool
-	Wait  Duration
-
-	Kind      string   // discovery, etcd or consul
-	Endpoints int      // of a registry
-	Lease     Duration // servers keep their entries under leases of that time; 0: they stand until they are taken out
-	Progress  Duration // between progress notices of a quiet watch
-	Token     string   // that the registry wants
-	Hold      Duration // what the nodes are told, see the operator's file
+	Delay Duration // until a change becomes visible
+	Keep  int      // changes that the list service remembers; 0: 1000
+	Whole bool     // the list service sends the complete list every time
+	Wait  Duration // how long the list service holds a call before it answers
+
+	Kind      string   // "discovery", "etcd" or "consul"
+	Endpoints int      // of a registry, the number of its endpoints
+	Lease     Duration // TTL of the leases under which servers keep their entries; 0: entries last until they are deleted
+	Progress  Duration // interval between progress notifications of an idle watch
+	Token     string   // that the registry requires; empty: none
+	Hold      Duration // hold of the nodes' [registry] table; the same goes for HoldPart, Rewind and Watch
 	HoldPart  float64  `toml:"hold_part"`
 	Rewind    Duration
 	Watch     Duration
-	Announce  bool // nodes keep entries of themselves
+	Announce  bool // nodes register themselves
 }
 
 // InRegistry reports whether the list is in a key-value registry.
 func (l *List) InRegistry() bool { return l.Kind != "discovery" }
 
-// Clients are who asks.
+// Clients describes the load; see world.ClientSpec. Patience is the range of the timeouts of a try, as fractions of the deadline.
 type Clients struct {
 	Rate       float64
 	Keys       int
@@ -194,53 +196,53 @@
 	MarksRetry bool `toml:"marks_retry"`
 	Leaves     float64
 	Skew       []float64
-	Warm       float64 // part of each cache's memory that holds popular keys at the start
+	Warm       float64 // fraction of each cache's memory that holds popular keys at the start
 }
 
-// Expectation is one line of [expect].
+// Expectation is a limit of a figure, from a line of [expect].
 type Expectation struct {
 	Figure   string
-	IsMax    bool // at most, else at least
+	IsMax    bool // Limit is a maximum, otherwise a minimum
 	Limit    float64
-	Location string // where it stands
+	Location string // file, line and key
 }
 
-// Experiment is a file that makes sense, with its defaults filled in.
+// Experiment is a valid file with its defaults filled in and everything that the seed determines.
 type Experiment struct {
 	File
 	Path         string
-	Description  string // the comment at the file's head
+	Description  string // the comment at the head of the file
 	Classes      []world.Class
 	Tenants      []world.Tenant
 	Servers      []Server
 	Timeline     *fault.Timeline
 	Expectations []Expectation
-	BrokenRules  []string // rules that are expected to be broken
+	BrokenRules  []string // rules that the run is expected to break
 	ClientSpec   world.ClientSpec
 
 	virtualTime bool
 }
 
-// Server is a cache server of the plan.
+// Server is a cache server of the experiment.
 type Server struct {
 	Name        string
 	ID          string
 	Spec        world.CacheSpec
-	Member      world.Member // without its address
+	Member      world.Member // without its address, which is known once it listens
 	Group       Group
-	StartsLater bool // it starts in the course of the run
+	StartsLater bool // a fault starts it during the run
 }
 
-// Options are what the command line changes.
+// Options override values of the file.
 type Options struct {
 	Seed        uint64 // 0: the file's
 	Short       bool
 	Length      time.Duration // 0: the file's
 	Rate        float64       // 0: the file's
-	VirtualTime bool          // for virtual time: more nodes are allowed, and nothing is expected of their processes
+	VirtualTime bool          // the run takes no processes: more nodes are allowed, and expectations of their processes are dropped
 }
 
-// Read reads a file.
+// Read reads and checks an experiment file.
 func Read(path string, opt Options) (*Experiment, error) {
 	x := &Experiment{Path: path}
 	text, err := os.ReadFile(path)
@@ -286,7 +288,7 @@
 	return x, nil
 }
 
-// headComment is the comment at a file's head.
+// headComment returns the comment at the head of a file as one line.
 func headComment(text string) string {
 	var lines []string
 	for _, l := range strings.Split(text, "\n") {
@@ -304,7 +306,7 @@
 
 func ms(n int) Duration { return tomlfile.Span(time.Duration(n) * time.Millisecond) }
 
-// defaults is a small deployment; docs/lab.md has the same figures.
+// defaults returns the defaults of all keys, those of a small deployment. docs/lab.md has the same values.
 func defaults() File {
 	return File{Seed: 1, Length: ms(10000),
 		Service: Service{Mode: "aside", Attempts: 6, Parallel: newFalse(), Cancel: newTrue(), RetryAfter: newTrue(), MaxRetryAfter: ms(1000),
@@ -323,7 +325,7 @@
 	}
 }
 
-// check fills in what follows from the file and says what makes no sense in it.
+// check validates the file and fills in the fields that are derived from it.
 func (x *Experiment) check(f *tomlfile.File) error {
 	at := tomlfile.At
 	type rule struct {
@@ -354,7 +356,7 @@
 		rule{len(x.Class) == 0, at("class"), "an experiment needs a class of requests"},
 		rule{x.Fleet.Count+len(x.File.Group) == 0, at("fleet", "count"), "an experiment needs a cache server"},
 		rule{x.Fleet.Count < 0 || x.Fleet.Count > 1000, at("fleet", "count"), "must be 0 to 1000"},
-		rule{n.Count < 1 || n.Count > maxNodes && !x.virtualTime, at("nodes", "count"), "must be 1 to 64 on sockets; lapislab model takes more"},
+		rule{n.Count < 1 || n.Count > maxNodes && !x.virtualTime, at("nodes", "count"), "must be 1 to 64; only lapislab model allows more"},
 		rule{n.Count > maxVirtualNodes, at("nodes", "count"), "must be at most 5000"},
 		rule{n.MemoryMB < 8, at("nodes", "memory_mb"), "must be at least 8"},
 		rule{n.Sockets < 64, at("nodes", "sockets"), "must be at least 64"},
@@ -363,9 +365,9 @@
 		rule{x.Planners.Valid.D() < 2*x.Planners.Every.D() || x.Planners.Valid.D() > 100*time.Second, at("planners", "valid"), "must be twice every to 100s"},
 		rule{x.Planners.Fade.D() < time.Second || x.Planners.Fade.D() > time.Hour, at("planners", "fade"), "must be 1s to 1h"},
 		rule{x.Planners.Talk != "changes" && x.Planners.Talk != "whole", at("planners", "talk"), fmt.Sprintf("%q is neither changes nor whole", x.Planners.Talk)},
-		rule{x.Planners.Talk == "whole" && !x.virtualTime, at("planners", "talk"), "lapislab model alone can choose it"},
-		rule{x.Planners.Count > 0 && n.Config != "", at("nodes", "config"), "the lab writes the operator's file itself where there are planners"},
-		rule{len(n.Listen) > 0 && len(n.Listen) != n.Count, at("nodes", "listen"), "wants an address for each node"},
+		rule{x.Planners.Talk == "whole" && !x.virtualTime, at("planners", "talk"), "only lapislab model supports it"},
+		rule{x.Planners.Count > 0 && n.Config != "", at("nodes", "config"), "must be empty with planners: the lab writes the operator's file"},
+		rule{len(n.Listen) > 0 && len(n.Listen) != n.Count, at("nodes", "listen"), "must have an address for each node"},
 		rule{o.Cores < 1, at("origin", "cores"), "must be at least 1"},
 		rule{o.Slots < 1, at("origin", "slots"), "must be at least 1"},
 		rule{o.Room < 0, at("origin", "room"), "must not be negative"},
@@ -379,20 +381,20 @@
 		rule{x.List.Endpoints < 1 || x.List.Endpoints > 8, at("list", "endpoints"), "must be 1 to 8"},
 		rule{x.List.Lease.D() < 0 || x.List.Lease.D() > 0 && x.List.Lease.D() < time.Second, at("list", "lease"), "must be 0s, or at least 1s"},
 		rule{x.List.Progress.D() < 0, at("list", "progress"), "must not be negative"},
-		rule{x.List.InRegistry() && n.Config != "", at("nodes", "config"), "the lab writes the operator's file itself where the list is in a registry"},
-		rule{!x.List.InRegistry() && (x.List.Endpoints > 1 || x.List.Lease.D() > 0 || x.List.Token != "" || x.List.Announce), at("list", "kind"), "endpoints, leases and tokens need a registry: etcd or consul"},
+		rule{x.List.InRegistry() && n.Config != "", at("nodes", "config"), "must be empty with a registry: the lab writes the operator's file"},
+		rule{!x.List.InRegistry() && (x.List.Endpoints > 1 || x.List.Lease.D() > 0 || x.List.Token != "" || x.List.Announce), at("list", "kind"), "endpoints, leases, tokens and announcements need a registry: etcd or consul"},
 		rule{!(c.Rate > 0 && c.Rate <= 200000), at("clients", "rate"), "must be above 0 and at most 200000 a second"},
-		rule{c.Rate*x.Length.D().Seconds() > 20e6, at("clients", "rate"), "over 20 million requests in a run"},
+		rule{c.Rate*x.Length.D().Seconds() > 20e6, at("clients", "rate"), "gives over 20 million requests in a run"},
 		rule{c.Keys < 1 || c.Keys > 5e6, at("clients", "keys"), "must be 1 to 5000000"},
 		rule{!(c.Zipf >= 0 && c.Zipf <= 5), at("clients", "zipf"), "must be 0 to 5"},
 		rule{!(c.Offset >= 0 && c.Offset < 1e9), at("clients", "offset"), "must not be negative"},
 		rule{!(c.Drift >= 0 && c.Drift <= 1), at("clients", "drift"), "must be 0 to 1"},
 		rule{len(c.Patience) != 2 || !(c.Patience[0] > 0 && c.Patience[1] >= c.Patience[0] && c.Patience[1] <= 1), at("clients", "patience"),
-			"must be two parts of the deadline, the lower first, above 0 and at most 1"},
+			"must be two fractions of the deadline, the lower one first, above 0 and at most 1"},
 		rule{c.Retries < 0 || c.Retries > 20, at("clients", "retries"), "must be 0 to 20"},
 		rule{!(c.Leaves >= 0 && c.Leaves <= 1), at("clients", "leaves"), "must be 0 to 1"},
 		rule{!(c.Warm >= 0 && c.Warm <= 1), at("clients", "warm"), "must be 0 to 1"},
-		rule{len(c.Skew) > 0 && len(c.Skew) != n.Count, at("clients", "skew"), "wants a share for each node"},
+		rule{len(c.Skew) > 0 && len(c.Skew) != n.Count, at("clients", "skew"), "must have a share for each node"},
 	); err != nil {
 		return err
 	}
@@ -423,21 +425,21 @@
 		}
 		switch {
 		case c.Name == "" || strings.ContainsAny(c.Name, " ,=\r\n"):
-			return bad("name", "%q cannot be a class's name", c.Name)
+			return bad("name", "%q is not a valid class name", c.Name)
 		case slices.ContainsFunc(x.Class[:i], func(o Class) bool { return o.Name == c.Name }):
-			return bad("name", "%q stands twice", c.Name)
+			return bad("name", "%q is used twice", c.Name)
 		case !effectOK:
-			return bad("effect", "%q is none of safe, keyed, unsafe", c.Effect)
+			return bad("effect", "%q is not one of safe, keyed, unsafe", c.Effect)
 		case !scopeOK:
-			return bad("scope", "%q is none of all, zone, cell", c.Scope)
+			return bad("scope", "%q is not one of all, zone, cell", c.Scope)
 		case effect == world.Keyed && c.Window.D() <= 0:
 			return bad("window", "a keyed class needs the time for which repeats are dropped")
 		case c.Aim.D() <= 0 || c.Deadline.D() <= 0:
 			return bad("aim", "aim and deadline must be above 0")
 		case c.Deadline.D() < c.Aim.D():
-			return bad("deadline", "is under the aim")
+			return bad("deadline", "must not be below the aim")
 		case !(c.Share >= 0 && c.Share < 1e9 && c.Worth >= 0 && c.Worth < 1e9 && c.LateShare >= 0 && c.LateShare <= 1 && c.Sigma >= 0 && c.Sigma <= 3 && c.SizeSigma >= 0 && c.SizeSigma <= 3):
-			return bad("share", "shares, worth and sigmas must not be negative or absurd")
+			return bad("share", "share, worth, late_share or a sigma is out of range")
 		case c.Size < 0 || c.Size > 64<<20:
 			return bad("size", "must be 0 to 64 MiB")
 		case c.Work.D() < 0:
@@ -465,9 +467,9 @@
 		}
 		switch {
 		case t.Name == "" || strings.ContainsAny(t.Name, " ,=\r\n"):
-			return bad("name", "%q cannot be a tenant's name", t.Name)
+			return bad("name", "%q is not a valid tenant name", t.Name)
 		case slices.ContainsFunc(x.Tenant[:i], func(o Tenant) bool { return o.Name == t.Name }):
-			return bad("name", "%q stands twice", t.Name)
+			return bad("name", "%q is used twice", t.Name)
 		case !(t.Share > 0 && t.Share < 1e9):
 			return bad("share", "must be above 0")
 		case !(t.Quota >= 0 && t.Quota < 1e9):
@@ -478,7 +480,7 @@
 	return nil
 }
 
-// checkServers draws the fleet: names c1, c2, ... and ids that tell nothing.
+// checkServers validates the groups and adds their servers, with the names c1, c2, ... and opaque ids.
 func (x *Experiment) checkServers(f *tomlfile.File) error {
 	groups := []Group{}
 	if x.Fleet.Count > 0 {
@@ -508,13 +510,13 @@
 		case !(g.Speed > 0 && g.Speed < 1e6):
 			return f.Errorf(at("speed"), "must be above 0")
 		case g.Slots < 1 || g.Room < 0:
-			return f.Errorf(at("slots"), "slots must be at least 1, room not negative")
+			return f.Errorf(at("slots"), "slots must be at least 1, and room must not be negative")
 		case !(g.MemoryMB > 0 && g.MemoryMB < 1e6):
 			return f.Errorf(at("memory_mb"), "must be above 0")
 		case !(g.Weight >= 0 && g.Weight < 1e6):
 			return f.Errorf(at("weight"), "must not be negative")
 		case g.Kind == originKind:
-			return f.Errorf(at("kind"), "%q is the origin's", originKind)
+			return f.Errorf(at("kind"), "%q is reserved for the origin", originKind)
 		}
 		for range g.Count {
 			x.addServer(fmt.Sprintf("c%d", len(x.Servers)+1), g, false)
@@ -525,11 +527,11 @@
 
 const (
 	originKind      = "origin"
-	maxNodes        = 64   // processes on one machine
+	maxNodes        = 64   // each is a process on this machine
 	maxVirtualNodes = 5000 // in virtual time
 )
 
-// OriginID is the id under which the list has the origin.
+// OriginID returns the id of the origin in the server list.
 func (x *Experiment) OriginID() string { return x.serverID("origin") }
 
 func (x *Experiment) serverID(name string) string {
@@ -547,7 +549,7 @@
 	return &x.Servers[len(x.Servers)-1]
 }
 
-// applyFleetDefaults takes the fleet's figures where a group does not tell its own.
+// applyFleetDefaults returns g with the values of the fleet for each key that the group does not set.
 func applyFleetDefaults(fleet, g Group, has func(key string) bool) Group {
 	out := fleet
 	out.Count = g.Count
@@ -576,7 +578,7 @@
 	return out
 }
 
-// expandFaults draws the timeline, and the servers that start in its course.
+// expandFaults draws the timeline and adds the servers that start during the run.
 func (x *Experiment) expandFaults(f *tomlfile.File) error {
 	var names, tenants []string
 	for _, s := range x.Servers {
@@ -599,7 +601,7 @@
 		base, _, _ := strings.Cut(name, ".")
 		for _, s := range x.Servers {
 			if s.Name == base {
-				g = s.Group // it takes that one's place
+				g = s.Group // it replaces that server
 			}
 		}
 		x.addServer(name, g, true)
@@ -614,7 +616,7 @@
 	return x.List.Endpoints
 }
 
-// parseExpectations reads [expect]: FIGURE_min and FIGURE_max, and broken, the rules that are to be broken.
+// parseExpectations reads [expect]: FIGURE_min and FIGURE_max are limits, and broken lists the rules that are to be broken.
 func (x *Experiment) parseExpectations(f *tomlfile.File) error {
 	for _, key := range sortedKeys(x.Expect) {
 		at := tomlfile.At("expect", key)
@@ -622,12 +624,12 @@
 		if key == "broken" {
 			list, ok := x.Expect[key].([]any)
 			if !ok {
-				return f.Errorf(at, "must be a list of rules, of %s", strings.Join(judge.RuleNames, ", "))
+				return f.Errorf(at, "must be a list of rules; the rules are %s", strings.Join(judge.RuleNames, ", "))
 			}
 			for _, v := range list {
 				name, _ := v.(string)
 				if !slices.Contains(judge.RuleNames, name) {
-					return f.Errorf(at, "%q is no rule; there are %s", v, strings.Join(judge.RuleNames, ", "))
+					return f.Errorf(at, "%q is not a rule; the rules are %s", v, strings.Join(judge.RuleNames, ", "))
 				}
 				x.BrokenRules = append(x.BrokenRules, name)
 			}
@@ -667,14 +669,14 @@
 	return all
 }
 
-// Shortfall is an expectation that falls short.
+// Shortfall is an expectation that the run does not meet.
 type Shortfall struct {
 	Expectation
 	Value     float64
 	HasFigure bool
 }
 
-// String is the miss in one line.
+// String describes the shortfall in one line.
 func (m Shortfall) String() string {
 	word := "at least"
 	if m.IsMax {
@@ -686,7 +688,7 @@
 	return fmt.Sprintf("%s: %s was %.4g, %s %.4g is wanted", m.Location, m.Figure, m.Value, word, m.Limit)
 }
 
-// Evaluate gives what falls short of the file's expectations, and the rules that are broken against them.
+// Evaluate returns the expectations that the run does not meet, and the rules whose outcome differs from the expected one.
 func (x *Experiment) Evaluate(v *judge.Verdict) (shortfalls []Shortfall, wrongRules []string) {
 	for _, e := range x.Expectations {
 		value, ok := v.Figures[e.Figure]
@@ -700,18 +702,18 @@
 		case v.Broken[name] > 0 && !want:
 			wrongRules = append(wrongRules, name+" was broken")
 		case v.Broken[name] == 0 && want:
-			wrongRules = append(wrongRules, name+" was kept, though it is to be broken")
+			wrongRules = append(wrongRules, name+" was kept, but is expected to be broken")
 		}
 	}
 	return shortfalls, wrongRules
 }
 
-// Arrivals draws all arrivals.
+// Arrivals draws all arrivals of the run.
 func (x *Experiment) Arrivals() []world.Arrival {
 	return world.NewSource(x.ClientSpec, x.Classes, x.Tenants, x.Timeline.Shapes, x.Seed, x.Length.D()).Plan()
 }
 
-// Rules are the judge's.
+// Rules returns the rules that the run is judged by.
 func (x *Experiment) Rules() judge.Rules {
 	s := &x.Service
 	r := judge.Rules{Seed: x.Seed, Classes: x.Classes, Tenants: x.Tenants, Members: map[string]world.Member{}, Parallel: *s.Parallel,
@@ -728,7 +730,7 @@
 	return r
 }
 
-// Server finds a server by its name.
+// Server returns the server with a name, or nil.
 func (x *Experiment) Server(name string) *Server {
 	for i := range x.Servers {
 		if x.Servers[i].Name == name {
@@ -738,7 +740,7 @@
 	return nil
 }
 
-// OriginSpec is the origin's model.
+// OriginSpec returns the parameters of the origin.
 func (x *Experiment) OriginSpec() world.OriginSpec {
 	o := &x.Origin
 	window := time.Duration(0)
@@ -749,7 +751,7 @@
 		FallMultiple: o.FallMultiple, FallWindow: o.FallFor.D(), Downtime: o.Down.D(), DedupWindow: window, IgnoresCancel: o.IgnoresCancel}
 }
 
-// Settings is the object that a node is told, with the names and units of the platform.
+// Settings returns the settings object of a node's configuration, with the names and units of the platform.
 func (x *Experiment) Settings(node int) map[string]any {
 	s := &x.Service
 	ns := func(d Duration) int64 { return int64(d.D()) }
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -91,11 +91,11 @@
 		t.Errorf("%+v %v", short, err)
 	}
 	if short.Servers[0].ID == x.Servers[0].ID {
-		t.Error("another seed gives the same ids")
+		t.Error("two seeds give the same ids")
 	}
 }
 
-// What a node is told reads back as what the file says.
+// The settings that are written for a node decode to the file's values.
 func TestSettingsReadBack(t *testing.T) {
 	x, err := read(t, smallExperiment, Options{})
 	if err != nil {
@@ -134,7 +134,7 @@
 	}
 }
 
-// A fault in a file is one line that names file, line and key.
+// An error in a file is one line with file, line and key.
 func TestBadFiles(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{"cores = 4", "cors = 4", "x.toml:9: fleet.cors: no such key"},
@@ -145,10 +145,10 @@
 		{"count = 2", "count = -2", "x.toml:8: fleet.count: must be 0 to 1000"},
 		{"count = 3", "count = 0", "x.toml:11: group[1].count: must be 1 to 1000"},
 		{`kind = "big"`, `kind = "origin"`, "x.toml:12: group[1].kind: "},
-		{`effect = "keyed"`, `effect = "maybe"`, "x.toml:20: class[2].effect: \"maybe\" is none of safe, keyed, unsafe"},
+		{`effect = "keyed"`, `effect = "maybe"`, "x.toml:20: class[2].effect: \"maybe\" is not one of safe, keyed, unsafe"},
 		{`window = "2s"`, "", "x.toml:18: class[2].window: a keyed class needs"},
-		{`name = "put"`, `name = "read"`, "x.toml:19: class[2].name: \"read\" stands twice"},
-		{`deadline = "1s"`, `deadline = "1ms"`, "x.toml:17: class[1].deadline: is under the aim"},
+		{`name = "put"`, `name = "read"`, "x.toml:19: class[2].name: \"read\" is used twice"},
+		{`deadline = "1s"`, `deadline = "1ms"`, "x.toml:17: class[1].deadline: must not be below the aim"},
 		{"share = 1", "share = 0", "x.toml:28: tenant[1].share: must be above 0"},
 		{`kind = "crash"`, `kind = "flood"`, "x.toml:31: fault[1].kind: unknown kind \"flood\""},
 		{`servers = ["c5"]`, `servers = ["c1", "c77"]`, "x.toml:34: fault[1].servers: unknown server \"c77\" (number 2)"},
@@ -156,11 +156,11 @@
 		{`at = "50%"`, `at = "9s"`, "x.toml:32: fault[1].at: 9s is after the end"},
 		{"service_min = 0.9", "service = 0.9", "x.toml:37: expect.service: must end in _min or _max"},
 		{"service_min = 0.9", "service_min = \"high\"", "x.toml:37: expect.service_min: must be a number"},
-		{`broken = ["cold"]`, `broken = ["hot"]`, "x.toml:39: expect.broken: \"hot\" is no rule"},
+		{`broken = ["cold"]`, `broken = ["hot"]`, "x.toml:39: expect.broken: \"hot\" is not a rule"},
 		{"rate = 50", "rate = 50\n[clients]\nrate = 0", "x.toml:8: clients.rate: must be above 0"},
-		{"rate = 50", "rate = 50\n[nodes]\ncount = 2\nlisten = [\"127.0.0.1:1\"]", "x.toml:9: nodes.listen: wants an address for each node"},
+		{"rate = 50", "rate = 50\n[nodes]\ncount = 2\nlisten = [\"127.0.0.1:1\"]", "x.toml:9: nodes.listen: must have an address for each node"},
 		{"rate = 50", "rate = 50\n[planners]\ncount = 1\ntalk = \"loud\"", "x.toml:9: planners.talk: \"loud\" is neither changes nor whole"},
-		{"rate = 50", "rate = 50\n[planners]\ncount = 1\ntalk = \"whole\"", "x.toml:9: planners.talk: lapislab model alone can choose it"},
+		{"rate = 50", "rate = 50\n[planners]\ncount = 1\ntalk = \"whole\"", "x.toml:9: planners.talk: only lapislab model supports it"},
 		{"[expect]", "[expect", "x.toml:3"},
 	} {
 		if !strings.Contains(smallExperiment, c.from) {
