--- a/lab/stage/list.go
+++ b/lab/stage/list.go
@@ -16,9 +16,9 @@
 	"lapisshelf/lab/world"
 )
 
-// serverList is what the nodes have their list from.
+// serverList is the source of the server list: the list service or a registry.
 type serverList interface {
-	AddrsFor(node int) []string // its addresses, for a node
+	AddrsFor(node int) []string // the addresses that a node connects to
 	Set(m world.Member)
 	Members() (revision int64, members []world.Member)
 	Lives(node, life int)
@@ -29,7 +29,7 @@
 	Close()
 }
 
-// discoveryList is the platform's list service.
+// discoveryList is the list service of the platform.
 type discoveryList struct{ *standin.List }
 
 func (s discoveryList) AddrsFor(node int) []string { return []string{s.Addr(node)} }
@@ -60,7 +60,7 @@
 	}
 }
 
-// Lag makes changes reach the registry so much later, beyond the usual.
+// Lag delays further changes by d, in addition to the usual delay.
 func (s *registryList) Lag(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,11 +75,11 @@
 	time.AfterFunc(delay, func() { s.Registry.Set(m) })
 }
 
-// openList starts what the nodes have their list from.
+// openList starts the source of the server list with its first entries.
 func (d *Deployment) openList(members []world.Member) error {
 	x := d.Experiment
 	if !x.List.InRegistry() {
-		// Planners have addresses of their own there, behind the nodes'.
+		// Planners have their own addresses of the service, after those of the nodes.
 		list, err := standin.NewList(d.Common, standin.ListOptions{Addr: d.netPrefix + "201:0", Nodes: x.Nodes.Count + x.Planners.Count, Delay: x.List.Delay.D(),
 			Keep: x.List.Keep, Whole: x.List.Whole, Wait: x.List.Wait.D()}, members...)
 		if err == nil {
@@ -109,14 +109,14 @@
 		if _, present := r.Members(); len(present) == len(members) {
 			return nil
 		} else if time.Now().After(limit) {
-			return fmt.Errorf("only %d of %d servers are in the registry", len(present), len(members))
+			return fmt.Errorf("timeout: only %d of %d servers are in the registry", len(present), len(members))
 		}
 	}
 }
 
 const registryPrefix = "lapisshelf/servers/"
 
-// initialList is the list that a node is started with: none where it is in a registry, which a node asks itself.
+// initialList returns the server list for a node's configuration. It is empty with a registry, where a node reads the list itself.
 func (d *Deployment) initialList() (int64, []world.Member) {
 	if d.Experiment.List.InRegistry() {
 		return 0, nil
@@ -124,7 +124,7 @@
 	return d.list.Members()
 }
 
-// writeOperatorFile writes a node's operator's file.
+// writeOperatorFile writes the operator's file of a node and returns its path.
 func (d *Deployment) writeOperatorFile(node int) (string, error) {
 	var b strings.Builder
 	if d.Experiment.List.InRegistry() {
@@ -139,7 +139,8 @@
 	return path, os.WriteFile(path, []byte(b.String()), 0o600)
 }
 
-// registryTable is what an operator's file says of the registry to a node, or to a planner, whose numbers go on from them.
+// registryTable returns the [registry] table of an operator's file for a node, or for a planner, whose numbers follow those of the
+// nodes.
 func (d *Deployment) registryTable(node int) (string, error) {
 	list := &d.Experiment.List
 	var b strings.Builder
@@ -160,7 +161,7 @@
 	return b.String(), nil
 }
 
-// applyToRegistry breaks a registry.
+// applyToRegistry injects a fault into the registry or ends one.
 func (d *Deployment) applyToRegistry(a fault.Action) error {
 	r := d.list.(*registryList)
 	endpoint, on := a.Endpoint-1, a.Value != 0
@@ -189,7 +190,8 @@
 	return nil
 }
 
-// leaseKeeper keeps the servers' entries under leases, each as a server of its own would: by the registry's protocol.
+// leaseKeeper keeps the registry entries of all servers under leases. It uses the registry's protocol, with a lease for each server,
+// as the servers would themselves.
 type leaseKeeper struct {
 	deployment *Deployment
 	loop       *loop.Loop
@@ -197,7 +199,7 @@
 	done       chan error
 
 	mu         sync.Mutex
-	announcers map[string]*registry.Announcer // by the server's name
+	announcers map[string]*registry.Announcer // by server name
 }
 
 func newLeaseKeeper(d *Deployment, r *standin.Registry) (*leaseKeeper, error) {
@@ -218,7 +220,7 @@
 	return k, nil
 }
 
-// setEntry makes a server's entry what it is now, or takes it out.
+// setEntry creates, updates or deletes the entry of a server.
 func (k *leaseKeeper) setEntry(name string, m world.Member) {
 	value := standin.EntryOf(k.deployment.Log.StartTime(), m)
 	k.loop.Post(func() {
@@ -242,7 +244,7 @@
 	})
 }
 
-// abandon leaves a server's lease to lapse.
+// abandon stops renewing a server's lease, so that it expires.
 func (k *leaseKeeper) abandon(name string) {
 	k.loop.Post(func() {
 		k.mu.Lock()
--- a/lab/stage/node.go
+++ b/lab/stage/node.go
@@ -27,64 +27,64 @@
 const (
 	sampleInterval = 100 * time.Millisecond
 	readyTimeout   = 15 * time.Second
-	endKillDelay   = 1500 * time.Millisecond // past the longest deadline, after SIGTERM
+	endKillDelay   = 1500 * time.Millisecond // after SIGTERM and the longest deadline, until the process is killed
 )
 
-// NodeOptions describe a node's process.
+// NodeOptions configure a node.
 type NodeOptions struct {
 	Log         *seen.Log
 	Number      int // from 0
 	Command     string
-	Dir         string // for its files
+	Dir         string // for configuration, state and logs
 	Listen      string
-	ListAddr    string // the list service's address
+	ListAddr    string // address of the list service; empty with a registry
 	MemoryMB    int
 	Sockets     int
 	Seed        uint64
 	Settings    map[string]any
 	Env         []string
-	MaxDeadline time.Duration // deadline of any request
-	ConfigText  string        // the whole configuration, in place of one made of the above
-	LogOutput   *os.File      // takes its log; nil: a file in Dir
-	KeepState   bool          // that directory lasts over restarts too, where the platform empties it
-	Controlled  bool          // it is told a second address, for operators, and a directory that lasts over upgrades
+	MaxDeadline time.Duration // the longest deadline of all classes
+	ConfigText  string        // configuration file; empty: it is made of the other options
+	LogOutput   *os.File      // receives the log; nil: a file in Dir, one a process
+	KeepState   bool          // a restart keeps the state directory, which the platform would empty
+	Controlled  bool          // the node has a control address, and a state directory that is kept in upgrades
 }
 
-// Node is a balancer: one process after another at one address.
+// Node is a balancer at a fixed address. Its process may be restarted or upgraded.
 type Node struct {
 	opt        NodeOptions
 	mu         sync.Mutex
 	cmd        *exec.Cmd
 	process    *seen.NodeProcess
-	done       chan struct{} // closed when the process has ended
-	launches   int           // processes so far
+	done       chan struct{} // closed when the process has exited
+	launches   int           // processes started so far
 	configPath string
 	stop       chan struct{}
 
-	controlAddr string // the running process's second address; empty: none
+	controlAddr string // control address of the running process; empty: none
 }
 
-// NewNode describes a node; Start begins its first process.
+// NewNode returns a node without a process; Start starts the first.
 func NewNode(opt NodeOptions) *Node { return &Node{opt: opt, stop: make(chan struct{})} }
 
-// Addr is where clients find it.
+// Addr returns the address for clients.
 func (n *Node) Addr() string { return n.opt.Listen }
 
-// Generation is which process is running, or was last.
+// Generation returns the number of the current or last process, from 0.
 func (n *Node) Generation() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return max(0, n.launches-1)
 }
 
-// Process is the running process's record.
+// Process returns the record of the current or last process; nil before the first.
 func (n *Node) Process() *seen.NodeProcess {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.process
 }
 
-// UpdateConfig writes the configuration file, with the list as the node last had it.
+// UpdateConfig writes the configuration file with a server list.
 func (n *Node) UpdateConfig(revision int64, members []world.Member) error {
 	config := map[string]any{"name": fmt.Sprintf("n%d", n.opt.Number+1), "listen": n.opt.Listen, "discovery": n.opt.ListAddr,
 		"seed":     fmt.Sprintf("%016x", n.opt.Seed+uint64(n.launches)),
@@ -104,7 +104,7 @@
 	return n.WriteConfig(text)
 }
 
-// WriteConfig replaces the configuration file, whatever it says.
+// WriteConfig atomically replaces the configuration file with any text.
 func (n *Node) WriteConfig(text []byte) error {
 	n.configPath = filepath.Join(n.opt.Dir, fmt.Sprintf("node%d.json", n.opt.Number+1))
 	if err := os.WriteFile(n.configPath+".new", text, 0o600); err != nil {
@@ -113,7 +113,7 @@
 	return os.Rename(n.configPath+".new", n.configPath)
 }
 
-// Pid is the running process's number; 0 where none runs.
+// Pid returns the id of the running process; 0 if there is none.
 func (n *Node) Pid() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -123,15 +123,15 @@
 	return n.cmd.Process.Pid
 }
 
-// Start begins a process.
+// Start starts a process. It fails if one is running.
 func (n *Node) Start(revision int64, members []world.Member) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cmd != nil {
-		return errors.New("the node is running")
+		return errors.New("the node is already running")
 	}
 	if n.opt.Controlled {
-		if !n.opt.KeepState { // a node starts with nothing
+		if !n.opt.KeepState { // a restarted node starts without state, as on the platform
 			if err := os.RemoveAll(n.stateDir()); err != nil {
 				return err
 			}
@@ -143,12 +143,12 @@
 	return n.launch(revision, members)
 }
 
-// stateDir is the directory for temporary files of the node's processes.
+// stateDir returns the directory that the node's processes have for temporary files.
 func (n *Node) stateDir() string {
 	return filepath.Join(n.opt.Dir, fmt.Sprintf("state%d", n.opt.Number+1))
 }
 
-// launch begins a process, perhaps beside another.
+// launch starts a process, beside the running one in an upgrade. The caller holds n.mu.
 func (n *Node) launch(revision int64, members []world.Member) error {
 	env := n.opt.Env
 	if n.opt.Controlled {
@@ -173,7 +173,7 @@
 		}
 		defer out.Close()
 	}
-	// As the platform does it: by the shell, with no descriptors but the standard ones; it dies with the lab.
+	// As on the platform, the shell starts the node, with no file descriptors but the standard ones. It is killed when the lab ends.
 	cmd := exec.Command("/bin/sh", "-c", "exec "+n.opt.Command)
 	cmd.Env = append(append(os.Environ(), "EDGE_CONFIG="+n.configPath), env...)
 	cmd.Stdout, cmd.Stderr = out, out
@@ -185,23 +185,23 @@
 	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 		cmd.Process.Kill()
 		cmd.Wait()
-		return fmt.Errorf("limit of descriptors: %w", err)
+		return fmt.Errorf("setting the limit of file descriptors: %w", err)
 	}
 	process := &seen.NodeProcess{Node: n.opt.Number, Generation: n.launches, StartedAt: n.opt.Log.Now(), InitialList: members, LogFile: logPath}
 	n.opt.Log.Update(func(r *seen.Record) { r.NodeProcesses = append(r.NodeProcesses, process) })
 	n.launches++
 	n.cmd, n.process, n.done = cmd, process, make(chan struct{})
 	go n.monitor(cmd, process, n.done)
-	if n.launches == 1 || n.controlAddr == "" { // an older version may have no second address
+	if n.launches == 1 || n.controlAddr == "" { // older versions have no control address
 		go n.awaitReady(process, n.done, func() bool { return load.Ready(n.opt.Listen) })
-	} else { // the address for clients may be another process's
+	} else { // the predecessor may still accept on the address for clients
 		control := n.controlAddr
 		go n.awaitReady(process, n.done, func() bool { return CallControl(control, "GET", "/_ready") == nil })
 	}
 	return nil
 }
 
-// monitor samples what a process uses, ends one that uses more memory than it may, and notes its end.
+// monitor samples the resources of a process until it exits, kills it if it exceeds its memory limit, and records its end.
 func (n *Node) monitor(cmd *exec.Cmd, process *seen.NodeProcess, done chan struct{}) {
 	stopped := make(chan struct{})
 	go func() {
@@ -264,12 +264,12 @@
 		process.PeakMemory, process.PeakDescriptors = max(process.PeakMemory, peak), max(process.PeakDescriptors, descriptors)
 	})
 	if resident > int64(n.opt.MemoryMB)<<20 {
-		n.opt.Log.AddEvent(fmt.Sprintf("node %d is ended: it uses %d MB of %d", n.opt.Number+1, resident>>20, n.opt.MemoryMB))
+		n.opt.Log.AddEvent(fmt.Sprintf("node %d is killed: it uses %d MB of memory, its limit is %d MB", n.opt.Number+1, resident>>20, n.opt.MemoryMB))
 		p.Kill()
 	}
 }
 
-// awaitReady notes when a process takes clients.
+// awaitReady records when a process accepts clients.
 func (n *Node) awaitReady(process *seen.NodeProcess, done chan struct{}, ready func() bool) {
 	for !ready() {
 		select {
@@ -284,7 +284,7 @@
 	n.opt.Log.Update(func(*seen.Record) { process.ReadyAt = now })
 }
 
-// Ready waits until the running process is ready.
+// Ready waits until the current process is ready. It fails if the process exits or takes too long.
 func (n *Node) Ready() error {
 	n.mu.Lock()
 	process, done := n.process, n.done
@@ -310,7 +310,7 @@
 	return lines[len(lines)-1]
 }
 
-// Signal sends a signal to the running process.
+// Signal sends a signal to the running process, if there is one, and records it.
 func (n *Node) Signal(s syscall.Signal) {
 	n.mu.Lock()
 	cmd, process := n.cmd, n.process
@@ -336,7 +336,7 @@
 	cmd.Process.Signal(s)
 }
 
-// End ends the running process as planned, by force if it does not end in time, and waits for that.
+// End terminates the running process, kills it if it does not exit in time, and waits for its end.
 func (n *Node) End() {
 	n.mu.Lock()
 	cmd, done := n.cmd, n.done
@@ -349,12 +349,12 @@
 	select {
 	case <-done:
 	case <-time.After(n.opt.MaxDeadline + endKillDelay):
-		cmd.Process.Kill() // its status tells
+		cmd.Process.Kill() // its exit status tells the judge
 		<-done
 	}
 }
 
-// Kill ends the running process at once.
+// Kill kills the running process and waits for its end.
 func (n *Node) Kill() {
 	n.Signal(syscall.SIGKILL)
 	n.mu.Lock()
@@ -365,7 +365,7 @@
 	}
 }
 
-// LogText is the log of the running process, or of the last.
+// LogText returns the log of the current or last process.
 func (n *Node) LogText() string {
 	if n.process == nil {
 		return ""
@@ -374,7 +374,7 @@
 	return string(text)
 }
 
-// Wait waits for the process's end and gives its status.
+// Wait waits until the current process exits and returns its exit status; ended is false after the timeout.
 func (n *Node) Wait(timeout time.Duration) (status string, ended bool) {
 	n.mu.Lock()
 	done, process := n.done, n.process
@@ -387,8 +387,8 @@
 	}
 }
 
-// FreeAddr finds an address on which nothing listens, on an address of the loopback network of its own. Those that are
-// promised already, though nobody listens there yet, are passed over: the system may offer one again.
+// FreeAddr returns an address with the given IP address and a free port. It skips the reserved addresses: as long as nothing
+// listens on them, the system may offer their ports again.
 func FreeAddr(ip string, reserved ...string) (string, error) {
 	for {
 		ln, err := net.Listen("tcp", ip+":0")
@@ -399,11 +399,11 @@
 		if !slices.Contains(reserved, addr) {
 			return addr, ln.Close()
 		}
-		defer ln.Close() // held until another is found
+		defer ln.Close() // keeps the port occupied while further ports are tried
 	}
 }
 
-// lastCounters are the figures of a log's last line of counters.
+// lastCounters returns the values of the last line of counters in a log.
 func lastCounters(path string) map[string]float64 {
 	text, _ := os.ReadFile(path)
 	out := map[string]float64{}
--- a/lab/stage/operators.go
+++ b/lab/stage/operators.go
@@ -13,16 +13,16 @@
 	"lapisshelf/lab/world"
 )
 
-// What operators do by hand, and how it is watched.
+// The actions of operators, and the checks of their effects.
 
 const (
-	callTimeout       = time.Second            // how long an operator waits for an answer
-	frontPollInterval = 100 * time.Millisecond // how often a front asks a node whether it takes clients
-	drainCheckDelay   = 4 * time.Second        // from the call to the moment by which no client is kept
-	upgradeKillDelay  = 700 * time.Millisecond // past the longest deadline, after SIGTERM: when an old process is killed
+	callTimeout       = time.Second            // for the response of a control address
+	frontPollInterval = 100 * time.Millisecond // how often a front checks whether a node accepts clients
+	drainCheckDelay   = 4 * time.Second        // from the call until all idle clients must be disconnected
+	upgradeKillDelay  = 700 * time.Millisecond // after SIGTERM and the longest deadline, until the predecessor is killed
 )
 
-// CallControl makes an operator's call; nil means yes.
+// CallControl sends a request to a control address. It returns an error unless the response has a 2xx status.
 func CallControl(addr, method, path string) error {
 	req, err := http.NewRequest(method, "http://"+addr+path, nil)
 	if err != nil {
@@ -41,23 +41,23 @@
 	return nil
 }
 
-// ControlAddr is the running process's second address.
+// ControlAddr returns the control address of the running process; it is empty if there is none.
 func (n *Node) ControlAddr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.controlAddr
 }
 
-// setBan bans a server at a node, or lifts that.
+// setBan bans a server at a node, or lifts its ban.
 func (d *Deployment) setBan(node int, name string, on bool) error {
 	id := d.Experiment.Server(name).ID
 	if c := d.cache(name); c != nil {
 		id = c.ID()
 	}
-	at := d.Log.Now() // a ban may end with the call, and begins with its answer
+	at := d.Log.Now() // a ban can end as soon as the call is sent, and has begun once it is answered
 	verb := map[bool]string{true: "detach", false: "attach"}[on]
 	if err := CallControl(d.Nodes[node].ControlAddr(), "POST", "/_cache-servers/"+verb+"/"+id); err != nil {
-		if !on { // a call that was not answered may be carried out all the same, by a node that was stopped
+		if !on { // a node that was stopped may carry out the call later, although it did not answer
 			d.Log.Update(func(r *seen.Record) { r.SetBan(node, id, on, at) })
 		}
 		return err
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// setLameDuck drains a node or takes that back. A front follows what the node says, and looks whether it lets its clients go.
+// setLameDuck starts or ends the lame duck of a node. Meanwhile a front polls whether the node is ready, keeps clients away while it
+// is not, and records drainCheckDelay after the call whether the node has closed its idle connections.
 func (d *Deployment) setLameDuck(node int, on bool) error {
 	n := d.Nodes[node]
 	state := map[bool]string{true: "on", false: "off"}[on]
@@ -111,21 +112,21 @@
 	return nil
 }
 
-// upgrade has a new process take the place of a node's running one.
+// upgrade replaces the running process of a node by a new one.
 func (d *Deployment) upgrade(node int) error {
 	rev, members := d.initialList()
 	n := d.Nodes[node]
 	return n.Upgrade(rev, members, func() { d.list.Lives(node, n.Generation()) })
 }
 
-// Upgrade starts a process beside the running one; when it is ready, the old one is told to end, and killed in the end as
-// the platform does it. Once both run, and the new one counts as the node, begun is called.
+// Upgrade starts a successor beside the running process. When it is ready, the predecessor receives SIGTERM, and SIGKILL if it takes
+// too long, as on the platform. Upgrade calls started once both processes run and the new one counts as the node's process.
 func (n *Node) Upgrade(revision int64, members []world.Member, started func()) error {
 	n.mu.Lock()
 	old, process, done := n.cmd, n.process, n.done
 	if old == nil || !n.opt.Controlled {
 		n.mu.Unlock()
-		return fmt.Errorf("node %d does not run, or has no second address", n.opt.Number+1)
+		return fmt.Errorf("node %d does not run, or has no control address", n.opt.Number+1)
 	}
 	err := n.launch(revision, members)
 	n.mu.Unlock()
--- a/lab/stage/planners.go
+++ b/lab/stage/planners.go
@@ -14,9 +14,9 @@
 	"lapisshelf/lab/world"
 )
 
-// Planners as processes beside the nodes.
+// Planners run as processes beside the nodes.
 
-// planner is one process after another at one address.
+// planner is a planner at fixed addresses. At most one process runs at a time.
 type planner struct {
 	id, addr, controlAddr, configFile, logFile string
 	command                                    string
@@ -26,7 +26,8 @@
 
 const certValidity = 24 * time.Hour
 
-// startPlanners makes certificates for all parts and starts the planners. When it returns they have the list.
+// startPlanners creates the keys and certificates of planners and nodes, and starts the planners. When it returns without an error,
+// all planners are ready.
 func (d *Deployment) startPlanners() error {
 	x := d.Experiment
 	if x.Planners.Count == 0 {
@@ -80,7 +81,7 @@
 
 func (d *Deployment) keysDir() string { return filepath.Join(d.opt.Dir, "keys") }
 
-// plannerConfig is a planner's operator's file.
+// plannerConfig returns the operator's file of a planner.
 func (d *Deployment) plannerConfig(p *planner, number int, gossip []string) (string, error) {
 	x := d.Experiment
 	var b strings.Builder
@@ -112,7 +113,7 @@
 	return b.String(), nil
 }
 
-// plannersTable is what an operator's file says of the planners to a node.
+// plannersTable returns the [planners] table of a node's operator's file; it is empty without planners.
 func (d *Deployment) plannersTable(node int) string {
 	if len(d.planners) == 0 {
 		return ""
@@ -126,7 +127,7 @@
 		filepath.Join(d.keysDir(), "ca.pem"), filepath.Join(d.keysDir(), name+".pem"), filepath.Join(d.keysDir(), name+".key"), d.Experiment.Planners.Every.D(), d.Experiment.Planners.Fade.D())
 }
 
-// start begins a process, whose log goes on in the same file.
+// start starts a process, which appends to the same log file.
 func (p *planner) start() error {
 	out, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// kill ends the process at once.
+// kill kills the process and waits for its end.
 func (p *planner) kill() {
 	if p.cmd != nil {
 		p.cmd.Process.Kill()
@@ -157,12 +158,12 @@
 	}
 }
 
-// applyToPlanner breaks a planner.
+// applyToPlanner kills, starts, stops or continues the process of a planner.
 func (d *Deployment) applyToPlanner(a fault.Action) error {
 	p := d.planners[a.Planner-1]
 	switch {
 	case a.Kind == fault.PlannerCut:
-		return fmt.Errorf("nodes are parted from planners in the model alone (lapislab model)")
+		return fmt.Errorf("only lapislab model can cut nodes off from planners")
 	case a.Kind == fault.PlannerStart && p.cmd == nil:
 		return p.start()
 	case a.Kind == fault.PlannerKill:
--- a/lab/stage/stage.go
+++ b/lab/stage/stage.go
@@ -1,5 +1,6 @@
-// Package stage puts a whole deployment on loopback sockets: stand-ins of caches, origin and list, nodes as processes of
-// their own, clients, and the troubles of an experiment's timeline; and it gives what was seen to the judge.
+// Package stage runs the deployment of an experiment on loopback sockets: stand-ins for the caches, the origin and the source of
+// the server list, each node and planner as a process, and the clients. It injects the faults of the experiment's timeline, and
+// has the judge evaluate what clients and servers recorded.
 package stage
 
 import (
@@ -24,76 +25,76 @@
 	"lapisshelf/lab/world"
 )
 
-// What makes a run void: the lab itself was late.
+// A run is void if the lab itself was later than this.
 const (
-	maxMeanLateness    = 2 * time.Millisecond  // of stand-ins, in the mean
-	maxP99Lateness     = 10 * time.Millisecond // of wishes, the 99th percentile
+	maxMeanLateness    = 2 * time.Millisecond  // mean of the stand-ins
+	maxP99Lateness     = 10 * time.Millisecond // 99th percentile of the sent tries
 	stallCheckInterval = 5 * time.Millisecond
 )
 
-// Options say how a deployment is put up.
+// Options configure a deployment.
 type Options struct {
-	Command   string         // of the nodes
-	Dir       string         // for files; it must exist
-	KeepState bool           // what nodes keep for their next processes outlasts restarts
-	Progress  func(Progress) // told each second of a run; nil: nobody is
+	Command   string         // runs a node
+	Dir       string         // for configurations and logs; it must exist
+	KeepState bool           // the state directory of a node survives restarts too
+	Progress  func(Progress) // called each second of a run; may be nil
 }
 
-// Progress is how far a run has come.
+// Progress describes how far a run has come.
 type Progress struct {
 	Elapsed   time.Duration
 	Length    time.Duration
 	TriesSent int64
 	Attempts  int
-	LastEvent string // what happened last
+	LastEvent string // the most recent fault or other event
 }
 
-// Deployment is a deployment that is up.
+// Deployment is a running deployment.
 type Deployment struct {
 	Experiment    *experiment.Experiment
 	Log           *seen.Log
 	Common        *standin.Common
 	Nodes         []*Node
 	opt           Options
-	caches        map[string]*standin.Cache // by name
+	caches        map[string]*standin.Cache // by server name
 	origin        *standin.Origin
 	list          serverList
-	operatorTasks sync.WaitGroup // operators at work
-	loadDone      chan struct{}  // closed when the plan is over
-	leases        *leaseKeeper   // of servers' leases; nil: none
+	operatorTasks sync.WaitGroup // operator actions that take time, such as upgrades
+	loadDone      chan struct{}  // closed when the load has ended
+	leases        *leaseKeeper   // keeps the servers' registry leases; nil: entries have no leases
 	load          *load.Load
 	arrivals      []world.Arrival
 	planners      []*planner
-	netPrefix     string // the first three numbers of its loopback addresses
+	netPrefix     string // first three octets of the loopback addresses, with the last dot
 
 	mu               sync.Mutex
-	lameDuckChecks   map[int]*seen.LameDuckCheck               // drains of nodes that last
-	pendingFills     [2]map[string][]func(version, size int64) // by request, the newer generation first
+	lameDuckChecks   map[int]*seen.LameDuckCheck               // by node, the check of a lame duck that is in force
+	pendingFills     [2]map[string][]func(version, size int64) // by request, for the caches that missed; newer generation first
 	pendingRotatedAt time.Time
 	rules            judge.Rules
 }
 
-// LabDelays tells how well the lab kept up.
+// LabDelays are the delays of the lab itself in a run. They tell whether the run is void.
 type LabDelays struct {
-	SendP50     float64 `json:"send_late_p50_ms"` // wishes behind their plan
+	SendP50     float64 `json:"send_late_p50_ms"` // tries sent behind their schedule
 	SendP99     float64 `json:"send_late_p99_ms"`
 	SendMax     float64 `json:"send_late_max_ms"`
 	StandInMean float64 `json:"standin_late_mean_ms"` // stand-ins behind their models
 	StandInMax  float64 `json:"standin_late_max_ms"`
-	StallMax    float64 `json:"stall_max_ms"` // the longest that the lab's process stood still
+	StallMax    float64 `json:"stall_max_ms"` // the longest time for which the lab's process did not run
 	VoidReason  string  `json:"void,omitempty"`
 }
 
-// Result is a run that is over.
+// Result is the outcome of a run.
 type Result struct {
 	Verdict     *judge.Verdict
 	Record      *seen.Record
 	Lab         LabDelays
-	Interrupted bool // it was broken off
-	Arrivals    int  // wishes in the plan
+	Interrupted bool // the context ended before the load did
+	Arrivals    int  // number of planned arrivals
 }
 
-// Open puts a deployment up; when it returns without an error, all nodes are ready.
+// Open starts a deployment. When it returns without an error, all nodes are ready.
 func Open(x *experiment.Experiment, opt Options) (*Deployment, error) {
 	d := &Deployment{Experiment: x, Log: seen.NewLog(), opt: opt, caches: map[string]*standin.Cache{}, lameDuckChecks: map[int]*seen.LameDuckCheck{}, loadDone: make(chan struct{}), rules: x.Rules(), arrivals: x.Arrivals()}
 	d.netPrefix = fmt.Sprintf("127.%d.%d.", 10+rand.IntN(200), rand.IntN(250))
@@ -186,8 +187,8 @@
 	return c, err
 }
 
-// warmCaches lets the servers that run at the start hold what they were asked for lately: popular keys, each where the shared
-// ranking puts it; with no nodes between, everywhere.
+// warmCaches fills the servers that run from the start with popular keys. Each key is stored at the server that the shared ranking
+// puts first; without nodes, at every server.
 func (d *Deployment) warmCaches(members []world.Member) {
 	x := d.Experiment
 	warmShare := x.Clients.Warm
@@ -221,7 +222,7 @@
 		d.caches[names[m.ID]].Do(func(now time.Duration, c *world.Cache) { c.Store(now, key, 0, size) })
 	}
 	keys := src.PopularKeys(x.Clients.Keys)
-	slices.Reverse(keys) // what is used last is kept longest
+	slices.Reverse(keys) // the least recently used keys are evicted first
 	if x.Nodes.Direct {
 		for _, m := range members {
 			for _, k := range keys {
@@ -279,7 +280,7 @@
 				return err
 			}
 			if x.List.InRegistry() {
-				opt.ListAddr = "" // the operator's file tells it
+				opt.ListAddr = "" // the operator's file has the endpoints of the registry
 			}
 			opt.Env = append(opt.Env, "LAPISSHELF_CONFIG="+path)
 		}
@@ -297,7 +298,8 @@
 	return nil
 }
 
-// recordMiss remembers the first two caches that missed for a request.
+// recordMiss records the first two caches that missed for a request. Entries whose request the origin does not answer are dropped
+// after at least 10 s.
 func (d *Deployment) recordMiss(request string, store func(version, size int64)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -310,7 +312,7 @@
 	}
 }
 
-// fillCaches stores what the origin has answered where the request missed.
+// fillCaches stores a value that the origin has sent in the caches that missed for its request.
 func (d *Deployment) fillCaches(request string, version, size int64) {
 	d.mu.Lock()
 	list := append(d.pendingFills[0][request], d.pendingFills[1][request]...)
@@ -322,7 +324,7 @@
 	}
 }
 
-// invalidateCopies voids the copies of a key.
+// invalidateCopies invalidates all cached copies of a key.
 func (d *Deployment) invalidateCopies(key string) {
 	d.mu.Lock()
 	all := make([]*standin.Cache, 0, len(d.caches))
@@ -330,14 +332,14 @@
 		all = append(all, c)
 	}
 	d.mu.Unlock()
-	go func() { // the origin holds its lock
+	go func() { // not in this goroutine: the origin calls it with its lock held
 		for _, c := range all {
 			c.Do(func(_ time.Duration, m *world.Cache) { m.Invalidate(key) })
 		}
 	}()
 }
 
-// Addresses are where the parts of the deployment are, for hand use.
+// Addresses returns lines with the addresses of all parts of the deployment, for manual use.
 func (d *Deployment) Addresses() []string {
 	var out []string
 	for i, n := range d.Nodes {
@@ -354,7 +356,7 @@
 	return append(out, "list        "+strings.Join(d.list.AddrsFor(0), " "))
 }
 
-// Run plays the plan with its troubles, then ends the nodes and judges what was seen. It ends early with the context.
+// Run generates the load and injects the faults, then stops the nodes and judges the run. It stops early when ctx ends.
 func (d *Deployment) Run(ctx context.Context) *Result {
 	begin := d.Log.Now() + 50*time.Millisecond
 	stop := make(chan struct{})
@@ -371,7 +373,7 @@
 	return d.stopAndJudge(ctx, begin, stall)
 }
 
-// stopAndJudge ends the nodes and judges.
+// stopAndJudge stops the nodes and judges the run.
 func (d *Deployment) stopAndJudge(ctx context.Context, begin time.Duration, stall time.Duration) *Result {
 	var nodeEnds sync.WaitGroup
 	for _, n := range d.Nodes {
@@ -381,7 +383,7 @@
 	r := &Result{Interrupted: ctx.Err() != nil, Arrivals: len(d.arrivals)}
 	d.Log.Update(func(rec *seen.Record) { r.Record = rec })
 	plan := d.arrivals
-	if r.Interrupted { // only what was begun can be judged
+	if r.Interrupted { // only arrivals whose first try was sent can be judged
 		n := 0
 		for _, t := range r.Record.Tries {
 			n = max(n, t.ArrivalNumber+1)
@@ -403,16 +405,17 @@
 	tolerance := d.rules.Tolerance
 	switch {
 	case r.Lab.SendP99 > ms(maxP99Lateness):
-		r.Lab.VoidReason = fmt.Sprintf("one wish in a hundred was sent over %.1f ms behind its plan", r.Lab.SendP99)
+		r.Lab.VoidReason = fmt.Sprintf("1%% of the tries were sent at least %.1f ms late", r.Lab.SendP99)
 	case meanLate > maxMeanLateness:
-		r.Lab.VoidReason = fmt.Sprintf("the stand-ins were %.1f ms late in the mean", r.Lab.StandInMean)
+		r.Lab.VoidReason = fmt.Sprintf("the stand-ins were %.1f ms late on average", r.Lab.StandInMean)
 	case stall > tolerance:
-		r.Lab.VoidReason = fmt.Sprintf("the lab stood still for %.1f ms, over the judge's tolerance of %v", r.Lab.StallMax, tolerance)
+		r.Lab.VoidReason = fmt.Sprintf("the lab did not run for %.1f ms, more than the judge's tolerance of %v", r.Lab.StallMax, tolerance)
 	}
 	return r
 }
 
-// rebaseTimes counts the record's times from the plan's beginning, as the plan does. What came before is below 0.
+// rebaseTimes makes all times of a record relative to origin, the start of the load, as those of the plan are. Earlier times become
+// negative.
 func rebaseTimes(rec *seen.Record, origin time.Duration) {
 	move := func(times ...*time.Duration) {
 		for _, t := range times {
@@ -467,7 +470,7 @@
 	}
 }
 
-// measureStalls measures how long the lab's process stands still.
+// measureStalls returns the longest time for which the lab's process did not run until stop was closed.
 func (d *Deployment) measureStalls(stop chan struct{}) (longest time.Duration) {
 	t := time.NewTicker(stallCheckInterval)
 	defer t.Stop()
@@ -507,7 +510,7 @@
 	}
 }
 
-// runTimeline carries out the timeline.
+// runTimeline applies the actions of the timeline when they are due.
 func (d *Deployment) runTimeline(begin time.Duration, stop chan struct{}) {
 	for _, a := range d.Experiment.Timeline.Actions {
 		select {
@@ -523,7 +526,7 @@
 	}
 }
 
-// apply carries out one action.
+// apply carries out one action of the timeline.
 func (d *Deployment) apply(a fault.Action) error {
 	switch {
 	case a.Kind == fault.BanServer:
@@ -551,7 +554,7 @@
 		d.load.SetRudeClients(int(a.Value))
 	default:
 		if d.origin == nil {
-			return fmt.Errorf("there is no origin")
+			return fmt.Errorf("the deployment has no origin")
 		}
 		switch a.Kind {
 		case fault.OriginSlow:
@@ -600,7 +603,7 @@
 		})
 	case fault.NodeStart:
 		if _, ended := n.Wait(readyTimeout); !ended {
-			return fmt.Errorf("node %d has not ended", a.Node+1)
+			return fmt.Errorf("the previous process of node %d has not exited", a.Node+1)
 		}
 		rev, members := d.initialList()
 		d.list.Lives(a.Node, n.Generation()+1)
@@ -615,7 +618,7 @@
 	return d.caches[name]
 }
 
-// setEntry changes a server's entry in the list.
+// setEntry updates a server's entry in the server list.
 func (d *Deployment) setEntry(name string, phase world.Phase, started time.Duration) {
 	v, c := d.Experiment.Server(name), d.cache(name)
 	m := v.Member
@@ -638,13 +641,13 @@
 		return nil
 	}
 	if c == nil {
-		return fmt.Errorf("%s is not there", a.Server)
+		return fmt.Errorf("server %s does not exist", a.Server)
 	}
 	on := a.Value != 0
 	switch a.Kind {
 	case fault.Kill:
 		c.Die()
-		if d.leases != nil { // its lease lapses
+		if d.leases != nil { // its lease expires
 			d.leases.abandon(a.Server)
 		}
 	case fault.Restart:
@@ -653,7 +656,7 @@
 			name = a.NewName
 			id = d.Experiment.Server(name).ID
 			d.mu.Lock()
-			d.caches[name] = c // the same place under another name
+			d.caches[name] = c // the same stand-in under its new name
 			d.mu.Unlock()
 		}
 		if err := c.Rise(id, on); err != nil {
@@ -685,13 +688,13 @@
 	case fault.Drain:
 		d.setEntry(a.Server, world.Draining, d.processStart(c))
 	case fault.ListRemove:
-		c.Do(func(now time.Duration, m *world.Cache) { m.Drain(now, true) }) // what still comes is turned away
+		c.Do(func(now time.Duration, m *world.Cache) { m.Drain(now, true) }) // requests that still arrive are rejected
 		d.setEntry(a.Server, world.Deleted, 0)
 	}
 	return nil
 }
 
-// processStart is when a server's process started, as the list tells it.
+// processStart returns when a server's process had its cold start; 0 if it started warm.
 func (d *Deployment) processStart(c *standin.Cache) (at time.Duration) {
 	c.Do(func(_ time.Duration, m *world.Cache) {
 		if began, cold := m.Started(); cold {
@@ -701,7 +704,7 @@
 	return at
 }
 
-// Close ends whatever is still up. It may be called more than once.
+// Close stops everything that still runs. It may be called more than once.
 func (d *Deployment) Close() {
 	for _, n := range d.Nodes {
 		n.Kill()
@@ -729,7 +732,7 @@
 	}
 }
 
-// TimelineText is the plan's troubles as text.
+// TimelineText returns the actions of an experiment's timeline, one a line.
 func TimelineText(x *experiment.Experiment) string {
 	var b strings.Builder
 	for _, a := range x.Timeline.Actions {
