--- a/lab/soak/coverage.go
+++ b/lab/soak/coverage.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Pair is two kinds of troubles, in the order of their names.
+// Pair holds two kinds of faults in alphabetical order.
 type Pair [2]string
 
-// Coverage counts how often pairs of troubles overlapped in runs that were judged.
+// Coverage counts how often faults of two kinds overlapped in judged runs.
 type Coverage struct {
 	Runs  int
 	Pairs map[Pair]int
 }
 
-// SystemFaultsKind names the failing system calls of a plan among the kinds of troubles.
+// SystemFaultsKind stands for the system faults of a plan among the kinds of faults.
 const SystemFaultsKind = "calls_fail"
 
-// Add counts the pairs of a plan that was played.
+// Add counts the pairs of the plan of a judged run.
 func (c *Coverage) Add(p *Plan, length time.Duration) {
 	if c.Pairs == nil {
 		c.Pairs = map[Pair]int{}
@@ -41,7 +41,7 @@
 	}
 }
 
-// Missing are the pairs of the kinds that never overlapped.
+// Missing returns the pairs of the given kinds that never overlapped.
 func (c *Coverage) Missing(kinds []string) (list []Pair) {
 	for i, a := range kinds {
 		for _, b := range kinds[i:] {
@@ -55,7 +55,7 @@
 	return list
 }
 
-// CSV writes the pairs, for each 100 runs.
+// CSV writes the number of overlaps of each pair, in total and per 100 runs.
 func (c *Coverage) CSV(to io.Writer) error {
 	w := csv.NewWriter(to)
 	rows := [][]string{{"trouble", "with", "overlaps", "per_100_runs"}}
--- a/lab/soak/draw.go
+++ b/lab/soak/draw.go
@@ -1,7 +1,7 @@
-// Package soak plays seeded deployments on real processes and sockets in which two or three troubles overlap in time, and judges
-// them by what clients and servers saw. A seed draws a deployment and a schedule of troubles, as an experiment file; the lab puts
-// it up and judges the four rules; the soak adds what must hold besides (oracle.go), counts which pairs of troubles overlapped
-// under load (coverage.go), and shrinks a schedule that fails (shrink.go).
+// Package soak runs randomly drawn deployments on real processes and sockets, in which two or three faults overlap in time, and
+// judges them by what clients and servers recorded. A seed determines a deployment and a schedule of faults, written as an
+// experiment file. The lab runs it and judges the four rules. The soak adds further checks (oracle.go), counts which kinds of faults
+// overlapped under load (coverage.go), and shrinks a schedule that fails (run.go).
 package soak
 
 import (
@@ -12,40 +12,40 @@
 	"time"
 )
 
-// Options bound what a seed may draw.
+// Options are the parameters of a plan that the seed does not determine.
 type Options struct {
 	Length       time.Duration // of the load
 	Processes    int           // nodes
-	Rate         float64       // of first requests a second
-	SystemFaults bool          // the nodes are built to have system calls and clocks fail
+	Rate         float64       // first tries per second
+	SystemFaults bool          // the nodes are built with the tag faults, and may be given system faults
 }
 
-// Fault is one trouble of a schedule.
+// Fault is a fault of a schedule.
 type Fault struct {
 	Kind   string
 	At     time.Duration
 	For    time.Duration
-	Detail string // further lines of its table in an experiment file
+	Detail string // further lines of its [[fault]] table
 }
 
-// end is when it is over; one that lasts for a moment counts as lasting for a moment's effects.
+// end returns when the effects of the fault end, at least instantFaultSpan after its start.
 func (t Fault) end() time.Duration { return t.At + max(t.For, instantFaultSpan) }
 
-// instantFaultSpan is how long the effects of a trouble that is over at once are taken to last, for coverage.
+// instantFaultSpan is the assumed duration of the effects of an instant fault, for the coverage.
 const instantFaultSpan = 500 * time.Millisecond
 
-// Plan is what a seed has drawn.
+// Plan is the deployment and the faults of a seed.
 type Plan struct {
 	Seed         uint64
-	Deployment   string // the experiment file without its troubles
+	Deployment   string // experiment file without the [[fault]] tables
 	Faults       []Fault
-	SystemFaults string // the plan of failing system calls and of the wall clock; empty: none
+	SystemFaults string // plan of failing system calls and shifted wall clocks, see internal/system; empty: none
 }
 
-// Text is the plan as an experiment file.
+// Text returns the plan as an experiment file.
 func (p *Plan) Text() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "# Soak, seed %d: drawn, not written by hand.\n", p.Seed)
+	fmt.Fprintf(&b, "# Soak, seed %d: generated, do not edit.\n", p.Seed)
 	if p.SystemFaults != "" {
 		fmt.Fprintf(&b, "# faults: %s\n", p.SystemFaults)
 	}
@@ -60,16 +60,16 @@
 	return b.String()
 }
 
-// planDrawer draws one plan.
+// planDrawer draws a plan.
 type planDrawer struct {
 	rng        *rand.Rand
 	opt        Options
 	cacheCount int
-	listKind   string // of the list
-	freeNodes  []int  // nodes whose processes no trouble has been given yet
+	listKind   string // kind of the server list's source
+	freeNodes  []int  // nodes without a fault that ends, upgrades or stops their process
 }
 
-// duration draws a time, in whole milliseconds.
+// duration draws a duration of whole milliseconds between two limits.
 func (d *planDrawer) duration(lower, upper time.Duration) time.Duration {
 	span := (upper - lower) / time.Millisecond
 	return lower + time.Duration(d.rng.Int64N(int64(span)+1))*time.Millisecond
@@ -85,8 +85,8 @@
 	}
 	d.rng.Shuffle(len(d.freeNodes), func(i, j int) { d.freeNodes[i], d.freeNodes[j] = d.freeNodes[j], d.freeNodes[i] })
 	p := &Plan{Seed: seed, Deployment: d.deployment(seed)}
-	// Two clusters of two or three troubles that overlap, between a tenth and seven tenths of the load: behind them service
-	// has to come back.
+	// Two groups of two or three overlapping faults, between 10% and 70% of the load. The rest of the load shows whether the service
+	// recovers.
 	for _, fraction := range []float64{0.1, 0.4} {
 		begin := time.Duration(fraction * float64(opt.Length))
 		for range 2 + d.rng.IntN(2) {
@@ -104,7 +104,7 @@
 	return p
 }
 
-// deployment draws classes, limits and the kind of list.
+// deployment draws the limits, the classes and the source of the server list.
 func (d *planDrawer) deployment(seed uint64) string {
 	d.cacheCount = 5 + d.rng.IntN(4)
 	d.listKind = "discovery"
@@ -129,7 +129,7 @@
 	return b.String()
 }
 
-// servers draws some caches, as a line of a table.
+// servers draws up to maxServers caches and returns them as a line of a [[fault]] table.
 func (d *planDrawer) servers(maxServers int) string {
 	names := map[string]bool{}
 	for range 1 + d.rng.IntN(maxServers) {
@@ -143,7 +143,8 @@
 	return "servers = [" + strings.Join(list, ", ") + "]\n"
 }
 
-// nodes takes some nodes whose processes no other trouble ends, upgrades or stops.
+// nodes draws up to maxNodes of the free nodes and returns them as a line of a [[fault]] table. It returns
+// false if none is free.
 func (d *planDrawer) nodes(maxNodes int) (string, bool) {
 	count := min(1+d.rng.IntN(maxNodes), len(d.freeNodes))
 	if count == 0 {
@@ -158,14 +159,14 @@
 	return "nodes = [" + strings.Join(list, ", ") + "]\n", true
 }
 
-// FaultKinds are the kinds of troubles that a soak draws.
+// FaultKinds returns the kinds of faults that a soak draws.
 func FaultKinds() []string {
 	return []string{"node_kill", "node_term", "node_freeze", "node_hup", "upgrade", "lameduck", "detach", "list_down", "list_garble", "list_lag", "list_cut",
 		"crash", "silent", "hang", "refuse", "busy", "reset", "garble", "surplus", "slow", "pause", "drain", "deploy",
 		"origin_slow", "origin_stop", "origin_garble", "rude", "surge"}
 }
 
-// fault draws one trouble, unless the seed's nodes are all taken.
+// fault draws a fault. It returns false if the fault needs a node and none is free.
 func (d *planDrawer) fault(at, length time.Duration) (Fault, bool) {
 	kinds := FaultKinds()
 	t := Fault{Kind: kinds[d.rng.IntN(len(kinds))], At: at, For: length}
@@ -176,7 +177,7 @@
 	switch t.Kind {
 	case "node_kill", "node_term":
 		t.For = d.duration(500*time.Millisecond, 3*time.Second)
-		if t.Kind == "node_term" { // a planned end takes that long
+		if t.Kind == "node_term" { // a planned shutdown takes up to that long
 			t.For += 4 * time.Second
 		}
 		t.Detail, ok = d.nodes(max(1, d.opt.Processes/2))
@@ -219,7 +220,7 @@
 	return t, ok
 }
 
-// systemFaults draws which system calls fail and how far processes' wall clocks are off.
+// systemFaults draws which system calls fail in the nodes, and when; their wall clocks are shifted by up to an hour.
 func (d *planDrawer) systemFaults(seed uint64) string {
 	sockets := []string{"accept", "socket", "connect", "epoll_wait", "epoll_add", "epoll_mod", "send", "recv", "peek"}
 	files := []string{"open", "write", "fsync", "rename", "read"}
--- a/lab/soak/oracle.go
+++ b/lab/soak/oracle.go
@@ -11,17 +11,17 @@
 	"lapisshelf/lab/stage"
 )
 
-// What must hold besides the rules.
+// Limits of the checks that a soak adds to the rules.
 const (
-	readyTimeout   = 10 * time.Second // nine in ten processes that start are ready
+	readyTimeout   = 10 * time.Second // minReadyShare of the started processes must be ready in this time
 	minReadyShare  = 0.9
-	tailShare      = 0.15 // of the load at its end, behind all troubles
-	minTailService = 0.7  // served of it at least
-	maxFindings    = 12   // told of one run
+	tailShare      = 0.15 // last part of the load, after all faults
+	minTailService = 0.7  // minimum service in the tail
+	maxFindings    = 12   // of a run, further ones are not reported
 	maxLogLine     = 1 << 20
 )
 
-// findFailures gives what of a run is wrong; empty: nothing.
+// findFailures returns the failures of a run, each in a line.
 func findFailures(r *stage.Result, length time.Duration) (findings []string) {
 	add := func(format string, args ...any) {
 		if len(findings) < maxFindings {
@@ -30,7 +30,7 @@
 	}
 	for i, b := range r.Verdict.Breaches {
 		add("%s", b.Summary())
-		if i == 0 { // all that was seen of its request
+		if i == 0 { // the first breach is followed by the history of its request
 			for _, line := range b.Story {
 				add("  %s", line)
 			}
@@ -58,12 +58,12 @@
 		add("ready within %v: %d of %d processes", readyTimeout, ready, starts)
 	}
 	if share := serviceOfTail(r, length); share < minTailService {
-		add("service behind all troubles: %.2f", share)
+		add("service after all faults: %.2f", share)
 	}
 	return findings
 }
 
-// mustBecomeReady reports whether a process had the time to be ready.
+// mustBecomeReady reports whether a process ran long enough that it must have become ready.
 func mustBecomeReady(l *seen.NodeProcess, length time.Duration) bool {
 	ended := l.EndedAt
 	if ended == 0 {
@@ -72,7 +72,7 @@
 	return ended-l.StartedAt > readyTimeout && l.StartedAt < length-readyTimeout
 }
 
-// serviceOfTail is the service of the load's end.
+// serviceOfTail returns the service in the last part of the load; 1 if it has no requests.
 func serviceOfTail(r *stage.Result, length time.Duration) float64 {
 	from := int((1 - tailShare) * length.Seconds())
 	total, served := 0.0, 0.0
@@ -88,7 +88,7 @@
 	return served / total
 }
 
-// violationLines are the lines of a log that tell of one.
+// violationLines returns the lines of a log that report a violation or a panic.
 func violationLines(path string) (lines []string) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -12,32 +12,32 @@
 	"lapisshelf/lab/stage"
 )
 
-// faultsEnv names the plan of failing calls to the nodes, see internal/system.
+// faultsEnv is the environment variable with the system faults of a node, see internal/system.
 const faultsEnv = "LAPISSHELF_FAULTS"
 
-// Outcome is what came of one run.
+// Outcome is the outcome of a run.
 type Outcome struct {
 	Plan        *Plan
-	Findings    []string // what is wrong
-	VoidReason  string   // why the run says nothing; empty: it does
+	Findings    []string // failures, one a line
+	VoidReason  string   // why the run cannot be judged; empty: it can
 	Requests    int
 	Attempts    int
-	Processes   int           // that were started
-	ProcessTime time.Duration // of all processes together
-	WorthShare  float64       // of the worth that was served
-	Dir         string        // with logs and the experiment file
+	Processes   int           // node processes that were started
+	ProcessTime time.Duration // total running time of these processes
+	WorthShare  float64       // fraction of the worth that was served
+	Dir         string        // holds the logs and the experiment file
 }
 
-// Failed reports whether the run found something.
+// Failed reports whether the run can be judged and has failures.
 func (o *Outcome) Failed() bool { return o.VoidReason == "" && len(o.Findings) > 0 }
 
-// Runner plays plans.
+// Runner runs plans.
 type Runner struct {
-	Command string // that runs a node
-	Dir     string // for the files of runs
+	Command string // runs a node
+	Dir     string // holds a folder for each run
 }
 
-// Run plays a plan once.
+// Run runs a plan once, with its files in the folder name.
 func (r *Runner) Run(ctx context.Context, p *Plan, name string) (*Outcome, error) {
 	dir := filepath.Join(r.Dir, name)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -50,7 +50,7 @@
 	return r.RunFile(ctx, path, dir, p)
 }
 
-// RunFile plays an experiment file as a soak; the plan may tell only its seed.
+// RunFile runs an experiment file as a soak. Of the plan, it needs the seed and the system faults.
 func (r *Runner) RunFile(ctx context.Context, path, dir string, p *Plan) (*Outcome, error) {
 	x, err := experiment.Read(path, experiment.Options{})
 	if err != nil {
@@ -90,7 +90,7 @@
 	return o, nil
 }
 
-// SystemFaultsOf reads the plan of failing calls off an experiment file that a soak has kept.
+// SystemFaultsOf returns the system faults of a plan from its experiment file; it is empty if there are none.
 func SystemFaultsOf(text string) string {
 	for _, line := range strings.Split(text, "\n") {
 		if rest, ok := strings.CutPrefix(line, "# faults: "); ok {
@@ -100,7 +100,8 @@
 	return ""
 }
 
-// Shrink drops troubles while the plan still fails, with so many runs at most, and gives the smallest plan that failed.
+// Shrink removes faults from a failing plan, one by one, as long as it still fails. It takes maxRuns runs at most and returns the
+// smallest plan that failed.
 func (r *Runner) Shrink(ctx context.Context, p *Plan, maxRuns int) (*Plan, error) {
 	smallest := p
 	for i := 0; i < len(smallest.Faults) && maxRuns > 0 && ctx.Err() == nil; maxRuns-- {
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -9,15 +9,15 @@
 	"time"
 
 	"lapisshelf/lab/experiment"
-	lawful "lapisshelf/lab/judge"
+	labjudge "lapisshelf/lab/judge"
 	"lapisshelf/lab/seen"
 	"lapisshelf/lab/stage"
 )
 
 var usualOptions = Options{Length: 20 * time.Second, Processes: 10, Rate: 300, SystemFaults: true}
 
-// Every seed draws a deployment that can be put up, the same each time, and over some hundred seeds each kind of trouble is drawn
-// and each two kinds that can meet do.
+// Every seed draws a valid experiment, the same each time. Over many seeds, all kinds of faults are drawn, and any two kinds that can
+// overlap do.
 func TestDraw(t *testing.T) {
 	var c Coverage
 	calls := 0
@@ -25,12 +25,12 @@
 	for seed := range uint64(seeds) {
 		p := Draw(seed, usualOptions)
 		if again := Draw(seed, usualOptions); again.Text() != p.Text() {
-			t.Fatalf("seed %d draws two plans", seed)
+			t.Fatalf("seed %d draws different plans", seed)
 		}
 		if p.SystemFaults != "" {
 			calls++
 			if SystemFaultsOf(p.Text()) != p.SystemFaults {
-				t.Fatalf("seed %d: the file tells %q of %q", seed, SystemFaultsOf(p.Text()), p.SystemFaults)
+				t.Fatalf("seed %d: the file has the system faults %q, want %q", seed, SystemFaultsOf(p.Text()), p.SystemFaults)
 			}
 		}
 		c.Add(p, usualOptions.Length)
@@ -46,10 +46,10 @@
 		}
 	}
 	if missing := c.Missing(append(FaultKinds(), SystemFaultsKind)); len(missing) > 1 || len(missing) == 1 && missing[0] != (Pair{SystemFaultsKind, SystemFaultsKind}) {
-		t.Errorf("pairs that never meet: %v", missing)
+		t.Errorf("pairs that never overlap: %v", missing)
 	}
 	if calls < seeds/2 || calls == seeds {
-		t.Errorf("calls fail in %d of %d", calls, seeds)
+		t.Errorf("system faults in %d of %d plans", calls, seeds)
 	}
 	var b bytes.Buffer
 	if err := c.CSV(&b); err != nil || strings.Count(b.String(), "\n") != len(c.Pairs)+1 {
@@ -57,7 +57,7 @@
 	}
 }
 
-// The oracle can fail: each thing that must hold besides the rules is found where it does not.
+// Each check that the soak adds to the rules reports a run that fails it.
 func TestFindFailures(t *testing.T) {
 	log := filepath.Join(t.TempDir(), "node.log")
 	if err := os.WriteFile(log, []byte("x event=start\nx event=violation rule=send why=answered\n"), 0o600); err != nil {
@@ -70,12 +70,12 @@
 		"said_violations: 1":         func(r *stage.Result) { r.Verdict.Figures["said_violations"] = 1 },
 		"rule=send why=answered":     func(r *stage.Result) { r.Record.NodeProcesses[0].LogFile = log },
 		"ready within 10s: 0 of 1":   func(r *stage.Result) { r.Record.NodeProcesses[0].ReadyAt = 12 * time.Second },
-		"behind all troubles: 0.50":  func(r *stage.Result) { r.Verdict.Seconds[19].Service = 0 },
+		"after all faults: 0.50":     func(r *stage.Result) { r.Verdict.Seconds[19].Service = 0 },
 		"one_answer lost at 3s: why": func(r *stage.Result) { r.Verdict.Breaches = append(r.Verdict.Breaches, breach()) },
 	} {
-		r := &stage.Result{Verdict: &lawful.Verdict{Figures: map[string]float64{}}, Record: &seen.Record{NodeProcesses: []*seen.NodeProcess{{ReadyAt: time.Second}}}}
+		r := &stage.Result{Verdict: &labjudge.Verdict{Figures: map[string]float64{}}, Record: &seen.Record{NodeProcesses: []*seen.NodeProcess{{ReadyAt: time.Second}}}}
 		for i := range 20 {
-			r.Verdict.Seconds = append(r.Verdict.Seconds, lawful.Second{At: i, Asked: 100, Service: 0.99})
+			r.Verdict.Seconds = append(r.Verdict.Seconds, labjudge.Second{At: i, Asked: 100, Service: 0.99})
 		}
 		r.Verdict.Seconds[18].Service, r.Verdict.Seconds[17].Service = 1, 0.5
 		r.Verdict.Seconds[19].Service = 1
@@ -87,6 +87,6 @@
 	}
 }
 
-func breach() lawful.Breach {
-	return lawful.Breach{Rule: lawful.OneAnswer, What: lawful.Lost, At: 3 * time.Second, Why: "why"}
+func breach() labjudge.Breach {
+	return labjudge.Breach{Rule: labjudge.OneAnswer, What: labjudge.Lost, At: 3 * time.Second, Why: "why"}
 }
