--- a/cmd/lapislab/build.go
+++ b/cmd/lapislab/build.go
@@ -12,8 +12,8 @@
 	"lapisshelf/lab/experiment"
 )
 
-// nodeCommand is the command that runs a node: the one asked for, the file's, the program beside this one, or one built
-// from the module that the working folder belongs to.
+// nodeCommand returns the command that runs a node: the requested one, that of the experiment file, the program lapisshelf in the
+// folder of this program, or one that it builds into dir from the module of the working directory.
 func nodeCommand(ctx context.Context, requested string, x *experiment.Experiment, dir string) (string, error) {
 	for _, command := range []string{requested, x.Nodes.Command} {
 		if command != "" {
@@ -32,23 +32,23 @@
 	built := filepath.Join(dir, "lapisshelf")
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", built, "lapisshelf/cmd/lapisshelf")
 	if out, err := cmd.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("no node: there is no lapisshelf beside lapislab, and building one failed: %v: %s", err,
+		return "", fmt.Errorf("no node command: there is no lapisshelf in the folder of lapislab, and building one failed: %v: %s", err,
 			strings.Join(strings.Fields(string(out)), " "))
 	}
 	return built, nil
 }
 
-// checkCommand reports whether a command's program is there.
+// checkCommand returns an error if a command's program does not exist or is not executable.
 func checkCommand(command string) error {
 	words := strings.Fields(command)
-	for len(words) > 0 && strings.Contains(words[0], "=") { // NAME=VALUE in front
+	for len(words) > 0 && strings.Contains(words[0], "=") { // skips NAME=VALUE in front of the program
 		words = words[1:]
 	}
 	if len(words) == 0 {
-		return errors.New("an empty command runs no node")
+		return errors.New("the node command is empty")
 	}
 	if _, err := exec.LookPath(words[0]); err != nil {
-		return fmt.Errorf("node command %q: %s is not there or cannot be run", command, words[0])
+		return fmt.Errorf("node command %q: %s does not exist or is not executable", command, words[0])
 	}
 	return nil
 }
--- a/cmd/lapislab/commands.go
+++ b/cmd/lapislab/commands.go
@@ -19,24 +19,24 @@
 	"lapisshelf/lab/stage"
 )
 
-// runFlags is what the commands that read an experiment have in common.
+// runFlags holds the flags of the commands that read an experiment.
 type runFlags struct {
 	experiment.Options
 	nodeCommand string
-	filesDir    string // where the runs' files are kept; empty: nowhere
+	filesDir    string // where the files of runs are kept; empty: they are deleted
 	quiet       bool
 }
 
 func (s *runFlags) flags(c *cobra.Command) {
 	f := c.Flags()
-	f.Uint64Var(&s.Seed, "seed", 0, "draw arrivals, keys and troubles from this seed (default: the file's)")
-	f.BoolVar(&s.Short, "short", false, "the file's short form")
-	f.DurationVar(&s.Length, "length", 0, "another length; times given as parts of it follow")
-	f.Float64Var(&s.Rate, "rate", 0, "another rate of requests a second")
+	f.Uint64Var(&s.Seed, "seed", 0, "draw arrivals, keys and faults from this seed (default: the file's)")
+	f.BoolVar(&s.Short, "short", false, "use the length and rate of the file's [short] table")
+	f.DurationVar(&s.Length, "length", 0, "another length; times that are given as parts of it follow")
+	f.Float64Var(&s.Rate, "rate", 0, "another rate, in requests per second")
 }
 
 func (s *runFlags) nodeFlags(c *cobra.Command) {
-	c.Flags().StringVar(&s.nodeCommand, "node", "", "command that runs a node (default: the file's, else lapisshelf beside lapislab, else one built from this module)")
+	c.Flags().StringVar(&s.nodeCommand, "node", "", "command that runs a node (default: the file's, else lapisshelf in the folder of lapislab, else one built from this module)")
 	c.Flags().StringVar(&s.filesDir, "files", "", "folder that keeps the nodes' configurations and logs")
 	c.Flags().BoolVar(&s.quiet, "quiet", false, "no progress on the terminal")
 }
@@ -52,7 +52,7 @@
 	return x, err
 }
 
-// runDir makes the folder for a run's files; done removes it if nobody asked for it.
+// runDir creates the folder for the files of a run. cleanup removes it unless --files is set.
 func (s *runFlags) runDir() (dir string, cleanup func(), err error) {
 	if s.filesDir != "" {
 		return s.filesDir, func() {}, os.MkdirAll(s.filesDir, 0o755)
@@ -61,7 +61,7 @@
 	return dir, func() { os.RemoveAll(dir) }, err
 }
 
-// progressPrinter writes a line a second where someone watches.
+// progressPrinter returns a function that prints the progress of a run. It is nil with --quiet, or if standard error is no terminal.
 func (s *runFlags) progressPrinter(prefix string) func(stage.Progress) {
 	info, err := os.Stderr.Stat()
 	if s.quiet || err != nil || info.Mode()&os.ModeCharDevice == 0 {
@@ -73,7 +73,7 @@
 	}
 }
 
-// playExperiment puts a deployment up, runs it and takes it down.
+// playExperiment starts a deployment, runs the experiment and stops it.
 func playExperiment(ctx context.Context, x *experiment.Experiment, opt stage.Options) (*report.Run, error) {
 	s, err := stage.Open(x, opt)
 	if err != nil {
@@ -89,7 +89,7 @@
 func runCommand() *cobra.Command {
 	var s runFlags
 	var jsonPath, htmlDir, pngDir string
-	c := &cobra.Command{Use: "run FILE", Short: "Play an experiment and judge it", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "run FILE", Short: "Run an experiment and judge it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			x, err := s.read(args[0])
 			if err != nil {
@@ -122,7 +122,7 @@
 	return c
 }
 
-// exitStatus is the program's end after a run.
+// exitStatus returns the exit status for the verdict of a run.
 func exitStatus(r *report.Run) error {
 	switch r.Verdict {
 	case report.Holds:
@@ -135,7 +135,7 @@
 	return exitError(statusFallsShort)
 }
 
-// jsonWriter is a report with a stable form.
+// jsonWriter is a report with a stable JSON form.
 type jsonWriter interface{ JSON(io.Writer) error }
 
 func writeJSON(r jsonWriter, path string) error {
@@ -176,13 +176,13 @@
 	var pairs int
 	var figures []string
 	c := &cobra.Command{Use: "compare FILE --a CMD --b CMD", Args: cobra.ExactArgs(1),
-		Short: "Play an experiment with two builds or settings, in pairs of the same seed, and tell the difference",
+		Short: "Run an experiment with two builds or settings, in pairs of the same seed, and report the differences",
 		RunE: func(c *cobra.Command, args []string) error {
 			if a == "" || b == "" {
-				return errors.New("compare wants --a and --b: the commands that run a node")
+				return errors.New("compare needs --a and --b: the commands that run a node")
 			}
 			if pairs < 1 || pairs > 1000 {
-				return fmt.Errorf("--pairs %d: 1 to 1000 are allowed", pairs)
+				return fmt.Errorf("--pairs %d: must be 1 to 1000", pairs)
 			}
 			p := &report.Pair{Schema: report.Schema, A: a, B: b, Level: report.Confidence}
 			dir, cleanup, err := s.runDir()
@@ -199,7 +199,7 @@
 				seed := first.Seed + uint64(i)
 				p.Name = first.Name
 				var runs [2]*report.Run
-				// The order changes from pair to pair, so that what drifts on the machine favours neither.
+				// The order alternates between pairs, so that drift of the machine favours neither side.
 				for k := range 2 {
 					side := (i + k) % 2
 					pairFlags := s
@@ -258,18 +258,18 @@
 	c.Flags().Lookup("node").Hidden = true
 	c.Flags().StringVar(&a, "a", "", "command that runs a node")
 	c.Flags().StringVar(&b, "b", "", "command that runs the other node")
-	c.Flags().IntVar(&pairs, "pairs", 5, "how many pairs")
+	c.Flags().IntVar(&pairs, "pairs", 5, "number of pairs")
 	c.Flags().StringSliceVar(&figures, "figures", []string{"service", "worst_10s", "p50_ms", "p99_ms", "p999_ms", "refused_share",
 		"attempts_per_request", "origin_per_request", "added_p50_ms", "added_p99_ms", "node_memory_mb", "node_cpu_ms_per_1000", "broken"},
-		"which figures to tell")
+		"figures to report")
 	c.Flags().StringVar(&jsonPath, "json", "", "write the comparison as JSON to this file; - is standard output")
 	return c
 }
 
-// maxVoidRuns is how often a run that is void is played.
+// maxVoidRuns is how often a run is attempted as long as it is void.
 const maxVoidRuns = 3
 
-// playUntilValid plays a run again while the lab was late.
+// playUntilValid runs an experiment, again if the lab was late and the run is void.
 func playUntilValid(ctx context.Context, x *experiment.Experiment, opt stage.Options) (r *report.Run, err error) {
 	for range maxVoidRuns {
 		if r, err = playExperiment(ctx, x, opt); err != nil || r.Verdict != report.Void {
@@ -281,7 +281,7 @@
 
 func upCommand() *cobra.Command {
 	var s runFlags
-	c := &cobra.Command{Use: "up FILE", Short: "Put a deployment up for hand use, until it is interrupted", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "up FILE", Short: "Run a deployment without load, for manual use, until interrupted", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			x, err := s.read(args[0])
 			if err != nil {
@@ -323,7 +323,7 @@
 }
 
 func listCommand() *cobra.Command {
-	return &cobra.Command{Use: "list [FOLDER]", Short: "List the experiments of a folder and what each guards", Args: cobra.MaximumNArgs(1),
+	return &cobra.Command{Use: "list [FOLDER]", Short: "List the experiments of a folder with their descriptions", Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			dir := filepath.Join("lab", "experiments")
 			if len(args) > 0 {
@@ -334,7 +334,7 @@
 				return err
 			}
 			if len(files) == 0 {
-				return fmt.Errorf("%s holds no experiments", dir)
+				return fmt.Errorf("%s has no experiments", dir)
 			}
 			for _, path := range files {
 				x, err := experiment.Read(path, experiment.Options{})
@@ -349,7 +349,7 @@
 
 func planCommand() *cobra.Command {
 	var s runFlags
-	c := &cobra.Command{Use: "plan FILE", Short: "Print what will happen in a run: troubles and arrivals, as the seed draws them", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "plan FILE", Short: "Print the plan of a run: its faults and arrivals, as the seed draws them", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			x, err := s.read(args[0])
 			if err != nil {
@@ -372,7 +372,7 @@
 func modelCommand() *cobra.Command {
 	var s runFlags
 	var jsonPath, htmlDir, pngDir string
-	c := &cobra.Command{Use: "model FILE", Short: "Play an experiment in virtual time: the decisions before models, hundreds of nodes in seconds", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "model FILE", Short: "Run an experiment in virtual time: the decisions with models around them, hundreds of nodes in seconds", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s.VirtualTime = true
 			x, err := s.read(args[0])
--- a/cmd/lapislab/lapislab_test.go
+++ b/cmd/lapislab/lapislab_test.go
@@ -23,8 +23,8 @@
 const interruptTimeout = 90 * time.Second
 
 var (
-	binDir     string // of the built programs
-	moduleRoot string // of the module
+	binDir     string // holds the built programs
+	moduleRoot string // root folder of the module
 	runSlots   = make(chan bool, 4)
 )
 
@@ -32,7 +32,7 @@
 	testscript.Main(suite{m}, map[string]func(){"lapislab": func() { os.Exit(run(os.Args[1:])) }})
 }
 
-// suite builds the programs around the tests; the commands of scripts need none of that.
+// suite builds the programs before the tests. The subprocesses that are commands of scripts do without them.
 type suite struct{ m *testing.M }
 
 func (t suite) Run() int {
@@ -54,7 +54,7 @@
 	return t.m.Run()
 }
 
-// What the command line says to arguments and files that make no sense, and what it prints of those that do.
+// The scripts in testdata check the output and status of the command line, for valid and invalid arguments and files.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata", Setup: func(e *testscript.Env) error {
 		e.Setenv("ROOT", moduleRoot)
@@ -64,12 +64,12 @@
 }
 
 const (
-	maxAttempts   = 12          // runs of one experiment that may say nothing, because the lab was late
-	minTimeForRun = time.Minute // left of the tests' time, for another one to begin
+	maxAttempts   = 12          // runs of an experiment, as long as they are void because the lab was late
+	minTimeForRun = time.Minute // left until the deadline of the tests, for another run to start
 )
 
-// playCommand is play, a script's command: exec lapislab, whose run is played again where it says nothing.
-// Guards against a script that fails because the machine was busy.
+// playCommand is the command play of the scripts: exec lapislab, repeated while the run is void. It keeps scripts from failing
+// because the machine was busy.
 func playCommand(ts *testscript.TestScript, neg bool, args []string) {
 	var err error
 	for range maxAttempts {
@@ -83,7 +83,7 @@
 	}
 }
 
-// judgedRun runs an experiment with the built program; a run in which the lab was late says nothing and is played again.
+// judgedRun runs an experiment with the built program until the run is not void, and returns its report.
 func judgedRun(t *testing.T, file string, args ...string) *report.Run {
 	t.Helper()
 	runSlots <- true
@@ -101,7 +101,7 @@
 			t.Fatalf("%v: %s", err, out)
 		}
 		if r.Verdict == report.Void {
-			t.Logf("void, played again: %s", r.Lab.VoidReason)
+			t.Logf("void, running again: %s", r.Lab.VoidReason)
 			continue
 		}
 		if code := cmd.ProcessState.ExitCode(); code != map[string]int{report.Holds: 0, report.FallsShort: statusFallsShort}[r.Verdict] {
@@ -112,11 +112,11 @@
 		}
 		return &r
 	}
-	t.Fatal("the lab was late again and again: this machine is too busy")
+	t.Fatal("all runs were void: the machine is too busy")
 	return nil
 }
 
-// Every experiment that the repository ships holds, in its short form.
+// All experiments of the repository hold in their short form.
 func TestExperiments(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(moduleRoot, "lab", "experiments", "*.toml"))
 	if err != nil || len(files) < 10 {
@@ -163,8 +163,8 @@
 cores = 1
 `
 
-// A mistake planted in a copy of the node is found by its name; the same run with the node as it is keeps the rules.
-// Guards against a judge that flatters.
+// Each mistake that is planted in a copy of the node is reported as a breach of its rule and kind, and the same run with the unchanged
+// node keeps the rules. Guards against a judge that misses breaches or reports false ones.
 func TestPlantedMistakes(t *testing.T) {
 	const calm = "[clients]\nrate = 150\n"
 	const spoilt = calm + "[origin]\nwork = \"100ms\"\ncores = 40\nfall_multiple = 0\n[[fault]]\nkind = \"origin_garble\"\nat = \"10%\"\npart = 0.4\n"
@@ -173,7 +173,7 @@
 	const lame = calm + "[[fault]]\nkind = \"lameduck\"\nat = \"10%\"\nnodes = [1]\n"
 	const cold = "[clients]\nrate = 500\nkeys = 300\n[service]\nfall_multiple = 0.6\nfall_window = \"500ms\"\nwarm_up = \"20s\"\ncold_from = 0.1\n" +
 		"[[fault]]\nkind = \"crash\"\nat = \"20%\"\nfor = \"20%\"\nservers = [\"c1\"]\n"
-	var clean sync.Map // runs of the node as it is, by what is played
+	var clean sync.Map // runs of the unchanged node, by experiment
 	for _, c := range []struct {
 		name, file, from, to, with, rule, what string
 	}{
@@ -208,7 +208,7 @@
 			t.Parallel()
 			dir := t.TempDir()
 			file, length := filepath.Join(dir, "x.toml"), "length = \"3s\"\n"
-			if c.with == lame { // a drain takes four seconds
+			if c.with == lame { // the check of a lame duck follows four seconds after the call
 				length = "length = \"7s\"\n"
 			}
 			if err := os.WriteFile(file, []byte(length+plantedClasses+c.with), 0o600); err != nil {
@@ -216,19 +216,19 @@
 			}
 			once, _ := clean.LoadOrStore(c.with, sync.OnceFunc(func() {
 				if r := judgedRun(t, file); len(r.Breaches) > 0 {
-					t.Errorf("found without the mistake: %s", r.Breaches[0].Summary())
+					t.Errorf("breach without the mistake: %s", r.Breaches[0].Summary())
 				}
 			}))
 			once.(func())()
 			r := judgedRun(t, file, "--node", buildPlanted(t, dir, c.file, c.from, c.to))
 			if !slices.ContainsFunc(r.Breaches, func(b judge.Breach) bool { return b.Rule == c.rule && b.What == c.what }) || r.Verdict != report.FallsShort {
-				t.Errorf("not found: %s, %v", r.Verdict, r.Rules)
+				t.Errorf("mistake not found: %s, %v", r.Verdict, r.Rules)
 			}
 		})
 	}
 }
 
-// buildPlanted builds a copy of the node in which one piece of one file is another.
+// buildPlanted builds a copy of the node with a replacement in one file. It fails unless the replaced text occurs exactly once.
 func buildPlanted(t *testing.T, dir, file, from, to string) string {
 	t.Helper()
 	path := filepath.Join(moduleRoot, file)
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	if strings.Count(string(text), from) != 1 {
-		t.Fatalf("%s does not hold once what is to be replaced: %q", file, from)
+		t.Fatalf("%s does not have exactly one occurrence of %q", file, from)
 	}
 	changed := filepath.Join(dir, "changed.go")
 	if err := os.WriteFile(changed, []byte(strings.Replace(string(text), from, to, 1)), 0o600); err != nil {
@@ -257,7 +257,7 @@
 	return built
 }
 
-// An interrupt ends all that was started and still prints the report so far.
+// An interrupted run ends all its processes and prints the report so far.
 func TestInterrupted(t *testing.T) {
 	cmd := exec.Command(filepath.Join(binDir, "lapislab"), "run", filepath.Join(moduleRoot, "lab", "experiments", "calm.toml"), "--length", "60s")
 	var out strings.Builder
@@ -274,25 +274,25 @@
 	case <-done:
 	case <-time.After(interruptTimeout):
 		cmd.Process.Kill()
-		t.Fatal("it does not end")
+		t.Fatal("lapislab does not exit after SIGINT")
 	}
 	if code := cmd.ProcessState.ExitCode(); code != statusInterrupted {
 		t.Errorf("status %d", code)
 	}
 	if !strings.Contains(out.String(), "calm: cut") || !strings.Contains(out.String(), "service  1.0") {
-		t.Errorf("printed %q", out.String())
+		t.Errorf("unexpected output %q", out.String())
 	}
 	if len(children) != 2 {
-		t.Errorf("%d nodes were running", len(children))
+		t.Errorf("%d nodes were running, want 2", len(children))
 	}
 	for _, pid := range children {
 		if syscall.Kill(pid, 0) == nil {
-			t.Errorf("node %d is left running", pid)
+			t.Errorf("the node with pid %d still runs", pid)
 		}
 	}
 }
 
-// childrenOf finds the processes that a process has started.
+// childrenOf returns the ids of the child processes of a process.
 func childrenOf(pid int) (all []int) {
 	lists, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", pid))
 	for _, path := range lists {
--- a/cmd/lapislab/main.go
+++ b/cmd/lapislab/main.go
@@ -1,5 +1,5 @@
-// Command lapislab puts whole deployments of lapisshelf on loopback sockets, plays load and troubles, and judges what was
-// seen: an emulator for a newcomer, an experiment tool for everyone else. docs/lab.md is its page.
+// Command lapislab runs whole deployments of lapisshelf on loopback sockets, generates load, injects faults, and judges what
+// clients and servers recorded. It serves as an emulator and as a tool for experiments; see docs/lab.md.
 package main
 
 import (
@@ -15,15 +15,15 @@
 	"lapisshelf/lab/scale"
 )
 
-// Statuses of the program's end.
+// Exit statuses of the program.
 const (
-	statusFallsShort  = 1   // an expectation falls short, or a rule is broken
-	statusError       = 2   // a bad file, bad arguments, a deployment that cannot be put up
-	statusVoid        = 3   // the lab itself was late: the run says nothing
-	statusInterrupted = 130 // it was broken off
+	statusFallsShort  = 1   // an expectation is not met, or a rule is broken
+	statusError       = 2   // a bad file, bad arguments, or a deployment that does not start
+	statusVoid        = 3   // the lab itself was late, so that the run cannot be judged
+	statusInterrupted = 130 // the run was interrupted
 )
 
-// exitError ends the program with a status and nothing more to say.
+// exitError ends the program with an exit status, without a message.
 type exitError int
 
 func (e exitError) Error() string { return fmt.Sprintf("status %d", int(e)) }
@@ -33,7 +33,7 @@
 func run(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	root := &cobra.Command{Use: "lapislab", Short: "Put a deployment of lapisshelf on loopback, play load and troubles, judge what was seen",
+	root := &cobra.Command{Use: "lapislab", Short: "Run a deployment of lapisshelf on loopback with load and faults, and judge the run",
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	root.CompletionOptions.DisableDefaultCmd = true
--- a/cmd/lapislab/planted_test.go
+++ b/cmd/lapislab/planted_test.go
@@ -11,13 +11,14 @@
 	"testing"
 )
 
-// planted has the soak play builds with a guard taken out, which takes minutes: go test ./cmd/lapislab -run SoakFinds -planted
-var planted = flag.Bool("planted", false, "have the soak find planted faults; each plays seeds of 12 s")
+// planted runs the soak on builds without one of their safeguards, which takes minutes:
+// go test ./cmd/lapislab -run SoakFinds -planted
+var planted = flag.Bool("planted", false, "let the soak find planted faults, with seeds of 12 s for each")
 
-// sourceEdit is one place of a planted fault.
+// sourceEdit replaces a text that occurs once in a file.
 type sourceEdit struct{ file, old, new string }
 
-// plantedFault is a guard taken out, and within how many seeds the soak is to find it, or why it is blind to it.
+// plantedFault removes a safeguard of the node. The soak must find it within so many seeds, unless blind tells why it cannot.
 type plantedFault struct {
 	name  string
 	seeds int
@@ -25,7 +26,7 @@
 	edits []sourceEdit
 }
 
-// plantedFaults are those that the soak is tried on. Each build has one of them.
+// plantedFaults are the faults that the soak is tested with. Each build has one of them.
 var plantedFaults = []plantedFault{
 	{name: "unsafe requests are repeated", seeds: 20, edits: []sourceEdit{
 		{"decide/safety/safety.go", "return MayHaveRun", "return Allowed"}}},
@@ -54,7 +55,8 @@
 		{"internal/node/members.go", "n.registry.Heard = n.listHeard", "n.registry.Heard = nil"}}},
 }
 
-// overlay writes a planted fault's files and gives the flag that builds with them. The place of each must be there once.
+// overlay writes the edited files of a planted fault and returns the path of the overlay for go build. It fails unless each replaced
+// text occurs exactly once.
 func (p *plantedFault) overlay(t *testing.T, dir string) string {
 	t.Helper()
 	replace := map[string]string{}
@@ -69,7 +71,7 @@
 			t.Fatal(err)
 		}
 		if n := strings.Count(string(text), e.old); n != 1 {
-			t.Fatalf("%s: %q stands %d times in %s", p.name, e.old, n, e.file)
+			t.Fatalf("%s: %q occurs %d times in %s, want 1", p.name, e.old, n, e.file)
 		}
 		to := filepath.Join(dir, fmt.Sprint(i, ".go"))
 		if err := os.WriteFile(to, []byte(strings.Replace(string(text), e.old, e.new, 1)), 0o600); err != nil {
@@ -88,7 +90,7 @@
 	return path
 }
 
-// Each planted fault's place is there, and the soak finds it within its number of seeds.
+// The texts that planted faults replace exist, and with -planted the soak finds each fault within its number of seeds.
 func TestSoakFindsPlantedFaults(t *testing.T) {
 	for i := range plantedFaults {
 		p := &plantedFaults[i]
@@ -96,11 +98,11 @@
 			dir := t.TempDir()
 			overlay := p.overlay(t, dir)
 			if p.blind != "" {
-				t.Logf("the soak is blind to it: %s", p.blind)
+				t.Logf("the soak cannot find it: %s", p.blind)
 				return
 			}
 			if !*planted {
-				return // that its place is there is seen
+				return // overlay has checked the replaced texts
 			}
 			node := filepath.Join(dir, "lapisshelf")
 			if out, err := exec.Command("go", "build", "-tags", "faults", "-overlay", overlay, "-o", node, "lapisshelf/cmd/lapisshelf").CombinedOutput(); err != nil {
@@ -122,7 +124,7 @@
 	}
 }
 
-// Two short seeds with few processes hold, with what they count: requests, attempts and troubles that overlapped.
+// Two short seeds with few processes hold, and the summary counts pairs of faults that overlapped.
 func TestSoakSeeds(t *testing.T) {
 	for _, seed := range []string{"7", "8"} {
 		t.Run(seed, func(t *testing.T) {
@@ -139,7 +141,7 @@
 				}
 				return
 			}
-			t.Fatal("the lab was late again and again: this machine is too busy")
+			t.Fatal("all runs were void: the machine is too busy")
 		})
 	}
 }
--- a/cmd/lapislab/scale.go
+++ b/cmd/lapislab/scale.go
@@ -12,15 +12,15 @@
 	"lapisshelf/lab/scale"
 )
 
-// scaleCommand measures what the control plane costs as the deployment grows.
+// scaleCommand measures the cost of the control plane over the size of the deployment.
 func scaleCommand() *cobra.Command {
 	var o scale.Options
 	var node, csvPath, pngDir, filesDir string
 	var quiet, legend bool
-	c := &cobra.Command{Use: "scale FILE", Short: "Measure the control plane over sizes: hollow nodes before real planners and a list service",
-		Long: "Goes through the sizes and variants of a TOML file: planners and the list service are processes, nodes are hollow, hundreds in a process,\n" +
-			"each with a real one's forwarder, list follower and decision module. Tells messages, bytes, processor time, memory, how long changes take\n" +
-			"and how faults settle, and fits their growth. Everything stays on loopback; all that it starts ends with it.",
+	c := &cobra.Command{Use: "scale FILE", Short: "Measure the control plane over sizes: hollow nodes with real planners and a list service",
+		Long: "Runs the sizes and variants of a TOML file. Planners and the list service are processes; nodes are hollow, hundreds in a process,\n" +
+			"each with the forwarder, list follower and decision module of a real one. Reports messages, bytes, processor time, memory, the delay of\n" +
+			"changes and the recovery from faults, and fits their growth. All traffic stays on loopback; all processes end with the command.",
 		Args: func(c *cobra.Command, args []string) error {
 			if legend {
 				return nil
@@ -81,19 +81,19 @@
 		}}
 	fl := c.Flags()
 	fl.Uint64Var(&o.Seed, "seed", 0, "draw the load from this seed (default: the file's)")
-	fl.BoolVar(&o.Short, "short", false, "the smallest size alone, with phases half as long")
+	fl.BoolVar(&o.Short, "short", false, "only the smallest size, with phases half as long")
 	fl.StringVar(&o.Size, "size", "", "NODESxSERVERS in place of the file's sizes, at the file's rate for it, else its highest")
-	fl.StringSliceVar(&o.Only, "only", nil, "only these variants, or only the calm and these faults")
-	fl.StringVar(&node, "node", "", "lapisshelf program that runs the planners (default: the one beside lapislab, else one built from this module)")
-	fl.StringVar(&csvPath, "csv", "", "write a row a figure to this file, and one a second of each phase to NAME-seconds.csv beside it")
+	fl.StringSliceVar(&o.Only, "only", nil, "only these variants, or only the calm phase and these faults")
+	fl.StringVar(&node, "node", "", "lapisshelf program that runs the planners (default: the one in the folder of lapislab, else one built from this module)")
+	fl.StringVar(&csvPath, "csv", "", "write a row per figure to this file, and a row per second of each phase to NAME-seconds.csv beside it")
 	fl.StringVar(&pngDir, "png", "", "write a plot of each slope into this folder")
 	fl.StringVar(&filesDir, "files", "", "folder that keeps keys, configurations and logs")
 	fl.BoolVar(&quiet, "quiet", false, "no progress on standard error")
-	fl.BoolVar(&legend, "legend", false, "tell what each measure is, and end")
+	fl.BoolVar(&legend, "legend", false, "print what each measure is, and exit")
 	return c
 }
 
-// scaleChildCommand plays a process of the scale tests' own: it is told what to do on its standard input.
+// scaleChildCommand returns a hidden command: a child process of a scale test, which reads its orders from standard input.
 func scaleChildCommand(role string) *cobra.Command {
 	return &cobra.Command{Use: role, Hidden: true, Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return scale.Child(role, os.Stdin, os.Stdout) }}
--- a/cmd/lapislab/soak.go
+++ b/cmd/lapislab/soak.go
@@ -15,7 +15,7 @@
 	"lapisshelf/lab/soak"
 )
 
-// soakFlags are what the command line says.
+// soakFlags holds the flags of the command soak.
 type soakFlags struct {
 	seed          uint64
 	seeds         int
@@ -32,28 +32,28 @@
 
 func soakCommand() *cobra.Command {
 	var f soakFlags
-	c := &cobra.Command{Use: "soak", Short: "Play drawn deployments whose troubles overlap, on real processes, and judge them", Args: cobra.NoArgs,
-		Long: "Each seed draws a deployment and a schedule in which two or three troubles overlap: processes that end, stop, are upgraded or reloaded, a list\n" +
-			"that is down or lies, servers and clients that misbehave, and, with --faults, system calls, disks and wall clocks that fail in the nodes.\n" +
-			"The rules are judged from what clients and servers saw. A seed that fails is shrunk, and its files are kept. Status 1: a seed failed;\n" +
-			"3: no seed could be judged, the machine was too busy.",
+	c := &cobra.Command{Use: "soak", Short: "Run randomly drawn deployments with overlapping faults on real processes, and judge them", Args: cobra.NoArgs,
+		Long: "Each seed draws a deployment and a schedule in which two or three faults overlap: processes that end, stop, are upgraded or reloaded, a\n" +
+			"server list that is down or wrong, servers and clients that misbehave, and, with --faults, system calls, disks and wall clocks that fail\n" +
+			"in the nodes. The rules are judged by what clients and servers recorded. The schedule of a seed that fails is shrunk, and its files are\n" +
+			"kept. Status 1: a seed failed; 3: no seed could be judged, because the machine was too busy.",
 		RunE: func(c *cobra.Command, _ []string) error { return f.runSeeds(c.Context(), c.OutOrStdout()) }}
 	l := c.Flags()
 	l.Uint64Var(&f.seed, "seed", 1, "the first seed")
-	l.IntVar(&f.seeds, "seeds", 1, "how many seeds, one after the other")
-	l.DurationVar(&f.length, "for", 20*time.Second, "how long the load of a seed lasts")
-	l.IntVar(&f.processes, "processes", 10, "nodes, 2 to 40")
-	l.Float64Var(&f.rate, "rate", 300, "first requests a second")
+	l.IntVar(&f.seeds, "seeds", 1, "number of seeds, run one after the other")
+	l.DurationVar(&f.length, "for", 20*time.Second, "duration of the load of a seed")
+	l.IntVar(&f.processes, "processes", 10, "number of nodes, 2 to 40")
+	l.Float64Var(&f.rate, "rate", 300, "first tries per second")
 	l.StringVar(&f.nodeCommand, "node", "", "command that runs a node (default: one built from this module)")
-	l.BoolVar(&f.faults, "faults", true, "have system calls, disks and clocks fail: the node is built with the tag faults")
-	l.StringVar(&f.replay, "replay", "", "play this file, which a soak has kept, in place of seeds")
-	l.StringVar(&f.filesDir, "files", "", "folder that keeps the files of seeds that fail (default: one for temporary files, which is named)")
-	l.StringVar(&f.csvPath, "csv", "", "write which pairs of troubles overlapped to this file")
-	l.IntVar(&f.maxShrinkRuns, "shrink", 6, "runs at most to shrink the schedule of a seed that fails")
+	l.BoolVar(&f.faults, "faults", true, "let system calls, disks and clocks fail: the node is built with the tag faults")
+	l.StringVar(&f.replay, "replay", "", "run this file, which a soak has kept, instead of seeds")
+	l.StringVar(&f.filesDir, "files", "", "folder that keeps the files of seeds that fail (default: a temporary one, whose name is printed)")
+	l.StringVar(&f.csvPath, "csv", "", "write which pairs of faults overlapped to this file")
+	l.IntVar(&f.maxShrinkRuns, "shrink", 6, "maximum number of runs to shrink the schedule of a seed that fails")
 	return c
 }
 
-// buildNode builds a node, with or without what makes its system calls fail.
+// buildNode builds a node, with the tag faults if system faults are enabled, and returns its command.
 func (f *soakFlags) buildNode(ctx context.Context, dir string) (string, error) {
 	if f.nodeCommand != "" {
 		return f.nodeCommand, checkCommand(f.nodeCommand)
@@ -69,7 +69,7 @@
 	return out, nil
 }
 
-// totals is what came of all seeds.
+// totals sums up the outcomes of all seeds.
 type totals struct {
 	judged, void, failed, requests, attempts, processes int
 	processTime                                         time.Duration
@@ -78,7 +78,7 @@
 
 func (f *soakFlags) runSeeds(ctx context.Context, out io.Writer) error {
 	if f.processes < 2 || f.processes > 40 || f.seeds < 1 || f.length < 2*time.Second || f.length > 10*time.Minute || f.rate <= 0 {
-		return fmt.Errorf("--processes 2 to 40, --seeds from 1, --for 2s to 10m and --rate above 0 are allowed")
+		return fmt.Errorf("--processes must be 2 to 40, --seeds at least 1, --for 2s to 10m, and --rate above 0")
 	}
 	dir := f.filesDir
 	if dir == "" {
@@ -118,7 +118,7 @@
 			if err := os.WriteFile(path, []byte(smallest.Text()), 0o644); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "  %d of %d troubles are enough; replay: lapislab soak --replay %s\n", len(smallest.Faults), len(p.Faults), path)
+			fmt.Fprintf(out, "  %d of %d faults are enough; replay: lapislab soak --replay %s\n", len(smallest.Faults), len(p.Faults), path)
 		}
 		if !o.Failed() {
 			os.RemoveAll(o.Dir)
@@ -127,7 +127,7 @@
 	return sum.finish(out, f.csvPath)
 }
 
-// replayFile plays a file that was kept.
+// replayFile runs a file that a soak has kept.
 func (f *soakFlags) replayFile(ctx context.Context, out io.Writer, r *soak.Runner) error {
 	text, err := os.ReadFile(f.replay)
 	if err != nil {
@@ -147,7 +147,7 @@
 	return sum.finish(out, "")
 }
 
-// printOutcome prints a seed's outcome, and the schedule of one that fails.
+// printOutcome prints the outcome of a seed, with failures and schedule if it failed.
 func (f *soakFlags) printOutcome(out io.Writer, o *soak.Outcome) {
 	verdict := "held"
 	switch {
@@ -156,7 +156,7 @@
 	case o.Failed():
 		verdict = "FAILED"
 	}
-	fmt.Fprintf(out, "seed %d: %s; %d requests, %d attempts, %d processes, served %.3f, %d troubles\n", o.Plan.Seed, verdict, o.Requests, o.Attempts, o.Processes, o.WorthShare,
+	fmt.Fprintf(out, "seed %d: %s; %d requests, %d attempts, %d processes, served %.3f, %d faults\n", o.Plan.Seed, verdict, o.Requests, o.Attempts, o.Processes, o.WorthShare,
 		len(o.Plan.Faults))
 	if !o.Failed() {
 		return
@@ -165,10 +165,10 @@
 		fmt.Fprintf(out, "  %s\n", x)
 	}
 	for _, t := range o.Plan.Faults {
-		fmt.Fprintf(out, "  trouble %s at %v for %v\n", t.Kind, t.At, t.For)
+		fmt.Fprintf(out, "  fault %s at %v for %v\n", t.Kind, t.At, t.For)
 	}
 	if o.Plan.SystemFaults != "" {
-		fmt.Fprintf(out, "  calls that fail: %s\n", o.Plan.SystemFaults)
+		fmt.Fprintf(out, "  system faults: %s\n", o.Plan.SystemFaults)
 	}
 	fmt.Fprintf(out, "  files: %s\n", o.Dir)
 }
@@ -189,10 +189,10 @@
 	s.coverage.Add(o.Plan, length)
 }
 
-// finish prints what came of all and gives the program's end.
+// finish prints the totals, writes the coverage, and returns the exit status.
 func (s *totals) finish(out io.Writer, csvPath string) error {
 	missing := s.coverage.Missing(append(soak.FaultKinds(), soak.SystemFaultsKind))
-	fmt.Fprintf(out, "%d seeds judged, %d failed, %d void; %d requests, %d attempts, %d processes, %.2f process hours; %d pairs of troubles overlapped, %d never\n",
+	fmt.Fprintf(out, "%d seeds judged, %d failed, %d void; %d requests, %d attempts, %d processes, %.2f process hours; %d pairs of faults overlapped, %d never\n",
 		s.judged, s.failed, s.void, s.requests, s.attempts, s.processes, s.processTime.Hours(), len(s.coverage.Pairs), len(missing))
 	if csvPath != "" {
 		f, err := os.Create(csvPath)
