--- a/cmd/lapislab/commands.go
+++ b/cmd/lapislab/commands.go
@@ -73,17 +73,17 @@
 	}
 }
 
-// playExperiment starts a deployment, runs the experiment and stops it.
-func playExperiment(ctx context.Context, x *experiment.Experiment, opt stage.Options) (*report.Run, error) {
-	s, err := stage.Open(x, opt)
+// runExperiment starts a deployment, runs the experiment and stops it.
+func runExperiment(ctx context.Context, x *experiment.Experiment, opt stage.Options) (*report.Run, error) {
+	deployment, err := stage.Open(x, opt)
 	if err != nil {
 		return nil, err
 	}
-	defer s.Close()
+	defer deployment.Close()
 	if opt.Progress != nil {
 		defer fmt.Fprint(os.Stderr, "\r\x1b[K")
 	}
-	return report.New(x, opt.Command, s.Run(ctx)), nil
+	return report.New(x, opt.Command, deployment.Run(ctx)), nil
 }
 
 func runCommand() *cobra.Command {
@@ -104,7 +104,7 @@
 			if err != nil {
 				return err
 			}
-			r, err := playExperiment(c.Context(), x, stage.Options{Command: command, Dir: dir, Progress: s.progressPrinter("")})
+			r, err := runExperiment(c.Context(), x, stage.Options{Command: command, Dir: dir, Progress: s.progressPrinter("")})
 			if err != nil {
 				return err
 			}
@@ -217,7 +217,7 @@
 						return err
 					}
 					prefix := fmt.Sprintf("pair %d of %d, %c: ", i+1, pairs, 'a'+side)
-					if runs[side], err = playUntilValid(c.Context(), x, stage.Options{Command: command, Dir: sideDir, Progress: s.progressPrinter(prefix)}); err != nil {
+					if runs[side], err = runUntilValid(c.Context(), x, stage.Options{Command: command, Dir: sideDir, Progress: s.progressPrinter(prefix)}); err != nil {
 						return err
 					}
 					interrupted = interrupted || runs[side].Verdict == report.Cut
@@ -269,10 +269,10 @@
 // maxVoidRuns is how often a run is attempted as long as it is void.
 const maxVoidRuns = 3
 
-// playUntilValid runs an experiment, again if the lab was late and the run is void.
-func playUntilValid(ctx context.Context, x *experiment.Experiment, opt stage.Options) (r *report.Run, err error) {
+// runUntilValid runs an experiment, again if the lab was late and the run is void.
+func runUntilValid(ctx context.Context, x *experiment.Experiment, opt stage.Options) (r *report.Run, err error) {
 	for range maxVoidRuns {
-		if r, err = playExperiment(ctx, x, opt); err != nil || r.Verdict != report.Void {
+		if r, err = runExperiment(ctx, x, opt); err != nil || r.Verdict != report.Void {
 			break
 		}
 	}
--- a/cmd/lapislab/lapislab_test.go
+++ b/cmd/lapislab/lapislab_test.go
@@ -112,7 +112,7 @@
 		}
 		return &r
 	}
-	t.Fatal("all runs were void: the machine is too busy")
+	t.Fatal("no run could be judged: the machine is too busy")
 	return nil
 }
 
--- a/cmd/lapislab/planted_test.go
+++ b/cmd/lapislab/planted_test.go
@@ -141,7 +141,7 @@
 				}
 				return
 			}
-			t.Fatal("all runs were void: the machine is too busy")
+			t.Fatal("no run could be judged: the machine is too busy")
 		})
 	}
 }
--- a/lab/soak/draw.go
+++ b/lab/soak/draw.go
@@ -29,7 +29,7 @@
 }
 
 // end returns when the effects of the fault end, at least instantFaultSpan after its start.
-func (t Fault) end() time.Duration { return t.At + max(t.For, instantFaultSpan) }
+func (f Fault) end() time.Duration { return f.At + max(f.For, instantFaultSpan) }
 
 // instantFaultSpan is the assumed duration of the effects of an instant fault, for the coverage.
 const instantFaultSpan = 500 * time.Millisecond
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -60,12 +60,12 @@
 		return nil, err
 	}
 	defer os.Unsetenv(faultsEnv)
-	s, err := stage.Open(x, stage.Options{Command: r.Command, Dir: dir, KeepState: true})
+	deployment, err := stage.Open(x, stage.Options{Command: r.Command, Dir: dir, KeepState: true})
 	if err != nil {
 		return nil, fmt.Errorf("seed %d: %w", p.Seed, err)
 	}
-	defer s.Close()
-	result := s.Run(ctx)
+	defer deployment.Close()
+	result := deployment.Run(ctx)
 	length := x.Length.D()
 	o := &Outcome{Plan: p, VoidReason: result.Lab.VoidReason, Requests: len(result.Record.Tries), Attempts: len(result.Record.Attempts), Processes: len(result.Record.NodeProcesses), Dir: dir}
 	if result.Interrupted {
--- a/lab/stage/stage.go
+++ b/lab/stage/stage.go
@@ -25,7 +25,7 @@
 	"lapisshelf/lab/world"
 )
 
-// A run is void if the lab itself was later than this.
+// Limits of the delays of the lab itself, above which a run is void, and how often stalls are measured.
 const (
 	maxMeanLateness    = 2 * time.Millisecond  // mean of the stand-ins
 	maxP99Lateness     = 10 * time.Millisecond // 99th percentile of the sent tries
