--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment reads experiment files: a deployment, its load, its troubles and what is expected of it. A fault in
-// a file is one line with file, line and key.
+// Package experiment reads experiment files. A file describes a deployment, its load, the faults that are injected and the
+// figures that are expected of the run. An error in a file is reported in one line with file, line and key.
 package experiment
 
 import (
@@ -17,14 +17,15 @@
 	"lapisshelf/lab/world"
 )
 
-// Span is a time span as in "250ms".
-type Span = tomlfile.Duration
+// Duration is a duration in the notation of Go, such as "250ms".
+type Duration = tomlfile.Duration
 
-// File is an experiment file as it stands. Every key has a default but length, class and fleet.count.
+// File is an experiment file as it is written. Every key has a default, except length, class and fleet.count. Here and in the
+// types below, fields without a tag have the name of their key.
 type File struct {
 	Name     string
 	Seed     uint64
-	Length   Span
+	Length   Duration
 	Short    Short
 	Service  Service
 	Class    []Class
@@ -40,148 +41,149 @@
 	Expect   map[string]any
 }
 
-// Short is what --short changes: for CI and for a first look.
+// Short has the values that --short uses, for CI and for a quick look.
 type Short struct {
-	Length Span
+	Length Duration
 	Rate   float64
 }
 
-// Service is what the nodes are told of the deployment besides its classes.
+// Service holds the settings of the nodes, except for the classes and tenants.
 type Service struct {
-	Mode           string // aside or through
+	Mode           string // "aside" or "through"
 	Attempts       int
 	Parallel       *bool
 	Cancel         *bool
-	RetryAfter     *bool   `toml:"retry_after"`
-	MaxRetryAfter  Span    `toml:"max_retry_after"`
-	ConnIdle       Span    `toml:"conn_idle"`
-	ConnectTimeout Span    `toml:"connect_timeout"`
-	PerConn        int     `toml:"per_conn"`
-	MostHeld       int     `toml:"most_held"`
-	AnswerSlack    Span    `toml:"answer_slack"`
-	DrainGrace     Span    `toml:"drain_grace"`
-	AskWithin      Span    `toml:"ask_within"`
-	WarmUp         Span    `toml:"warm_up"`
-	ColdFrom       float64 `toml:"cold_from"`
-	FallMultiple   float64 `toml:"fall_multiple"`
-	FallWindow     Span    `toml:"fall_window"`
+	RetryAfter     *bool    `toml:"retry_after"`
+	MaxRetryAfter  Duration `toml:"max_retry_after"`
+	ConnIdle       Duration `toml:"conn_idle"`
+	ConnectTimeout Duration `toml:"connect_timeout"`
+	PerConn        int      `toml:"per_conn"`
+	MaxHeld        int      `toml:"most_held"`
+	AnswerSlack    Duration `toml:"answer_slack"`
+	DrainGrace     Duration `toml:"drain_grace"`
+	AskWithin      Duration `toml:"ask_within"`
+	WarmUp         Duration `toml:"warm_up"`
+	ColdFrom       float64  `toml:"cold_from"`
+	FallMultiple   float64  `toml:"fall_multiple"`
+	FallWindow     Duration `toml:"fall_window"`
 	Weights        string
-	OverWorth      float64 `toml:"over_worth"`
-	Hits           *bool   // answers tell hit or miss
-	Reports        *bool   // answers carry load reports
+	OverShareWorth float64 `toml:"over_worth"`
+	Hits           *bool   // responses of caches state whether they are a hit or a miss
+	Reports        *bool   // responses of caches carry load reports
 }
 
-// Class is a class of requests.
+// Class is a class of requests. Work is the mean work of a request, Sigma the standard deviation of its logarithm; Size is the
+// size of a value in bytes.
 type Class struct {
 	Name      string
-	Effect    string // safe, keyed or unsafe
-	Scope     string // all, zone or cell, for keyed
-	Window    Span   // for keyed
+	Effect    string   // "safe", "keyed" or "unsafe"
+	Scope     string   // "all", "zone" or "cell"; of a keyed class
+	Window    Duration // how long repeats of a keyed request are dropped
 	Share     float64
-	Work      Span
+	Work      Duration
 	Sigma     float64
 	Size      int
 	SizeSigma float64 `toml:"size_sigma"`
-	Aim       Span
-	Deadline  Span
+	Aim       Duration
+	Deadline  Duration
 	Worth     float64
 	LateShare float64 `toml:"late_share"`
 	Write     bool
 }
 
-// Tenant is one who shares the service.
+// Tenant is a customer of the service, with its share of the requests and its quota.
 type Tenant struct {
 	Name  string
 	Share float64
 	Quota float64
 }
 
-// Nodes are the balancers.
+// Nodes describes the balancers.
 type Nodes struct {
 	Count    int
-	Command  string // the program; empty: it is built, or found beside lapislab
-	Config   string // an operator's file for it, beside the experiment file
+	Command  string // runs a node; empty: lapisshelf in the folder of lapislab, or one that is built
+	Config   string // path of an operator's file for the nodes, relative to the experiment file
 	MemoryMB int    `toml:"memory_mb"`
 	Sockets  int
-	Listen   []string // addresses; empty: any on loopback
-	Direct   bool     // no nodes: clients speak to caches, key by key; measures the lab itself
+	Listen   []string // addresses, one a node; empty: free loopback addresses
+	Direct   bool     // without nodes: clients send to the caches directly, which measures the lab itself
 }
 
-// Planners are what nodes talk to, where there are any.
+// Planners describes the planners; a Count of 0 means that there are none.
 type Planners struct {
 	Count int
-	Every Span   // between digests and views
-	Valid Span   // how long a view holds
-	Fade  Span   // how long it fades after that
-	Talk  string // changes: brief digests and what changed of views; whole: both whole
+	Every Duration // interval between digests, and between views
+	Valid Duration // how long a view is valid
+	Fade  Duration // how long an expired view keeps a decreasing influence
+	Talk  string   // "changes": brief digests and changes of views; "whole": complete digests and views
 }
 
-// Fleet is the cache servers that have no group of their own.
+// Fleet describes the cache servers that belong to no group, and the defaults of the groups.
 type Fleet struct {
 	Count     int
-	Group          // figures of each
-	Tolerance Span // of the judge; what the lab may notice late
+	Group              // properties of each server
+	Tolerance Duration // how late the lab may observe an event; the judge allows for it
 }
 
-// Group is a number of servers that are alike.
+// Group describes a number of identical cache servers. Room is the limit of the queue for one of the Slots.
 type Group struct {
-	Count       int
-	Kind        string
-	Zone        string
-	Cell        int
-	Weight      float64
-	Cores       int
-	Speed       float64
-	Slots       int
-	Room        int
-	MemoryMB    float64 `toml:"memory_mb"`
-	ReportEvery Span    `toml:"report_every"`
-	ReportNoise float64 `toml:"report_noise"`
-	Handshake   Span
-	MaxConns    int  `toml:"max_conns"`
-	Coalesce    bool // in through mode: fetches of one key are shared
-	Lease       Span // a miss within it is told as another's fetch
-	KeepsWork   bool `toml:"keeps_work"`
-	Cold        bool // they start cold
-}
-
-// Origin is what is behind the caches.
+	Count         int
+	Kind          string
+	Zone          string
+	Cell          int
+	Weight        float64
+	Cores         int
+	Speed         float64
+	Slots         int
+	Room          int
+	MemoryMB      float64  `toml:"memory_mb"`
+	ReportEvery   Duration `toml:"report_every"`
+	ReportNoise   float64  `toml:"report_noise"`
+	Handshake     Duration
+	MaxConns      int      `toml:"max_conns"`
+	Coalesce      bool     // in through mode, concurrent fetches of a key share one origin request
+	Lease         Duration // after a miss, other misses of the key are reported as being fetched for this long; 0: never
+	IgnoresCancel bool     `toml:"keeps_work"`
+	Cold          bool     // the servers are cold at the start of the run
+}
+
+// Origin describes the origin server. Room is the limit of the queue for one of its Slots.
 type Origin struct {
-	Cores        int
-	Slots, Room  int
-	Work         Span
-	Sigma        float64
-	WriteFactor  float64 `toml:"write_factor"`
-	FallMultiple float64 `toml:"fall_multiple"`
-	FallFor      Span    `toml:"fall_for"`
-	Down         Span
-	KeepsWork    bool `toml:"keeps_work"`
-	None         bool // there is none
-}
-
-// List is where the nodes have their list from.
+	Cores         int
+	Slots, Room   int
+	Work          Duration
+	Sigma         float64
+	WriteFactor   float64  `toml:"write_factor"`
+	FallMultiple  float64  `toml:"fall_multiple"`
+	FallFor       Duration `toml:"fall_for"`
+	Down          Duration
+	IgnoresCancel bool `toml:"keeps_work"`
+	None          bool // there is no origin
+}
+
+// List describes the source of the server list: the list service, or a registry.
 type List struct {
-	Delay Span
-	Keep  int
-	Whole bool
-	Wait  Span
-
-	Kind      string  // discovery, etcd or consul
-	Endpoints int     // of a registry
-	Lease     Span    // servers keep their entries under leases of that time; 0: they stand until they are taken out
-	Progress  Span    // between progress notices of a quiet watch
-	Token     string  // that the registry wants
-	Hold      Span    // what the nodes are told, see the operator's file
-	HoldPart  float64 `toml:"hold_part"`
-	Rewind    Span
-	Watch     Span
-	Announce  bool // nodes keep entries of themselves
-}
-
-// Registry reports whether the list is in a key-value registry.
-func (l *List) Registry() bool { return l.Kind != "discovery" }
-
-// Clients are who asks.
+	Delay Duration // until a change becomes visible
+	Keep  int      // changes that the list service remembers; 0: 1000
+	Whole bool     // the list service sends the complete list every time
+	Wait  Duration // how long the list service holds a call before it answers
+
+	Kind      string   // "discovery", "etcd" or "consul"
+	Endpoints int      // of a registry, the number of its endpoints
+	Lease     Duration // TTL of the leases under which servers keep their entries; 0: entries last until they are deleted
+	Progress  Duration // interval between progress notifications of an idle watch
+	Token     string   // that the registry requires; empty: none
+	Hold      Duration // hold of the nodes' [registry] table; the same goes for HoldPart, Rewind and Watch
+	HoldPart  float64  `toml:"hold_part"`
+	Rewind    Duration
+	Watch     Duration
+	Announce  bool // nodes register themselves
+}
+
+// InRegistry reports whether the list is in a key-value registry.
+func (l *List) InRegistry() bool { return l.Kind != "discovery" }
+
+// Clients describes the load; see world.ClientSpec. Patience is the range of the timeouts of a try, as fractions of the deadline.
 type Clients struct {
 	Rate       float64
 	Keys       int
@@ -190,64 +192,64 @@
 	Drift      float64
 	Patience   []float64
 	Retries    int
-	Pause      Span
+	Pause      Duration
 	MarksRetry bool `toml:"marks_retry"`
 	Leaves     float64
 	Skew       []float64
-	Warm       float64 // part of each cache's memory that holds popular keys at the start
+	Warm       float64 // fraction of each cache's memory that holds popular keys at the start
 }
 
-// Expectation is one line of [expect].
+// Expectation is a limit of a figure, from a line of [expect].
 type Expectation struct {
-	Figure string
-	Most   bool // at most, else at least
-	Limit  float64
-	Line   string // where it stands
+	Figure   string
+	IsMax    bool // Limit is a maximum, otherwise a minimum
+	Limit    float64
+	Location string // file, line and key
 }
 
-// Experiment is a file that makes sense, with its defaults filled in.
+// Experiment is a valid file with its defaults filled in and everything that the seed determines.
 type Experiment struct {
 	File
-	Path     string
-	About    string // the comment at the file's head
-	Classes  []world.Class
-	Tenants  []world.Tenant
-	Servers  []Server
-	Timeline *fault.Timeline
-	Expects  []Expectation
-	Broken   []string // rules that are expected to be broken
-	Source   world.ClientSpec
+	Path         string
+	Description  string // the comment at the head of the file
+	Classes      []world.Class
+	Tenants      []world.Tenant
+	Servers      []Server
+	Timeline     *fault.Timeline
+	Expectations []Expectation
+	BrokenRules  []string // rules that the run is expected to break
+	ClientSpec   world.ClientSpec
 
-	model bool
+	virtualTime bool
 }
 
-// Server is a cache server of the plan.
+// Server is a cache server of the experiment.
 type Server struct {
-	Name   string
-	ID     string
-	Spec   world.CacheSpec
-	Member world.Member // without its address
-	Group  Group
-	Later  bool // it starts in the course of the run
+	Name        string
+	ID          string
+	Spec        world.CacheSpec
+	Member      world.Member // without its address, which is known once it listens
+	Group       Group
+	StartsLater bool // a fault starts it during the run
 }
 
-// Options are what the command line changes.
+// Options override values of the file.
 type Options struct {
-	Seed   uint64 // 0: the file's
-	Short  bool
-	Length time.Duration // 0: the file's
-	Rate   float64       // 0: the file's
-	Model  bool          // for virtual time: more nodes are allowed, and nothing is expected of their processes
+	Seed        uint64 // 0: the file's
+	Short       bool
+	Length      time.Duration // 0: the file's
+	Rate        float64       // 0: the file's
+	VirtualTime bool          // the run takes no processes: more nodes are allowed, and expectations of their processes are dropped
 }
 
-// Read reads a file.
+// Read reads and checks an experiment file.
 func Read(path string, opt Options) (*Experiment, error) {
 	x := &Experiment{Path: path}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		var why *os.PathError
-		if errors.As(err, &why) {
-			err = &tomlfile.Error{Path: path, Reason: why.Err.Error()}
+		var pathErr *os.PathError
+		if errors.As(err, &pathErr) {
+			err = &tomlfile.Error{Path: path, Reason: pathErr.Err.Error()}
 		}
 		return nil, err
 	}
@@ -256,7 +258,7 @@
 	if err != nil {
 		return nil, err
 	}
-	x.About = about(string(text))
+	x.Description = headComment(string(text))
 	if opt.Short {
 		if x.Short.Length.D() > 0 {
 			x.Length = x.Short.Length
@@ -274,20 +276,20 @@
 	if opt.Rate > 0 {
 		x.Clients.Rate = opt.Rate
 	}
-	x.model = opt.Model
+	x.virtualTime = opt.VirtualTime
 	if err := x.check(f); err != nil {
 		return nil, err
 	}
-	if opt.Model {
-		x.Expects = slices.DeleteFunc(x.Expects, func(e Expectation) bool {
+	if opt.VirtualTime {
+		x.Expectations = slices.DeleteFunc(x.Expectations, func(e Expectation) bool {
 			return strings.HasPrefix(e.Figure, "said_") || strings.HasPrefix(e.Figure, "node_")
 		})
 	}
 	return x, nil
 }
 
-// about is the comment at a file's head.
-func about(text string) string {
+// headComment returns the comment at the head of a file as one line.
+func headComment(text string) string {
 	var lines []string
 	for _, l := range strings.Split(text, "\n") {
 		rest, ok := strings.CutPrefix(l, "#")
@@ -299,18 +301,18 @@
 	return strings.Join(lines, " ")
 }
 
-func yes() *bool { b := true; return &b }
-func no() *bool  { b := false; return &b }
+func newTrue() *bool  { b := true; return &b }
+func newFalse() *bool { b := false; return &b }
 
-func ms(n int) Span { return tomlfile.NewDuration(time.Duration(n) * time.Millisecond) }
+func ms(n int) Duration { return tomlfile.NewDuration(time.Duration(n) * time.Millisecond) }
 
-// defaults is a small deployment; docs/lab.md has the same figures.
+// defaults returns the defaults of all keys, those of a small deployment. docs/lab.md has the same values.
 func defaults() File {
 	return File{Seed: 1, Length: ms(10000),
-		Service: Service{Mode: "aside", Attempts: 6, Parallel: no(), Cancel: yes(), RetryAfter: yes(), MaxRetryAfter: ms(1000),
-			ConnIdle: ms(10000), ConnectTimeout: ms(250), PerConn: 8, MostHeld: 5000, AnswerSlack: ms(20), DrainGrace: ms(400),
+		Service: Service{Mode: "aside", Attempts: 6, Parallel: newFalse(), Cancel: newTrue(), RetryAfter: newTrue(), MaxRetryAfter: ms(1000),
+			ConnIdle: ms(10000), ConnectTimeout: ms(250), PerConn: 8, MaxHeld: 5000, AnswerSlack: ms(20), DrainGrace: ms(400),
 			AskWithin: ms(4000), WarmUp: ms(8000), ColdFrom: 0.2, FallMultiple: 3, FallWindow: ms(1500), Weights: "nominal",
-			OverWorth: 0.05, Hits: yes(), Reports: yes()},
+			OverShareWorth: 0.05, Hits: newTrue(), Reports: newTrue()},
 		Nodes:    Nodes{Count: 2, MemoryMB: 192, Sockets: 1024},
 		Planners: Planners{Every: ms(500), Valid: ms(3000), Fade: ms(10000), Talk: "changes"},
 		Fleet: Fleet{Group: Group{Kind: "std", Zone: "a", Weight: 1, Cores: 2, Speed: 1, Slots: 16, Room: 32, MemoryMB: 2,
@@ -323,7 +325,7 @@
 	}
 }
 
-// check fills in what follows from the file and says what makes no sense in it.
+// check validates the file and fills in the fields that are derived from it.
 func (x *Experiment) check(f *tomlfile.File) error {
 	at := tomlfile.At
 	type rule struct {
@@ -331,7 +333,7 @@
 		at   []any
 		text string
 	}
-	first := func(rules ...rule) error {
+	firstViolated := func(rules ...rule) error {
 		for _, r := range rules {
 			if r.bad {
 				return f.Errorf(r.at, "%s", r.text)
@@ -340,22 +342,22 @@
 		return nil
 	}
 	s, c, n, o := &x.Service, &x.Clients, &x.Nodes, &x.Origin
-	if err := first(
+	if err := firstViolated(
 		rule{x.Length.D() <= 0 || x.Length.D() > 24*time.Hour, at("length"), "must be above 0 and at most 24h"},
 		rule{x.Short.Length.D() < 0, at("short", "length"), "must not be negative"},
 		rule{s.Mode != "aside" && s.Mode != "through", at("service", "mode"), fmt.Sprintf("%q is neither aside nor through", s.Mode)},
 		rule{s.Attempts < 1 || s.Attempts > 100, at("service", "attempts"), "must be 1 to 100"},
 		rule{s.PerConn < 1, at("service", "per_conn"), "must be at least 1"},
-		rule{s.MostHeld < 1, at("service", "most_held"), "must be at least 1"},
+		rule{s.MaxHeld < 1, at("service", "most_held"), "must be at least 1"},
 		rule{!(s.ColdFrom > 0 && s.ColdFrom <= 1), at("service", "cold_from"), "must be above 0 and at most 1"},
 		rule{!(s.FallMultiple >= 0), at("service", "fall_multiple"), "must not be negative"},
-		rule{!(s.OverWorth >= 0 && s.OverWorth <= 1), at("service", "over_worth"), "must be 0 to 1"},
+		rule{!(s.OverShareWorth >= 0 && s.OverShareWorth <= 1), at("service", "over_worth"), "must be 0 to 1"},
 		rule{!slices.Contains([]string{"off", "nominal", "rough", "live"}, s.Weights), at("service", "weights"), "must be off, nominal, rough or live"},
 		rule{len(x.Class) == 0, at("class"), "an experiment needs a class of requests"},
 		rule{x.Fleet.Count+len(x.File.Group) == 0, at("fleet", "count"), "an experiment needs a cache server"},
 		rule{x.Fleet.Count < 0 || x.Fleet.Count > 1000, at("fleet", "count"), "must be 0 to 1000"},
-		rule{n.Count < 1 || n.Count > mostNodes && !x.model, at("nodes", "count"), "must be 1 to 64 on sockets; lapislab model takes more"},
-		rule{n.Count > mostModelled, at("nodes", "count"), "must be at most 5000"},
+		rule{n.Count < 1 || n.Count > maxNodes && !x.virtualTime, at("nodes", "count"), "must be 1 to 64; only lapislab model allows more"},
+		rule{n.Count > maxVirtualNodes, at("nodes", "count"), "must be at most 5000"},
 		rule{n.MemoryMB < 8, at("nodes", "memory_mb"), "must be at least 8"},
 		rule{n.Sockets < 64, at("nodes", "sockets"), "must be at least 64"},
 		rule{x.Planners.Count < 0 || x.Planners.Count > 8, at("planners", "count"), "must be 0 to 8"},
@@ -363,9 +365,9 @@
 		rule{x.Planners.Valid.D() < 2*x.Planners.Every.D() || x.Planners.Valid.D() > 100*time.Second, at("planners", "valid"), "must be twice every to 100s"},
 		rule{x.Planners.Fade.D() < time.Second || x.Planners.Fade.D() > time.Hour, at("planners", "fade"), "must be 1s to 1h"},
 		rule{x.Planners.Talk != "changes" && x.Planners.Talk != "whole", at("planners", "talk"), fmt.Sprintf("%q is neither changes nor whole", x.Planners.Talk)},
-		rule{x.Planners.Talk == "whole" && !x.model, at("planners", "talk"), "lapislab model alone can choose it"},
-		rule{x.Planners.Count > 0 && n.Config != "", at("nodes", "config"), "the lab writes the operator's file itself where there are planners"},
-		rule{len(n.Listen) > 0 && len(n.Listen) != n.Count, at("nodes", "listen"), "wants an address for each node"},
+		rule{x.Planners.Talk == "whole" && !x.virtualTime, at("planners", "talk"), "only lapislab model supports it"},
+		rule{x.Planners.Count > 0 && n.Config != "", at("nodes", "config"), "must be empty with planners: the lab writes the operator's file"},
+		rule{len(n.Listen) > 0 && len(n.Listen) != n.Count, at("nodes", "listen"), "must have an address for each node"},
 		rule{o.Cores < 1, at("origin", "cores"), "must be at least 1"},
 		rule{o.Slots < 1, at("origin", "slots"), "must be at least 1"},
 		rule{o.Room < 0, at("origin", "room"), "must not be negative"},
@@ -379,65 +381,65 @@
 		rule{x.List.Endpoints < 1 || x.List.Endpoints > 8, at("list", "endpoints"), "must be 1 to 8"},
 		rule{x.List.Lease.D() < 0 || x.List.Lease.D() > 0 && x.List.Lease.D() < time.Second, at("list", "lease"), "must be 0s, or at least 1s"},
 		rule{x.List.Progress.D() < 0, at("list", "progress"), "must not be negative"},
-		rule{x.List.Registry() && n.Config != "", at("nodes", "config"), "the lab writes the operator's file itself where the list is in a registry"},
-		rule{!x.List.Registry() && (x.List.Endpoints > 1 || x.List.Lease.D() > 0 || x.List.Token != "" || x.List.Announce), at("list", "kind"), "endpoints, leases and tokens need a registry: etcd or consul"},
+		rule{x.List.InRegistry() && n.Config != "", at("nodes", "config"), "must be empty with a registry: the lab writes the operator's file"},
+		rule{!x.List.InRegistry() && (x.List.Endpoints > 1 || x.List.Lease.D() > 0 || x.List.Token != "" || x.List.Announce), at("list", "kind"), "endpoints, leases, tokens and announcements need a registry: etcd or consul"},
 		rule{!(c.Rate > 0 && c.Rate <= 200000), at("clients", "rate"), "must be above 0 and at most 200000 a second"},
-		rule{c.Rate*x.Length.D().Seconds() > 20e6, at("clients", "rate"), "over 20 million requests in a run"},
+		rule{c.Rate*x.Length.D().Seconds() > 20e6, at("clients", "rate"), "gives over 20 million requests in a run"},
 		rule{c.Keys < 1 || c.Keys > 5e6, at("clients", "keys"), "must be 1 to 5000000"},
 		rule{!(c.Zipf >= 0 && c.Zipf <= 5), at("clients", "zipf"), "must be 0 to 5"},
 		rule{!(c.Offset >= 0 && c.Offset < 1e9), at("clients", "offset"), "must not be negative"},
 		rule{!(c.Drift >= 0 && c.Drift <= 1), at("clients", "drift"), "must be 0 to 1"},
 		rule{len(c.Patience) != 2 || !(c.Patience[0] > 0 && c.Patience[1] >= c.Patience[0] && c.Patience[1] <= 1), at("clients", "patience"),
-			"must be two parts of the deadline, the lower first, above 0 and at most 1"},
+			"must be two fractions of the deadline, the lower one first, above 0 and at most 1"},
 		rule{c.Retries < 0 || c.Retries > 20, at("clients", "retries"), "must be 0 to 20"},
 		rule{!(c.Leaves >= 0 && c.Leaves <= 1), at("clients", "leaves"), "must be 0 to 1"},
 		rule{!(c.Warm >= 0 && c.Warm <= 1), at("clients", "warm"), "must be 0 to 1"},
-		rule{len(c.Skew) > 0 && len(c.Skew) != n.Count, at("clients", "skew"), "wants a share for each node"},
+		rule{len(c.Skew) > 0 && len(c.Skew) != n.Count, at("clients", "skew"), "must have a share for each node"},
 	); err != nil {
 		return err
 	}
-	if err := x.classes(f); err != nil {
+	if err := x.checkClasses(f); err != nil {
 		return err
 	}
-	if err := x.servers(f); err != nil {
+	if err := x.checkServers(f); err != nil {
 		return err
 	}
-	if err := x.expects(f); err != nil {
+	if err := x.parseExpectations(f); err != nil {
 		return err
 	}
-	x.Source = world.ClientSpec{Rate: c.Rate, Keys: c.Keys, Zipf: c.Zipf, Offset: c.Offset, Drift: c.Drift,
+	x.ClientSpec = world.ClientSpec{Rate: c.Rate, Keys: c.Keys, Zipf: c.Zipf, Offset: c.Offset, Drift: c.Drift,
 		TimeoutRange: [2]float64{c.Patience[0], c.Patience[1]}, MaxRetries: c.Retries, RetryDelay: c.Pause.D(), MarksRetry: c.MarksRetry,
 		LeaveShare: c.Leaves, Nodes: n.Count, NodeShares: c.Skew}
-	return x.faults(f)
+	return x.expandFaults(f)
 }
 
-func (x *Experiment) classes(f *tomlfile.File) error {
+func (x *Experiment) checkClasses(f *tomlfile.File) error {
 	effects := map[string]world.Effect{"safe": world.Safe, "": world.Safe, "keyed": world.Keyed, "unsafe": world.Unsafe}
 	scopes := map[string]world.Scope{"all": world.ScopeAll, "": world.ScopeAll, "zone": world.ScopeZone, "cell": world.ScopeCell}
 	total := 0.0
 	for i, c := range x.Class {
-		effect, ok := effects[c.Effect]
-		scope, okay := scopes[c.Scope]
+		effect, effectOK := effects[c.Effect]
+		scope, scopeOK := scopes[c.Scope]
 		bad := func(key, format string, args ...any) error {
 			return f.Errorf(tomlfile.At("class", i, key), format, args...)
 		}
 		switch {
 		case c.Name == "" || strings.ContainsAny(c.Name, " ,=\r\n"):
-			return bad("name", "%q cannot be a class's name", c.Name)
+			return bad("name", "%q is not a valid class name", c.Name)
 		case slices.ContainsFunc(x.Class[:i], func(o Class) bool { return o.Name == c.Name }):
-			return bad("name", "%q stands twice", c.Name)
-		case !ok:
-			return bad("effect", "%q is none of safe, keyed, unsafe", c.Effect)
-		case !okay:
-			return bad("scope", "%q is none of all, zone, cell", c.Scope)
+			return bad("name", "%q is used twice", c.Name)
+		case !effectOK:
+			return bad("effect", "%q is not one of safe, keyed, unsafe", c.Effect)
+		case !scopeOK:
+			return bad("scope", "%q is not one of all, zone, cell", c.Scope)
 		case effect == world.Keyed && c.Window.D() <= 0:
 			return bad("window", "a keyed class needs the time for which repeats are dropped")
 		case c.Aim.D() <= 0 || c.Deadline.D() <= 0:
 			return bad("aim", "aim and deadline must be above 0")
 		case c.Deadline.D() < c.Aim.D():
-			return bad("deadline", "is under the aim")
+			return bad("deadline", "must not be below the aim")
 		case !(c.Share >= 0 && c.Share < 1e9 && c.Worth >= 0 && c.Worth < 1e9 && c.LateShare >= 0 && c.LateShare <= 1 && c.Sigma >= 0 && c.Sigma <= 3 && c.SizeSigma >= 0 && c.SizeSigma <= 3):
-			return bad("share", "shares, worth and sigmas must not be negative or absurd")
+			return bad("share", "share, worth, late_share or a sigma is out of range")
 		case c.Size < 0 || c.Size > 64<<20:
 			return bad("size", "must be 0 to 64 MiB")
 		case c.Work.D() < 0:
@@ -465,9 +467,9 @@
 		}
 		switch {
 		case t.Name == "" || strings.ContainsAny(t.Name, " ,=\r\n"):
-			return bad("name", "%q cannot be a tenant's name", t.Name)
+			return bad("name", "%q is not a valid tenant name", t.Name)
 		case slices.ContainsFunc(x.Tenant[:i], func(o Tenant) bool { return o.Name == t.Name }):
-			return bad("name", "%q stands twice", t.Name)
+			return bad("name", "%q is used twice", t.Name)
 		case !(t.Share > 0 && t.Share < 1e9):
 			return bad("share", "must be above 0")
 		case !(t.Quota >= 0 && t.Quota < 1e9):
@@ -478,8 +480,8 @@
 	return nil
 }
 
-// servers draws the fleet: names c1, c2, ... and ids that tell nothing.
-func (x *Experiment) servers(f *tomlfile.File) error {
+// checkServers validates the groups and adds their servers, with the names c1, c2, ... and opaque ids.
+func (x *Experiment) checkServers(f *tomlfile.File) error {
 	groups := []Group{}
 	if x.Fleet.Count > 0 {
 		g := x.Fleet.Group
@@ -487,7 +489,7 @@
 		groups = append(groups, g)
 	}
 	for i, g := range x.File.Group {
-		g = merge(x.Fleet.Group, g, func(key string) bool { return f.Has("group", i, key) })
+		g = applyFleetDefaults(x.Fleet.Group, g, func(key string) bool { return f.Has("group", i, key) })
 		if !f.Has("group", i, "count") {
 			g.Count = 1
 		}
@@ -508,13 +510,13 @@
 		case !(g.Speed > 0 && g.Speed < 1e6):
 			return f.Errorf(at("speed"), "must be above 0")
 		case g.Slots < 1 || g.Room < 0:
-			return f.Errorf(at("slots"), "slots must be at least 1, room not negative")
+			return f.Errorf(at("slots"), "slots must be at least 1, and room must not be negative")
 		case !(g.MemoryMB > 0 && g.MemoryMB < 1e6):
 			return f.Errorf(at("memory_mb"), "must be above 0")
 		case !(g.Weight >= 0 && g.Weight < 1e6):
 			return f.Errorf(at("weight"), "must not be negative")
 		case g.Kind == originKind:
-			return f.Errorf(at("kind"), "%q is the origin's", originKind)
+			return f.Errorf(at("kind"), "%q is reserved for the origin", originKind)
 		}
 		for range g.Count {
 			x.addServer(fmt.Sprintf("c%d", len(x.Servers)+1), g, false)
@@ -524,15 +526,15 @@
 }
 
 const (
-	originKind   = "origin"
-	mostNodes    = 64   // processes on one machine
-	mostModelled = 5000 // in virtual time
+	originKind      = "origin"
+	maxNodes        = 64   // each is a process on this machine
+	maxVirtualNodes = 5000 // in virtual time
 )
 
-// OriginID is the id under which the list has the origin.
-func (x *Experiment) OriginID() string { return x.id("origin") }
+// OriginID returns the id of the origin in the server list.
+func (x *Experiment) OriginID() string { return x.serverID("origin") }
 
-func (x *Experiment) id(name string) string {
+func (x *Experiment) serverID(name string) string {
 	return fmt.Sprintf("s-%08x", world.RandomStream(x.Seed, "server", name).Uint32())
 }
 
@@ -541,14 +543,14 @@
 	spec := world.CacheSpec{Name: name, Cores: g.Cores, Speed: g.Speed, Slots: g.Slots, QueueLimit: g.Room, MemoryBytes: int64(g.MemoryMB * (1 << 20)),
 		WarmUp: s.WarmUp.D(), ColdFrom: s.ColdFrom, FallMultiple: s.FallMultiple, FallWindow: s.FallWindow.D(),
 		ReportInterval: g.ReportEvery.D(), ReportNoise: g.ReportNoise, HandshakeWork: g.Handshake.D(), Through: s.Mode == "through",
-		Coalesce: g.Coalesce, Lease: g.Lease.D(), IgnoresCancel: g.KeepsWork}
-	x.Servers = append(x.Servers, Server{Name: name, ID: x.id(name), Spec: spec, Group: g, Later: later,
-		Member: world.Member{ID: x.id(name), Zone: g.Zone, Kind: g.Kind, Cell: g.Cell, Weight: g.Weight}})
+		Coalesce: g.Coalesce, Lease: g.Lease.D(), IgnoresCancel: g.IgnoresCancel}
+	x.Servers = append(x.Servers, Server{Name: name, ID: x.serverID(name), Spec: spec, Group: g, StartsLater: later,
+		Member: world.Member{ID: x.serverID(name), Zone: g.Zone, Kind: g.Kind, Cell: g.Cell, Weight: g.Weight}})
 	return &x.Servers[len(x.Servers)-1]
 }
 
-// merge takes the fleet's figures where a group does not tell its own.
-func merge(fleet, g Group, has func(key string) bool) Group {
+// applyFleetDefaults returns g with the values of the fleet for each key that the group does not set.
+func applyFleetDefaults(fleet, g Group, has func(key string) bool) Group {
 	out := fleet
 	out.Count = g.Count
 	set := func(key string, f func()) {
@@ -571,13 +573,13 @@
 	set("max_conns", func() { out.MaxConns = g.MaxConns })
 	set("coalesce", func() { out.Coalesce = g.Coalesce })
 	set("lease", func() { out.Lease = g.Lease })
-	set("keeps_work", func() { out.KeepsWork = g.KeepsWork })
+	set("keeps_work", func() { out.IgnoresCancel = g.IgnoresCancel })
 	set("cold", func() { out.Cold = g.Cold })
 	return out
 }
 
-// faults draws the timeline, and the servers that start in its course.
-func (x *Experiment) faults(f *tomlfile.File) error {
+// expandFaults draws the timeline and adds the servers that start during the run.
+func (x *Experiment) expandFaults(f *tomlfile.File) error {
 	var names, tenants []string
 	for _, s := range x.Servers {
 		names = append(names, s.Name)
@@ -585,7 +587,7 @@
 	for _, t := range x.Tenants {
 		tenants = append(tenants, t.Name)
 	}
-	line, err := fault.Expand(x.Fault, fault.Deployment{Length: x.Length.D(), Servers: names, Nodes: x.Nodes.Count, Tenants: tenants, Endpoints: x.ends(), Planners: x.Planners.Count}, x.Seed)
+	timeline, err := fault.Expand(x.Fault, fault.Deployment{Length: x.Length.D(), Servers: names, Nodes: x.Nodes.Count, Tenants: tenants, Endpoints: x.endpointCount(), Planners: x.Planners.Count}, x.Seed)
 	var bad *fault.Error
 	if errors.As(err, &bad) {
 		return f.Errorf(tomlfile.At("fault", bad.Spec, bad.Key), "%s", bad.Why)
@@ -593,13 +595,13 @@
 	if err != nil {
 		return err
 	}
-	x.Timeline = line
-	for _, name := range line.NewServers {
+	x.Timeline = timeline
+	for _, name := range timeline.NewServers {
 		g := x.Servers[0].Group
-		old, _, _ := strings.Cut(name, ".")
+		base, _, _ := strings.Cut(name, ".")
 		for _, s := range x.Servers {
-			if s.Name == old {
-				g = s.Group // it takes that one's place
+			if s.Name == base {
+				g = s.Group // it replaces that server
 			}
 		}
 		x.addServer(name, g, true)
@@ -607,29 +609,29 @@
 	return nil
 }
 
-func (x *Experiment) ends() int {
-	if !x.List.Registry() {
+func (x *Experiment) endpointCount() int {
+	if !x.List.InRegistry() {
 		return 0
 	}
 	return x.List.Endpoints
 }
 
-// expects reads [expect]: FIGURE_min and FIGURE_max, and broken, the rules that are to be broken.
-func (x *Experiment) expects(f *tomlfile.File) error {
+// parseExpectations reads [expect]: FIGURE_min and FIGURE_max are limits, and broken lists the rules that are to be broken.
+func (x *Experiment) parseExpectations(f *tomlfile.File) error {
 	for _, key := range sortedKeys(x.Expect) {
 		at := tomlfile.At("expect", key)
-		where := strings.SplitN(f.Errorf(at, "").Error(), ": ", 2)[0]
+		location := strings.SplitN(f.Errorf(at, "").Error(), ": ", 2)[0]
 		if key == "broken" {
 			list, ok := x.Expect[key].([]any)
 			if !ok {
-				return f.Errorf(at, "must be a list of rules, of %s", strings.Join(judge.RuleNames, ", "))
+				return f.Errorf(at, "must be a list of rules; the rules are %s", strings.Join(judge.RuleNames, ", "))
 			}
 			for _, v := range list {
 				name, _ := v.(string)
 				if !slices.Contains(judge.RuleNames, name) {
-					return f.Errorf(at, "%q is no rule; there are %s", v, strings.Join(judge.RuleNames, ", "))
+					return f.Errorf(at, "%q is not a rule; the rules are %s", v, strings.Join(judge.RuleNames, ", "))
 				}
-				x.Broken = append(x.Broken, name)
+				x.BrokenRules = append(x.BrokenRules, name)
 			}
 			continue
 		}
@@ -645,15 +647,15 @@
 		if math.IsNaN(limit) {
 			return f.Errorf(at, "must be a number")
 		}
-		e := Expectation{Limit: limit, Line: where}
-		var least, most bool
-		if e.Figure, least = strings.CutSuffix(key, "_min"); !least {
-			if e.Figure, most = strings.CutSuffix(key, "_max"); !most {
+		e := Expectation{Limit: limit, Location: location}
+		var isMin, isMax bool
+		if e.Figure, isMin = strings.CutSuffix(key, "_min"); !isMin {
+			if e.Figure, isMax = strings.CutSuffix(key, "_max"); !isMax {
 				return f.Errorf(at, "must end in _min or _max")
 			}
 		}
-		e.Most = most
-		x.Expects = append(x.Expects, e)
+		e.IsMax = isMax
+		x.Expectations = append(x.Expectations, e)
 	}
 	return nil
 }
@@ -667,59 +669,59 @@
 	return all
 }
 
-// Miss is an expectation that falls short.
-type Miss struct {
+// Shortfall is an expectation that the run does not meet.
+type Shortfall struct {
 	Expectation
-	Was   float64
-	Known bool
+	Value     float64
+	HasFigure bool
 }
 
-// String is the miss in one line.
-func (m Miss) String() string {
+// String describes the shortfall in one line.
+func (m Shortfall) String() string {
 	word := "at least"
-	if m.Most {
+	if m.IsMax {
 		word = "at most"
 	}
-	if !m.Known {
-		return fmt.Sprintf("%s: no figure %q", m.Line, m.Figure)
+	if !m.HasFigure {
+		return fmt.Sprintf("%s: no figure %q", m.Location, m.Figure)
 	}
-	return fmt.Sprintf("%s: %s was %.4g, %s %.4g is wanted", m.Line, m.Figure, m.Was, word, m.Limit)
+	return fmt.Sprintf("%s: %s was %.4g, %s %.4g is wanted", m.Location, m.Figure, m.Value, word, m.Limit)
 }
 
-// Falls gives what falls short of the file's expectations, and the rules that are broken against them.
-func (x *Experiment) Falls(v *judge.Verdict) (misses []Miss, broken []string) {
-	for _, e := range x.Expects {
-		was, ok := v.Figures[e.Figure]
-		if !ok || e.Most && was > e.Limit || !e.Most && was < e.Limit {
-			misses = append(misses, Miss{e, was, ok})
+// Evaluate returns the expectations that the run does not meet, and the rules whose outcome differs from the expected one.
+func (x *Experiment) Evaluate(v *judge.Verdict) (shortfalls []Shortfall, wrongRules []string) {
+	for _, e := range x.Expectations {
+		value, ok := v.Figures[e.Figure]
+		if !ok || e.IsMax && value > e.Limit || !e.IsMax && value < e.Limit {
+			shortfalls = append(shortfalls, Shortfall{e, value, ok})
 		}
 	}
 	for _, name := range judge.RuleNames {
-		want := slices.Contains(x.Broken, name)
+		want := slices.Contains(x.BrokenRules, name)
 		switch {
 		case v.ViolationCounts[name] > 0 && !want:
-			broken = append(broken, name+" was broken")
+			wrongRules = append(wrongRules, name+" was broken")
 		case v.ViolationCounts[name] == 0 && want:
-			broken = append(broken, name+" was kept, though it is to be broken")
+			wrongRules = append(wrongRules, name+" was kept, but is expected to be broken")
 		}
 	}
-	return misses, broken
+	return shortfalls, wrongRules
 }
 
-// Plan draws all arrivals.
-func (x *Experiment) Plan() []world.Arrival {
-	return world.NewSource(x.Source, x.Classes, x.Tenants, x.Timeline.Shapes, x.Seed, x.Length.D()).Plan()
+// Arrivals draws all arrivals of the run.
+func (x *Experiment) Arrivals() []world.Arrival {
+	return world.NewSource(x.ClientSpec, x.Classes, x.Tenants, x.Timeline.Shapes, x.Seed, x.Length.D()).Plan()
 }
 
-// Rules are the judge's.
+// Rules returns the rules that the run is judged by.
 func (x *Experiment) Rules() judge.Rules {
 	s := &x.Service
 	r := judge.Rules{Seed: x.Seed, Classes: x.Classes, Tenants: x.Tenants, Servers: map[string]world.Member{}, ParallelAttempts: *s.Parallel,
 		MaxAttempts: s.Attempts, AnswerSlack: s.AnswerSlack.D(), DrainGrace: s.DrainGrace.D(), AskWithin: s.AskWithin.D(),
-		OverQuotaWorth: s.OverWorth, Tolerance: x.Fleet.Tolerance.D(), ColdFrom: s.ColdFrom, WarmUp: s.WarmUp.D(),
+		OverQuotaWorth: s.OverShareWorth, Tolerance: x.Fleet.Tolerance.D(), ColdFrom: s.ColdFrom, WarmUp: s.WarmUp.D(),
 		FallMultiple: s.FallMultiple, FallWindow: s.FallWindow.D(), OriginOverloadWindow: x.Origin.FallFor.D(), OriginKind: originKind,
 		Length: x.Length.D()}
-	if x.List.Registry() {
+	if x.List.InRegistry() {
 		r.HoldTime, r.HoldPart = x.List.Hold.D(), x.List.HoldPart
 	}
 	for _, v := range x.Servers {
@@ -728,7 +730,7 @@
 	return r
 }
 
-// Server finds a server by its name.
+// Server returns the server with a name, or nil.
 func (x *Experiment) Server(name string) *Server {
 	for i := range x.Servers {
 		if x.Servers[i].Name == name {
@@ -738,7 +740,7 @@
 	return nil
 }
 
-// OriginSpec is the origin's model.
+// OriginSpec returns the parameters of the origin.
 func (x *Experiment) OriginSpec() world.OriginSpec {
 	o := &x.Origin
 	window := time.Duration(0)
@@ -746,13 +748,13 @@
 		window = max(window, c.Window)
 	}
 	return world.OriginSpec{Cores: o.Cores, Slots: o.Slots, QueueLimit: o.Room, Work: o.Work.D(), Sigma: o.Sigma, WriteFactor: o.WriteFactor,
-		FallMultiple: o.FallMultiple, FallWindow: o.FallFor.D(), Downtime: o.Down.D(), DedupWindow: window, IgnoresCancel: o.KeepsWork}
+		FallMultiple: o.FallMultiple, FallWindow: o.FallFor.D(), Downtime: o.Down.D(), DedupWindow: window, IgnoresCancel: o.IgnoresCancel}
 }
 
-// Settings is the object that a node is told, with the names and units of the platform.
+// Settings returns the settings object of a node's configuration, with the names and units of the platform.
 func (x *Experiment) Settings(node int) map[string]any {
 	s := &x.Service
-	ns := func(d Span) int64 { return int64(d.D()) }
+	ns := func(d Duration) int64 { return int64(d.D()) }
 	var classes, tenants []any
 	for _, c := range x.Classes {
 		classes = append(classes, map[string]any{"Name": c.Name, "Effect": [...]string{"retryable", "dedup", "fragile"}[c.Effect],
@@ -780,11 +782,11 @@
 	return map[string]any{
 		"Balancers": x.Nodes.Count, "Position": node, "Tick": int64(5 * time.Millisecond), "Weights": s.Weights,
 		"MembershipMode": "subscribe", "Models": kinds, "Classes": classes, "Tenants": tenants, "FamilyInfo": info,
-		"Feedback": feedback, "OverShareWorth": s.OverWorth, "Clients": map[string]any{"MarksRetry": x.Clients.MarksRetry},
+		"Feedback": feedback, "OverShareWorth": s.OverShareWorth, "Clients": map[string]any{"MarksRetry": x.Clients.MarksRetry},
 		"Guarantees": map[string]any{"AnswerSlack": ns(s.AnswerSlack), "AskWithin": ns(s.AskWithin), "ColdFrom": s.ColdFrom,
 			"DrainGrace": ns(s.DrainGrace), "FallMultiple": s.FallMultiple, "OverloadFor": ns(s.FallWindow), "WarmUp": ns(s.WarmUp)},
 		"Limits": map[string]any{"Cancel": *s.Cancel, "ConnIdle": ns(s.ConnIdle), "ConnectTimeout": ns(s.ConnectTimeout),
-			"MaxRetryAfter": ns(s.MaxRetryAfter), "MayTell": false, "MostHeld": s.MostHeld, "ParallelTries": *s.Parallel,
+			"MaxRetryAfter": ns(s.MaxRetryAfter), "MayTell": false, "MostHeld": s.MaxHeld, "ParallelTries": *s.Parallel,
 			"Probes": false, "RetryAfter": *s.RetryAfter, "SendCap": s.Attempts, "StreamsPerConn": s.PerConn},
 	}
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -113,7 +113,7 @@
 	var members []world.Member
 	for i := range x.Servers {
 		v := &x.Servers[i]
-		if v.Later {
+		if v.StartsLater {
 			continue
 		}
 		s.addCache(v, v.Group.Cold)
@@ -161,7 +161,7 @@
 	if class < 0 || x.Clients.Warm <= 0 {
 		return
 	}
-	src := world.NewSource(x.Source, x.Classes, x.Tenants, nil, x.Seed, x.Length.D())
+	src := world.NewSource(x.ClientSpec, x.Classes, x.Tenants, nil, x.Seed, x.Length.D())
 	free := map[string]int64{}
 	for _, v := range x.Servers {
 		if !v.Group.Cold {
@@ -190,7 +190,7 @@
 
 // run plays the clients' arrivals and the fault timeline until the length is over and no request is outstanding.
 func (s *sim) run() *Result {
-	plan := s.exp.Plan()
+	plan := s.exp.Arrivals()
 	for _, a := range s.exp.Timeline.Actions {
 		s.schedule(a.At, func() {
 			s.apply(a)
@@ -273,7 +273,7 @@
 	x.ended = true
 	update()
 	t := x.record
-	wait := max(s.exp.Source.RetryDelay, t.RetryAfter)
+	wait := max(s.exp.ClientSpec.RetryDelay, t.RetryAfter)
 	retry := t.Answer != seen.Served && t.LeftAt == 0 && t.Number+1 < x.arrival.MaxTries && s.now+wait+20*time.Millisecond < x.firstDueAt+x.class.Deadline
 	if harmless := t.Answer == seen.Refused || t.ConnectFailed; retry && !harmless {
 		retry = x.class.Effect == world.Safe || x.class.Effect == world.Keyed && x.class.Scope == world.ScopeAll && s.now+wait < x.firstDueAt+x.class.Window
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -43,7 +43,7 @@
 	Tenants         map[string]judge.Service `json:"tenants"`
 	BySecond        []judge.Second           `json:"by_second"`
 	Events          []Event                  `json:"events"`
-	Lab             stage.Lab                `json:"lab"`
+	Lab             stage.LabDelays          `json:"lab"`
 	Nodes           []NodeProcess            `json:"nodes"`
 }
 
@@ -78,8 +78,8 @@
 
 // New returns the report of a run.
 func New(x *experiment.Experiment, command string, r *stage.Result) *Run {
-	misses, violatedRules := x.Falls(r.Verdict)
-	out := &Run{Schema: Schema, Name: x.Name, File: x.Path, About: x.About, Seed: x.Seed, Seconds: x.Length.D().Seconds(),
+	misses, violatedRules := x.Evaluate(r.Verdict)
+	out := &Run{Schema: Schema, Name: x.Name, File: x.Path, About: x.Description, Seed: x.Seed, Seconds: x.Length.D().Seconds(),
 		Command: command, Verdict: Holds, Shortfalls: []string{}, ViolationCounts: r.Verdict.ViolationCounts, Violations: r.Verdict.Violations, Figures: r.Verdict.Figures,
 		Classes: r.Verdict.Classes, Tenants: r.Verdict.Tenants, BySecond: r.Verdict.Seconds, Lab: r.Lab}
 	if out.Violations == nil {
@@ -92,9 +92,9 @@
 		out.Shortfalls = append(out.Shortfalls, m.String())
 	}
 	switch {
-	case r.Cut:
+	case r.Interrupted:
 		out.Verdict = Interrupted
-	case r.Lab.Void != "":
+	case r.Lab.VoidReason != "":
 		out.Verdict = Void
 	case len(out.Shortfalls) > 0:
 		out.Verdict = FallsShort
@@ -132,8 +132,8 @@
 	for _, m := range r.Shortfalls {
 		fmt.Fprintln(w, "  "+m)
 	}
-	if r.Lab.Void != "" {
-		fmt.Fprintln(w, "  void: "+r.Lab.Void)
+	if r.Lab.VoidReason != "" {
+		fmt.Fprintln(w, "  void: "+r.Lab.VoidReason)
 	}
 	var rules []string
 	for _, name := range judge.RuleNames {
@@ -160,7 +160,7 @@
 	fmt.Fprintf(w, "nodes    add %.3f ms at the median, %.3f at p99, %.3f at p99.9; max %.1f MB, max %.0f descriptors; %.1f ms of CPU per 1,000 requests\n",
 		f["added_p50_ms"], f["added_p99_ms"], f["added_p999_ms"], f["node_memory_mb"], f["node_descriptors"], f["node_cpu_ms_per_1000"])
 	fmt.Fprintf(w, "lab      sent %.2f ms late at the median, %.2f at p99, max %.1f; stand-ins %.2f ms late on average, max %.1f; stalled for max %.1f ms\n",
-		r.Lab.SendP50, r.Lab.SendP99, r.Lab.SendMax, r.Lab.StandMean, r.Lab.StandMax, r.Lab.StallMax)
+		r.Lab.SendP50, r.Lab.SendP99, r.Lab.SendMax, r.Lab.StandInMean, r.Lab.StandInMax, r.Lab.StallMax)
 	r.writeViolations(w)
 }
 
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -256,7 +256,7 @@
 
 // waitReady waits until a planner has the server list.
 func (b *bench) waitReady(p *planner) error {
-	for end := time.Now().Add(readyTimeout); stage.Call(p.control, "GET", "/_ready") != nil; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); stage.CallControl(p.control, "GET", "/_ready") != nil; time.Sleep(20 * time.Millisecond) {
 		select {
 		case <-p.done:
 			return fmt.Errorf("%s exited: %s", p.id, lastLine(p.logPath))
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -12,33 +12,33 @@
 	"lapisshelf/lab/stage"
 )
 
-// faultsVariable names the plan of failing calls to the nodes, see internal/system.
-const faultsVariable = "LAPISSHELF_FAULTS"
+// faultsEnv is the environment variable with the system faults of a node, see internal/system.
+const faultsEnv = "LAPISSHELF_FAULTS"
 
-// Outcome is what came of one run.
+// Outcome is the outcome of a run.
 type Outcome struct {
-	Plan      *Plan
-	Findings  []string // what is wrong
-	Void      string   // why the run says nothing; empty: it does
-	Requests  int
-	Attempts  int
-	Processes int           // that were started
-	Time      time.Duration // of all processes together
-	Share     float64       // of the worth that was served
-	Dir       string        // with logs and the experiment file
+	Plan        *Plan
+	Findings    []string // failures, one a line
+	VoidReason  string   // why the run cannot be judged; empty: it can
+	Requests    int
+	Attempts    int
+	Processes   int           // node processes that were started
+	ProcessTime time.Duration // total running time of these processes
+	WorthShare  float64       // fraction of the worth that was served
+	Dir         string        // holds the logs and the experiment file
 }
 
-// Failed reports whether the run found something.
-func (o *Outcome) Failed() bool { return o.Void == "" && len(o.Findings) > 0 }
+// Failed reports whether the run can be judged and has failures.
+func (o *Outcome) Failed() bool { return o.VoidReason == "" && len(o.Findings) > 0 }
 
-// Runner plays plans.
+// Runner runs plans.
 type Runner struct {
-	Command string // that runs a node
-	Dir     string // for the files of runs
+	Command string // runs a node
+	Dir     string // holds a folder for each run
 }
 
-// Play plays a plan once.
-func (r *Runner) Play(ctx context.Context, p *Plan, name string) (*Outcome, error) {
+// Run runs a plan once, with its files in the folder name.
+func (r *Runner) Run(ctx context.Context, p *Plan, name string) (*Outcome, error) {
 	dir := filepath.Join(r.Dir, name)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -47,51 +47,51 @@
 	if err := os.WriteFile(path, []byte(p.Text()), 0o644); err != nil {
 		return nil, err
 	}
-	return r.PlayFile(ctx, path, dir, p)
+	return r.RunFile(ctx, path, dir, p)
 }
 
-// PlayFile plays an experiment file as a soak; the plan may tell only its seed.
-func (r *Runner) PlayFile(ctx context.Context, path, dir string, p *Plan) (*Outcome, error) {
+// RunFile runs an experiment file as a soak. Of the plan, it needs the seed and the system faults.
+func (r *Runner) RunFile(ctx context.Context, path, dir string, p *Plan) (*Outcome, error) {
 	x, err := experiment.Read(path, experiment.Options{})
 	if err != nil {
 		return nil, err
 	}
-	if err := os.Setenv(faultsVariable, p.Calls); err != nil {
+	if err := os.Setenv(faultsEnv, p.SystemFaults); err != nil {
 		return nil, err
 	}
-	defer os.Unsetenv(faultsVariable)
-	s, err := stage.Open(x, stage.Options{Command: r.Command, Dir: dir, Lasts: true})
+	defer os.Unsetenv(faultsEnv)
+	deployment, err := stage.Open(x, stage.Options{Command: r.Command, Dir: dir, KeepState: true})
 	if err != nil {
 		return nil, fmt.Errorf("seed %d: %w", p.Seed, err)
 	}
-	defer s.Close()
-	result := s.Run(ctx)
+	defer deployment.Close()
+	result := deployment.Run(ctx)
 	length := x.Length.D()
-	o := &Outcome{Plan: p, Void: result.Lab.Void, Requests: len(result.Record.Tries), Attempts: len(result.Record.Attempts), Processes: len(result.Record.NodeProcesses), Dir: dir}
-	if result.Cut {
-		o.Void = "interrupted"
+	o := &Outcome{Plan: p, VoidReason: result.Lab.VoidReason, Requests: len(result.Record.Tries), Attempts: len(result.Record.Attempts), Processes: len(result.Record.NodeProcesses), Dir: dir}
+	if result.Interrupted {
+		o.VoidReason = "interrupted"
 	}
 	for _, l := range result.Record.NodeProcesses {
 		end := l.EndedAt
 		if end == 0 {
 			end = length
 		}
-		o.Time += end - l.StartedAt
+		o.ProcessTime += end - l.StartedAt
 	}
-	worth, got := 0.0, 0.0
+	worth, worthServed := 0.0, 0.0
 	for _, c := range result.Verdict.Classes {
 		worth += c.Worth
-		got += c.Earned
+		worthServed += c.Earned
 	}
 	if worth > 0 {
-		o.Share = got / worth
+		o.WorthShare = worthServed / worth
 	}
-	o.Findings = judge(result, length)
+	o.Findings = findFailures(result, length)
 	return o, nil
 }
 
-// CallsOf reads the plan of failing calls off an experiment file that a soak has kept.
-func CallsOf(text string) string {
+// SystemFaultsOf returns the system faults of a plan from its experiment file; it is empty if there are none.
+func SystemFaultsOf(text string) string {
 	for _, line := range strings.Split(text, "\n") {
 		if rest, ok := strings.CutPrefix(line, "# faults: "); ok {
 			return rest
@@ -100,18 +100,19 @@
 	return ""
 }
 
-// Shrink drops troubles while the plan still fails, with so many runs at most, and gives the smallest plan that failed.
-func (r *Runner) Shrink(ctx context.Context, p *Plan, most int) (*Plan, error) {
+// Shrink removes faults from a failing plan, one by one, as long as it still fails. It takes maxRuns runs at most and returns the
+// smallest plan that failed.
+func (r *Runner) Shrink(ctx context.Context, p *Plan, maxRuns int) (*Plan, error) {
 	smallest := p
-	for i := 0; i < len(smallest.Troubles) && most > 0 && ctx.Err() == nil; most-- {
-		less := *smallest
-		less.Troubles = append(append([]Trouble{}, smallest.Troubles[:i]...), smallest.Troubles[i+1:]...)
-		o, err := r.Play(ctx, &less, fmt.Sprintf("shrink-%d-%d", p.Seed, most))
+	for i := 0; i < len(smallest.Faults) && maxRuns > 0 && ctx.Err() == nil; maxRuns-- {
+		candidate := *smallest
+		candidate.Faults = append(append([]Fault{}, smallest.Faults[:i]...), smallest.Faults[i+1:]...)
+		o, err := r.Run(ctx, &candidate, fmt.Sprintf("shrink-%d-%d", p.Seed, maxRuns))
 		if err != nil {
 			return smallest, err
 		}
 		if o.Failed() {
-			smallest = &less
+			smallest = &candidate
 		} else {
 			i++
 		}
