--- a/lab/stage/list.go
+++ b/lab/stage/list.go
@@ -22,8 +22,8 @@
 	Set(m world.Member)
 	Members() (revision int64, members []world.Member)
 	SetGeneration(node, life int)
-	SetDown(on bool)
-	SetGarbled(on bool)
+	SetListDown(on bool)
+	SetListGarbled(on bool)
 	Lag(d time.Duration)
 	Cut(node int, on bool)
 	Close()
@@ -33,8 +33,8 @@
 type discoveryList struct{ *standin.List }
 
 func (s discoveryList) AddrsFor(node int) []string { return []string{s.Addr(node)} }
-func (s discoveryList) SetDown(on bool)            { s.SetDown(on) }
-func (s discoveryList) SetGarbled(on bool)         { s.SetGarbled(on) }
+func (s discoveryList) SetListDown(on bool)        { s.SetDown(on) }
+func (s discoveryList) SetListGarbled(on bool)     { s.SetGarbled(on) }
 
 // registryList is a key-value registry.
 type registryList struct {
@@ -48,13 +48,13 @@
 
 func (s *registryList) AddrsFor(node int) []string { return s.Endpoints(node) }
 
-func (s *registryList) SetDown(on bool) {
+func (s *registryList) SetListDown(on bool) {
 	for endpoint := range s.endpoints {
 		s.SetDown(endpoint, on)
 	}
 }
 
-func (s *registryList) SetGarbled(on bool) {
+func (s *registryList) SetListGarbled(on bool) {
 	for endpoint := range s.endpoints {
 		s.SetGarbled(endpoint, on)
 	}
--- a/lab/stage/stage.go
+++ b/lab/stage/stage.go
@@ -545,9 +545,9 @@
 	}
 	switch a.Kind {
 	case fault.ListDown:
-		d.list.SetDown(on)
+		d.list.SetListDown(on)
 	case fault.ListGarble:
-		d.list.SetGarbled(on)
+		d.list.SetListGarbled(on)
 	case fault.ListLag:
 		d.list.Lag(time.Duration(a.Value * float64(time.Second)))
 	case fault.Rude:
