--- a/cmd/lapisshelf/crossings_test.go
+++ b/cmd/lapisshelf/crossings_test.go
@@ -11,8 +11,8 @@
 	"lapisshelf/lab/standin"
 )
 
-// longReads has reads wait for up to so long.
-func longReads(wait time.Duration) func(map[string]any) {
+// withReadDeadline has reads wait for up to so long.
+func withReadDeadline(wait time.Duration) func(map[string]any) {
 	return func(config map[string]any) {
 		c := config["settings"].(map[string]any)["Classes"].([]any)[0].(map[string]any)
 		c["Aim"], c["Deadline"] = int64(wait), int64(wait)
@@ -22,8 +22,8 @@
 // A planned end leaves a process the longest deadline, 3 s at most, and 0.7 s more, then it is killed: requests whose clients
 // would wait longer are answered before, those taken ahead of the signal and behind it, one out at a hanging cache and one held.
 func TestTerminateWithDeadlinesBeyondTheKill(t *testing.T) {
-	c := startCache(t, silent)
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), longReads(20*time.Second))
+	c := startCache(t, answerNothing)
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), withReadDeadline(20*time.Second))
 	var all []*client
 	ask := func(i int) {
 		cl := n.dial()
@@ -39,7 +39,7 @@
 	eventually(t, "the node says that it leaves", func() bool { return strings.Contains(n.log(), "event=leaving") })
 	ask(2)
 	for i, cl := range all {
-		if line, _ := cl.answer(); !strings.HasPrefix(line, "SERVER_ERROR ") {
+		if line, _ := cl.readAnswer(); !strings.HasPrefix(line, "SERVER_ERROR ") {
 			t.Errorf("request %d: %q", i, line)
 		}
 	}
@@ -50,7 +50,7 @@
 
 // Events that cross are laid while the process stands still (SIGSTOP): all of them wait in the system when it goes on, and come in
 // the same turn of its loop.
-func (n *process) still(events func()) {
+func (n *process) whileStopped(events func()) {
 	n.t.Helper()
 	n.signal(syscall.SIGSTOP)
 	eventually(n.t, "the process stands still", func() bool { return processState(n.Pid()) == "T" })
@@ -72,81 +72,81 @@
 // listener closes, behind a request that is out, with a second SIGTERM, a SIGHUP and list news.
 func TestTerminateCrosses(t *testing.T) {
 	get := func(id string) string { return "mg k-" + id + " v O" + id + " Pc=read,d=9000\r\n" }
-	lame := func() { time.Sleep(600 * time.Millisecond) } // until connections begin to close
-	type world struct {
+	waitUntilClosing := func() { time.Sleep(600 * time.Millisecond) } // until connections begin to close
+	type fixture struct {
 		n      *process
 		open   *client
 		d      discovery
 		caches []*standin.Cache
 	}
-	term := func(w *world) { w.n.signal(syscall.SIGTERM) }
-	for name, cross := range map[string]func(w *world) (asked []*client){
-		"unread, then the signal": func(w *world) []*client {
-			w.n.still(func() { w.open.send(get("1")); term(w) })
+	term := func(w *fixture) { w.n.signal(syscall.SIGTERM) }
+	for name, scenario := range map[string]func(w *fixture) (senders []*client){
+		"unread, then the signal": func(w *fixture) []*client {
+			w.n.whileStopped(func() { w.open.send(get("1")); term(w) })
 			return []*client{w.open}
 		},
-		"the signal, then unread": func(w *world) []*client {
-			w.n.still(func() { term(w); w.open.send(get("1")) })
+		"the signal, then unread": func(w *fixture) []*client {
+			w.n.whileStopped(func() { term(w); w.open.send(get("1")) })
 			return []*client{w.open}
 		},
-		"half before, half after connections begin to close": func(w *world) []*client {
+		"half before, half after connections begin to close": func(w *fixture) []*client {
 			w.open.send(get("1")[:9])
 			term(w)
-			lame()
+			waitUntilClosing()
 			w.open.send(get("1")[9:])
 			return []*client{w.open}
 		},
-		"new connections in the turn of the signal": func(w *world) (asked []*client) {
-			w.n.still(func() {
+		"new connections in the turn of the signal": func(w *fixture) (senders []*client) {
+			w.n.whileStopped(func() {
 				for i := range 5 {
 					c := w.n.dial()
 					c.send(get(fmt.Sprint(i)))
-					if asked = append(asked, c); i == 2 {
+					if senders = append(senders, c); i == 2 {
 						term(w)
 					}
 				}
 			})
-			return asked
+			return senders
 		},
-		"in the listen queue as the listener closes": func(w *world) (asked []*client) {
+		"in the listen queue as the listener closes": func(w *fixture) (senders []*client) {
 			term(w)
 			eventually(t, "it leaves", func() bool { return strings.Contains(w.n.log(), "event=leaving") })
-			w.n.still(func() {
+			w.n.whileStopped(func() {
 				for i := range 5 {
 					c := w.n.dial()
 					c.send(get(fmt.Sprint(i)))
-					asked = append(asked, c)
+					senders = append(senders, c)
 				}
-				lame()
+				waitUntilClosing()
 			})
-			return asked
+			return senders
 		},
-		"written as the connection would close": func(w *world) []*client {
+		"written as the connection would close": func(w *fixture) []*client {
 			term(w)
 			eventually(t, "it leaves", func() bool { return strings.Contains(w.n.log(), "event=leaving") })
-			w.n.still(func() { lame(); lame(); w.open.send(get("1")) })
+			w.n.whileStopped(func() { waitUntilClosing(); waitUntilClosing(); w.open.send(get("1")) })
 			return []*client{w.open}
 		},
-		"behind one that is out": func(w *world) []*client {
+		"behind one that is out": func(w *fixture) []*client {
 			w.open.send(get("slow-1"))
 			eventually(t, "it is out", func() bool { w.n.signal(syscall.SIGUSR1); return strings.Contains(w.n.log(), " attempts=1 ") })
-			w.n.still(func() { term(w); lame(); w.open.send(get("2")) })
+			w.n.whileStopped(func() { term(w); waitUntilClosing(); w.open.send(get("2")) })
 			return []*client{w.open, w.open}
 		},
-		"unread behind others as its connection would close": func(w *world) []*client {
+		"unread behind others as its connection would close": func(w *fixture) []*client {
 			w.open.send(get("slow-1"))
 			term(w)
 			eventually(t, "it leaves", func() bool { return strings.Contains(w.n.log(), "event=leaving") })
-			lame()
+			waitUntilClosing()
 			w.open.send(get("2")) // with this one open the connection is not read any more
 			eventually(t, "it is taken", func() bool { w.n.signal(syscall.SIGUSR1); return strings.Contains(w.n.log(), " taken=2 ") })
 			w.open.send(get("3"))
 			return []*client{w.open, w.open, w.open}
 		},
-		"a retry that is due": func(w *world) []*client {
+		"a retry that is due": func(w *fixture) []*client {
 			w.open.send(get("slow-1"))
 			eventually(t, "it is out", func() bool { w.n.signal(syscall.SIGUSR1); return strings.Contains(w.n.log(), " attempts=1 ") })
-			w.n.still(func() { // its connection ends in the turn of the signal
+			w.n.whileStopped(func() { // its connection ends in the turn of the signal
 				for _, c := range w.caches {
 					c.HangUp()
 				}
@@ -154,13 +154,13 @@
 			})
 			return []*client{w.open}
 		},
-		"two signals, SIGHUP and list news": func(w *world) []*client {
-			w.n.still(func() {
+		"two signals, SIGHUP and list news": func(w *fixture) []*client {
+			w.n.whileStopped(func() {
 				term(w)
 				term(w)
 				w.open.send(get("1"))
 				w.n.signal(syscall.SIGHUP)
-				w.d.Set(serving("s-3", "127.0.0.1:1", "m2"))
+				w.d.Set(servingEntry("s-3", "127.0.0.1:1", "m2"))
 			})
 			term(w)
 			return []*client{w.open}
@@ -168,30 +168,30 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := &world{}
+			w := &fixture{}
 			for range 2 {
 				w.caches = append(w.caches, startCache(t, func(line string, v []byte) string {
 					if strings.Contains(line, "slow") {
 						time.Sleep(1500 * time.Millisecond)
 					}
-					return holding("v")(line, v)
+					return answerValue("v")(line, v)
 				}))
 			}
-			w.d = startDiscovery(t, serving("s-1", w.caches[0].Addr(), "m2"), serving("s-2", w.caches[1].Addr(), "m2"))
-			w.n = start(t, w.d, longReads(10*time.Second))
+			w.d = startDiscovery(t, servingEntry("s-1", w.caches[0].Addr(), "m2"), servingEntry("s-2", w.caches[1].Addr(), "m2"))
+			w.n = startNode(t, w.d, withReadDeadline(10*time.Second))
 			w.open = w.n.dial()
 			w.open.send("mn\r\n")
-			w.open.want("MN", "")
-			asked := cross(w)
-			for i, c := range asked {
-				if line, _ := c.answer(); !strings.HasPrefix(line, "VA 1 ") {
+			w.open.expect("MN", "")
+			senders := scenario(w)
+			for i, c := range senders {
+				if line, _ := c.readAnswer(); !strings.HasPrefix(line, "VA 1 ") {
 					t.Errorf("request %d: %q", i, line)
 				}
 			}
-			if code := w.n.wait(); code != 0 {
+			if code := w.n.waitExit(); code != 0 {
 				t.Errorf("ended with status %d", code)
 			}
-			if want := fmt.Sprintf(" taken=%d served=%d ", len(asked), len(asked)); !strings.Contains(w.n.log(), want) || !strings.Contains(w.n.log(), " overdue=0 ") {
+			if want := fmt.Sprintf(" taken=%d served=%d ", len(senders), len(senders)); !strings.Contains(w.n.log(), want) || !strings.Contains(w.n.log(), " overdue=0 ") {
 				t.Errorf("no%sin the counters", want)
 			}
 		})
@@ -204,8 +204,8 @@
 	for _, first := range []string{"the end", "the request"} {
 		t.Run(first+" first", func(t *testing.T) {
 			t.Parallel()
-			c := startCache(t, holding("v"))
-			n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), func(config map[string]any) {
+			c := startCache(t, answerValue("v"))
+			n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), func(config map[string]any) {
 				s := config["settings"].(map[string]any)
 				s["FamilyInfo"] = map[string]any{"Mode": "through", "OriginKind": -1}
 			})
@@ -213,7 +213,7 @@
 			ask := func(i int) { cl.send(fmt.Sprintf("mg k v O%d Pc=pay,d=2500\r\n", i)) }
 			for i := range 6 {
 				if i > 0 { // else there is no connection yet
-					n.still(func() {
+					n.whileStopped(func() {
 						if first == "the request" {
 							ask(i)
 						}
@@ -226,7 +226,7 @@
 				} else {
 					ask(i)
 				}
-				cl.want(fmt.Sprintf("VA 1 O%d", i), "v")
+				cl.expect(fmt.Sprintf("VA 1 O%d", i), "v")
 			}
 			if got := c.Lines(); len(got) != 6 {
 				t.Errorf("the server was sent %q", got)
@@ -237,27 +237,27 @@
 
 // A connection that is about to be closed as idle, in the turn in which its client's next request is read: the request goes first.
 func TestARequestOnAConnectionDueToClose(t *testing.T) {
-	c := startCache(t, holding("v"))
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), nil)
+	c := startCache(t, answerValue("v"))
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=2500\r\n")
-	cl.want("VA 1 O1", "v")
-	n.still(func() { time.Sleep(5200 * time.Millisecond); cl.send("mg k v O2 Pc=read,d=2500\r\n") })
-	cl.want("VA 1 O2", "v")
+	cl.expect("VA 1 O1", "v")
+	n.whileStopped(func() { time.Sleep(5200 * time.Millisecond); cl.send("mg k v O2 Pc=read,d=2500\r\n") })
+	cl.expect("VA 1 O2", "v")
 }
 
 // An answer that comes in the turn of its attempt's time-out, and of the client's end of patience: one answer, no more.
 func TestAnAnswerInTheTurnOfItsTimeOut(t *testing.T) {
 	gate := make(chan struct{})
-	c := startCache(t, func(line string, v []byte) string { <-gate; return holding("v")(line, v) })
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), nil)
+	c := startCache(t, func(line string, v []byte) string { <-gate; return answerValue("v")(line, v) })
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=700\r\n")
 	eventually(t, "it is out", func() bool { return len(c.Lines()) == 1 })
-	n.still(func() { close(gate); time.Sleep(800 * time.Millisecond) })
-	if line, _ := cl.answer(); !strings.HasPrefix(line, "VA 1 O1") && !strings.HasPrefix(line, "SERVER_ERROR ") {
+	n.whileStopped(func() { close(gate); time.Sleep(800 * time.Millisecond) })
+	if line, _ := cl.readAnswer(); !strings.HasPrefix(line, "VA 1 O1") && !strings.HasPrefix(line, "SERVER_ERROR ") {
 		t.Errorf("%q", line)
 	}
 	cl.send("mn\r\n")
-	cl.want("MN", "")
+	cl.expect("MN", "")
 }
--- a/cmd/lapisshelf/descriptors_test.go
+++ b/cmd/lapisshelf/descriptors_test.go
@@ -13,22 +13,22 @@
 	"time"
 )
 
-// crowd are clients that fill all descriptors they get and keep asking for more, until told to stop.
-type crowd struct {
-	stop    atomic.Bool
-	clients sync.WaitGroup
-	opened  atomic.Int64
+// clientFlood are clients that fill all descriptors they get and keep asking for more, until told to stop.
+type clientFlood struct {
+	stopping atomic.Bool
+	clients  sync.WaitGroup
+	opened   atomic.Int64
 }
 
-// fill has so many clients connect, each again and again: it sends something and then stays, until the node has closed the
+// startFlood has so many clients connect, each again and again: it sends something and then stays, until the node has closed the
 // connection and a while beyond it.
-func fill(addr string, clients int, send func(i int64) string, stays time.Duration) *crowd {
-	c := &crowd{}
+func startFlood(addr string, clients int, send func(i int64) string, holdFor time.Duration) *clientFlood {
+	c := &clientFlood{}
 	for range clients {
 		c.clients.Add(1)
 		go func() {
 			defer c.clients.Done()
-			for !c.stop.Load() {
+			for !c.stopping.Load() {
 				conn, err := net.DialTimeout("tcp", addr, time.Second)
 				if err != nil {
 					time.Sleep(5 * time.Millisecond)
@@ -37,14 +37,14 @@
 				i := c.opened.Add(1)
 				io.WriteString(conn, send(i))
 				buf := make([]byte, 4096)
-				for !c.stop.Load() {
+				for !c.stopping.Load() {
 					conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 					_, err := conn.Read(buf)
 					if e, ok := err.(net.Error); err != nil && !(ok && e.Timeout()) {
 						break
 					}
 				}
-				for end := time.Now().Add(stays); time.Now().Before(end) && !c.stop.Load(); {
+				for end := time.Now().Add(holdFor); time.Now().Before(end) && !c.stopping.Load(); {
 					time.Sleep(10 * time.Millisecond)
 				}
 				conn.Close()
@@ -55,8 +55,8 @@
 	return c
 }
 
-func (c *crowd) end() {
-	c.stop.Store(true)
+func (c *clientFlood) close() {
+	c.stopping.Store(true)
 	c.clients.Wait()
 }
 
@@ -80,9 +80,9 @@
 		for _, outage := range []string{"refused", "hanging"} {
 			t.Run(kind.name+", "+outage, func(t *testing.T) {
 				t.Parallel()
-				one, two := startCache(t, holding("1")), startCache(t, holding("2"))
-				d := startDiscovery(t, serving("s-1", one.Addr(), "m2"))
-				n, control := operated(t, d, func(c map[string]any) {
+				one, two := startCache(t, answerValue("1")), startCache(t, answerValue("2"))
+				d := startDiscovery(t, servingEntry("s-1", one.Addr(), "m2"))
+				n, control := startNodeWithControl(t, d, func(c map[string]any) {
 					c["limits"] = map[string]any{"memory_mb": 64, "sockets": sockets}
 					c["settings"].(map[string]any)["FamilyInfo"] = map[string]any{"Mode": "through", "OriginKind": -1}
 				})
@@ -94,12 +94,12 @@
 				} else {
 					d.Cut(0, true)
 				}
-				crowd := fill(n.addr, clients, kind.send, kind.stays)
-				defer crowd.end()
+				flood := startFlood(n.addr, clients, kind.send, kind.stays)
+				defer flood.close()
 				eventually(t, "all descriptors are taken during the outage", func() bool {
-					return crowd.opened.Load() > sockets && strings.Contains(n.log(), "event=list_failed")
+					return flood.opened.Load() > sockets && strings.Contains(n.log(), "event=list_failed")
 				})
-				d.Replace(serving("s-2", two.Addr(), "m2"))
+				d.Replace(servingEntry("s-2", two.Addr(), "m2"))
 				revision, _ := d.Members()
 				if err := d.Refuse(false); err != nil {
 					t.Fatal(err)
@@ -112,7 +112,7 @@
 				})
 				for _, path := range []string{"/_ready", "/_vars"} {
 					for range 10 {
-						if status, text := call(t, control, "GET", path); status != 200 {
+						if status, text := callControl(t, control, "GET", path); status != 200 {
 							t.Errorf("%s: %d %s", path, status, text)
 						}
 					}
@@ -121,48 +121,48 @@
 				for served := range asks {
 					eventually(t, fmt.Sprintf("request %d is served", served), func() bool {
 						asked++
-						return once(t, n.addr, fmt.Sprintf("good%d", asked))
+						return requestOnce(t, n.addr, fmt.Sprintf("good%d", asked))
 					})
 				}
 				if got := len(one.Lines()) - before; got > 0 {
 					t.Errorf("%d requests went to the server that left", got)
 				}
-				next, nextControl := n.successor(nil)
-				eventually(t, "another process takes over", ready(t, nextControl))
+				next, nextControl := n.startSuccessor(nil)
+				eventually(t, "another process takes over", isReady(t, nextControl))
 				for i := range 3 {
-					eventually(t, "it serves beside the old one", func() bool { return once(t, n.addr, fmt.Sprintf("both%d-%d", i, time.Now().UnixNano())) })
+					eventually(t, "it serves beside the old one", func() bool { return requestOnce(t, n.addr, fmt.Sprintf("both%d-%d", i, time.Now().UnixNano())) })
 				}
 				n.signal(syscall.SIGTERM)
-				if code := n.wait(); code != 0 {
+				if code := n.waitExit(); code != 0 {
 					t.Errorf("the old process ended with status %d", code)
 				}
-				eventually(t, "it serves alone", func() bool { return once(t, n.addr, fmt.Sprintf("alone%d", time.Now().UnixNano())) })
+				eventually(t, "it serves alone", func() bool { return requestOnce(t, n.addr, fmt.Sprintf("alone%d", time.Now().UnixNano())) })
 				for _, p := range []*process{n, next} {
 					if strings.Contains(p.log(), "too many open files") || strings.Contains(p.log(), "event=accept_failed") {
 						t.Error("the system had no descriptor left")
 					}
 				}
-				t.Logf("%d of %d requests served, the crowd connected %d times", asks, asked, crowd.opened.Load())
+				t.Logf("%d of %d requests served, the crowd connected %d times", asks, asked, flood.opened.Load())
 			})
 		}
 	}
 }
 
-// once asks on a connection of its own and reports whether a value came. A refusal, or an end of the connection before the request
+// requestOnce asks on a connection of its own and reports whether a value came. A refusal, or an end of the connection before the request
 // was read, is none; no answer at all, or any other, is a fault.
-func once(t *testing.T, addr, id string) bool {
+func requestOnce(t *testing.T, addr, id string) bool {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(waitTimeout))
 	fmt.Fprintf(conn, "mg key-%s v O%s Pc=read,d=2500\r\n", id, id)
 	buf := make([]byte, 256)
 	n, err := conn.Read(buf)
 	line := string(buf[:n])
-	if unheard := line == "" && (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)); unheard {
+	if unread := line == "" && (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)); unread {
 		return false // closed in a full house before it had asked
 	}
 	if !strings.HasPrefix(line, "VA ") && line != "SERVER_ERROR busy\r\n" {
--- a/cmd/lapisshelf/harness_test.go
+++ b/cmd/lapisshelf/harness_test.go
@@ -27,8 +27,8 @@
 	"lapisshelf/lab/world"
 )
 
-// patience is how long a test waits for what should come soon.
-const patience = 10 * time.Second
+// waitTimeout is how long a test waits for what should come soon.
+const waitTimeout = 10 * time.Second
 
 var binary string
 
@@ -50,7 +50,7 @@
 // eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if holds() {
 			return
 		}
@@ -58,16 +58,16 @@
 	t.Fatalf("never: %s", what)
 }
 
-func common() *standin.Common { return standin.NewCommon(seen.NewLog(), 1, nil) }
+func newCommon() *standin.Common { return standin.NewCommon(seen.NewLog(), 1, nil) }
 
 // host is this run's own, on which nothing but what it starts there takes a port.
 var (
-	host  = fmt.Sprintf("127.%d.%d.%d", 10+rand.IntN(200), rand.IntN(250), 1+rand.IntN(250))
-	taken sync.Map
+	host      = fmt.Sprintf("127.%d.%d.%d", 10+rand.IntN(200), rand.IntN(250), 1+rand.IntN(250))
+	usedAddrs sync.Map
 )
 
-// refusing is an address that refuses connections until something is started there; each is given out once.
-func refusing(t *testing.T) string {
+// unusedAddr is an address that refuses connections until something is started there; each is given out once.
+func unusedAddr(t *testing.T) string {
 	t.Helper()
 	for {
 		ln, err := net.Listen("tcp", host+":0")
@@ -76,7 +76,7 @@
 		}
 		ln.Close()
 		// Guards against two addresses of one node that are the same, since the system may give a port out again.
-		if _, twice := taken.LoadOrStore(ln.Addr().String(), true); !twice {
+		if _, reused := usedAddrs.LoadOrStore(ln.Addr().String(), true); !reused {
 			return ln.Addr().String()
 		}
 	}
@@ -85,13 +85,13 @@
 // startCache starts a cache server whose answers are up to reply, which is given the command's line and value.
 func startCache(t *testing.T, reply standin.Script) *standin.Cache {
 	t.Helper()
-	return startCaches(t, func() standin.Script { return reply })
+	return startCacheWithScripts(t, func() standin.Script { return reply })
 }
 
-// startCaches starts one that has a script for each connection.
-func startCaches(t *testing.T, scripts func() standin.Script) *standin.Cache {
+// startCacheWithScripts starts one that has a script for each connection.
+func startCacheWithScripts(t *testing.T, scripts func() standin.Script) *standin.Cache {
 	t.Helper()
-	c, err := standin.NewCache(common(), standin.CacheOptions{Addr: "127.0.0.1:0", Scripts: scripts})
+	c, err := standin.NewCache(newCommon(), standin.CacheOptions{Addr: "127.0.0.1:0", Scripts: scripts})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,8 +99,8 @@
 	return c
 }
 
-// opaque gives the O flag of a line.
-func opaque(line string) string {
+// opaqueFlag gives the O flag of a line.
+func opaqueFlag(line string) string {
 	for _, w := range strings.Fields(line) {
 		if w[0] == 'O' {
 			return w
@@ -109,20 +109,20 @@
 	return "O"
 }
 
-// holding answers every read with a value, missing answers it with a miss.
-func holding(value string) standin.Script {
+// answerValue answers every read with a value, missing answers it with a miss.
+func answerValue(value string) standin.Script {
 	return func(line string, _ []byte) string {
-		return fmt.Sprintf("VA %d %s h1 Lutil=0.5,queue=1\r\n%s\r\n", len(value), opaque(line), value)
+		return fmt.Sprintf("VA %d %s h1 Lutil=0.5,queue=1\r\n%s\r\n", len(value), opaqueFlag(line), value)
 	}
 }
 
-func missing(line string, _ []byte) string { return "EN " + opaque(line) + " h0\r\n" }
+func answerMiss(line string, _ []byte) string { return "EN " + opaqueFlag(line) + " h0\r\n" }
 
-func silent(string, []byte) string { return "" }
+func answerNothing(string, []byte) string { return "" }
 
 func startOrigin(t *testing.T, handle http.HandlerFunc) *standin.Origin {
 	t.Helper()
-	o, err := standin.NewOrigin(common(), standin.OriginOptions{Addr: "127.0.0.1:0", Script: handle})
+	o, err := standin.NewOrigin(newCommon(), standin.OriginOptions{Addr: "127.0.0.1:0", Script: handle})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 
 func startDiscovery(t *testing.T, list ...world.Member) discovery {
 	t.Helper()
-	l, err := standin.NewList(common(), standin.ListOptions{Addr: "127.0.0.1:0", Nodes: 1, Whole: true}, list...)
+	l, err := standin.NewList(newCommon(), standin.ListOptions{Addr: "127.0.0.1:0", Nodes: 1, Whole: true}, list...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 	return discovery{l}
 }
 
-func (d discovery) asked() []string { return d.Asked(0) }
+func (d discovery) polledRevisions() []string { return d.Asked(0) }
 
 // process is the built program, running.
 type process struct {
@@ -156,13 +156,13 @@
 
 func (n *process) log() string { return n.Text() }
 
-// serving is an entry that serves.
-func serving(id, addr, kind string) world.Member {
+// servingEntry is an entry that serves.
+func servingEntry(id, addr, kind string) world.Member {
 	return world.Member{ID: id, Addr: addr, Zone: "a", Kind: kind, Weight: 1}
 }
 
-// settings is what the nodes of these tests are told; a test changes what it needs to.
-func settings() map[string]any {
+// testSettings is what the nodes of these tests are told; a test changes what it needs to.
+func testSettings() map[string]any {
 	class := func(name, effect string) map[string]any {
 		return map[string]any{"Name": name, "Effect": effect, "DedupScope": "all", "Aim": int64(600 * time.Millisecond),
 			"Deadline": int64(3 * time.Second), "KeyTtl": int64(2 * time.Second), "Worth": 1}
@@ -179,24 +179,24 @@
 	}
 }
 
-// patientReads makes reads worth as much after seconds: the module neither cuts them off nor turns them away early.
-func patientReads(config map[string]any) {
+// raiseReadAim makes reads worth as much after seconds: the module neither cuts them off nor turns them away early.
+func raiseReadAim(config map[string]any) {
 	config["settings"].(map[string]any)["Classes"].([]any)[0].(map[string]any)["Aim"] = int64(3 * time.Second)
 }
 
-// start runs a node that knows no list yet; change may alter its configuration.
-func start(t *testing.T, d discovery, change func(config map[string]any)) *process {
+// startNode runs a node that knows no list yet; change may alter its configuration.
+func startNode(t *testing.T, d discovery, change func(config map[string]any)) *process {
 	t.Helper()
-	return startLogging(t, d, change, nil)
+	return startNodeLoggingTo(t, d, change, nil)
 }
 
-// startLogging runs a node whose log goes to a file; nil keeps it.
-func startLogging(t *testing.T, d discovery, change func(config map[string]any), to *os.File) *process {
+// startNodeLoggingTo runs a node whose log goes to a file; nil keeps it.
+func startNodeLoggingTo(t *testing.T, d discovery, change func(config map[string]any), to *os.File) *process {
 	t.Helper()
-	config := map[string]any{"name": "n1", "listen": refusing(t), "discovery": d.Addr(0), "seed": "8c1f30d27a5be964",
+	config := map[string]any{"name": "n1", "listen": unusedAddr(t), "discovery": d.Addr(0), "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"known":    map[string]any{"revision": 0, "complete": true, "members": []any{}},
-		"settings": settings()}
+		"settings": testSettings()}
 	if change != nil {
 		change(config)
 	}
@@ -204,26 +204,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := launch(t, string(text), config["listen"].(string), to)
+	n := startProcess(t, string(text), config["listen"].(string), to)
 	n.config = config
 	eventually(t, "the node answers mn with MN", func() bool { return load.Ready(n.addr) })
 	return n
 }
 
-// launch starts the program with a configuration file.
-func launch(t *testing.T, config, listen string, to *os.File, args ...string) *process {
+// startProcess starts the program with a configuration file.
+func startProcess(t *testing.T, config, listen string, to *os.File, args ...string) *process {
 	t.Helper()
-	return launchIn(t, t.TempDir(), config, listen, to, args...)
+	return startProcessIn(t, t.TempDir(), config, listen, to, args...)
 }
 
-// launchIn starts it with a directory for temporary files, which another process may share.
-func launchIn(t *testing.T, tmp, config, listen string, to *os.File, args ...string) *process {
+// startProcessIn starts it with a directory for temporary files, which another process may share.
+func startProcessIn(t *testing.T, tmp, config, listen string, to *os.File, args ...string) *process {
 	t.Helper()
-	var told struct{ Limits struct{ Sockets int } }
-	json.Unmarshal([]byte(config), &told)
+	var parsed struct{ Limits struct{ Sockets int } }
+	json.Unmarshal([]byte(config), &parsed)
 	sockets := 1024 // also where the configuration is bad
-	if told.Limits.Sockets >= 64 {
-		sockets = told.Limits.Sockets
+	if parsed.Limits.Sockets >= 64 {
+		sockets = parsed.Limits.Sockets
 	}
 	n := &process{t: t, addr: listen, tmp: tmp, Node: stage.NewNode(stage.NodeOptions{Log: seen.NewLog(), Command: strings.Join(append([]string{binary}, args...), " "),
 		Dir: t.TempDir(), Listen: listen, MemoryMB: 1 << 10, Sockets: sockets, Text: config, Output: to, Env: []string{"TMPDIR=" + tmp}})}
@@ -242,10 +242,10 @@
 	return n
 }
 
-// wait waits for the program's end and gives its status.
-func (n *process) wait() int {
+// waitExit waits for the program's end and gives its status.
+func (n *process) waitExit() int {
 	n.t.Helper()
-	status, ended := n.Wait(patience)
+	status, ended := n.Wait(waitTimeout)
 	if !ended {
 		n.t.Fatal("the node never ended")
 	}
@@ -265,8 +265,8 @@
 	n.signal(syscall.SIGHUP)
 }
 
-// text is the configuration with changes.
-func (n *process) text(change func(config map[string]any)) string {
+// configWith is the configuration with changes.
+func (n *process) configWith(change func(config map[string]any)) string {
 	n.t.Helper()
 	change(n.config)
 	text, err := json.Marshal(n.config)
@@ -302,10 +302,10 @@
 	}
 }
 
-// answer reads one answer: its line, and its value if it has one.
-func (c *client) answer() (line, value string) {
+// readAnswer reads one answer: its line, and its value if it has one.
+func (c *client) readAnswer() (line, value string) {
 	c.t.Helper()
-	c.conn.SetReadDeadline(time.Now().Add(patience))
+	c.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	line, err := c.in.ReadString('\n')
 	if err != nil {
 		c.t.Fatalf("no answer: %v", err)
@@ -322,24 +322,24 @@
 	return line, value
 }
 
-// ended reports whether the node closes the connection with nothing more said.
-func (c *client) ended() bool {
-	c.conn.SetReadDeadline(time.Now().Add(patience))
+// closedByNode reports whether the node closes the connection with nothing more said.
+func (c *client) closedByNode() bool {
+	c.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	_, err := c.in.ReadByte()
 	return err == io.EOF
 }
 
-func (c *client) want(line, value string) {
+func (c *client) expect(line, value string) {
 	c.t.Helper()
-	if l, v := c.answer(); l != line || v != value {
+	if l, v := c.readAnswer(); l != line || v != value {
 		c.t.Errorf("answer %q with %d bytes, want %q with %d", l, len(v), line, len(value))
 	}
 }
 
-// deaf is an address at which connections never come up, as at a machine that is cut off.
-func deaf(t *testing.T) string {
+// blackholeAddr is an address at which connections never come up, as at a machine that is cut off.
+func blackholeAddr(t *testing.T) string {
 	t.Helper()
-	c := startCache(t, silent)
+	c := startCache(t, answerNothing)
 	c.Silence(true)
 	return c.Addr()
 }
--- a/cmd/lapisshelf/large_test.go
+++ b/cmd/lapisshelf/large_test.go
@@ -18,9 +18,9 @@
 	"time"
 )
 
-// startRaw starts a server that is given each line that comes, with its connection to write what it likes, as slowly as it
+// startRawServer starts a server that is given each line that comes, with its connection to write what it likes, as slowly as it
 // likes; its return closes the connection if it says so.
-func startRaw(t *testing.T, handle func(conn net.Conn, line string) (closes bool)) (addr string) {
+func startRawServer(t *testing.T, handle func(conn net.Conn, line string) (closes bool)) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,8 +47,8 @@
 	return ln.Addr().String()
 }
 
-// long is a value in which each place is its own, for a key.
-func long(key string, size int) string {
+// longValue is a value in which each place is its own, for a key.
+func longValue(key string, size int) string {
 	var b strings.Builder
 	for b.Len() < size {
 		fmt.Fprintf(&b, "%s:%d;", key, b.Len())
@@ -56,8 +56,8 @@
 	return b.String()[:size]
 }
 
-// peak is the most memory that a process has held, in MB.
-func (n *process) peak() int {
+// peakMemoryMB is the most memory that a process has held, in MB.
+func (n *process) peakMemoryMB() int {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", n.Pid()))
 	for line := range strings.Lines(string(text)) {
 		if f := strings.Fields(line); len(f) > 1 && f[0] == "VmHWM:" {
@@ -72,15 +72,15 @@
 // more than the memory holds, each whole, the first bytes at once and small ones not kept waiting.
 func TestLongValuesToSlowReaders(t *testing.T) {
 	const size, readers = 4 << 20, 24
-	cache := startRaw(t, func(conn net.Conn, line string) bool {
+	cache := startRawServer(t, func(conn net.Conn, line string) bool {
 		key := strings.Fields(line)[1]
 		switch {
 		case strings.HasPrefix(key, "o"):
-			fmt.Fprintf(conn, "EN %s\r\n", opaque(line))
+			fmt.Fprintf(conn, "EN %s\r\n", opaqueFlag(line))
 		case strings.HasPrefix(key, "small"):
-			fmt.Fprintf(conn, "VA 5 %s h1\r\nsmall\r\n", opaque(line))
+			fmt.Fprintf(conn, "VA 5 %s h1\r\nsmall\r\n", opaqueFlag(line))
 		default:
-			text := fmt.Sprintf("VA %d %s h1 Lutil=0.1\r\n%s\r\n", size, opaque(line), long(key, size))
+			text := fmt.Sprintf("VA %d %s h1 Lutil=0.1\r\n%s\r\n", size, opaqueFlag(line), longValue(key, size))
 			for len(text) > 0 {
 				n := min(len(text), 70_001)
 				io.WriteString(conn, text[:n])
@@ -91,11 +91,11 @@
 	})
 	o := startOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", strconv.Itoa(size))
-		io.WriteString(w, long(r.URL.Path[1:], size))
+		io.WriteString(w, longValue(r.URL.Path[1:], size))
 	})
-	n, control := operated(t, startDiscovery(t, serving("s-1", cache, "m2"), serving("s-0", o.Addr(), "origin")), func(c map[string]any) {
+	n, control := startNodeWithControl(t, startDiscovery(t, servingEntry("s-1", cache, "m2"), servingEntry("s-0", o.Addr(), "origin")), func(c map[string]any) {
 		c["limits"] = map[string]any{"memory_mb": 32, "sockets": 1024}
-		patientReads(c)
+		raiseReadAim(c)
 	})
 	var done sync.WaitGroup
 	var begun atomic.Int64
@@ -104,7 +104,7 @@
 		go func() {
 			defer done.Done()
 			key := fmt.Sprintf("%c%d", "ko"[i%2], i)
-			want := long(key, size)
+			want := longValue(key, size)
 			for try := 0; ; try++ { // one cache takes only so many at once
 				conn, err := net.Dial("tcp", n.addr)
 				if err != nil {
@@ -146,14 +146,14 @@
 	cl := n.dial()
 	for i := range 20 {
 		cl.send(fmt.Sprintf("mg small%d v Os%d Pc=read,d=500\r\n", i, i))
-		cl.want(fmt.Sprintf("VA 5 Os%d", i), "small")
+		cl.expect(fmt.Sprintf("VA 5 Os%d", i), "small")
 	}
 	done.Wait()
-	if peak := n.peak(); peak >= 32 {
+	if peak := n.peakMemoryMB(); peak >= 32 {
 		t.Errorf("%d MB of memory at the most", peak)
 	}
-	if got := figures(t, control); got[requests("read", "served")] != readers+20 || got["app_in_flight"] != 0 {
-		t.Errorf("served %v, in flight %v", got[requests("read", "served")], got["app_in_flight"])
+	if got := readMetrics(t, control); got[requestsMetric("read", "served")] != readers+20 || got["app_in_flight"] != 0 {
+		t.Errorf("served %v, in flight %v", got[requestsMetric("read", "served")], got["app_in_flight"])
 	}
 }
 
@@ -162,58 +162,58 @@
 func TestLongValuesThatBreak(t *testing.T) {
 	const size = 300_000
 	var times atomic.Int64
-	cache := startRaw(t, func(conn net.Conn, line string) bool {
+	cache := startRawServer(t, func(conn net.Conn, line string) bool {
 		key := strings.Fields(line)[1]
-		head := fmt.Sprintf("VA %d %s h1\r\n", size, opaque(line))
+		head := fmt.Sprintf("VA %d %s h1\r\n", size, opaqueFlag(line))
 		switch key {
 		case "good":
-			io.WriteString(conn, head+long(key, size)+"\r\n")
+			io.WriteString(conn, head+longValue(key, size)+"\r\n")
 			return false
 		case "breaks":
 			times.Add(1)
-			io.WriteString(conn, head+long(key, size/2))
+			io.WriteString(conn, head+longValue(key, size/2))
 			return true
 		case "stops":
-			io.WriteString(conn, head+long(key, size-1))
+			io.WriteString(conn, head+longValue(key, size-1))
 			return false
 		case "stub": // Guards against an answer made of the little that had come: served, and empty
-			io.WriteString(conn, head+long(key, 100))
+			io.WriteString(conn, head+longValue(key, 100))
 			return true
 		case "longer":
-			io.WriteString(conn, head+long(key, size+1)+"\r\n")
+			io.WriteString(conn, head+longValue(key, size+1)+"\r\n")
 			return false
 		case "other":
-			io.WriteString(conn, fmt.Sprintf("VA %d Oother h1\r\n", size)+long(key, size)+"\r\n")
+			io.WriteString(conn, fmt.Sprintf("VA %d Oother h1\r\n", size)+longValue(key, size)+"\r\n")
 			return false
 		}
-		io.WriteString(conn, "VA 3000000000 "+opaque(line)+"\r\n"+long(key, size))
+		io.WriteString(conn, "VA 3000000000 "+opaqueFlag(line)+"\r\n"+longValue(key, size))
 		return false
 	})
-	n, control := operated(t, startDiscovery(t, serving("s-1", cache, "m2")), patientReads)
+	n, control := startNodeWithControl(t, startDiscovery(t, servingEntry("s-1", cache, "m2")), raiseReadAim)
 	for i, key := range []string{"breaks", "stops", "longer"} {
 		cl := n.dial()
 		cl.send(fmt.Sprintf("mg good v Oa%d Pc=read,d=2900\r\nmg %s v Ob%d Pc=read,d=2900\r\n", i, key, i))
-		cl.want(fmt.Sprintf("VA %d Oa%d", size, i), long("good", size))
-		cl.conn.SetReadDeadline(time.Now().Add(patience))
+		cl.expect(fmt.Sprintf("VA %d Oa%d", size, i), longValue("good", size))
+		cl.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 		line, _ := cl.in.ReadString('\n')
 		rest, err := io.ReadAll(cl.in)
-		if line != fmt.Sprintf("VA %d Ob%d\r\n", size, i) || err != nil || len(rest) > size || !strings.HasPrefix(long(key, size+1), string(rest)) {
+		if line != fmt.Sprintf("VA %d Ob%d\r\n", size, i) || err != nil || len(rest) > size || !strings.HasPrefix(longValue(key, size+1), string(rest)) {
 			t.Errorf("%s: %q and %d bytes, %v", key, line, len(rest), err)
 		}
 	}
 	cl := n.dial()
 	for i, key := range []string{"other", "huge", "stub"} { // told by the head: nothing goes on, and another try may be made
 		cl.send(fmt.Sprintf("mg %s v Oc%d Pc=read,d=900\r\n", key, i))
-		if line, _ := cl.answer(); !strings.HasPrefix(line, "SERVER_ERROR ") {
+		if line, _ := cl.readAnswer(); !strings.HasPrefix(line, "SERVER_ERROR ") {
 			t.Errorf("%s: %q", key, line)
 		}
 	}
 	if times.Load() != 1 {
 		t.Errorf("%d attempts for one that had begun to flow", times.Load())
 	}
-	got := figures(t, control)
-	if got[requests("read", "failed")] < 3 || got[requests("read", "served")] != 3 || got["app_in_flight"] != 0 {
-		t.Errorf("served %v, failed %v, in flight %v", got[requests("read", "served")], got[requests("read", "failed")], got["app_in_flight"])
+	got := readMetrics(t, control)
+	if got[requestsMetric("read", "failed")] < 3 || got[requestsMetric("read", "served")] != 3 || got["app_in_flight"] != 0 {
+		t.Errorf("served %v, failed %v, in flight %v", got[requestsMetric("read", "served")], got[requestsMetric("read", "failed")], got["app_in_flight"])
 	}
 }
 
@@ -222,13 +222,13 @@
 func TestReadersThatLeave(t *testing.T) {
 	const size = 4 << 20
 	var open atomic.Int64
-	cache := startRaw(t, func(conn net.Conn, line string) bool {
+	cache := startRawServer(t, func(conn net.Conn, line string) bool {
 		open.Add(1)
 		defer open.Add(-1)
-		_, err := io.WriteString(conn, fmt.Sprintf("VA %d %s h1\r\n%s\r\n", size, opaque(line), long("k", size)))
+		_, err := io.WriteString(conn, fmt.Sprintf("VA %d %s h1\r\n%s\r\n", size, opaqueFlag(line), longValue("k", size)))
 		return err != nil
 	})
-	n, control := operated(t, startDiscovery(t, serving("s-1", cache, "m2")), patientReads)
+	n, control := startNodeWithControl(t, startDiscovery(t, servingEntry("s-1", cache, "m2")), raiseReadAim)
 	for i := range 4 {
 		cl := n.dial()
 		cl.conn.(*net.TCPConn).SetReadBuffer(8 << 10)
@@ -240,7 +240,7 @@
 			cl.conn.Close()
 		}
 	}
-	eventually(t, "all is given back", func() bool { return open.Load() == 0 && figures(t, control)["app_in_flight"] == 0 })
+	eventually(t, "all is given back", func() bool { return open.Load() == 0 && readMetrics(t, control)["app_in_flight"] == 0 })
 }
 
 // A process that is killed at the end of its time, as at an upgrade, leaves what a slow reader has yet to take with the
@@ -248,14 +248,14 @@
 func TestALongValueOutlivesItsProcess(t *testing.T) {
 	const size = 4 << 20
 	text, _ := os.ReadFile("/proc/sys/net/core/wmem_max")
-	if most, _ := strconv.Atoi(strings.TrimSpace(string(text))); most < size {
-		t.Skipf("the system holds %d bytes of a connection at the most", most)
+	if maxBytes, _ := strconv.Atoi(strings.TrimSpace(string(text))); maxBytes < size {
+		t.Skipf("the system holds %d bytes of a connection at the most", maxBytes)
 	}
-	cache := startRaw(t, func(conn net.Conn, line string) bool {
-		fmt.Fprintf(conn, "VA %d %s h1\r\n%s\r\n", size, opaque(line), long("k", size))
+	cache := startRawServer(t, func(conn net.Conn, line string) bool {
+		fmt.Fprintf(conn, "VA %d %s h1\r\n%s\r\n", size, opaqueFlag(line), longValue("k", size))
 		return false
 	})
-	n, _ := operated(t, startDiscovery(t, serving("s-1", cache, "m2")), patientReads)
+	n, _ := startNodeWithControl(t, startDiscovery(t, servingEntry("s-1", cache, "m2")), raiseReadAim)
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=900\r\n")
 	if line, err := cl.in.ReadString('\n'); err != nil || !strings.HasPrefix(line, "VA ") {
@@ -265,9 +265,9 @@
 	eventually(t, "it leaves", func() bool { return strings.Contains(n.log(), "event=leaving") })
 	time.Sleep(2 * time.Second)
 	n.signal(syscall.SIGKILL)
-	n.wait()
-	cl.conn.SetReadDeadline(time.Now().Add(patience))
-	if rest, err := io.ReadAll(cl.in); err != nil || string(rest) != long("k", size)+"\r\n" {
+	n.waitExit()
+	cl.conn.SetReadDeadline(time.Now().Add(waitTimeout))
+	if rest, err := io.ReadAll(cl.in); err != nil || string(rest) != longValue("k", size)+"\r\n" {
 		t.Errorf("%d bytes of %d, %v", len(rest), size+2, err)
 	}
 }
--- a/cmd/lapisshelf/logwriter.go
+++ b/cmd/lapisshelf/logwriter.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	logLines = 1024                   // lines that may wait
-	logFlush = 200 * time.Millisecond // how long the program's end waits for them
+	maxQueuedLogLines = 1024                   // lines that may wait
+	logFlushTimeout   = 200 * time.Millisecond // how long the program's end waits for them
 )
 
 // logWriter takes log lines without ever waiting: a reader of the log that has stopped must not stop the loop. What
@@ -18,7 +18,7 @@
 }
 
 func newLogWriter(to io.Writer) *logWriter {
-	w := &logWriter{make(chan []byte, logLines), make(chan struct{})}
+	w := &logWriter{make(chan []byte, maxQueuedLogLines), make(chan struct{})}
 	go func() {
 		defer close(w.done)
 		for line := range w.lines {
@@ -42,6 +42,6 @@
 	close(w.lines)
 	select {
 	case <-w.done:
-	case <-time.After(logFlush):
+	case <-time.After(logFlushTimeout):
 	}
 }
--- a/cmd/lapisshelf/main.go
+++ b/cmd/lapisshelf/main.go
@@ -20,8 +20,8 @@
 
 // Statuses of the program's end.
 const (
-	statusFailed = 1 // the configuration, or what serving needs
-	statusUsage  = 2 // the command line
+	exitFailed = 1 // the configuration, or what serving needs
+	exitUsage  = 2 // the command line
 )
 
 // usageError is a fault of the command line.
@@ -33,37 +33,37 @@
 }
 
 func run(args []string) int {
-	err := command(args).Execute()
+	err := newRootCommand(args).Execute()
 	if err == nil {
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, "lapisshelf:", err)
 	var usage usageError
 	if errors.As(err, &usage) || strings.HasPrefix(err.Error(), "unknown command") {
-		return statusUsage
+		return exitUsage
 	}
-	return statusFailed
+	return exitFailed
 }
 
-// command is the whole command line. With no command the program serves: the platform's line has none.
-func command(args []string) *cobra.Command {
+// newRootCommand is the whole command line. With no command the program serves: the platform's line has none.
+func newRootCommand(args []string) *cobra.Command {
 	config := os.Getenv("LAPISSHELF_CONFIG")
-	none := func(_ *cobra.Command, args []string) error {
+	noArgs := func(_ *cobra.Command, args []string) error {
 		if len(args) > 0 {
 			return usageError{fmt.Errorf("unknown command %q: there are serve, forward, plan, keys, view, check, migrate and version", args[0])}
 		}
 		return nil
 	}
-	serving := func(*cobra.Command, []string) error { return serve(config) }
+	runServe := func(*cobra.Command, []string) error { return serve(config) }
 	root := &cobra.Command{Use: "lapisshelf", Short: "A router for fleets of cache servers: one balancer on real sockets",
 		Long: "A router for fleets of cache servers: one balancer on real sockets.\n\nWith no command it serves. It is configured by EDGE_CONFIG, the platform's file, or by an operator's file.",
-		Args: none, RunE: serving, SilenceUsage: true, SilenceErrors: true}
+		Args: noArgs, RunE: runServe, SilenceUsage: true, SilenceErrors: true}
 	root.PersistentFlags().StringVar(&config, "config", config, "operator's file (LAPISSHELF_CONFIG)")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.AddCommand(
-		&cobra.Command{Use: "serve", Short: "Serve, as the program does with no command", Args: none, RunE: serving},
-		&cobra.Command{Use: "forward", Short: "Serve by the views of planners: serve, but [planners] must be there", Args: none, RunE: func(*cobra.Command, []string) error {
+		&cobra.Command{Use: "serve", Short: "Serve, as the program does with no command", Args: noArgs, RunE: runServe},
+		&cobra.Command{Use: "forward", Short: "Serve by the views of planners: serve, but [planners] must be there", Args: noArgs, RunE: func(*cobra.Command, []string) error {
 			op, err := operator.Read(config)
 			if err != nil {
 				return err
@@ -73,30 +73,30 @@
 			}
 			return serve(config)
 		}},
-		&cobra.Command{Use: "plan", Short: "Plan for forwarders, by the [planner] table", Args: none, RunE: func(*cobra.Command, []string) error { return planning(config) }},
+		&cobra.Command{Use: "plan", Short: "Plan for forwarders, by the [planner] table", Args: noArgs, RunE: func(*cobra.Command, []string) error { return runPlanner(config) }},
 		keysCommand(),
-		&cobra.Command{Use: "view ADDRESS", Short: "Print the view that a planner or forwarder acts on, by its control address", Args: exactly(1, "an address"), RunE: view},
+		&cobra.Command{Use: "view ADDRESS", Short: "Print the view that a planner or forwarder acts on, by its control address", Args: exactArgs(1, "an address"), RunE: printView},
 		&cobra.Command{Use: "check FILE...", Short: "Say what is wrong with operator's files (.toml) and configurations (.json)",
 			Args: func(_ *cobra.Command, args []string) error {
 				if len(args) == 0 {
 					return usageError{errors.New("check wants a file")}
 				}
 				return nil
-			}, RunE: check},
+			}, RunE: checkFiles},
 		migrateCommand(),
-		&cobra.Command{Use: "version", Short: "Print which build this is", Args: none, RunE: version})
+		&cobra.Command{Use: "version", Short: "Print which build this is", Args: noArgs, RunE: printVersion})
 	root.SetArgs(args)
 	return root
 }
 
-// check reads files as serving would and names the first fault of each.
-func check(c *cobra.Command, paths []string) error {
-	bad := 0
+// checkFiles reads files as serving would and names the first fault of each.
+func checkFiles(c *cobra.Command, paths []string) error {
+	invalid := 0
 	for _, path := range paths {
 		warning, err := checkFile(path)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "lapisshelf:", err)
-			bad++
+			invalid++
 			continue
 		}
 		if warning != nil {
@@ -104,8 +104,8 @@
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%s: good\n", path)
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d of %d files are bad", bad, len(paths))
+	if invalid > 0 {
+		return fmt.Errorf("%d of %d files are bad", invalid, len(paths))
 	}
 	return nil
 }
@@ -127,12 +127,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return tooMany(&cfg, path, nil), nil
+	return fleetSizeWarning(&cfg, path, nil), nil
 }
 
-// tooMany warns of a fleet that its list's calls a second let know of a change too late, in one line with file and key: the
+// fleetSizeWarning warns of a fleet that its list's calls a second let know of a change too late, in one line with file and key: the
 // operator's file, which may be nil, where the list or the fleet's size is told there.
-func tooMany(cfg *node.Config, path string, op *operator.File) error {
+func fleetSizeWarning(cfg *node.Config, path string, op *operator.File) error {
 	why := cfg.TooMany()
 	switch {
 	case why == "":
@@ -143,8 +143,8 @@
 	return fmt.Errorf("%s: settings: Balancers: %s", path, why)
 }
 
-// version prints what the build knows of itself.
-func version(c *cobra.Command, _ []string) error {
+// printVersion prints what the build knows of itself.
+func printVersion(c *cobra.Command, _ []string) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return errors.New("the build tells nothing of itself")
--- a/cmd/lapisshelf/migrate.go
+++ b/cmd/lapisshelf/migrate.go
@@ -15,30 +15,30 @@
 
 // migrateCommand writes the counterpart of a configuration for a deployment in which each client process has a node.
 func migrateCommand() *cobra.Command {
-	var shape migrate.Deployment
-	var dry, force bool
+	var deployment migrate.Deployment
+	var dryRun, force bool
 	c := &cobra.Command{Use: "migrate SOURCE TARGET", Short: "Write the counterpart of a configuration for a node beside one client process",
 		Long: "Reads an operator's file (.toml) or a node's configuration (.json) of a node that served a pool of clients, and\n" +
 			"writes its counterpart for a node beside one client process. What is not carried over is listed with the reason.",
-		Args: exactly(2, "a source and a target")}
+		Args: exactArgs(2, "a source and a target")}
 	f := c.Flags()
-	f.IntVar(&shape.Nodes, "nodes", 0, "nodes in the new fleet, one for each client process, 1 to 100000; wanted")
-	f.IntVar(&shape.Position, "position", 0, "this node's number among them, from 0")
-	f.StringVar(&shape.Name, "name", "", "this node's name; none is carried over")
-	f.StringVar(&shape.Zone, "zone", "", "this node's zone, as the list names it; none is carried over")
-	f.StringVar(&shape.Listen, "listen", "", "address and port for its client; default: the old port on 127.0.0.1")
-	f.BoolVar(&dry, "dry-run", false, "write nothing: print what would be written and what would be lost")
+	f.IntVar(&deployment.Nodes, "nodes", 0, "nodes in the new fleet, one for each client process, 1 to 100000; wanted")
+	f.IntVar(&deployment.Position, "position", 0, "this node's number among them, from 0")
+	f.StringVar(&deployment.Name, "name", "", "this node's name; none is carried over")
+	f.StringVar(&deployment.Zone, "zone", "", "this node's zone, as the list names it; none is carried over")
+	f.StringVar(&deployment.Listen, "listen", "", "address and port for its client; default: the old port on 127.0.0.1")
+	f.BoolVar(&dryRun, "dry-run", false, "write nothing: print what would be written and what would be lost")
 	f.BoolVar(&force, "force", false, "put the result in the place of a target that stands there")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if !f.Changed("nodes") {
 			return usageError{errors.New("migrate wants --nodes, the number of client processes")}
 		}
-		return move(c, args[0], args[1], shape, dry, force)
+		return migrateFile(c, args[0], args[1], deployment, dryRun, force)
 	}
 	return c
 }
 
-func move(c *cobra.Command, source, target string, shape migrate.Deployment, dry, force bool) error {
+func migrateFile(c *cobra.Command, source, target string, shape migrate.Deployment, dry, force bool) error {
 	text, err := tomlfile.ReadText(source)
 	if err != nil {
 		return err
@@ -50,7 +50,7 @@
 	out := c.OutOrStdout()
 	if dry {
 		fmt.Fprintf(out, "%s", r.Text)
-	} else if err := place(target, r.Text, force); err != nil {
+	} else if err := writeFile(target, r.Text, force); err != nil {
 		return err
 	}
 	for _, n := range r.Changed {
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// place puts a file where it belongs, whole or not at all. A configuration may name secrets: only its owner reads it.
-func place(path string, text []byte, force bool) error {
-	plain := func(err error) error {
+// writeFile puts a file where it belongs, whole or not at all. A configuration may name secrets: only its owner reads it.
+func writeFile(path string, text []byte, force bool) error {
+	withPath := func(err error) error {
 		if cause := errors.Unwrap(err); cause != nil {
 			err = cause
 		}
@@ -77,7 +77,7 @@
 	}
 	f, err := os.CreateTemp(filepath.Dir(path), ".migrate-*")
 	if err != nil {
-		return plain(err)
+		return withPath(err)
 	}
 	defer os.Remove(f.Name()) // gone already where all went well
 	_, err = f.Write(text)
@@ -97,7 +97,7 @@
 		}
 	}
 	if err != nil {
-		return plain(err)
+		return withPath(err)
 	}
 	return nil
 }
--- a/cmd/lapisshelf/migrate_test.go
+++ b/cmd/lapisshelf/migrate_test.go
@@ -12,8 +12,8 @@
 	"lapisshelf/lab/load"
 )
 
-// migrated runs the built program's migrate and gives what it printed and its status.
-func migrated(t *testing.T, args ...string) (out string, status int) {
+// runMigrate runs the built program's migrate and gives what it printed and its status.
+func runMigrate(t *testing.T, args ...string) (out string, status int) {
 	t.Helper()
 	cmd := exec.Command(binary, append([]string{"migrate"}, args...)...)
 	text, err := cmd.CombinedOutput()
@@ -23,7 +23,7 @@
 	return string(text), cmd.ProcessState.ExitCode()
 }
 
-func put(t *testing.T, dir, name, text string) string {
+func writeTestFile(t *testing.T, dir, name, text string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -32,7 +32,7 @@
 	return path
 }
 
-func content(t *testing.T, path string) string {
+func readTestFile(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return string(text)
 }
 
-const poolOfNodes = `# the pool's
+const poolNodeConfig = `# the pool's
 [node]
 name = "pool-1"
 listen = "10.0.0.4:11211"
@@ -65,20 +65,20 @@
 
 // An operator's file of a pool's node is converted, and the built node serves with it.
 func TestMigratedFileServes(t *testing.T) {
-	cache, origin := startCache(t, holding("held")), startOrigin(t, value("fetched"))
-	d := startDiscovery(t, serving("s-1", cache.Addr(), "m2"), serving("s-0", origin.Addr(), "origin"))
-	dir, addr := t.TempDir(), refusing(t)
-	source, target := put(t, dir, "pool.toml", fmt.Sprintf(poolOfNodes, d.Addr(0))), filepath.Join(dir, "own.toml")
+	cache, origin := startCache(t, answerValue("held")), startOrigin(t, respondText("fetched"))
+	d := startDiscovery(t, servingEntry("s-1", cache.Addr(), "m2"), servingEntry("s-0", origin.Addr(), "origin"))
+	dir, addr := t.TempDir(), unusedAddr(t)
+	source, target := writeTestFile(t, dir, "pool.toml", fmt.Sprintf(poolNodeConfig, d.Addr(0))), filepath.Join(dir, "own.toml")
 	args := []string{source, target, "--nodes", "176", "--position", "9", "--listen", addr, "--zone", "west"}
 
-	out, status := migrated(t, append(args, "--dry-run")...)
+	out, status := runMigrate(t, append(args, "--dry-run")...)
 	if status != 0 || !strings.Contains(out, "balancers = 176\n") || !strings.Contains(out, "own.toml: not written") {
 		t.Errorf("dry run: status %d, %q", status, out)
 	}
 	if list, _ := os.ReadDir(dir); len(list) != 1 {
 		t.Errorf("a dry run left %v", list)
 	}
-	out, status = migrated(t, args...)
+	out, status = runMigrate(t, args...)
 	if status != 0 {
 		t.Fatalf("status %d: %s", status, out)
 	}
@@ -92,23 +92,23 @@
 	if text, err := exec.Command(binary, "check", target).CombinedOutput(); err != nil {
 		t.Errorf("check: %s", text)
 	}
-	text := content(t, target)
-	if out, status = migrated(t, args...); status != 1 || content(t, target) != text || !strings.Contains(out, "stands there already") {
+	text := readTestFile(t, target)
+	if out, status = runMigrate(t, args...); status != 1 || readTestFile(t, target) != text || !strings.Contains(out, "stands there already") {
 		t.Errorf("a target that stands there: status %d, %q", status, out)
 	}
 	again := filepath.Join(dir, "again.toml") // twice changes nothing more, and nothing more is lost
-	if out, _ = migrated(t, append([]string{target, again}, args[2:]...)...); content(t, again) != text || out != again+": written\n" {
-		t.Errorf("converted twice: %q and\n%s", out, content(t, again))
+	if out, _ = runMigrate(t, append([]string{target, again}, args[2:]...)...); readTestFile(t, again) != text || out != again+": written\n" {
+		t.Errorf("converted twice: %q and\n%s", out, readTestFile(t, again))
 	}
-	if _, status = migrated(t, append([]string{source, again, "--force"}, args[2:]...)...); status != 0 || content(t, again) != text {
+	if _, status = runMigrate(t, append([]string{source, again, "--force"}, args[2:]...)...); status != 0 || readTestFile(t, again) != text {
 		t.Errorf("--force: status %d", status)
 	}
 
-	n := launch(t, "{}", addr, nil, "serve", "--config", target)
+	n := startProcess(t, "{}", addr, nil, "serve", "--config", target)
 	eventually(t, "the node answers mn with MN", func() bool { return load.Ready(n.addr) })
 	cl := n.dial()
 	cl.send("mg k v O1a Pc=read,t=acme,d=480 q\r\n")
-	cl.want("VA 4 O1a", "held")
+	cl.expect("VA 4 O1a", "held")
 	if !strings.Contains(n.log(), "event=no_probes") {
 		t.Error("a node that cannot probe does not say so at its start")
 	}
@@ -116,10 +116,10 @@
 
 // A node's configuration is converted, what the platform's settings hold beside stays, and the built node serves with it.
 func TestMigratedConfigurationServes(t *testing.T) {
-	cache, origin := startCache(t, missing), startOrigin(t, value("fetched"))
-	d := startDiscovery(t, serving("s-1", cache.Addr(), "m2"), serving("s-0", origin.Addr(), "origin"))
-	dir, addr := t.TempDir(), refusing(t)
-	set := settings()
+	cache, origin := startCache(t, answerMiss), startOrigin(t, respondText("fetched"))
+	d := startDiscovery(t, servingEntry("s-1", cache.Addr(), "m2"), servingEntry("s-0", origin.Addr(), "origin"))
+	dir, addr := t.TempDir(), unusedAddr(t)
+	set := testSettings()
 	set["Az"] = "east"
 	set["Goal"] = map[string]any{"Whole": 0.5}
 	text, err := json.MarshalIndent(map[string]any{"name": "pool-1", "listen": addr, "discovery": d.Addr(0), "seed": "8c1f30d27a5be964",
@@ -128,8 +128,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	source, target := put(t, dir, "pool.json", string(text)), filepath.Join(dir, "own.json")
-	out, status := migrated(t, source, target, "--nodes", "900", "--name", "beside-7")
+	source, target := writeTestFile(t, dir, "pool.json", string(text)), filepath.Join(dir, "own.json")
+	out, status := runMigrate(t, source, target, "--nodes", "900", "--name", "beside-7")
 	if status != 0 {
 		t.Fatalf("status %d: %s", status, out)
 	}
@@ -143,23 +143,23 @@
 		t.Errorf("check: %s", text)
 	}
 	again := filepath.Join(dir, "again.json")
-	if out, _ = migrated(t, target, again, "--nodes", "900", "--name", "beside-7"); content(t, again) != content(t, target) || out != again+": written\n" {
-		t.Errorf("converted twice: %q and\n%s", out, content(t, again))
+	if out, _ = runMigrate(t, target, again, "--nodes", "900", "--name", "beside-7"); readTestFile(t, again) != readTestFile(t, target) || out != again+": written\n" {
+		t.Errorf("converted twice: %q and\n%s", out, readTestFile(t, again))
 	}
-	if !strings.Contains(content(t, target), `"Whole": 0.5`) {
+	if !strings.Contains(readTestFile(t, target), `"Whole": 0.5`) {
 		t.Error("the platform's own settings were lost")
 	}
-	n := launch(t, content(t, target), addr, nil)
+	n := startProcess(t, readTestFile(t, target), addr, nil)
 	eventually(t, "the node answers mn with MN", func() bool { return load.Ready(n.addr) })
 	cl := n.dial()
 	cl.send("mg k v O1a Pc=read,d=480 q\r\n")
-	cl.want("VA 7 O1a", "fetched")
+	cl.expect("VA 7 O1a", "fetched")
 }
 
 // A fault is one plain line with file, line and key, the usual status, and no file, whole or half.
 func TestMigrateNamesFaults(t *testing.T) {
-	good := strings.Replace(poolOfNodes, "%s", "127.0.0.1:8500", 1)
-	whole, err := json.MarshalIndent(map[string]any{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}, "", " ")
+	good := strings.Replace(poolNodeConfig, "%s", "127.0.0.1:8500", 1)
+	whole, err := json.MarshalIndent(map[string]any{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": testSettings()}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,7 +195,7 @@
 			args = []string{"--nodes", "4"}
 		}
 		target := filepath.Join(dir, "new"+filepath.Ext(c.name))
-		out, status := migrated(t, append([]string{put(t, dir, c.name, c.text), target}, args...)...)
+		out, status := runMigrate(t, append([]string{writeTestFile(t, dir, c.name, c.text), target}, args...)...)
 		if status != c.status || strings.Count(out, "\n") != 1 || !strings.Contains(out, c.want) {
 			t.Errorf("%s: status %d, %q; want %d and one line with %q", c.name, status, out, c.status, c.want)
 		}
@@ -203,10 +203,10 @@
 			t.Errorf("%s: left %v", c.name, list)
 		}
 	}
-	if out, status := migrated(t, filepath.Join(t.TempDir(), "none.toml"), "x.toml", "--nodes", "4"); status != 1 || strings.Count(out, "\n") != 1 {
+	if out, status := runMigrate(t, filepath.Join(t.TempDir(), "none.toml"), "x.toml", "--nodes", "4"); status != 1 || strings.Count(out, "\n") != 1 {
 		t.Errorf("an unreadable file: status %d, %q", status, out)
 	}
-	if out, status := migrated(t, put(t, t.TempDir(), "s.toml", good), "/nowhere/at/all/x.toml", "--nodes", "4"); status != 1 || strings.Count(out, "\n") != 1 {
+	if out, status := runMigrate(t, writeTestFile(t, t.TempDir(), "s.toml", good), "/nowhere/at/all/x.toml", "--nodes", "4"); status != 1 || strings.Count(out, "\n") != 1 {
 		t.Errorf("a target that cannot be written: status %d, %q", status, out)
 	}
 }
--- a/cmd/lapisshelf/node_test.go
+++ b/cmd/lapisshelf/node_test.go
@@ -27,11 +27,11 @@
 	"lapisshelf/lab/world"
 )
 
-func value(text string) http.HandlerFunc {
+func respondText(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) }
 }
 
-func status(code int, notStarted bool) http.HandlerFunc {
+func respondStatus(code int, notStarted bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if notStarted {
 			w.Header().Set("Not-Started", "1")
@@ -43,9 +43,9 @@
 func TestServesReadsAndWrites(t *testing.T) {
 	c := startCache(t, func(line string, v []byte) string {
 		if strings.HasPrefix(line, "mg held ") {
-			return holding("from the cache")(line, v)
+			return answerValue("from the cache")(line, v)
 		}
-		return missing(line, v)
+		return answerMiss(line, v)
 	})
 	o := startOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == "PUT" {
@@ -54,21 +54,21 @@
 		}
 		io.WriteString(w, "from the origin")
 	})
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2"), serving("s-0", o.Addr(), "origin")), nil)
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2"), servingEntry("s-0", o.Addr(), "origin")), nil)
 	cl := n.dial()
 	cl.send("mg held v O1a Pc=read,t=acme,d=480,z=9 q\r\n")
-	cl.want("VA 14 O1a", "from the cache")
+	cl.expect("VA 14 O1a", "from the cache")
 	cl.send("mg other v O1b Pc=read,t=acme,d=2500\r\n")
-	cl.want("VA 15 O1b", "from the origin")
+	cl.expect("VA 15 O1b", "from the origin")
 	cl.send("ms other 5 O1c Pc=put,t=acme,d=2500,k=5c0f\r\nhello\r\n")
-	cl.want("HD O1c cR77", "")
+	cl.expect("HD O1c cR77", "")
 
 	got := c.Lines()
-	m := regexp.MustCompile(`^mg held v O1a Pc=read,t=acme,d=(\d+),z=9 q$`).FindStringSubmatch(got[0])
-	if m == nil {
+	submatch := regexp.MustCompile(`^mg held v O1a Pc=read,t=acme,d=(\d+),z=9 q$`).FindStringSubmatch(got[0])
+	if submatch == nil {
 		t.Fatalf("the cache was sent %q", got[0])
 	}
-	if d, _ := strconv.Atoi(m[1]); d <= 0 || d >= 480 {
+	if d, _ := strconv.Atoi(submatch[1]); d <= 0 || d >= 480 {
 		t.Errorf("d=%d went on where the client waits 480", d)
 	}
 	asked := o.Lines()
@@ -96,45 +96,45 @@
 			slow.Store(true)
 			time.Sleep(150 * time.Millisecond)
 		}
-		return holding(strings.Fields(line)[1])(line, v)
+		return answerValue(strings.Fields(line)[1])(line, v)
 	})
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), nil)
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
 	cl := n.dial()
 	for _, b := range []byte("mg slow v O1 Pc=read,d=2500\r\n") {
 		cl.send(string(b))
 	}
 	eventually(t, "the slow read is out", slow.Load)
 	cl.send("mg fast v O2 Pc=read,d=2500\r\nmn\r\nnonsense\r\nmg quick v O3 Pc=read,d=2500\r\n")
-	cl.want("VA 4 O1", "slow")
-	cl.want("VA 4 O2", "fast")
-	cl.want("MN", "")
-	cl.want("CLIENT_ERROR bad command line format", "")
-	cl.want("VA 5 O3", "quick")
+	cl.expect("VA 4 O1", "slow")
+	cl.expect("VA 4 O2", "fast")
+	cl.expect("MN", "")
+	cl.expect("CLIENT_ERROR bad command line format", "")
+	cl.expect("VA 5 O3", "quick")
 }
 
 // A value over the usual size is passed on whole, from a cache and from the origin, as long as the memory has room.
 func TestLargeValues(t *testing.T) {
 	large := strings.Repeat("large", 80<<10)
-	o := startOrigin(t, value("o"+large))
+	o := startOrigin(t, respondText("o"+large))
 	c := startCache(t, func(line string, v []byte) string {
 		if strings.HasPrefix(line, "mg held ") {
-			return holding(large)(line, v)
+			return answerValue(large)(line, v)
 		}
-		return missing(line, v)
+		return answerMiss(line, v)
 	})
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2"), serving("s-0", o.Addr(), "origin")), patientReads)
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2"), servingEntry("s-0", o.Addr(), "origin")), raiseReadAim)
 	cl := n.dial()
 	cl.send("mg held v O1 Pc=read,d=2900\r\nmg other v O2 Pc=read,d=2900\r\n")
-	cl.want(fmt.Sprintf("VA %d O1", len(large)), large)
-	cl.want(fmt.Sprintf("VA %d O2", len(large)+1), "o"+large)
+	cl.expect(fmt.Sprintf("VA %d O1", len(large)), large)
+	cl.expect(fmt.Sprintf("VA %d O2", len(large)+1), "o"+large)
 }
 
 // More requests at once than are taken at once, and more bytes of answers than are kept at once.
 func TestManyLargeValuesToASlowReader(t *testing.T) {
 	const requests = 100
 	large := strings.Repeat("x", 64<<10)
-	c := startCache(t, holding(large))
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), patientReads)
+	c := startCache(t, answerValue(large))
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), raiseReadAim)
 	cl := n.dial()
 	cl.conn.(*net.TCPConn).SetReadBuffer(64 << 10)
 	go func() {
@@ -144,7 +144,7 @@
 	}()
 	time.Sleep(200 * time.Millisecond) // the reader dawdles
 	for i := range requests {
-		line, v := cl.answer()
+		line, v := cl.readAnswer()
 		if line == "SERVER_ERROR busy" || strings.HasPrefix(line, "SERVER_ERROR busy ") {
 			continue // one cache takes only so many at once
 		}
@@ -159,10 +159,10 @@
 func TestClientsThatNeverRead(t *testing.T) {
 	const clients, each = 32, 150
 	large := strings.Repeat("x", 64<<10)
-	c := startCache(t, holding(large))
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), func(config map[string]any) {
+	c := startCache(t, answerValue(large))
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), func(config map[string]any) {
 		config["limits"] = map[string]any{"memory_mb": 16}
-		patientReads(config)
+		raiseReadAim(config)
 	})
 	for i := range clients {
 		cl := n.dial()
@@ -179,7 +179,7 @@
 		for range 5 {
 			served++
 			reader.send(fmt.Sprintf("mg k%d v Or%d Pc=read,d=3000\r\n", served, served))
-			if line, _ := reader.answer(); !strings.HasPrefix(line, "VA ") && !strings.HasPrefix(line, "SERVER_ERROR busy") {
+			if line, _ := reader.readAnswer(); !strings.HasPrefix(line, "VA ") && !strings.HasPrefix(line, "SERVER_ERROR busy") {
 				t.Fatalf("who reads is answered %q", line)
 			}
 		}
@@ -201,21 +201,21 @@
 
 func TestLargeWrite(t *testing.T) {
 	var got atomic.Int64
-	o := startOrigin(t, value("R"))
-	c := startCache(t, missing)
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2"), serving("s-0", o.Addr(), "origin")), nil)
+	o := startOrigin(t, respondText("R"))
+	c := startCache(t, answerMiss)
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2"), servingEntry("s-0", o.Addr(), "origin")), nil)
 	cl := n.dial()
 	body := strings.Repeat("\r\n", 32<<10)
 	cl.send("ms k 65536 O1 Pc=put,d=2500,k=1\r\n" + body + "\r\n")
-	cl.want("HD O1 cR", "")
+	cl.expect("HD O1 cR", "")
 	if r := o.Lines(); len(r) != 1 || !strings.HasSuffix(r[0], " "+body) {
 		t.Errorf("the origin did not get the value as it came (%d)", got.Load())
 	}
 }
 
 func TestBadClientLines(t *testing.T) {
-	c := startCache(t, holding("v"))
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), nil)
+	c := startCache(t, answerValue("v"))
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
 	for i, x := range []struct {
 		name, in string
 		closes   bool
@@ -243,17 +243,17 @@
 			cl := n.dial()
 			cl.t = t
 			cl.send(x.in)
-			if line, _ := cl.answer(); !strings.HasPrefix(line, "CLIENT_ERROR ") {
+			if line, _ := cl.readAnswer(); !strings.HasPrefix(line, "CLIENT_ERROR ") {
 				t.Errorf("answered %q", line)
 			}
 			if x.closes {
-				if !cl.ended() {
+				if !cl.closedByNode() {
 					t.Error("the connection goes on though framing is lost")
 				}
 				return
 			}
 			cl.send(fmt.Sprintf("mg k v O9%d Pc=read,d=2000\r\n", i))
-			cl.want(fmt.Sprintf("VA 1 O9%d", i), "v")
+			cl.expect(fmt.Sprintf("VA 1 O9%d", i), "v")
 		})
 	}
 	if len(c.Lines()) != 15 {
@@ -262,27 +262,27 @@
 }
 
 // Who is owed an error or an end gets it though it sends nothing more, and takes nothing of the others'.
-func TestClientsThatOweTheRest(t *testing.T) {
-	c := startCache(t, holding("v"))
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), func(config map[string]any) {
+func TestClientsWithIncompleteRequests(t *testing.T) {
+	c := startCache(t, answerValue("v"))
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), func(config map[string]any) {
 		config["limits"] = map[string]any{"sockets": 128}
 	})
 	kept := n.dial()
 	kept.send("mg k v Okept Pc=read,d=2500\r\n")
-	kept.want("VA 1 Okept", "v")
-	var owing []*client
+	kept.expect("VA 1 Okept", "v")
+	var incomplete []*client
 	for i := range 300 { // more than there are descriptors
 		cl := n.dial()
 		cl.send([]string{"", "mg k", "ms k 70 O1 Pc=put,d=100\r\nhalf", "ms k 70000 O1 Pc=put,d=100\r\nhalf"}[i%4])
-		owing = append(owing, cl)
+		incomplete = append(incomplete, cl)
 	}
 	for i := range 20 { // behind them all
 		cl := n.dial()
 		cl.send(fmt.Sprintf("mg key%d v O%d Pc=read,d=2500\r\n", i, i))
-		cl.want(fmt.Sprintf("VA 1 O%d", i), "v")
+		cl.expect(fmt.Sprintf("VA 1 O%d", i), "v")
 	}
-	for i, cl := range owing {
-		cl.conn.SetReadDeadline(time.Now().Add(patience))
+	for i, cl := range incomplete {
+		cl.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 		if text, err := io.ReadAll(cl.in); errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatalf("client %d has neither an error nor an end: %q", i, text)
 		}
@@ -293,12 +293,12 @@
 // next to ask.
 func TestClientsThatAskOnceAndStay(t *testing.T) {
 	const sockets, requests = 96, 300
-	c := startCache(t, holding("v"))
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), func(config map[string]any) {
+	c := startCache(t, answerValue("v"))
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), func(config map[string]any) {
 		config["limits"] = map[string]any{"sockets": sockets}
 	})
 	held := make(chan bool, sockets/3)
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for i := range requests {
 		select {
 		case held <- true:
@@ -307,7 +307,7 @@
 		}
 		cl := n.dial()
 		cl.send(fmt.Sprintf("mg k v O%d Pc=read,d=2500\r\n", i))
-		cl.want(fmt.Sprintf("VA 1 O%d", i), "v")
+		cl.expect(fmt.Sprintf("VA 1 O%d", i), "v")
 		go func() {
 			io.Copy(io.Discard, cl.conn) // until the node closes it
 			cl.conn.Close()
@@ -323,32 +323,32 @@
 	c := startCache(t, func(line string, v []byte) string {
 		asked <- true
 		<-answer
-		return holding("v")(line, v)
+		return answerValue("v")(line, v)
 	})
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), patientReads)
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), raiseReadAim)
 	cl, other := n.dial(), n.dial()
 	cl.send("mg k v O1 Pc=read,d=2900\r\n")
 	<-asked
 	for range 2 {
 		other.send("mg k v O1 Pc=read,d=2900\r\n")
-		other.want("CLIENT_ERROR request id in use", "")
+		other.expect("CLIENT_ERROR request id in use", "")
 		if answer != nil {
 			answer <- true
 			answer = nil
-			cl.want("VA 1 O1", "v")
+			cl.expect("VA 1 O1", "v")
 		}
 	}
 }
 
 // Hundreds of commands that are none end their connection, and a connection that goes on sending is not read for long.
 func TestManyBadCommands(t *testing.T) {
-	c := startCache(t, holding("v"))
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), nil)
+	c := startCache(t, answerValue("v"))
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
 	for _, text := range []string{strings.Repeat("mg k v O1 Pc=none,d=100\r\n", 600),
 		"ms k 60000000 O1 Pc=put,d=100\r\n" + strings.Repeat("x", 60000000)} {
 		cl := n.dial()
 		go io.WriteString(cl.conn, text)
-		cl.conn.SetReadDeadline(time.Now().Add(patience))
+		cl.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 		got, err := io.ReadAll(cl.in)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Error("the connection goes on")
@@ -369,22 +369,22 @@
 		addr  string
 		reply func(string, []byte) string
 	}{
-		{name: "refuses connections", addr: refusing(t)},
-		{name: "never lets a connection come up", addr: deaf(t)},
+		{name: "refuses connections", addr: unusedAddr(t)},
+		{name: "never lets a connection come up", addr: blackholeAddr(t)},
 		{name: "ends the connection", reply: func(string, []byte) string { return standin.ClosesIt }},
 		{name: "is busy", reply: func(string, []byte) string { return "SERVER_ERROR busy\r\n" }},
 		{name: "fails", reply: func(string, []byte) string { return "SERVER_ERROR failed\r\n" }},
 		{name: "talks nonsense", reply: func(string, []byte) string { return "hello\r\n" }},
 		{name: "answers another request", reply: func(string, []byte) string { return "VA 1 Oother\r\nx\r\n" }},
-		{name: "answers twice", reply: func(line string, _ []byte) string { return "SERVER_ERROR busy\r\nEN " + opaque(line) + "\r\n" }},
-		{name: "says nothing", reply: silent},
-		{name: "answers a read with a receipt", reply: func(line string, _ []byte) string { return "HD " + opaque(line) + " c1\r\n" }},
+		{name: "answers twice", reply: func(line string, _ []byte) string { return "SERVER_ERROR busy\r\nEN " + opaqueFlag(line) + "\r\n" }},
+		{name: "says nothing", reply: answerNothing},
+		{name: "answers a read with a receipt", reply: func(line string, _ []byte) string { return "HD " + opaqueFlag(line) + " c1\r\n" }},
 		{name: "says what it misses for nobody", reply: func(string, []byte) string { return "EN\r\n" }},
 		{name: "has 3 GB", reply: func(line string, _ []byte) string {
-			return "VA 3000000000 " + opaque(line) + "\r\n" + strings.Repeat("x", 1<<20)
+			return "VA 3000000000 " + opaqueFlag(line) + "\r\n" + strings.Repeat("x", 1<<20)
 		}},
 		{name: "never ends its line", reply: func(string, []byte) string { return strings.Repeat("x", 100000) }},
-		{name: "begins a value", reply: func(line string, _ []byte) string { return "VA 9 " + opaque(line) + "\r\nhal" }},
+		{name: "begins a value", reply: func(line string, _ []byte) string { return "VA 9 " + opaqueFlag(line) + "\r\nhal" }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			var bad *standin.Cache
@@ -392,12 +392,12 @@
 				bad = startCache(t, x.reply)
 				x.addr = bad.Addr()
 			}
-			good := startCache(t, holding("v"))
-			n := start(t, startDiscovery(t, serving("s-1", good.Addr(), "m2"), serving("s-2", x.addr, "m2")), nil)
+			good := startCache(t, answerValue("v"))
+			n := startNode(t, startDiscovery(t, servingEntry("s-1", good.Addr(), "m2"), servingEntry("s-2", x.addr, "m2")), nil)
 			cl := n.dial()
 			for i := range 6 { // some of the keys are the bad cache's
 				cl.send(fmt.Sprintf("mg key%d v O%d Pc=read,d=2500\r\n", i, i))
-				cl.want(fmt.Sprintf("VA 1 O%d", i), "v")
+				cl.expect(fmt.Sprintf("VA 1 O%d", i), "v")
 			}
 			if x.reply != nil && len(bad.Lines()) == 0 {
 				t.Error("the bad cache was never asked: nothing was tried")
@@ -416,20 +416,20 @@
 
 // Kept connections that end at their next request cost a further try each and tell nothing of their server.
 func TestKeptConnectionsThatEnd(t *testing.T) {
-	var cutting atomic.Bool
-	cut := startCaches(t, func() standin.Script {
+	var closing atomic.Bool
+	cut := startCacheWithScripts(t, func() standin.Script {
 		asked := 0
 		return func(line string, v []byte) string {
-			if asked++; asked > 1 && cutting.Load() {
+			if asked++; asked > 1 && closing.Load() {
 				return standin.ClosesIt
 			}
 			time.Sleep(20 * time.Millisecond)
-			return holding("v")(line, v)
+			return answerValue("v")(line, v)
 		}
 	})
-	good := startCache(t, holding("v"))
-	n := start(t, startDiscovery(t, serving("s-1", cut.Addr(), "m2"), serving("s-2", good.Addr(), "m2")),
-		patientReads)
+	good := startCache(t, answerValue("v"))
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", cut.Addr(), "m2"), servingEntry("s-2", good.Addr(), "m2")),
+		raiseReadAim)
 	cl, sent := n.dial(), 0
 	ask := func(count int) {
 		for range count {
@@ -437,13 +437,13 @@
 			cl.send(fmt.Sprintf("mg key%d v O%d Pc=read,d=2900\r\n", sent, sent))
 		}
 		for range count {
-			cl.answer()
+			cl.readAnswer()
 		}
 	}
 	for range 8 { // connections are opened as the node sends more at once
 		ask(24)
 	}
-	cutting.Store(true)
+	closing.Store(true)
 	for range 40 {
 		ask(1)
 	}
@@ -460,23 +460,23 @@
 func TestGoodAnswersWithMore(t *testing.T) {
 	for name, reply := range map[string]func(string, []byte) string{
 		"a second copy": func(line string, v []byte) string {
-			return holding(strings.Fields(line)[1])(line, v) + holding(strings.Fields(line)[1])(line, v)
+			return answerValue(strings.Fields(line)[1])(line, v) + answerValue(strings.Fields(line)[1])(line, v)
 		},
 		"noise": func(line string, v []byte) string {
-			return holding(strings.Fields(line)[1])(line, v) + "\x00\xff\r\n\r\n"
+			return answerValue(strings.Fields(line)[1])(line, v) + "\x00\xff\r\n\r\n"
 		},
 		"an unreadable report": func(line string, _ []byte) string {
 			key := strings.Fields(line)[1]
-			return fmt.Sprintf("VA %d %s h1 L=;\x00\xff O77 c8 h0\r\n%s\r\n", len(key), opaque(line), key)
+			return fmt.Sprintf("VA %d %s h1 L=;\x00\xff O77 c8 h0\r\n%s\r\n", len(key), opaqueFlag(line), key)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := startCache(t, reply)
-			n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), nil)
+			n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
 			cl := n.dial()
 			for i := range 20 {
 				cl.send(fmt.Sprintf("mg key%d v O%d Pc=read,d=2500\r\n", i, i))
-				cl.want(fmt.Sprintf("VA %d O%d", len(fmt.Sprintf("key%d", i)), i), fmt.Sprintf("key%d", i))
+				cl.expect(fmt.Sprintf("VA %d O%d", len(fmt.Sprintf("key%d", i)), i), fmt.Sprintf("key%d", i))
 			}
 			if len(c.Lines()) != 20 {
 				t.Errorf("sent %d times", len(c.Lines()))
@@ -515,14 +515,14 @@
 					conn.Close()
 				}
 			})
-			c := startCache(t, missing)
-			n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2"), serving("s-0", o.Addr(), "origin")), nil)
+			c := startCache(t, answerMiss)
+			n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2"), servingEntry("s-0", o.Addr(), "origin")), nil)
 			cl := n.dial()
 			cl.send("mg k v O1 Pc=read,d=2500\r\n")
-			cl.want("VA 5 O1", "whole")
+			cl.expect("VA 5 O1", "whole")
 			asked.Store(0)
 			cl.send("ms k 2 O2 Pc=pay,d=2500\r\nhi\r\n")
-			cl.want("SERVER_ERROR failed", "")
+			cl.expect("SERVER_ERROR failed", "")
 			if got := asked.Load(); got != 1 {
 				t.Errorf("the origin was asked %d times to pay", got)
 			}
@@ -539,21 +539,21 @@
 		answer  string
 		maximum int // requests at the origin
 	}{
-		{"unsafe, may have run", "pay", status(500, false), "SERVER_ERROR failed", 1},
+		{"unsafe, may have run", "pay", respondStatus(500, false), "SERVER_ERROR failed", 1},
 		{"unsafe, connection ends", "pay", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			"SERVER_ERROR failed", 1},
-		{"unsafe, gateway says nothing of starting", "pay", status(503, false), "SERVER_ERROR failed", 1},
-		{"unsafe, never ran", "pay", status(503, true), "SERVER_ERROR busy", 4},
-		{"unsafe, never ran either", "pay", status(504, true), "SERVER_ERROR busy", 4},
-		{"keyed, may have run", "put", status(500, false), "SERVER_ERROR ", 4},
+		{"unsafe, gateway says nothing of starting", "pay", respondStatus(503, false), "SERVER_ERROR failed", 1},
+		{"unsafe, never ran", "pay", respondStatus(503, true), "SERVER_ERROR busy", 4},
+		{"unsafe, never ran either", "pay", respondStatus(504, true), "SERVER_ERROR busy", 4},
+		{"keyed, may have run", "put", respondStatus(500, false), "SERVER_ERROR ", 4},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			o := startOrigin(t, x.handle)
-			c := startCache(t, missing)
-			n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2"), serving("s-0", o.Addr(), "origin")), nil)
+			c := startCache(t, answerMiss)
+			n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2"), servingEntry("s-0", o.Addr(), "origin")), nil)
 			cl := n.dial()
 			cl.send("ms k 2 O1 Pc=" + x.class + ",d=1500,k=7\r\nhi\r\n")
-			if line, _ := cl.answer(); !strings.HasPrefix(line, x.answer) {
+			if line, _ := cl.readAnswer(); !strings.HasPrefix(line, x.answer) {
 				t.Errorf("answered %q, want %q", line, x.answer)
 			}
 			if got := len(o.Lines()); got == 0 || got > x.maximum {
@@ -566,8 +566,8 @@
 // A client that closes its connection has gone away: its attempt is given up, which a server sees as the end of the
 // connection, and nothing more is sent for it.
 func TestAClientGoneEndsItsAttempts(t *testing.T) {
-	c := startCache(t, silent)
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), nil)
+	c := startCache(t, answerNothing)
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=3000\r\n")
 	eventually(t, "the read is out", func() bool { return len(c.Lines()) == 1 })
@@ -585,13 +585,13 @@
 
 // A request that nothing answers ends before its client stops waiting.
 func TestNothingAnswers(t *testing.T) {
-	c := startCache(t, silent)
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), nil)
+	c := startCache(t, answerNothing)
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
 	cl := n.dial()
 	const wait = 2900 * time.Millisecond
 	begin := time.Now()
 	cl.send(fmt.Sprintf("mg k v O1 Pc=read,d=%d\r\n", wait.Milliseconds()))
-	if line, _ := cl.answer(); !strings.HasPrefix(line, "SERVER_ERROR ") {
+	if line, _ := cl.readAnswer(); !strings.HasPrefix(line, "SERVER_ERROR ") {
 		t.Errorf("answered %q", line)
 	}
 	if took := time.Since(begin); took > wait { // the request's own limit
@@ -601,12 +601,12 @@
 
 // A request with hardly any time is answered by the module within it; the last call is not needed.
 func TestHardlyAnyTime(t *testing.T) {
-	c := startCache(t, silent)
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), nil)
+	c := startCache(t, answerNothing)
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
 	for i := range 20 {
 		cl := n.dial()
 		cl.send(fmt.Sprintf("mg k%d v O%d Pc=read,d=%d\r\n", i, i, 2+i%5))
-		if line, _ := cl.answer(); !strings.HasPrefix(line, "SERVER_ERROR ") {
+		if line, _ := cl.readAnswer(); !strings.HasPrefix(line, "SERVER_ERROR ") {
 			t.Errorf("answered %q", line)
 		}
 	}
@@ -615,21 +615,21 @@
 }
 
 func TestFollowsTheList(t *testing.T) {
-	one, two := startCache(t, holding("1")), startCache(t, holding("2"))
+	one, two := startCache(t, answerValue("1")), startCache(t, answerValue("2"))
 	entry := func(id string, c *standin.Cache, phase world.Phase) world.Member {
-		m := serving(id, c.Addr(), "m2")
+		m := servingEntry(id, c.Addr(), "m2")
 		m.Phase = phase
 		return m
 	}
 	d := startDiscovery(t, entry("s-1", one, world.Serving))
-	n := start(t, d, nil)
+	n := startNode(t, d, nil)
 	cl, sent := n.dial(), 0
 	served := func(count int) (by map[string]bool) {
 		by = map[string]bool{}
 		for range count {
 			sent++
 			cl.send(fmt.Sprintf("mg key%d v O%d Pc=read,d=2500\r\n", sent, sent))
-			_, v := cl.answer()
+			_, v := cl.readAnswer()
 			by[v] = true
 		}
 		return by
@@ -651,16 +651,16 @@
 		"told twice": `{"revision":99,"complete":true,"members":[{"id":"s-2","host_port":"127.0.0.1:1","phase":"SERVING"},
 			{"id":"s-2","host_port":"127.0.0.1:1","phase":"SERVING"}]}`,
 	} {
-		asks := len(d.asked())
+		asks := len(d.polledRevisions())
 		d.SayOnce(body)
-		eventually(t, "asked again after a bad list: "+name, func() bool { return len(d.asked()) > asks })
+		eventually(t, "asked again after a bad list: "+name, func() bool { return len(d.polledRevisions()) > asks })
 		if by := served(5); by["1"] || !by["2"] {
 			t.Errorf("%s: served by %v", name, by)
 		}
 	}
-	asks := len(d.asked())
+	asks := len(d.polledRevisions())
 	d.Down(true)
-	eventually(t, "asked again while discovery is down", func() bool { return len(d.asked()) >= asks+2 })
+	eventually(t, "asked again while discovery is down", func() bool { return len(d.polledRevisions()) >= asks+2 })
 	if by := served(5); !by["2"] {
 		t.Errorf("with discovery down served by %v", by)
 	}
@@ -672,16 +672,16 @@
 // With the list service down for long a node that is told no limit asks again with growing waits, and the log tells of it
 // now and then: it was ten calls and ten lines a second.
 func TestALongListOutage(t *testing.T) {
-	c := startCache(t, holding("v"))
-	d := startDiscovery(t, serving("s-1", c.Addr(), "m2"))
-	n := start(t, d, func(config map[string]any) {
+	c := startCache(t, answerValue("v"))
+	d := startDiscovery(t, servingEntry("s-1", c.Addr(), "m2"))
+	n := startNode(t, d, func(config map[string]any) {
 		delete(config["settings"].(map[string]any)["Guarantees"].(map[string]any), "AskWithin")
 	})
-	begin := len(d.asked())
+	begin := len(d.polledRevisions())
 	d.Down(true)
-	eventually(t, "it asks again", func() bool { return len(d.asked()) > begin })
+	eventually(t, "it asks again", func() bool { return len(d.polledRevisions()) > begin })
 	time.Sleep(2 * time.Second)
-	if asks := len(d.asked()) - begin; asks > 5 {
+	if asks := len(d.polledRevisions()) - begin; asks > 5 {
 		t.Errorf("asked %d times in 2 s", asks)
 	}
 	if lines := strings.Count(n.log(), "event=list_failed"); lines > 4 {
@@ -693,13 +693,13 @@
 
 // The watch goes on only if the next call comes soon after each answer, and from the version answered.
 func TestTheWatchGoesOn(t *testing.T) {
-	c := startCache(t, holding("v"))
-	entry := serving("s-1", c.Addr(), "m2")
+	c := startCache(t, answerValue("v"))
+	entry := servingEntry("s-1", c.Addr(), "m2")
 	d := startDiscovery(t, entry)
-	start(t, d, nil)
+	startNode(t, d, nil)
 	for i := range 4 {
 		eventually(t, "the next call", func() bool {
-			asks := d.asked()
+			asks := d.polledRevisions()
 			return asks[len(asks)-1] == strconv.Itoa(1+i)
 		})
 		d.Replace(entry)
@@ -709,35 +709,35 @@
 // SIGHUP moves discovery to the address now in the file, with a call open and many times over; a bad
 // file changes nothing and is counted.
 func TestReload(t *testing.T) {
-	one := startCache(t, holding("1"))
-	two := startCache(t, holding("2"))
-	first := startDiscovery(t, serving("s-1", one.Addr(), "m2"))
+	one := startCache(t, answerValue("1"))
+	two := startCache(t, answerValue("2"))
+	first := startDiscovery(t, servingEntry("s-1", one.Addr(), "m2"))
 	// The second service has another numbering: what it says of versions means nothing for the list held.
-	second := startDiscovery(t, serving("s-2", two.Addr(), "m2"))
+	second := startDiscovery(t, servingEntry("s-2", two.Addr(), "m2"))
 	for range 5 {
-		first.Replace(serving("s-1", one.Addr(), "m2"))
+		first.Replace(servingEntry("s-1", one.Addr(), "m2"))
 	}
-	n := start(t, first, nil)
+	n := startNode(t, first, nil)
 	cl := n.dial()
 	at := func(d discovery) string {
-		return n.text(func(config map[string]any) { config["discovery"] = d.Addr(0) })
+		return n.configWith(func(config map[string]any) { config["discovery"] = d.Addr(0) })
 	}
 	for name, text := range map[string]string{"no JSON": "{", "empty": "", "no settings": `{"listen":"127.0.0.1:1"}`,
-		"senseless": n.text(func(config map[string]any) { config["discovery"] = 7 })} {
+		"senseless": n.configWith(func(config map[string]any) { config["discovery"] = 7 })} {
 		bad := strings.Count(n.log(), "event=reload_failed")
 		n.reload(text)
 		eventually(t, "the log tells of a bad file: "+name, func() bool {
 			return strings.Count(n.log(), "event=reload_failed") > bad
 		})
 		cl.send(fmt.Sprintf("mg k v Obad%d Pc=read,d=2900\r\n", bad))
-		cl.want(fmt.Sprintf("VA 1 Obad%d", bad), "1")
+		cl.expect(fmt.Sprintf("VA 1 Obad%d", bad), "1")
 	}
 	n.reload(at(second))
 	sent := 1
 	served := func() string {
 		sent++
 		cl.send(fmt.Sprintf("mg key%d v O%d Pc=read,d=2500\r\n", sent, sent))
-		_, v := cl.answer()
+		_, v := cl.readAnswer()
 		return v
 	}
 	eventually(t, "the new service's list counts", func() bool { return served() == "2" })
@@ -747,7 +747,7 @@
 	}
 	eventually(t, "the last file counts", func() bool { return served() == "2" })
 	first.Down(true)
-	second.Replace(serving("s-1", one.Addr(), "m2"))
+	second.Replace(servingEntry("s-1", one.Addr(), "m2"))
 	eventually(t, "the watch goes on at the new service", func() bool { return served() == "1" })
 	n.signal(syscall.SIGUSR1)
 	eventually(t, "the counters tell of it", func() bool {
@@ -757,26 +757,26 @@
 
 // A list as old as it may be still serves until discovery is heard.
 func TestServesFromTheKnownList(t *testing.T) {
-	c := startCache(t, holding("v"))
+	c := startCache(t, answerValue("v"))
 	d := startDiscovery(t)
 	d.Down(true)
-	n := start(t, d, func(config map[string]any) {
-		config["known"] = standin.Wire(time.Now(), 3, true, []world.Member{serving("s-1", c.Addr(), "m2")})
+	n := startNode(t, d, func(config map[string]any) {
+		config["known"] = standin.Wire(time.Now(), 3, true, []world.Member{servingEntry("s-1", c.Addr(), "m2")})
 	})
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=2500\r\n")
-	cl.want("VA 1 O1", "v")
+	cl.expect("VA 1 O1", "v")
 }
 
 // A senseless list known before is no reason not to start.
 func TestIgnoresABadKnownList(t *testing.T) {
-	c := startCache(t, holding("v"))
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), func(config map[string]any) {
+	c := startCache(t, answerValue("v"))
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), func(config map[string]any) {
 		config["known"] = map[string]any{"members": "none"}
 	})
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=2500\r\n")
-	cl.want("VA 1 O1", "v")
+	cl.expect("VA 1 O1", "v")
 	if !strings.Contains(n.log(), "event=bad_known") {
 		t.Error("the log does not tell")
 	}
@@ -790,30 +790,30 @@
 			asked.Store(true)
 			time.Sleep(900 * time.Millisecond)
 		}
-		return holding("v")(line, v)
+		return answerValue("v")(line, v)
 	})
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), patientReads)
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), raiseReadAim)
 	idle, busy := n.dial(), n.dial()
 	idle.send("mn\r\n")
-	idle.want("MN", "")
+	idle.expect("MN", "")
 	n.signal(syscall.SIGTERM)
 	eventually(t, "the node says that it leaves", func() bool { return strings.Contains(n.log(), "event=leaving") })
 	fresh := n.dial()
 	fresh.send("mg k v O1 Pc=read,d=2500\r\n")
-	fresh.want("VA 1 O1", "v")
+	fresh.expect("VA 1 O1", "v")
 	idle.send("mg k v O2 Pc=read,d=2500\r\n")
-	idle.want("VA 1 O2", "v")
+	idle.expect("VA 1 O2", "v")
 	busy.send("mg slow v O3 Pc=read,d=2900\r\nmg k v O4 Pc=read,d=2900\r\n")
 	eventually(t, "the slow read is out", asked.Load)
-	if !idle.ended() || !fresh.ended() {
+	if !idle.closedByNode() || !fresh.closedByNode() {
 		t.Error("idle connections were not closed")
 	}
-	busy.want("VA 1 O3", "v")
-	busy.want("VA 1 O4", "v")
-	if !busy.ended() {
+	busy.expect("VA 1 O3", "v")
+	busy.expect("VA 1 O4", "v")
+	if !busy.closedByNode() {
 		t.Error("the busy connection was not closed after its answers")
 	}
-	if code := n.wait(); code != 0 {
+	if code := n.waitExit(); code != 0 {
 		t.Errorf("ended with status %d", code)
 	}
 	if !regexp.MustCompile(`event=counters taken=4 served=4 .* now_open=0 `).MatchString(n.log()) {
@@ -827,11 +827,11 @@
 	for i := range 4 {
 		c := startCache(t, func(line string, v []byte) string {
 			time.Sleep(10 * time.Millisecond)
-			return holding(strings.Repeat("v", 8<<10))(line, v)
+			return answerValue(strings.Repeat("v", 8<<10))(line, v)
 		})
-		caches = append(caches, serving(fmt.Sprintf("s-%d", i), c.Addr(), "m2"))
+		caches = append(caches, servingEntry(fmt.Sprintf("s-%d", i), c.Addr(), "m2"))
 	}
-	n := start(t, startDiscovery(t, caches...), nil)
+	n := startNode(t, startDiscovery(t, caches...), nil)
 	var answers, requests atomic.Int64
 	var clients sync.WaitGroup
 	for i := range 40 {
@@ -866,7 +866,7 @@
 	}
 	eventually(t, "there is load", func() bool { return answers.Load() > 100 })
 	n.signal(syscall.SIGTERM)
-	if code := n.wait(); code != 0 {
+	if code := n.waitExit(); code != 0 {
 		t.Errorf("ended with status %d", code)
 	}
 	clients.Wait()
@@ -885,32 +885,32 @@
 
 // A node that is killed outright comes back at its address at once, with clients still holding on to the dead one.
 func TestKilledAndStartedAgain(t *testing.T) {
-	c := startCache(t, holding("v"))
-	d := startDiscovery(t, serving("s-1", c.Addr(), "m2"))
-	n := start(t, d, nil)
+	c := startCache(t, answerValue("v"))
+	d := startDiscovery(t, servingEntry("s-1", c.Addr(), "m2"))
+	n := startNode(t, d, nil)
 	for range 3 {
 		cl := n.dial()
 		cl.send("mg k v O1 Pc=read,d=2500\r\n")
-		cl.want("VA 1 O1", "v")
+		cl.expect("VA 1 O1", "v")
 		n.Kill()
-		n.wait()
-		if !cl.ended() {
+		n.waitExit()
+		if !cl.closedByNode() {
 			t.Error("the dead node's connection did not end")
 		}
-		n = start(t, d, func(config map[string]any) { config["listen"] = n.addr })
+		n = startNode(t, d, func(config map[string]any) { config["listen"] = n.addr })
 	}
 }
 
 // A log that nobody reads, or that has been closed, stops nothing.
 func TestALogThatNobodyReads(t *testing.T) {
 	for _, closed := range []bool{false, true} {
-		c := startCache(t, holding("v"))
+		c := startCache(t, answerValue("v"))
 		r, w, err := os.Pipe()
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer r.Close()
-		n := startLogging(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), nil, w)
+		n := startNodeLoggingTo(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil, w)
 		w.Close()
 		if closed {
 			r.Close()
@@ -919,11 +919,11 @@
 		for i := range 300 { // the counters are some 700 bytes, what the system keeps of a pipe 64 KiB
 			n.signal(syscall.SIGUSR1)
 			cl.send(fmt.Sprintf("mg k v O%d Pc=read,d=2500\r\n", i))
-			cl.want(fmt.Sprintf("VA 1 O%d", i), "v")
+			cl.expect(fmt.Sprintf("VA 1 O%d", i), "v")
 			time.Sleep(time.Millisecond)
 		}
 		n.signal(syscall.SIGTERM)
-		if code := n.wait(); code != 0 {
+		if code := n.waitExit(); code != 0 {
 			t.Errorf("closed %v: ended with status %d", closed, code)
 		}
 	}
@@ -932,9 +932,9 @@
 func TestBadConfiguration(t *testing.T) {
 	good := func() map[string]any {
 		return map[string]any{"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1f",
-			"settings": settings()}
+			"settings": testSettings()}
 	}
-	for name, spoil := range map[string]func(map[string]any){
+	for name, corrupt := range map[string]func(map[string]any){
 		"listen":      func(c map[string]any) { c["listen"] = "here" },
 		"discovery":   func(c map[string]any) { c["discovery"] = 7 },
 		"seed":        func(c map[string]any) { c["seed"] = "xyz" },
@@ -956,20 +956,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := good()
-			spoil(c)
+			corrupt(c)
 			text, _ := json.Marshal(c)
-			checkBadStart(t, string(text))
+			expectStartFailure(t, string(text))
 		})
 	}
-	t.Run("not JSON", func(t *testing.T) { checkBadStart(t, "{") })
-	t.Run("empty", func(t *testing.T) { checkBadStart(t, "") })
+	t.Run("not JSON", func(t *testing.T) { expectStartFailure(t, "{") })
+	t.Run("empty", func(t *testing.T) { expectStartFailure(t, "") })
 }
 
 // An operator's file serves alone, stands in for what the platform does not tell, and is reread at SIGHUP.
 func TestOperatorsFile(t *testing.T) {
-	c := startCache(t, holding("v"))
-	d, other := startDiscovery(t, serving("s-1", c.Addr(), "m2")), startDiscovery(t, serving("s-1", c.Addr(), "m2"))
-	addr, path := refusing(t), filepath.Join(t.TempDir(), "x.toml")
+	c := startCache(t, answerValue("v"))
+	d, other := startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), startDiscovery(t, servingEntry("s-1", c.Addr(), "m2"))
+	addr, path := unusedAddr(t), filepath.Join(t.TempDir(), "x.toml")
 	write := func(discovery, more string) {
 		text := fmt.Sprintf("[node]\nlisten = %q\ndiscovery = %q\n[service]\n[[class]]\nname = \"read\"\naim = \"600ms\"\ndeadline = \"3s\"\n%s", addr, discovery, more)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -977,11 +977,11 @@
 		}
 	}
 	write(d.Addr(0), "")
-	n := launch(t, "{}", addr, nil, "serve", "--config", path)
+	n := startProcess(t, "{}", addr, nil, "serve", "--config", path)
 	eventually(t, "the node answers mn with MN", func() bool { return load.Ready(addr) })
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=2900\r\n")
-	cl.want("VA 1 O1", "v")
+	cl.expect("VA 1 O1", "v")
 	write(other.Addr(0), "oops = 1\n")
 	n.signal(syscall.SIGHUP)
 	eventually(t, "the log names the fault", func() bool {
@@ -989,21 +989,21 @@
 	})
 	write(other.Addr(0), "")
 	n.signal(syscall.SIGHUP)
-	eventually(t, "the list is asked for at its new address", func() bool { return len(other.asked()) > 0 })
+	eventually(t, "the list is asked for at its new address", func() bool { return len(other.polledRevisions()) > 0 })
 	cl.send("mg k v O2 Pc=read,d=2900\r\n")
-	cl.want("VA 1 O2", "v")
+	cl.expect("VA 1 O2", "v")
 }
 
 // A fleet larger than its calls a second let know of changes in time starts all the same, and says so in one line.
 func TestAFleetTooLargeForItsCallsStarts(t *testing.T) {
-	c := startCache(t, holding("v"))
-	d := startDiscovery(t, serving("s-1", c.Addr(), "m2"))
-	addr, path := refusing(t), filepath.Join(t.TempDir(), "x.toml")
+	c := startCache(t, answerValue("v"))
+	d := startDiscovery(t, servingEntry("s-1", c.Addr(), "m2"))
+	addr, path := unusedAddr(t), filepath.Join(t.TempDir(), "x.toml")
 	text := fmt.Sprintf("[node]\nlisten = %q\ndiscovery = %q\n[service]\nbalancers = 1900\n[[class]]\nname = \"read\"\naim = \"600ms\"\ndeadline = \"3s\"\n", addr, d.Addr(0))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	n := launch(t, "{}", addr, nil, "serve", "--config", path)
+	n := startProcess(t, "{}", addr, nil, "serve", "--config", path)
 	eventually(t, "the node answers mn with MN", func() bool { return load.Ready(addr) })
 	eventually(t, "the log says so", func() bool {
 		return strings.Count(n.log(), "event=list_too_slow why=\""+path+":5: service.balancers: 100 calls a second let 450 nodes ") == 1
@@ -1019,9 +1019,9 @@
 	}})
 }
 
-func checkBadStart(t *testing.T, config string) {
-	n := launch(t, config, "127.0.0.1:1", nil)
-	if code := n.wait(); code != 1 {
+func expectStartFailure(t *testing.T, config string) {
+	n := startProcess(t, config, "127.0.0.1:1", nil)
+	if code := n.waitExit(); code != 1 {
 		t.Errorf("status %d", code)
 	}
 	if out := n.log(); strings.Count(out, "\n") != 1 || !strings.HasPrefix(out, "lapisshelf: ") {
@@ -1032,22 +1032,22 @@
 // With fewer descriptors than clients none waits unread: in a full house a request is refused and its connection closes
 // with that answer; connections that have long been idle make room.
 func TestMoreClientsThanDescriptors(t *testing.T) {
-	c := startCache(t, holding("v"))
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), func(config map[string]any) {
+	c := startCache(t, answerValue("v"))
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), func(config map[string]any) {
 		config["limits"] = map[string]any{"sockets": 64}
 	})
 	served, refused := 0, 0
 	ask := func(i int) bool {
 		cl := n.dial()
 		cl.send(fmt.Sprintf("mg key%d v O%d Pc=read,d=2500\r\n", i, i))
-		line, _ := cl.answer()
+		line, _ := cl.readAnswer()
 		switch line {
 		case fmt.Sprintf("VA 1 O%d", i):
 			served++
 			return true
 		case "SERVER_ERROR busy":
 			refused++
-			if !cl.ended() {
+			if !cl.closedByNode() {
 				t.Error("a connection in the reserve stays after its refusal")
 			}
 			cl.conn.Close()
@@ -1076,8 +1076,8 @@
 // Clients may have the descriptors that no server needs: requests that wait unread for one would be lost.
 func TestBusyClientsTakeWhatServersLeave(t *testing.T) {
 	const clients = 24 // of 32 descriptors without the reserve
-	c := startCache(t, holding("v"))
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), func(config map[string]any) {
+	c := startCache(t, answerValue("v"))
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), func(config map[string]any) {
 		config["limits"] = map[string]any{"sockets": 64}
 	})
 	var all []*client
@@ -1092,7 +1092,7 @@
 	})
 	for i, cl := range all {
 		cl.send(" Pc=read,d=2500\r\n")
-		cl.want(fmt.Sprintf("VA 1 O%d", i), "v")
+		cl.expect(fmt.Sprintf("VA 1 O%d", i), "v")
 	}
 	if !strings.Contains(n.log(), " clients_shed=0 ") {
 		t.Error("connections with a part of a request on them were closed")
@@ -1102,18 +1102,18 @@
 // With fewer descriptors than attempts, attempts share connections, within the settings' number.
 func TestMoreAttemptsThanDescriptors(t *testing.T) {
 	const requests = 30
-	o := startOrigin(t, value("o"))
+	o := startOrigin(t, respondText("o"))
 	var caches []world.Member
 	for i := range 3 {
 		c := startCache(t, func(line string, v []byte) string {
 			time.Sleep(20 * time.Millisecond)
-			return holding("v")(line, v)
+			return answerValue("v")(line, v)
 		})
-		caches = append(caches, serving(fmt.Sprintf("s-%d", i), c.Addr(), "m2"))
+		caches = append(caches, servingEntry(fmt.Sprintf("s-%d", i), c.Addr(), "m2"))
 	}
-	n := start(t, startDiscovery(t, append(caches, serving("o", o.Addr(), "origin"))...), func(config map[string]any) {
+	n := startNode(t, startDiscovery(t, append(caches, servingEntry("o", o.Addr(), "origin"))...), func(config map[string]any) {
 		config["limits"] = map[string]any{"sockets": 64}
-		patientReads(config)
+		raiseReadAim(config)
 	})
 	for round := range 10 {
 		cl := n.dial()
@@ -1121,7 +1121,7 @@
 			cl.send(fmt.Sprintf("mg key%d v O%d-%d Pc=read,d=2900\r\n", i, round, i))
 		}
 		for range requests {
-			if line, _ := cl.answer(); !strings.HasPrefix(line, "VA 1 ") && !strings.HasPrefix(line, "SERVER_ERROR busy") {
+			if line, _ := cl.readAnswer(); !strings.HasPrefix(line, "VA 1 ") && !strings.HasPrefix(line, "SERVER_ERROR busy") {
 				t.Errorf("answered %q", line)
 			}
 		}
@@ -1130,16 +1130,16 @@
 
 // A connection is given back before the server closes it: a request crossing that would end as one that may have run.
 func TestIdleConnectionsAreRetired(t *testing.T) {
-	c := startCache(t, holding("v"))
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), func(config map[string]any) {
+	c := startCache(t, answerValue("v"))
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), func(config map[string]any) {
 		config["settings"].(map[string]any)["Limits"].(map[string]any)["ConnIdle"] = int64(400 * time.Millisecond)
 	})
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=2500\r\n")
-	cl.want("VA 1 O1", "v")
+	cl.expect("VA 1 O1", "v")
 	eventually(t, "the node closes the idle connection", func() bool { open, _ := c.Conns(); return open == 0 })
 	cl.send("mg k v O2 Pc=read,d=2500\r\n")
-	cl.want("VA 1 O2", "v")
+	cl.expect("VA 1 O2", "v")
 	if _, ever := c.Conns(); ever != 2 {
 		t.Errorf("%d connections for two requests far apart", ever)
 	}
@@ -1147,12 +1147,12 @@
 
 // A connection that the server has closed is not written to.
 func TestAClosedConnectionIsNotUsed(t *testing.T) {
-	c := startCache(t, holding("v"))
-	n := start(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), nil)
+	c := startCache(t, answerValue("v"))
+	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
 	cl := n.dial()
 	for i := range 5 {
 		cl.send(fmt.Sprintf("mg k v O%d Pc=read,d=2500\r\n", i))
-		cl.want(fmt.Sprintf("VA 1 O%d", i), "v")
+		cl.expect(fmt.Sprintf("VA 1 O%d", i), "v")
 		c.HangUp()
 		eventually(t, "the connection is closed", func() bool { open, _ := c.Conns(); return open == 0 })
 	}
--- a/cmd/lapisshelf/operate_test.go
+++ b/cmd/lapisshelf/operate_test.go
@@ -20,11 +20,11 @@
 	"lapisshelf/lab/load"
 )
 
-// operated starts a node with a second address.
-func operated(t *testing.T, d discovery, change func(map[string]any)) (n *process, control string) {
+// startNodeWithControl starts a node with a second address.
+func startNodeWithControl(t *testing.T, d discovery, change func(map[string]any)) (n *process, control string) {
 	t.Helper()
-	control = refusing(t)
-	return start(t, d, func(c map[string]any) {
+	control = unusedAddr(t)
+	return startNode(t, d, func(c map[string]any) {
 		c["control"] = control
 		if change != nil {
 			change(c)
@@ -32,8 +32,8 @@
 	}), control
 }
 
-// call makes a call at a second address and gives its status, 0 for none within the second that callers wait, and its text.
-func call(t *testing.T, addr, method, path string) (int, string) {
+// callControl makes a call at a second address and gives its status, 0 for none within the second that callers wait, and its text.
+func callControl(t *testing.T, addr, method, path string) (int, string) {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -51,10 +51,10 @@
 	return status, body
 }
 
-// figures fetches and reads the figures as a collector does. What it cannot read fails the test.
-func figures(t *testing.T, addr string) map[string]float64 {
+// readMetrics fetches and reads the figures as a collector does. What it cannot read fails the test.
+func readMetrics(t *testing.T, addr string) map[string]float64 {
 	t.Helper()
-	status, text := call(t, addr, "GET", "/_vars")
+	status, text := callControl(t, addr, "GET", "/_vars")
 	if status != 200 {
 		t.Fatalf("/_vars: %d %s", status, text)
 	}
@@ -80,12 +80,12 @@
 	return got
 }
 
-func requests(class, outcome string) string {
+func requestsMetric(class, outcome string) string {
 	return "app_requests_total class=" + class + " outcome=" + outcome
 }
 
-func TestSecondAddress(t *testing.T) {
-	n, control := operated(t, startDiscovery(t, serving("s-1", refusing(t), "m2")), nil)
+func TestControlAddress(t *testing.T) {
+	n, control := startNodeWithControl(t, startDiscovery(t, servingEntry("s-1", unusedAddr(t), "m2")), nil)
 	for _, c := range []struct {
 		method, path string
 		status       int
@@ -94,7 +94,7 @@
 		{"POST", "/_ready", 405}, {"GET", "/_lameduck/on", 405}, {"GET", "no", 400}, {"BREW\x00", "/", 400},
 		{"GET", "/" + strings.Repeat("x", 8<<10), 431},
 	} {
-		if status, text := call(t, control, c.method, c.path); status != c.status || strings.Count(text, "\n") != 1 && c.path[:2] != "/_" {
+		if status, text := callControl(t, control, c.method, c.path); status != c.status || strings.Count(text, "\n") != 1 && c.path[:2] != "/_" {
 			t.Errorf("%s %.20s: %d %q, want %d", c.method, c.path, status, text, c.status)
 		}
 	}
@@ -114,7 +114,7 @@
 		}
 	}
 	for range 30 {
-		if status, text := call(t, control, "GET", "/_vars"); status != 200 {
+		if status, text := callControl(t, control, "GET", "/_vars"); status != 200 {
 			t.Fatalf("among callers that finish nothing: %d %s", status, text)
 		}
 	}
@@ -124,8 +124,8 @@
 }
 
 // With every descriptor that clients may have taken, and more asking, the operators' calls are answered.
-func TestCallsInAFlood(t *testing.T) {
-	n, control := operated(t, startDiscovery(t, serving("s-1", refusing(t), "m2")), func(c map[string]any) {
+func TestControlCallsWhileClientsExhaustDescriptors(t *testing.T) {
+	n, control := startNodeWithControl(t, startDiscovery(t, servingEntry("s-1", unusedAddr(t), "m2")), func(c map[string]any) {
 		c["limits"] = map[string]any{"memory_mb": 32, "sockets": 64}
 	})
 	for range 200 {
@@ -137,28 +137,28 @@
 		io.WriteString(conn, "mg k")
 	}
 	for i := range 40 {
-		if status, text := call(t, control, "GET", "/_ready"); status != 200 {
+		if status, text := callControl(t, control, "GET", "/_ready"); status != 200 {
 			t.Fatalf("call %d: %d %s", i, status, text)
 		}
 	}
 }
 
-func TestFigures(t *testing.T) {
+func TestMetrics(t *testing.T) {
 	var hold atomic.Bool
 	c := startCache(t, func(line string, v []byte) string {
 		for hold.Load() {
 			time.Sleep(time.Millisecond)
 		}
 		if strings.HasPrefix(line, "mg bad ") {
-			return "SERVER_ERROR failed " + opaque(line) + "\r\n"
+			return "SERVER_ERROR failed " + opaqueFlag(line) + "\r\n"
 		}
-		return holding("v")(line, v)
+		return answerValue("v")(line, v)
 	})
-	n, control := operated(t, startDiscovery(t, serving("s-1", c.Addr(), "m2"), serving("s-2", refusing(t), "m2")), patientReads)
-	got := figures(t, control)
+	n, control := startNodeWithControl(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2"), servingEntry("s-2", unusedAddr(t), "m2")), raiseReadAim)
+	got := readMetrics(t, control)
 	for _, class := range []string{"read", "put", "pay"} {
 		for _, outcome := range []string{"served", "refused", "failed"} {
-			if v, there := got[requests(class, outcome)]; !there || v != 0 {
+			if v, there := got[requestsMetric(class, outcome)]; !there || v != 0 {
 				t.Errorf("%s %s is %v, there %v, at the start", class, outcome, v, there)
 			}
 		}
@@ -169,26 +169,26 @@
 	cl := n.dial()
 	for i := range 40 { // enough that the dead server is skipped
 		cl.send(fmt.Sprintf("mg k%d v Oa%d Pc=read,d=2500\r\n", i, i))
-		cl.want(fmt.Sprintf("VA 1 Oa%d", i), "v")
+		cl.expect(fmt.Sprintf("VA 1 Oa%d", i), "v")
 	}
 	cl.send("ms k 1 Ob Pc=pay,d=2500\r\nx\r\n") // there is no origin
-	cl.want("SERVER_ERROR busy", "")
+	cl.expect("SERVER_ERROR busy", "")
 	sent := len(c.Lines())
 	hold.Store(true)
 	cl.send("mg k v Oc Pc=read,d=2500\r\n")
 	eventually(t, "the read is out", func() bool { return len(c.Lines()) > sent })
-	got = figures(t, control)
-	for name, want := range map[string]float64{requests("read", "served"): 40, requests("pay", "refused"): 1,
-		requests("read", "failed"): 0, "app_in_flight": 1, "app_attempts_total": float64(len(c.Lines())),
+	got = readMetrics(t, control)
+	for name, want := range map[string]float64{requestsMetric("read", "served"): 40, requestsMetric("pay", "refused"): 1,
+		requestsMetric("read", "failed"): 0, "app_in_flight": 1, "app_attempts_total": float64(len(c.Lines())),
 		"app_cache_servers_known": 2, "app_cache_servers_excluded": 1} {
 		if got[name] != want {
 			t.Errorf("%s is %v, want %v", name, got[name], want)
 		}
 	}
 	hold.Store(false)
-	cl.want("VA 1 Oc", "v")
-	if got = figures(t, control); got["app_in_flight"] != 0 || got[requests("read", "served")] != 41 {
-		t.Errorf("after the last answer: in flight %v, served %v", got["app_in_flight"], got[requests("read", "served")])
+	cl.expect("VA 1 Oc", "v")
+	if got = readMetrics(t, control); got["app_in_flight"] != 0 || got[requestsMetric("read", "served")] != 41 {
+		t.Errorf("after the last answer: in flight %v, served %v", got["app_in_flight"], got[requestsMetric("read", "served")])
 	}
 }
 
@@ -198,58 +198,58 @@
 		if strings.HasPrefix(line, "mg slow ") {
 			time.Sleep(900 * time.Millisecond)
 		}
-		return holding("v")(line, v)
+		return answerValue("v")(line, v)
 	})
-	n, control := operated(t, startDiscovery(t, serving("s-1", c.Addr(), "m2")), patientReads)
-	duck := func(on string, want int) {
+	n, control := startNodeWithControl(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), raiseReadAim)
+	setLameduck := func(on string, want int) {
 		t.Helper()
-		if status, text := call(t, control, "POST", "/_lameduck/"+on); status != want {
+		if status, text := callControl(t, control, "POST", "/_lameduck/"+on); status != want {
 			t.Errorf("lameduck %s: %d %s", on, status, text)
 		}
 	}
-	duck("off", 200) // when it was not on
+	setLameduck("off", 200) // when it was not on
 	idle, busy, spare := n.dial(), n.dial(), n.dial()
 	idle.send("mn\r\n")
-	idle.want("MN", "")
-	duck("on", 200)
-	duck("on", 200)
+	idle.expect("MN", "")
+	setLameduck("on", 200)
+	setLameduck("on", 200)
 	idle.send("mn\r\n")
-	idle.want("SERVER_ERROR draining", "")
+	idle.expect("SERVER_ERROR draining", "")
 	busy.send("mg slow v O1 Pc=read,d=2900\r\nmg k v O2 Pc=read,d=2900\r\n")
-	busy.want("VA 1 O1", "v")
-	busy.want("VA 1 O2", "v")
-	if !idle.ended() || !busy.ended() || !spare.ended() {
+	busy.expect("VA 1 O1", "v")
+	busy.expect("VA 1 O2", "v")
+	if !idle.closedByNode() || !busy.closedByNode() || !spare.closedByNode() {
 		t.Error("a connection is held")
 	}
 	late := n.dial() // the address still listens: whoever asks is served, and sent away
 	late.send("mg k v O3 Pc=read,d=2900\r\n")
-	late.want("VA 1 O3", "v")
-	if !late.ended() {
+	late.expect("VA 1 O3", "v")
+	if !late.closedByNode() {
 		t.Error("a late connection is held")
 	}
-	duck("off", 200)
+	setLameduck("off", 200)
 	eventually(t, "clients are taken again", func() bool { return load.Ready(n.addr) })
 	cl := n.dial()
 	for i := range 3 { // and kept
 		cl.send(fmt.Sprintf("mg k v Ob%d Pc=read,d=2900\r\n", i))
-		cl.want(fmt.Sprintf("VA 1 Ob%d", i), "v")
+		cl.expect(fmt.Sprintf("VA 1 Ob%d", i), "v")
 		time.Sleep(100 * time.Millisecond)
 	}
-	duck("on", 200)
-	duck("off", 200) // before any connection has begun to close
+	setLameduck("on", 200)
+	setLameduck("off", 200) // before any connection has begun to close
 	cl.send("mg k v O5 Pc=read,d=2900\r\n")
-	cl.want("VA 1 O5", "v")
+	cl.expect("VA 1 O5", "v")
 }
 
 // A banned cache server gets nothing, though the list goes on naming it, and is used again after the call back.
 func TestDetachAndAttach(t *testing.T) {
-	a, b := startCache(t, holding("a")), startCache(t, holding("b"))
-	entryA, entryB := serving("s-a", a.Addr(), "m2"), serving("s-b", b.Addr(), "m2")
+	a, b := startCache(t, answerValue("a")), startCache(t, answerValue("b"))
+	entryA, entryB := servingEntry("s-a", a.Addr(), "m2"), servingEntry("s-b", b.Addr(), "m2")
 	d := startDiscovery(t, entryA, entryB)
-	n, control := operated(t, d, nil)
-	hand := func(verb, id string, want int) {
+	n, control := startNodeWithControl(t, d, nil)
+	setBan := func(verb, id string, want int) {
 		t.Helper()
-		if status, text := call(t, control, "POST", "/_cache-servers/"+verb+"/"+id); status != want {
+		if status, text := callControl(t, control, "POST", "/_cache-servers/"+verb+"/"+id); status != want {
 			t.Errorf("%s %s: %d %s, want %d", verb, id, status, text, want)
 		}
 	}
@@ -260,7 +260,7 @@
 		for range times {
 			asked++
 			cl.send(fmt.Sprintf("mg k%d v O%d Pc=read,d=2500\r\n", asked, asked))
-			if line, _ := cl.answer(); !strings.HasPrefix(line, "VA ") {
+			if line, _ := cl.readAnswer(); !strings.HasPrefix(line, "VA ") {
 				t.Fatalf("answer %q", line)
 			}
 		}
@@ -270,26 +270,26 @@
 	if before == 0 || before == 40 {
 		t.Fatalf("%d of 40 reads at one of two", before)
 	}
-	hand("detach", "s-x", 404)
-	hand("attach", "s-x", 404)
-	hand("detach", "s%2Da", 200)
-	hand("detach", "s-a", 200)
-	if got := figures(t, control); got["app_cache_servers_excluded"] != 1 || got["app_cache_servers_known"] != 2 {
+	setBan("detach", "s-x", 404)
+	setBan("attach", "s-x", 404)
+	setBan("detach", "s%2Da", 200)
+	setBan("detach", "s-a", 200)
+	if got := readMetrics(t, control); got["app_cache_servers_excluded"] != 1 || got["app_cache_servers_known"] != 2 {
 		t.Errorf("excluded %v of %v", got["app_cache_servers_excluded"], got["app_cache_servers_known"])
 	}
 	ask(40)
 	restarted := entryA
 	restarted.Started = time.Second
 	d.Replace(entryB)
-	eventually(t, "it is gone", func() bool { return figures(t, control)["app_cache_servers_known"] == 1 })
-	hand("detach", "s-a", 200) // listed once and gone
+	eventually(t, "it is gone", func() bool { return readMetrics(t, control)["app_cache_servers_known"] == 1 })
+	setBan("detach", "s-a", 200) // listed once and gone
 	d.Replace(restarted, entryB)
-	eventually(t, "it is listed again", func() bool { return figures(t, control)["app_cache_servers_known"] == 2 })
+	eventually(t, "it is listed again", func() bool { return readMetrics(t, control)["app_cache_servers_known"] == 2 })
 	ask(40)
 	if got := len(a.Lines()); got != before {
 		t.Errorf("%d reads went to a banned server", got-before)
 	}
-	hand("attach", "s-a", 200)
+	setBan("attach", "s-a", 200)
 	for end := time.Now().Add(5 * time.Second); len(a.Lines()) == before && time.Now().Before(end); {
 		ask(10)
 	}
--- a/cmd/lapisshelf/planners_test.go
+++ b/cmd/lapisshelf/planners_test.go
@@ -24,8 +24,8 @@
 	"lapisshelf/policy"
 )
 
-// certified makes an authority and certificates in a directory of the test's.
-func certified(t *testing.T, holders map[string]keys.Role) string {
+// createCertificates makes an authority and certificates in a directory of the test's.
+func createCertificates(t *testing.T, holders map[string]keys.Role) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "keys")
 	if err := keys.CreateAuthority(dir, time.Now(), 24*time.Hour); err != nil {
@@ -42,13 +42,13 @@
 // startPlanner runs the program as a planner and gives the address for forwarders and the one for operators.
 func startPlanner(t *testing.T, d discovery, dir, id, more string) (p *process, addr, control string) {
 	t.Helper()
-	return startPlannerAt(t, fmt.Sprintf("discovery = %q\n", d.Addr(0)), dir, id, more)
+	return startPlannerWithList(t, fmt.Sprintf("discovery = %q\n", d.Addr(0)), dir, id, more)
 }
 
-// startPlannerAt runs one that finds its list as the text says, or as more does.
-func startPlannerAt(t *testing.T, list, dir, id, more string) (p *process, addr, control string) {
+// startPlannerWithList runs one that finds its list as the text says, or as more does.
+func startPlannerWithList(t *testing.T, list, dir, id, more string) (p *process, addr, control string) {
 	t.Helper()
-	addr, control = refusing(t), refusing(t)
+	addr, control = unusedAddr(t), unusedAddr(t)
 	file := filepath.Join(dir, id+".toml")
 	text := fmt.Sprintf("[node]\ncontrol = %q\n%s[service]\norigin_falls = true\n[[class]]\nname = \"read\"\naim = \"600ms\"\ndeadline = \"3s\"\n"+
 		"[planner]\nid = %q\nlisten = %q\nca_file = \"ca.pem\"\ncert_file = \"%s.pem\"\nkey_file = \"%s.key\"\nevery = \"100ms\"\nvalid = \"1s\"\n%s",
@@ -56,8 +56,8 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p = launch(t, "{}", addr, nil, "plan", "--config", file)
-	eventually(t, "the planner has the list", func() bool { status, _ := call(t, control, "GET", "/_ready"); return status == 200 })
+	p = startProcess(t, "{}", addr, nil, "plan", "--config", file)
+	eventually(t, "the planner has the list", func() bool { status, _ := callControl(t, control, "GET", "/_ready"); return status == 200 })
 	return p, addr, control
 }
 
@@ -70,13 +70,13 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	control = refusing(t)
+	control = unusedAddr(t)
 	t.Setenv("LAPISSHELF_CONFIG", file)
-	return start(t, d, func(c map[string]any) { c["control"], c["name"] = control, name }), control
+	return startNode(t, d, func(c map[string]any) { c["control"], c["name"] = control, name }), control
 }
 
-// viewOf is what `lapisshelf view` prints.
-func viewOf(t *testing.T, control string) string {
+// runView is what `lapisshelf view` prints.
+func runView(t *testing.T, control string) string {
 	t.Helper()
 	out, err := exec.Command(binary, "view", control).CombinedOutput()
 	if err != nil {
@@ -91,32 +91,32 @@
 func TestPlannersComeAndGo(t *testing.T) {
 	slow := func(line string, _ []byte) string {
 		time.Sleep(350 * time.Millisecond)
-		return holding("late")(line, nil)
+		return answerValue("late")(line, nil)
 	}
-	d := startDiscovery(t, serving("s-0", startCache(t, slow).Addr(), "m2"), serving("s-1", startCache(t, holding("a")).Addr(), "m2"),
-		serving("s-2", startCache(t, holding("b")).Addr(), "m2"), serving("s-3", startCache(t, holding("c")).Addr(), "m2"))
-	dir := certified(t, map[string]keys.Role{"p1": keys.Planner, "p2": keys.Planner, "f1": keys.Forwarder, "f2": keys.Forwarder})
-	gossip := [2]string{refusing(t), refusing(t)}
+	d := startDiscovery(t, servingEntry("s-0", startCache(t, slow).Addr(), "m2"), servingEntry("s-1", startCache(t, answerValue("a")).Addr(), "m2"),
+		servingEntry("s-2", startCache(t, answerValue("b")).Addr(), "m2"), servingEntry("s-3", startCache(t, answerValue("c")).Addr(), "m2"))
+	dir := createCertificates(t, map[string]keys.Role{"p1": keys.Planner, "p2": keys.Planner, "f1": keys.Forwarder, "f2": keys.Forwarder})
+	gossip := [2]string{unusedAddr(t), unusedAddr(t)}
 	planners, addrs, controls := map[string]*process{}, [2]string{}, [2]string{}
 	for i, id := range []string{"p1", "p2"} {
 		planners[id], addrs[i], controls[i] = startPlanner(t, d, dir, id, fmt.Sprintf("snapshot = \"%s.db\"\ngossip = %q\njoin = [%q]\ngossip_key_file = \"gossip.key\"\n", id, gossip[i], gossip[0]))
 	}
-	eventually(t, "the planners hear of each other", func() bool { return strings.Contains(viewOf(t, controls[0]), "planners p2") })
+	eventually(t, "the planners hear of each other", func() bool { return strings.Contains(runView(t, controls[0]), "planners p2") })
 	nodes, nodeControls := [2]*process{}, [2]string{}
 	for i, name := range []string{"f1", "f2"} {
 		nodes[i], nodeControls[i] = startForwarder(t, d, dir, name, name, addrs[:]...)
 	}
-	var crowds []*many
+	var crowds []*loadClients
 	for _, n := range nodes {
-		m := &many{t: t, addr: n.addr}
-		m.begin(20)
+		m := &loadClients{t: t, addr: n.addr}
+		m.start(20)
 		crowds = append(crowds, m)
 	}
 	for _, control := range nodeControls {
-		eventually(t, "the late cache loses weight", func() bool { return strings.Contains(viewOf(t, control), "server s-0 factor 0.") })
+		eventually(t, "the late cache loses weight", func() bool { return strings.Contains(runView(t, control), "server s-0 factor 0.") })
 	}
 	eventually(t, "a planner says why", func() bool {
-		text := viewOf(t, controls[0])
+		text := runView(t, controls[0])
 		return strings.Contains(text, "2 forwarders heard") && strings.Contains(text, "server s-0 weight 1.00 factor 0.") && (strings.Contains(text, "within 512ms") || strings.Contains(text, "within 1.024s"))
 	})
 	// Each node follows whichever it heard first.
@@ -145,19 +145,19 @@
 	eventually(t, "the node goes on by itself", func() bool { return crowds[0].served.Load() > served+200 })
 	planners[other].signal(syscall.SIGCONT)
 	for _, control := range nodeControls {
-		eventually(t, "the view is in force again", func() bool { return strings.Contains(viewOf(t, control), "trusted 1.00") })
+		eventually(t, "the view is in force again", func() bool { return strings.Contains(runView(t, control), "trusted 1.00") })
 	}
 	for i, m := range crowds {
-		m.end()
-		if m.turned.Load() > 0 || m.refused.Load() > m.served.Load()/20 {
-			t.Errorf("node %d: %d served, %d refused, %d turned away", i+1, m.served.Load(), m.refused.Load(), m.turned.Load())
+		m.stop()
+		if m.unread.Load() > 0 || m.refused.Load() > m.served.Load()/20 {
+			t.Errorf("node %d: %d served, %d refused, %d turned away", i+1, m.served.Load(), m.refused.Load(), m.unread.Load())
 		}
 		if strings.Contains(nodes[i].log(), "event=panic") || strings.Contains(nodes[i].log(), "event=overdue") {
 			t.Error("see the log")
 		}
 	}
 	planners[other].signal(syscall.SIGTERM)
-	if code := planners[other].wait(); code != 0 {
+	if code := planners[other].waitExit(); code != 0 {
 		t.Errorf("the planner ended with status %d", code)
 	}
 }
@@ -165,52 +165,52 @@
 // Planners that keep leases in a registry: the one that has held its longest leads; when it dies the epoch grows and
 // forwarders take it; with the registry gone nothing changes.
 func TestPlannersLeadByLease(t *testing.T) {
-	r, err := standin.NewRegistry(common(), standin.RegistryOptions{Addr: "127.0.0.1:0", Endpoints: 1, Nodes: 1, Prefix: "lapisshelf/servers/"})
+	r, err := standin.NewRegistry(newCommon(), standin.RegistryOptions{Addr: "127.0.0.1:0", Endpoints: 1, Nodes: 1, Prefix: "lapisshelf/servers/"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	cache := serving("s-1", startCache(t, holding("a")).Addr(), "m2")
+	cache := servingEntry("s-1", startCache(t, answerValue("a")).Addr(), "m2")
 	r.Set(cache)
-	dir := certified(t, map[string]keys.Role{"p1": keys.Planner, "p2": keys.Planner, "f": keys.Forwarder})
+	dir := createCertificates(t, map[string]keys.Role{"p1": keys.Planner, "p2": keys.Planner, "f": keys.Forwarder})
 	planners, addrs, controls := map[string]*process{}, []string{}, map[string]string{}
 	for _, id := range []string{"p1", "p2"} {
-		p, addr, control := startPlannerAt(t, "", dir, id, fmt.Sprintf("ttl = \"1s\"\n[registry]\nkind = \"etcd\"\nendpoints = [%q]\n", r.Addrs(0)[0]))
+		p, addr, control := startPlannerWithList(t, "", dir, id, fmt.Sprintf("ttl = \"1s\"\n[registry]\nkind = \"etcd\"\nendpoints = [%q]\n", r.Addrs(0)[0]))
 		planners[id], controls[id], addrs = p, control, append(addrs, addr)
-		eventually(t, "it is known", func() bool { return strings.Contains(viewOf(t, control), "leads") })
+		eventually(t, "it is known", func() bool { return strings.Contains(runView(t, control), "leads") })
 		time.Sleep(1100 * time.Millisecond) // epochs are seconds
 	}
 	for _, control := range controls {
-		eventually(t, "the first leads", func() bool { return strings.Contains(viewOf(t, control), "p1 leads") })
+		eventually(t, "the first leads", func() bool { return strings.Contains(runView(t, control), "p1 leads") })
 	}
 	n, control := startForwarder(t, startDiscovery(t, cache), dir, "f", "f", addrs...)
 	epoch := func() (e uint64) {
-		_, after, _ := strings.Cut(viewOf(t, control), "epoch ")
+		_, after, _ := strings.Cut(runView(t, control), "epoch ")
 		fmt.Sscan(after, &e)
 		return e
 	}
 	eventually(t, "it has a view", func() bool { return epoch() > 0 })
 	first := epoch()
 	planners["p1"].Kill()
-	eventually(t, "the other leads", func() bool { return strings.Contains(viewOf(t, controls["p2"]), "p2 leads") })
+	eventually(t, "the other leads", func() bool { return strings.Contains(runView(t, controls["p2"]), "p2 leads") })
 	eventually(t, "the epoch grows", func() bool { return epoch() > first })
 	r.Down(0, true)
 	second := epoch()
 	eventually(t, "the lease is lost", func() bool { return strings.Contains(planners["p2"].log(), "event=lease_lost") })
-	if text := viewOf(t, control); epoch() != second || !strings.Contains(text, "view of p2") || !strings.Contains(text, "trusted 1.00") {
+	if text := runView(t, control); epoch() != second || !strings.Contains(text, "view of p2") || !strings.Contains(text, "trusted 1.00") {
 		t.Errorf("with the registry gone: %s", text)
 	}
 	r.Down(0, false)
 	eventually(t, "a later lease", func() bool { return epoch() > second })
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=1000\r\n")
-	cl.want("VA 1 O1", "a")
+	cl.expect("VA 1 O1", "a")
 }
 
 // Who has no certificate for its part is refused, and both logs say why; a node without a planner serves.
 func TestWrongCertificates(t *testing.T) {
-	d := startDiscovery(t, serving("s-1", startCache(t, holding("a")).Addr(), "m2"))
-	dir := certified(t, map[string]keys.Role{"p1": keys.Planner, "p2": keys.Planner, "good": keys.Forwarder})
+	d := startDiscovery(t, servingEntry("s-1", startCache(t, answerValue("a")).Addr(), "m2"))
+	dir := createCertificates(t, map[string]keys.Role{"p1": keys.Planner, "p2": keys.Planner, "good": keys.Forwarder})
 	if err := keys.Issue(dir, "old", keys.Forwarder, time.Now().Add(-2*time.Hour), time.Hour, false); err != nil {
 		t.Fatal(err)
 	}
@@ -224,7 +224,7 @@
 		eventually(t, c.planner, func() bool { return strings.Contains(p.log(), c.planner) })
 		cl := n.dial()
 		cl.send("mg k v O1 Pc=read,d=1000\r\n")
-		cl.want("VA 1 O1", "a")
+		cl.expect("VA 1 O1", "a")
 		if c.cert != "good" {
 			eventually(t, "the node says why", func() bool { return strings.Contains(n.log(), "event=planner_down") })
 		}
@@ -245,16 +245,16 @@
 	const forwarders, caches = 400, 80
 	var list []world.Member
 	for i := range caches {
-		list = append(list, serving(fmt.Sprintf("s-%d", i), refusing(t), "m2"))
+		list = append(list, servingEntry(fmt.Sprintf("s-%d", i), unusedAddr(t), "m2"))
 	}
 	d := startDiscovery(t, list...)
 	holders := map[string]keys.Role{"p1": keys.Planner}
 	for i := range forwarders {
 		holders[fmt.Sprintf("f%d", i)] = keys.Forwarder
 	}
-	dir := certified(t, holders)
+	dir := createCertificates(t, holders)
 	p, addr, control := startPlanner(t, d, dir, "p1", "")
-	var heard, bytes, changed atomic.Int64
+	var answered, viewBytes, changeBytes atomic.Int64
 	var ready []follow.Server
 	for _, m := range list {
 		ready = append(ready, follow.Server{ID: m.ID, Weight: 1})
@@ -275,7 +275,7 @@
 				return
 			}
 			var mu sync.Mutex
-			follower, old := follow.New(follow.Config{}), i%2 == 0
+			follower, viewOnly := follow.New(follow.Config{}), i%2 == 0
 			clients.Go(func() {
 				g := plan.NewCollector(time.Duration(time.Now().UnixNano()), name)
 				for {
@@ -284,7 +284,7 @@
 						g.Attempt(fmt.Sprintf("s-%d", j), false, policy.OK, time.Duration(j)*time.Millisecond, true, false)
 					}
 					m := planwire.Message{Digest: g.Digest(time.Duration(time.Now().UnixNano()))}
-					if !old {
+					if !viewOnly {
 						mu.Lock()
 						h := follower.Hold("p1")
 						mu.Unlock()
@@ -313,18 +313,18 @@
 				if err != nil {
 					return
 				}
-				if old {
-					bytes.Add(int64(n))
+				if viewOnly {
+					viewBytes.Add(int64(n))
 				} else {
-					changed.Add(int64(n))
+					changeBytes.Add(int64(n))
 				}
 				for input = append(input, buffer[:n]...); ; {
 					m, used, err := planwire.Next(input)
-					if err != nil || used > 0 && old && (m.View == nil || len(m.View.Servers) != caches) || used > 0 && !old && m.Change == nil {
+					if err != nil || used > 0 && viewOnly && (m.View == nil || len(m.View.Servers) != caches) || used > 0 && !viewOnly && m.Change == nil {
 						t.Errorf("%s: %v %+v", name, err, m)
 						return
 					}
-					if used > 0 && !old {
+					if used > 0 && !viewOnly {
 						mu.Lock()
 						why, err := follower.TakeChange(time.Duration(time.Now().UnixNano()), *m.Change, ready)
 						mu.Unlock()
@@ -337,32 +337,32 @@
 					}
 					if input = input[used:]; first {
 						first = false
-						heard.Add(1)
+						answered.Add(1)
 					}
 				}
 			}
 		})
 	}
-	eventually(t, "each has a view", func() bool { return heard.Load() >= forwarders*98/100 })
-	eventually(t, "all are heard", func() bool { return figures(t, control)["app_planner_forwarders"] == forwarders-forwarders/100 })
+	eventually(t, "each has a view", func() bool { return answered.Load() >= forwarders*98/100 })
+	eventually(t, "all are heard", func() bool { return readMetrics(t, control)["app_planner_forwarders"] == forwarders-forwarders/100 })
 	// While all join, each digest may bring other hot keys, and with them a new set to tell: what changes cost is looked at once
 	// the state stands, and whole states are counted over all of it.
-	stood, revision := time.Now(), 0.0
+	stableSince, revision := time.Now(), 0.0
 	eventually(t, "the state stands", func() bool {
-		if now := figures(t, control)["app_planner_revision"]; now != revision {
-			stood, revision = time.Now(), now
+		if now := readMetrics(t, control)["app_planner_revision"]; now != revision {
+			stableSince, revision = time.Now(), now
 		}
-		return time.Since(stood) > time.Second
+		return time.Since(stableSince) > time.Second
 	})
-	before, few, start := bytes.Load(), changed.Load(), time.Now()
+	viewBytesBefore, changeBytesBefore, start := viewBytes.Load(), changeBytes.Load(), time.Now()
 	time.Sleep(2 * time.Second)
-	took := time.Since(start).Seconds()
-	perView, change := float64(bytes.Load()-before)/took/forwarders*2/10, float64(changed.Load()-few)/took/forwarders*2
-	t.Logf("a digest %d bytes, a view some %.0f, changes %.0f a second, %d MB of memory at most", frame.Load(), perView, change, p.peak())
-	if perView > 8<<10 || change > 512 || p.peak() > 200 {
+	seconds := time.Since(start).Seconds()
+	bytesPerView, changeBytesPerSecond := float64(viewBytes.Load()-viewBytesBefore)/seconds/forwarders*2/10, float64(changeBytes.Load()-changeBytesBefore)/seconds/forwarders*2
+	t.Logf("a digest %d bytes, a view some %.0f, changes %.0f a second, %d MB of memory at most", frame.Load(), bytesPerView, changeBytesPerSecond, p.peakMemoryMB())
+	if bytesPerView > 8<<10 || changeBytesPerSecond > 512 || p.peakMemoryMB() > 200 {
 		t.Error("that is too much")
 	}
-	if got := figures(t, control)["app_planner_states_total"]; got != forwarders/2-forwarders/100 {
+	if got := readMetrics(t, control)["app_planner_states_total"]; got != forwarders/2-forwarders/100 {
 		t.Errorf("%v whole states for the %d that take changes", got, forwarders/2-forwarders/100)
 	}
 	close(stop)
--- a/cmd/lapisshelf/planning.go
+++ b/cmd/lapisshelf/planning.go
@@ -20,8 +20,8 @@
 	"lapisshelf/internal/planner"
 )
 
-// planning serves as a planner until it is told to end. SIGHUP rereads the certificates.
-func planning(file string) error {
+// runPlanner serves as a planner until it is told to end. SIGHUP rereads the certificates.
+func runPlanner(file string) error {
 	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC)
 	lines := newLogWriter(os.Stderr)
 	log.SetOutput(lines)
@@ -55,8 +55,8 @@
 	return p.Run(ctx)
 }
 
-// exactly wants so many arguments.
-func exactly(n int, what string) cobra.PositionalArgs {
+// exactArgs wants so many arguments.
+func exactArgs(n int, what string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != n {
 			return usageError{fmt.Errorf("wants %s", what)}
@@ -67,7 +67,7 @@
 
 // keysCommand makes, renews and shows certificates.
 func keysCommand() *cobra.Command {
-	lasts := func(c *cobra.Command) (time.Duration, error) {
+	validity := func(c *cobra.Command) (time.Duration, error) {
 		days, err := c.Flags().GetInt("days")
 		if err != nil {
 			return 0, err
@@ -77,22 +77,22 @@
 		}
 		return time.Duration(days) * 24 * time.Hour, nil
 	}
-	holder := func(renew bool) func(*cobra.Command, []string) error {
+	issue := func(renew bool) func(*cobra.Command, []string) error {
 		return func(c *cobra.Command, args []string) error {
-			d, err := lasts(c)
+			d, err := validity(c)
 			if err != nil {
 				return err
 			}
 			return keys.Issue(args[0], args[2], keys.Role(args[1]), time.Now(), d, renew)
 		}
 	}
-	root := &cobra.Command{Use: "keys", Short: "Make, renew and show the certificates of forwarders and planners", Args: exactly(0, "authority, make, renew or show")}
+	root := &cobra.Command{Use: "keys", Short: "Make, renew and show the certificates of forwarders and planners", Args: exactArgs(0, "authority, make, renew or show")}
 	root.RunE = func(*cobra.Command, []string) error {
 		return usageError{errors.New("wants authority, make, renew or show")}
 	}
-	authority := &cobra.Command{Use: "authority DIR", Short: "Make an authority, and the secret that planners share", Args: exactly(1, "a directory"),
+	authority := &cobra.Command{Use: "authority DIR", Short: "Make an authority, and the secret that planners share", Args: exactArgs(1, "a directory"),
 		RunE: func(c *cobra.Command, args []string) error {
-			d, err := lasts(c)
+			d, err := validity(c)
 			if err != nil {
 				return err
 			}
@@ -100,13 +100,13 @@
 		}}
 	authority.Flags().Int("days", 3650, "how long it stands")
 	for _, c := range []*cobra.Command{
-		{Use: "make DIR forwarder|planner NAME", Short: "Make NAME.pem and NAME.key", Args: exactly(3, "a directory, forwarder or planner, and a name"), RunE: holder(false)},
-		{Use: "renew DIR forwarder|planner NAME", Short: "Make them anew, in place of the old ones", Args: exactly(3, "a directory, forwarder or planner, and a name"), RunE: holder(true)},
+		{Use: "make DIR forwarder|planner NAME", Short: "Make NAME.pem and NAME.key", Args: exactArgs(3, "a directory, forwarder or planner, and a name"), RunE: issue(false)},
+		{Use: "renew DIR forwarder|planner NAME", Short: "Make them anew, in place of the old ones", Args: exactArgs(3, "a directory, forwarder or planner, and a name"), RunE: issue(true)},
 	} {
 		c.Flags().Int("days", 365, "how long it stands")
 		root.AddCommand(c)
 	}
-	root.AddCommand(authority, &cobra.Command{Use: "show DIR", Short: "Say whose certificates are there, and until when they stand", Args: exactly(1, "a directory"),
+	root.AddCommand(authority, &cobra.Command{Use: "show DIR", Short: "Say whose certificates are there, and until when they stand", Args: exactArgs(1, "a directory"),
 		RunE: func(c *cobra.Command, args []string) error {
 			list, err := keys.List(args[0])
 			if err != nil {
@@ -128,8 +128,8 @@
 	return root
 }
 
-// view prints what a planner or forwarder acts on.
-func view(c *cobra.Command, args []string) error {
+// printView prints what a planner or forwarder acts on.
+func printView(c *cobra.Command, args []string) error {
 	if _, err := netip.ParseAddrPort(args[0]); err != nil {
 		return usageError{fmt.Errorf("%q is no address and port", args[0])}
 	}
--- a/cmd/lapisshelf/restart_test.go
+++ b/cmd/lapisshelf/restart_test.go
@@ -16,27 +16,27 @@
 	"lapisshelf/lab/world"
 )
 
-// slowList is a discovery, at an address for each node, that answers one read at a time and turns away who comes meanwhile.
+// slowDiscovery is a discovery, at an address for each node, that answers one read at a time and turns away who comes meanwhile.
 // Watches say nothing until their wait is over.
-type slowList struct {
-	answer []byte
-	each   time.Duration // a read takes so long
-	addrs  []string
+type slowDiscovery struct {
+	answer   []byte
+	readTime time.Duration // a read takes so long
+	addrs    []string
 
-	mu    sync.Mutex
-	down  bool
-	busy  bool
-	calls []int // of each node since the service is up
-	took  []int // how many a node had made with its answered read, in the order of the answers
+	mu            sync.Mutex
+	down          bool
+	busy          bool
+	calls         []int // of each node since the service is up
+	callsToAnswer []int // how many a node had made with its answered read, in the order of the answers
 }
 
-func startSlowList(t *testing.T, nodes int, down bool, each time.Duration, members ...world.Member) *slowList {
+func startSlowDiscovery(t *testing.T, nodes int, down bool, each time.Duration, members ...world.Member) *slowDiscovery {
 	t.Helper()
 	answer, err := json.Marshal(standin.Wire(time.Now(), 1, true, members))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &slowList{answer: answer, each: each, down: down, calls: make([]int, nodes)}
+	s := &slowDiscovery{answer: answer, readTime: each, down: down, calls: make([]int, nodes)}
 	for node := range nodes {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -50,7 +50,7 @@
 	return s
 }
 
-func (s *slowList) handle(node int, w http.ResponseWriter, r *http.Request) {
+func (s *slowDiscovery) handle(node int, w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.calls[node]++
 	calls := s.calls[node]
@@ -71,35 +71,35 @@
 		fmt.Fprint(w, `{"revision":1,"complete":false,"members":[]}`)
 		return
 	}
-	time.Sleep(s.each)
+	time.Sleep(s.readTime)
 	s.mu.Lock()
 	s.busy = false
-	s.took = append(s.took, calls)
+	s.callsToAnswer = append(s.callsToAnswer, calls)
 	s.mu.Unlock()
 	w.Write(s.answer)
 }
 
-// back takes the service up, and counts from then on.
-func (s *slowList) back() {
+// restore takes the service up, and counts from then on.
+func (s *slowDiscovery) restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = false
 	clear(s.calls)
 }
 
-// least is the fewest calls that a node has made.
-func (s *slowList) least() int {
+// minCalls is the fewest calls that a node has made.
+func (s *slowDiscovery) minCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Min(s.calls)
 }
 
-// startTogether starts so many processes at once and waits for none of them.
-func startTogether(t *testing.T, s *slowList, change func(config map[string]any)) (all []*process) {
+// startAll starts so many processes at once and waits for none of them.
+func startAll(t *testing.T, s *slowDiscovery, change func(config map[string]any)) (all []*process) {
 	t.Helper()
 	for i, addr := range s.addrs {
-		config := map[string]any{"name": fmt.Sprintf("n%d", i+1), "listen": refusing(t), "discovery": addr, "seed": fmt.Sprintf("%016x", i+1),
-			"limits": map[string]any{"memory_mb": 64, "sockets": 64}, "settings": settings()}
+		config := map[string]any{"name": fmt.Sprintf("n%d", i+1), "listen": unusedAddr(t), "discovery": addr, "seed": fmt.Sprintf("%016x", i+1),
+			"limits": map[string]any{"memory_mb": 64, "sockets": 64}, "settings": testSettings()}
 		config["settings"].(map[string]any)["Balancers"] = len(s.addrs)
 		if change != nil {
 			change(config)
@@ -108,13 +108,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, launch(t, string(text), config["listen"].(string), nil))
+		all = append(all, startProcess(t, string(text), config["listen"].(string), nil))
 	}
 	return all
 }
 
-// allReady waits until each process takes clients.
-func allReady(t *testing.T, all []*process) {
+// waitAllReady waits until each process takes clients.
+func waitAllReady(t *testing.T, all []*process) {
 	t.Helper()
 	for i, n := range all {
 		eventually(t, fmt.Sprintf("process %d is ready", i), func() bool { return load.Ready(n.addr) })
@@ -126,29 +126,29 @@
 // Kth call has paused K - 1 times, by these settings for 1 s at most where it asks for the list (a quarter of AskWithin), and for
 // 0.1 s where the list is pushed to it.
 func TestProcessesThatStartTogether(t *testing.T) {
-	const nodes, most = 30, 9
+	const nodes, maxCalls = 30, 9
 	for _, mode := range []string{"subscribe", "automatic"} {
 		for _, back := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, just back %t", mode, back), func(t *testing.T) {
-				c := startCache(t, holding("v"))
-				s := startSlowList(t, nodes, back, 20*time.Millisecond, serving("s-1", c.Addr(), "m2"))
-				all := startTogether(t, s, func(config map[string]any) { config["settings"].(map[string]any)["MembershipMode"] = mode })
+				c := startCache(t, answerValue("v"))
+				s := startSlowDiscovery(t, nodes, back, 20*time.Millisecond, servingEntry("s-1", c.Addr(), "m2"))
+				all := startAll(t, s, func(config map[string]any) { config["settings"].(map[string]any)["MembershipMode"] = mode })
 				if back {
-					eventually(t, "all have been turned away", func() bool { return s.least() >= 3 })
-					s.back()
+					eventually(t, "all have been turned away", func() bool { return s.minCalls() >= 3 })
+					s.restore()
 				}
-				allReady(t, all)
+				waitAllReady(t, all)
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				slices.Sort(s.took)
-				limit := most
+				slices.Sort(s.callsToAnswer)
+				limit := maxCalls
 				if mode == "automatic" {
-					limit = 10 * most
+					limit = 10 * maxCalls
 				}
-				if got := s.took[len(s.took)*9/10-1]; len(s.took) < nodes || got > limit {
-					t.Errorf("nine in ten of %d were answered within %d calls, more than %d: %v", len(s.took), got, limit, s.took)
+				if got := s.callsToAnswer[len(s.callsToAnswer)*9/10-1]; len(s.callsToAnswer) < nodes || got > limit {
+					t.Errorf("nine in ten of %d were answered within %d calls, more than %d: %v", len(s.callsToAnswer), got, limit, s.callsToAnswer)
 				}
-				t.Logf("calls until an answer: %v", s.took)
+				t.Logf("calls until an answer: %v", s.callsToAnswer)
 			})
 		}
 	}
@@ -158,27 +158,27 @@
 // their start: by the list known, before anything has been answered.
 func TestProcessesThatStartTogetherByAKnownList(t *testing.T) {
 	const nodes = 30
-	c := startCache(t, holding("v"))
-	entry := serving("s-1", c.Addr(), "m2")
+	c := startCache(t, answerValue("v"))
+	entry := servingEntry("s-1", c.Addr(), "m2")
 	for _, outage := range []string{"turned away", "hanging"} {
 		t.Run(outage, func(t *testing.T) {
-			s := startSlowList(t, nodes, true, 0, entry)
+			s := startSlowDiscovery(t, nodes, true, 0, entry)
 			if outage == "hanging" {
-				s.addrs = slices.Repeat([]string{deaf(t)}, nodes)
+				s.addrs = slices.Repeat([]string{blackholeAddr(t)}, nodes)
 			}
-			all := startTogether(t, s, func(config map[string]any) {
+			all := startAll(t, s, func(config map[string]any) {
 				config["known"] = standin.Wire(time.Now(), 3, true, []world.Member{entry})
 			})
-			allReady(t, all)
+			waitAllReady(t, all)
 			s.mu.Lock()
-			if len(s.took) > 0 {
+			if len(s.callsToAnswer) > 0 {
 				t.Error("discovery has answered")
 			}
 			s.mu.Unlock()
 			for i, n := range all {
 				cl := n.dial()
 				cl.send(fmt.Sprintf("mg k v O%d Pc=read,d=2500\r\n", i))
-				cl.want(fmt.Sprintf("VA 1 O%d", i), "v")
+				cl.expect(fmt.Sprintf("VA 1 O%d", i), "v")
 			}
 		})
 	}
--- a/cmd/lapisshelf/serve.go
+++ b/cmd/lapisshelf/serve.go
@@ -22,10 +22,10 @@
 	// From the first moment: a SIGHUP that finds nobody listening ends the program. The end has a channel of its own,
 	// so that no crowd of other signals can displace it; so has the change of the configuration: one that waits is enough, since
 	// the file is read when it is taken.
-	ends, reloads, prints := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
+	shutdowns, reloads, dumps := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(shutdowns, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reloads, syscall.SIGHUP)
-	signal.Notify(prints, syscall.SIGUSR1)
+	signal.Notify(dumps, syscall.SIGUSR1)
 	cfg, err := configure(file)
 	if err != nil {
 		return err
@@ -39,11 +39,11 @@
 	if err != nil {
 		return err
 	}
-	n.Limit(limitMemory)
+	n.Limit(setMemoryLimit)
 	log.Printf("event=start name=%s listen=%s list=%s memory_mb=%d sockets=%d", cfg.Name, cfg.Listen, cfg.Registry.Endpoints,
 		cfg.MemoryMB, cfg.Sockets)
 	go func() {
-		<-ends
+		<-shutdowns
 		l.Post(n.Shutdown)
 	}()
 	go func() {
@@ -53,7 +53,7 @@
 		}
 	}()
 	go func() {
-		for range prints {
+		for range dumps {
 			l.Post(n.LogCounters)
 		}
 	}()
@@ -73,12 +73,12 @@
 	}
 	cfg, err := node.ReadConfig(os.Getenv, op)
 	if err == nil {
-		if warning := tooMany(&cfg, os.Getenv("EDGE_CONFIG"), op); warning != nil {
+		if warning := fleetSizeWarning(&cfg, os.Getenv("EDGE_CONFIG"), op); warning != nil {
 			log.Printf("event=list_too_slow why=%q", warning)
 		}
 	}
 	return cfg, err
 }
 
-// limitMemory has the collector work harder well before the limit at which the program is killed.
-func limitMemory(mb int) { debug.SetMemoryLimit(int64(mb) << 20 * 2 / 3) }
+// setMemoryLimit has the collector work harder well before the limit at which the program is killed.
+func setMemoryLimit(mb int) { debug.SetMemoryLimit(int64(mb) << 20 * 2 / 3) }
--- a/cmd/lapisshelf/stopped_test.go
+++ b/cmd/lapisshelf/stopped_test.go
@@ -16,14 +16,14 @@
 		asked   = 2000
 		slack   = 150
 	)
-	c := startCache(t, holding("v"))
-	d := startDiscovery(t, serving("s-a", c.Addr(), "m2"))
-	n := start(t, d, nil)
+	c := startCache(t, answerValue("v"))
+	d := startDiscovery(t, servingEntry("s-a", c.Addr(), "m2"))
+	n := startNode(t, d, nil)
 	var standing []*client
 	for i := range 5 {
 		cl := n.dial()
 		cl.send(fmt.Sprintf("mg k%d v Owarm%d Pc=read,d=2000\r\n", i, i))
-		cl.want(fmt.Sprintf("VA 1 Owarm%d", i), "v")
+		cl.expect(fmt.Sprintf("VA 1 Owarm%d", i), "v")
 		standing = append(standing, cl)
 	}
 	time.Sleep(30 * time.Millisecond)
@@ -44,26 +44,26 @@
 	time.Sleep(stopped)
 	n.signal(syscall.SIGCONT)
 	for id, cl := range ids { // one cache takes only so many at once
-		if line, _ := cl.answer(); line != "VA 1 O"+id && !strings.HasPrefix(line, "SERVER_ERROR busy") {
+		if line, _ := cl.readAnswer(); line != "VA 1 O"+id && !strings.HasPrefix(line, "SERVER_ERROR busy") {
 			t.Errorf("%s is answered %q", id, line)
 		}
 	}
-	if line, _ := late.answer(); !strings.HasPrefix(line, "SERVER_ERROR busy") {
+	if line, _ := late.readAnswer(); !strings.HasPrefix(line, "SERVER_ERROR busy") {
 		t.Errorf("one whose time was over is answered %q", line)
 	}
-	most := asked - int(stopped/time.Millisecond) + slack
+	maxDeadline := asked - int(stopped/time.Millisecond) + slack
 	if got := len(c.Lines()); got <= len(standing) {
 		t.Errorf("%d lines at the cache", got)
 	}
 	for _, line := range c.Lines() {
-		var told int
+		var deadline int
 		_, text, _ := strings.Cut(line, ",d=")
-		fmt.Sscan(text, &told)
+		fmt.Sscan(text, &deadline)
 		switch {
 		case strings.Contains(line, " Owarm"):
 		case strings.Contains(line, " Olate"):
 			t.Errorf("sent on: %q", line)
-		case told > most:
+		case deadline > maxDeadline:
 			t.Errorf("%q, with %d ms left at most", line, asked-int(stopped/time.Millisecond))
 		}
 	}
--- a/cmd/lapisshelf/upload_test.go
+++ b/cmd/lapisshelf/upload_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// startReader starts an origin that is given each request before its body.
-func startReader(t *testing.T, handle http.HandlerFunc) (addr string) {
+// startStreamingOrigin starts an origin that is given each request before its body.
+func startStreamingOrigin(t *testing.T, handle http.HandlerFunc) (addr string) {
 	o := httptest.NewServer(handle)
 	t.Cleanup(o.Close)
 	return o.Listener.Addr().String()
@@ -27,15 +27,15 @@
 	const size, writers = 4 << 20, 24
 	var ran sync.Map
 	var wrong atomic.Int64
-	o := startReader(t, func(w http.ResponseWriter, r *http.Request) {
+	o := startStreamingOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		key := r.URL.Path[1:]
-		if _, twice := ran.LoadOrStore(key, true); twice || r.Method != "PUT" || key != "small" && string(body) != long(key, size) {
+		if _, repeated := ran.LoadOrStore(key, true); repeated || r.Method != "PUT" || key != "small" && string(body) != longValue(key, size) {
 			wrong.Add(1)
 		}
 		io.WriteString(w, "R"+key)
 	})
-	n, control := operated(t, startDiscovery(t, serving("s-1", startCache(t, missing).Addr(), "m2"), serving("s-0", o, "origin")), func(c map[string]any) {
+	n, control := startNodeWithControl(t, startDiscovery(t, servingEntry("s-1", startCache(t, answerMiss).Addr(), "m2"), servingEntry("s-0", o, "origin")), func(c map[string]any) {
 		c["limits"] = map[string]any{"memory_mb": 32, "sockets": 1024}
 		for _, class := range c["settings"].(map[string]any)["Classes"].([]any) { // however slow the machine is
 			class.(map[string]any)["Aim"], class.(map[string]any)["Deadline"] = int64(20*time.Second), int64(20*time.Second)
@@ -48,7 +48,7 @@
 		go func() {
 			defer done.Done()
 			key := fmt.Sprintf("k%d", i)
-			value := long(key, size)
+			value := longValue(key, size)
 			for try := 0; try < 100; try++ { // the origin takes only so many at once
 				cl := n.dial()
 				fmt.Fprintf(cl.conn, "ms %s %d O%d-%d Pc=pay,d=20000\r\n", key, size, i, try)
@@ -59,7 +59,7 @@
 					}
 				}
 				io.WriteString(cl.conn, "\r\n")
-				if line, _ := cl.answer(); !strings.HasPrefix(line, "SERVER_ERROR busy") {
+				if line, _ := cl.readAnswer(); !strings.HasPrefix(line, "SERVER_ERROR busy") {
 					if line != fmt.Sprintf("HD O%d-%d cR%s", i, try, key) {
 						t.Errorf("%s: %q", key, line)
 					}
@@ -71,13 +71,13 @@
 		}()
 	}
 	eventually(t, "long values come", func() bool { return begun.Load() > 4*writers })
-	if got := figures(t, control)["app_in_flight"]; got > writers/2 {
+	if got := readMetrics(t, control)["app_in_flight"]; got > writers/2 {
 		t.Errorf("%v count as taken while they come", got)
 	}
 	cl := n.dial()
 	for try := 0; ; try++ { // small ones have their turn among those that are whole, at an origin that is busy with these
 		cl.send(fmt.Sprintf("ms small 5 Os%d Pc=pay,d=20000\r\nhello\r\n", try))
-		line, _ := cl.answer()
+		line, _ := cl.readAnswer()
 		if line == fmt.Sprintf("HD Os%d cRsmall", try) {
 			break
 		}
@@ -87,11 +87,11 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	done.Wait()
-	if peak := n.peak(); peak >= 32 {
+	if peak := n.peakMemoryMB(); peak >= 32 {
 		t.Errorf("%d MB of memory at the most", peak)
 	}
-	if got := figures(t, control); got[requests("pay", "served")] != writers+1 || got["app_in_flight"] != 0 || wrong.Load() != 0 {
-		t.Errorf("served %v, in flight %v, %d not as they came or twice", got[requests("pay", "served")], got["app_in_flight"], wrong.Load())
+	if got := readMetrics(t, control); got[requestsMetric("pay", "served")] != writers+1 || got["app_in_flight"] != 0 || wrong.Load() != 0 {
+		t.Errorf("served %v, in flight %v, %d not as they came or twice", got[requestsMetric("pay", "served")], got["app_in_flight"], wrong.Load())
 	}
 }
 
@@ -104,7 +104,7 @@
 		v, _ := m.LoadOrStore(key, new(atomic.Int64))
 		return v.(*atomic.Int64).Add(1)
 	}
-	o := startReader(t, func(w http.ResponseWriter, r *http.Request) {
+	o := startStreamingOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		key := r.URL.Path[1:]
 		try := count(&tries, key)
 		hang := func() { // the connection ends
@@ -134,7 +134,7 @@
 		}
 		io.WriteString(w, "R")
 	})
-	n, control := operated(t, startDiscovery(t, serving("s-1", startCache(t, missing).Addr(), "m2"), serving("s-0", o, "origin")), nil)
+	n, control := startNodeWithControl(t, startDiscovery(t, servingEntry("s-1", startCache(t, answerMiss).Addr(), "m2"), servingEntry("s-0", o, "origin")), nil)
 	for i, c := range []struct {
 		key, end, want string
 		tries, whole   int64
@@ -148,7 +148,7 @@
 		{"stops", "", "", 1, 0},
 	} {
 		cl := n.dial()
-		value := long(c.key, size)
+		value := longValue(c.key, size)
 		cl.send(fmt.Sprintf("ms %s %d Ob%d Pc=pay,d=2500\r\n", c.key, size, i))
 		cl.send(value[:64<<10])
 		eventually(t, "its attempts", func() bool {
@@ -156,7 +156,7 @@
 			return ok && v.(*atomic.Int64).Load() >= min(c.tries, 2)
 		})
 		if c.key == "stops" {
-			if !cl.ended() {
+			if !cl.closedByNode() {
 				t.Error("who stops midway is waited for")
 			}
 		} else {
@@ -170,12 +170,12 @@
 				io.WriteString(cl.conn, rest) // what the node does not want it may turn away
 				rest = ""
 			}
-			if line, _ := cl.answer(); !strings.HasPrefix(line, c.want) {
+			if line, _ := cl.readAnswer(); !strings.HasPrefix(line, c.want) {
 				t.Errorf("%s: %q", c.key, line)
 			}
 			if rest != "" { // it is passed over, and the connection goes on
 				cl.send(rest + "mg k v Oafter Pc=read,d=300\r\n")
-				if line, _ := cl.answer(); !strings.Contains(line, "Oafter") && !strings.HasPrefix(line, "SERVER_ERROR") {
+				if line, _ := cl.readAnswer(); !strings.Contains(line, "Oafter") && !strings.HasPrefix(line, "SERVER_ERROR") {
 					t.Errorf("behind %s: %q", c.key, line)
 				}
 			}
@@ -187,10 +187,10 @@
 			t.Errorf("%s: ran, or not: %v", c.key, ok)
 		}
 	}
-	eventually(t, "all is given back", func() bool { return figures(t, control)["app_in_flight"] == 0 })
+	eventually(t, "all is given back", func() bool { return readMetrics(t, control)["app_in_flight"] == 0 })
 	cl := n.dial()
 	cl.send("mg k v Oz Pc=read,d=300\r\n")
-	cl.answer()
+	cl.readAnswer()
 	if strings.Contains(n.log(), "event=panic") || strings.Contains(n.log(), "event=overdue") {
 		t.Error("see the log")
 	}
--- a/floors_test.go
+++ b/floors_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// floors of the architecture; a package imports from its own floor or below. The longest prefix counts.
-var floors = map[string]int{
+// layers of the architecture; a package imports from its own floor or below. The longest prefix counts.
+var layers = map[string]int{
 	"cmd/": 5, "lab/": 4,
 	"internal/node": 3, "internal/control": 3, "internal/handover": 3, "internal/simhost": 3, "internal/operator": 3, "internal/registry": 3,
 	"internal/settings": 3, "internal/simwire": 3, "internal/planwire": 3, "internal/forwarder": 3, "internal/planner": 3, "internal/keys": 3,
@@ -22,9 +22,9 @@
 	"internal/system": 1, "internal/loop": 1, "internal/meta": 1, "internal/httpc": 1, "internal/tomlfile": 1,
 }
 
-func floor(path string) int {
+func layerOf(path string) int {
 	best, level := "", 0
-	for prefix, f := range floors {
+	for prefix, f := range layers {
 		if strings.HasPrefix(path+"/", prefix) && len(prefix) > len(best) {
 			best, level = prefix, f
 		}
@@ -32,8 +32,8 @@
 	return level
 }
 
-// files gives the module's Go files by folder, tests left out.
-func files(t *testing.T) map[string][]*ast.File {
+// packageFiles gives the module's Go files by folder, tests left out.
+func packageFiles(t *testing.T) map[string][]*ast.File {
 	t.Helper()
 	all := map[string][]*ast.File{}
 	set := token.NewFileSet()
@@ -64,16 +64,16 @@
 }
 
 // No package imports from a floor above its own, and the lab is no part of the node.
-func TestFloors(t *testing.T) {
-	for dir, list := range files(t) {
-		if floor(dir) == 0 {
+func TestLayers(t *testing.T) {
+	for dir, list := range packageFiles(t) {
+		if layerOf(dir) == 0 {
 			t.Errorf("%s stands on no floor: name it in floors", dir)
 		}
 		for _, f := range list {
 			for _, path := range imports(f) {
 				rest, ours := strings.CutPrefix(path, "lapisshelf/")
-				if ours && floor(rest) > floor(dir) {
-					t.Errorf("%s (floor %d) imports %s (floor %d)", dir, floor(dir), rest, floor(rest))
+				if ours && layerOf(rest) > layerOf(dir) {
+					t.Errorf("%s (floor %d) imports %s (floor %d)", dir, layerOf(dir), rest, layerOf(rest))
 				}
 				if ours && strings.HasPrefix(rest, "lab/") && !strings.HasPrefix(dir, "lab/") && dir != "cmd/lapislab" {
 					t.Errorf("%s imports %s: the lab is no part of it", dir, rest)
@@ -90,14 +90,14 @@
 		"github.com/cespare/xxhash/v2"}
 	clocks := []string{"Now", "Since", "Until", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick", "Sleep"}
 	seen := 0
-	for dir, list := range files(t) {
-		if floor(dir) != 2 {
+	for dir, list := range packageFiles(t) {
+		if layerOf(dir) != 2 {
 			continue
 		}
 		seen++
 		for _, f := range list {
 			for _, path := range imports(f) {
-				if rest, ours := strings.CutPrefix(path, "lapisshelf/"); !ours && !slices.Contains(allowed, path) || ours && floor(rest) != 2 {
+				if rest, ours := strings.CutPrefix(path, "lapisshelf/"); !ours && !slices.Contains(allowed, path) || ours && layerOf(rest) != 2 {
 					t.Errorf("%s imports %s", dir, path)
 				}
 			}
--- a/knownred_test.go
+++ b/knownred_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// redModule is a module of two packages with tests of the same names, each of which writes to a file that it ran. TestRed fails
+// writeRedModule is a module of two packages with tests of the same names, each of which writes to a file that it ran. TestRed fails
 // in both, and so does TestRedToo where TOO_RED is set. TestRedToo goes on where the other's name ends; a subtest bears that name.
-func redModule(t *testing.T) string {
+func writeRedModule(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	test := `
@@ -43,12 +43,12 @@
 	return dir
 }
 
-// all are the module's tests that run without a list of known red ones.
-var all = []string{"one TestRed", "one TestRedToo", "one TestGreen/TestRed", "one FuzzRed",
+// allTests are the module's tests that run without a list of known red ones.
+var allTests = []string{"one TestRed", "one TestRedToo", "one TestGreen/TestRed", "one FuzzRed",
 	"two TestRed", "two TestRedToo", "two TestGreen/TestRed", "two FuzzRed"}
 
-// ciTest runs .ci/test in a module and gives what it printed, how often each test ran, and whether it passed.
-func ciTest(t *testing.T, dir string, env ...string) (string, map[string]int, bool) {
+// runCITest runs .ci/test in a module and gives what it printed, how often each test ran, and whether it passed.
+func runCITest(t *testing.T, dir string, env ...string) (string, map[string]int, bool) {
 	t.Helper()
 	script, err := filepath.Abs(".ci/test")
 	if err != nil {
@@ -72,7 +72,7 @@
 	return string(out), ran, err == nil
 }
 
-func knownRed(t *testing.T, dir, text string) {
+func writeKnownRed(t *testing.T, dir, text string) {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(dir, "KNOWN-RED.txt"), []byte(text), 0o644); err != nil {
 		t.Fatal(err)
@@ -93,8 +93,8 @@
 // Without the list all tests run, and one that fails fails CI.
 func TestNoKnownRedRunsAll(t *testing.T) {
 	t.Parallel()
-	out, ran, passed := ciTest(t, redModule(t))
-	for _, name := range all {
+	out, ran, passed := runCITest(t, writeRedModule(t))
+	for _, name := range allTests {
 		if ran[name] != 1 {
 			t.Errorf("%s ran %d times", name, ran[name])
 		}
@@ -108,7 +108,7 @@
 // red one among them fails CI.
 func TestKnownRedPassesOverOnlyWhatItNames(t *testing.T) {
 	t.Parallel()
-	dir := redModule(t)
+	dir := writeRedModule(t)
 	both := "./one TestRed | fails for a fault | 33\n./two TestRed | fails for a fault | 33\n"
 	three := both + "./one TestRedToo | a cause, with: signs (of all kinds) | 7" // no newline at its end
 	for _, c := range []struct {
@@ -125,9 +125,9 @@
 		{"an empty list", "", "", nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			knownRed(t, dir, c.list)
-			out, ran, passed := ciTest(t, dir, "TOO_RED="+c.tooRed)
-			for _, name := range all {
+			writeKnownRed(t, dir, c.list)
+			out, ran, passed := runCITest(t, dir, "TOO_RED="+c.tooRed)
+			for _, name := range allTests {
 				want := 1
 				if slices.Contains(c.over, name) {
 					want = 0
@@ -156,7 +156,7 @@
 // A list that is not as it must be fails CI before any test runs, with the line's number and what is wrong.
 func TestKnownRedRefusesABadList(t *testing.T) {
 	t.Parallel()
-	dir := redModule(t)
+	dir := writeRedModule(t)
 	good := "./one TestRed | cause | 33\n"
 	for _, c := range []struct{ name, list, want string }{
 		{"fourth line", good + "./two TestRed | cause | 33\n./one TestRedToo | cause | 33\n./two TestRedToo | cause | 33\n", ":4: a fourth line"},
@@ -182,8 +182,8 @@
 		{"line ends of another system", "./one TestRed | cause | 33\r\n", ":1: want"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			knownRed(t, dir, c.list)
-			out, ran, passed := ciTest(t, dir)
+			writeKnownRed(t, dir, c.list)
+			out, ran, passed := runCITest(t, dir)
 			if passed || len(ran) > 0 || !strings.Contains(out, "KNOWN-RED.txt"+c.want) {
 				t.Errorf("passed: %v, printed %s", passed, out)
 			}
