--- a/cmd/lapisshelf/logwriter.go
+++ b/cmd/lapisshelf/logwriter.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	maxQueuedLogLines = 1024                   // lines that may wait
-	logFlushTimeout   = 200 * time.Millisecond // how long the program's end waits for them
+	maxQueuedLogLines = 1024                   // lines queued for the reader
+	logFlushTimeout   = 200 * time.Millisecond // maximum time that Close waits for queued lines
 )
 
-// logWriter takes log lines without ever waiting: a reader of the log that has stopped must not stop the loop. What
-// finds no room is dropped.
+// logWriter queues log lines and writes them in the background, so that a stalled reader of the log cannot block the event loop.
+// Lines that do not fit into the queue are dropped.
 type logWriter struct {
 	lines chan []byte
 	done  chan struct{}
@@ -28,7 +28,7 @@
 	return w
 }
 
-// Write implements io.Writer.
+// Write implements io.Writer. It never blocks and always reports success.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -37,7 +37,7 @@
 	return len(line), nil
 }
 
-// Close waits a moment for what has not been written; nothing may be logged after it.
+// Close waits up to logFlushTimeout for queued lines to be written. Write must not be called after it.
 func (w *logWriter) Close() {
 	close(w.lines)
 	select {
--- a/cmd/lapisshelf/main.go
+++ b/cmd/lapisshelf/main.go
@@ -1,5 +1,5 @@
-// Command lapisshelf is one balancer on real sockets. The platform tells it everything by the environment; other
-// installations set it by an operator's file. See README and docs.
+// Command lapisshelf runs one balancer on real sockets, a planner, or a tool for their files and certificates. It is configured
+// by the platform's environment variables, by an operator's file, or by both. See README and docs.
 package main
 
 import (
@@ -18,17 +18,17 @@
 	"lapisshelf/internal/registry"
 )
 
-// Statuses of the program's end.
+// Exit codes.
 const (
-	exitFailed = 1 // the configuration, or what serving needs
-	exitUsage  = 2 // the command line
+	exitFailed = 1 // invalid configuration or a failure at run time
+	exitUsage  = 2 // invalid command line
 )
 
-// usageError is a fault of the command line.
+// usageError marks an error in the command line.
 type usageError struct{ error }
 
 func main() {
-	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more is no reason to end
+	signal.Ignore(syscall.SIGPIPE) // a closed log pipe must not end the program
 	os.Exit(run(os.Args[1:]))
 }
 
@@ -45,51 +45,51 @@
 	return exitFailed
 }
 
-// newRootCommand is the whole command line. With no command the program serves: the platform's line has none.
+// newRootCommand builds the command line. Without a command the program serves, since the platform starts it without one.
 func newRootCommand(args []string) *cobra.Command {
 	config := os.Getenv("LAPISSHELF_CONFIG")
 	noArgs := func(_ *cobra.Command, args []string) error {
 		if len(args) > 0 {
-			return usageError{fmt.Errorf("unknown command %q: there are serve, forward, plan, keys, view, check, migrate and version", args[0])}
+			return usageError{fmt.Errorf("unknown command %q: the commands are serve, forward, plan, keys, view, check, migrate and version", args[0])}
 		}
 		return nil
 	}
 	runServe := func(*cobra.Command, []string) error { return serve(config) }
 	root := &cobra.Command{Use: "lapisshelf", Short: "A router for fleets of cache servers: one balancer on real sockets",
-		Long: "A router for fleets of cache servers: one balancer on real sockets.\n\nWith no command it serves. It is configured by EDGE_CONFIG, the platform's file, or by an operator's file.",
+		Long: "A router for fleets of cache servers: one balancer on real sockets.\n\nWithout a command it serves. It is configured by EDGE_CONFIG, the platform's file, or by an operator's file.",
 		Args: noArgs, RunE: runServe, SilenceUsage: true, SilenceErrors: true}
 	root.PersistentFlags().StringVar(&config, "config", config, "operator's file (LAPISSHELF_CONFIG)")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.AddCommand(
-		&cobra.Command{Use: "serve", Short: "Serve, as the program does with no command", Args: noArgs, RunE: runServe},
-		&cobra.Command{Use: "forward", Short: "Serve by the views of planners: serve, but [planners] must be there", Args: noArgs, RunE: func(*cobra.Command, []string) error {
+		&cobra.Command{Use: "serve", Short: "Serve, as the program does without a command", Args: noArgs, RunE: runServe},
+		&cobra.Command{Use: "forward", Short: "Serve, using the views of planners; requires a [planners] table", Args: noArgs, RunE: func(*cobra.Command, []string) error {
 			op, err := operator.Read(config)
 			if err != nil {
 				return err
 			}
 			if op.Planners == nil {
-				return fmt.Errorf("%s: has no [planners] table", config)
+				return fmt.Errorf("%s: no [planners] table", config)
 			}
 			return serve(config)
 		}},
-		&cobra.Command{Use: "plan", Short: "Plan for forwarders, by the [planner] table", Args: noArgs, RunE: func(*cobra.Command, []string) error { return runPlanner(config) }},
+		&cobra.Command{Use: "plan", Short: "Run a planner for forwarders, as the [planner] table configures it", Args: noArgs, RunE: func(*cobra.Command, []string) error { return runPlanner(config) }},
 		keysCommand(),
-		&cobra.Command{Use: "view ADDRESS", Short: "Print the view that a planner or forwarder acts on, by its control address", Args: exactArgs(1, "an address"), RunE: printView},
-		&cobra.Command{Use: "check FILE...", Short: "Say what is wrong with operator's files (.toml) and configurations (.json)",
+		&cobra.Command{Use: "view ADDRESS", Short: "Print the view that the planner or forwarder at a control address uses", Args: exactArgs(1, "an address"), RunE: printView},
+		&cobra.Command{Use: "check FILE...", Short: "Check operator's files (.toml) and configurations (.json)",
 			Args: func(_ *cobra.Command, args []string) error {
 				if len(args) == 0 {
-					return usageError{errors.New("check wants a file")}
+					return usageError{errors.New("check requires at least one file")}
 				}
 				return nil
 			}, RunE: checkFiles},
 		migrateCommand(),
-		&cobra.Command{Use: "version", Short: "Print which build this is", Args: noArgs, RunE: printVersion})
+		&cobra.Command{Use: "version", Short: "Print the version of this build", Args: noArgs, RunE: printVersion})
 	root.SetArgs(args)
 	return root
 }
 
-// checkFiles reads files as serving would and names the first fault of each.
+// checkFiles parses files as serving does and prints the first error in each.
 func checkFiles(c *cobra.Command, paths []string) error {
 	invalid := 0
 	for _, path := range paths {
@@ -105,12 +105,12 @@
 		fmt.Fprintf(c.OutOrStdout(), "%s: good\n", path)
 	}
 	if invalid > 0 {
-		return fmt.Errorf("%d of %d files are bad", invalid, len(paths))
+		return fmt.Errorf("%d of %d files are invalid", invalid, len(paths))
 	}
 	return nil
 }
 
-// checkFile gives what makes a file a bad one, else what there is to warn of.
+// checkFile returns the error that makes a file invalid, or else a warning, which may be nil.
 func checkFile(path string) (warning, err error) {
 	if strings.HasSuffix(path, ".toml") {
 		op, err := operator.Read(path)
@@ -130,8 +130,9 @@
 	return fleetSizeWarning(&cfg, path, nil), nil
 }
 
-// fleetSizeWarning warns of a fleet that its list's calls a second let know of a change too late, in one line with file and key: the
-// operator's file, which may be nil, where the list or the fleet's size is told there.
+// fleetSizeWarning returns a one-line warning, with file and key, if the fleet is too large for its permitted rate of registry calls,
+// so that nodes learn of changes too late. It names the operator's file, which may be nil, if that sets the registry or the
+// fleet's size, and else the platform's file.
 func fleetSizeWarning(cfg *node.Config, path string, op *operator.File) error {
 	why := cfg.TooMany()
 	switch {
@@ -143,11 +144,11 @@
 	return fmt.Errorf("%s: settings: Balancers: %s", path, why)
 }
 
-// printVersion prints what the build knows of itself.
+// printVersion prints the module version, VCS revision and Go version of the build.
 func printVersion(c *cobra.Command, _ []string) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("the build tells nothing of itself")
+		return errors.New("the binary contains no build information")
 	}
 	revision, dirty := "unknown", ""
 	for _, s := range info.Settings {
--- a/cmd/lapisshelf/migrate.go
+++ b/cmd/lapisshelf/migrate.go
@@ -13,25 +13,25 @@
 	"lapisshelf/internal/tomlfile"
 )
 
-// migrateCommand writes the counterpart of a configuration for a deployment in which each client process has a node.
+// migrateCommand builds the command that converts a configuration for a deployment with one node for each client process.
 func migrateCommand() *cobra.Command {
 	var deployment migrate.Deployment
 	var dryRun, force bool
-	c := &cobra.Command{Use: "migrate SOURCE TARGET", Short: "Write the counterpart of a configuration for a node beside one client process",
-		Long: "Reads an operator's file (.toml) or a node's configuration (.json) of a node that served a pool of clients, and\n" +
-			"writes its counterpart for a node beside one client process. What is not carried over is listed with the reason.",
+	c := &cobra.Command{Use: "migrate SOURCE TARGET", Short: "Convert a configuration for a node beside one client process",
+		Long: "Reads the operator's file (.toml) or the configuration (.json) of a node that served a pool of clients, and\n" +
+			"converts it for a node beside one client process. Settings that are not carried over are listed with the reason.",
 		Args: exactArgs(2, "a source and a target")}
 	f := c.Flags()
-	f.IntVar(&deployment.Nodes, "nodes", 0, "nodes in the new fleet, one for each client process, 1 to 100000; wanted")
-	f.IntVar(&deployment.Position, "position", 0, "this node's number among them, from 0")
-	f.StringVar(&deployment.Name, "name", "", "this node's name; none is carried over")
-	f.StringVar(&deployment.Zone, "zone", "", "this node's zone, as the list names it; none is carried over")
+	f.IntVar(&deployment.Nodes, "nodes", 0, "nodes in the new fleet, one for each client process, 1 to 100000; required")
+	f.IntVar(&deployment.Position, "position", 0, "this node's position in the fleet, from 0")
+	f.StringVar(&deployment.Name, "name", "", "this node's name; the old one is not carried over")
+	f.StringVar(&deployment.Zone, "zone", "", "this node's zone, as the server list names it; the old one is not carried over")
 	f.StringVar(&deployment.Listen, "listen", "", "address and port for its client; default: the old port on 127.0.0.1")
-	f.BoolVar(&dryRun, "dry-run", false, "write nothing: print what would be written and what would be lost")
-	f.BoolVar(&force, "force", false, "put the result in the place of a target that stands there")
+	f.BoolVar(&dryRun, "dry-run", false, "write nothing; print the result and what is not carried over")
+	f.BoolVar(&force, "force", false, "replace an existing target")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if !f.Changed("nodes") {
-			return usageError{errors.New("migrate wants --nodes, the number of client processes")}
+			return usageError{errors.New("migrate requires --nodes, the number of client processes")}
 		}
 		return migrateFile(c, args[0], args[1], deployment, dryRun, force)
 	}
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// writeFile puts a file where it belongs, whole or not at all. A configuration may name secrets: only its owner reads it.
+// writeFile creates a file atomically, through a temporary file in the same directory. Only its owner can read it, since a
+// configuration may name secrets.
 func writeFile(path string, text []byte, force bool) error {
 	withPath := func(err error) error {
 		if cause := errors.Unwrap(err); cause != nil {
@@ -79,7 +80,7 @@
 	if err != nil {
 		return withPath(err)
 	}
-	defer os.Remove(f.Name()) // gone already where all went well
+	defer os.Remove(f.Name()) // fails after a rename, which is harmless
 	_, err = f.Write(text)
 	if err == nil {
 		err = f.Sync()
@@ -91,9 +92,9 @@
 	case err != nil:
 	case force:
 		err = os.Rename(f.Name(), path)
-	default: // a link, unlike a rename, does not take the place of what stands there
+	default: // unlike a rename, a link does not replace an existing file
 		if err = os.Link(f.Name(), path); errors.Is(err, fs.ErrExist) {
-			return &tomlfile.Error{Path: path, Reason: "stands there already; --force replaces it"}
+			return &tomlfile.Error{Path: path, Reason: "already exists; --force replaces it"}
 		}
 	}
 	if err != nil {
--- a/cmd/lapisshelf/migrate_test.go
+++ b/cmd/lapisshelf/migrate_test.go
@@ -12,7 +12,7 @@
 	"lapisshelf/lab/load"
 )
 
-// runMigrate runs the built program's migrate and gives what it printed and its status.
+// runMigrate runs the built program's migrate command and returns its output and exit code.
 func runMigrate(t *testing.T, args ...string) (out string, status int) {
 	t.Helper()
 	cmd := exec.Command(binary, append([]string{"migrate"}, args...)...)
@@ -63,7 +63,7 @@
 quota = 50.0
 `
 
-// An operator's file of a pool's node is converted, and the built node serves with it.
+// The operator's file of a node that served a pool is converted, and the built program serves with the result.
 func TestMigratedFileServes(t *testing.T) {
 	cache, origin := startCache(t, answerValue("held")), startOrigin(t, respondText("fetched"))
 	d := startDiscovery(t, servingEntry("s-1", cache.Addr(), "m2"), servingEntry("s-0", origin.Addr(), "origin"))
@@ -86,17 +86,17 @@
 		"changed: service.position: 9, was 5", "changed: service.zone: west, was east", "not carried over: node.name: ", "not carried over: node.seed: ",
 		"not carried over: node.control: ", "not carried over: comments: "} {
 		if !strings.Contains(out, want) {
-			t.Errorf("%q is not told in\n%s", want, out)
+			t.Errorf("%q is not reported in\n%s", want, out)
 		}
 	}
 	if text, err := exec.Command(binary, "check", target).CombinedOutput(); err != nil {
 		t.Errorf("check: %s", text)
 	}
 	text := readTestFile(t, target)
-	if out, status = runMigrate(t, args...); status != 1 || readTestFile(t, target) != text || !strings.Contains(out, "stands there already") {
-		t.Errorf("a target that stands there: status %d, %q", status, out)
+	if out, status = runMigrate(t, args...); status != 1 || readTestFile(t, target) != text || !strings.Contains(out, "already exists") {
+		t.Errorf("an existing target: status %d, %q", status, out)
 	}
-	again := filepath.Join(dir, "again.toml") // twice changes nothing more, and nothing more is lost
+	again := filepath.Join(dir, "again.toml") // converting the result again changes and drops nothing
 	if out, _ = runMigrate(t, append([]string{target, again}, args[2:]...)...); readTestFile(t, again) != text || out != again+": written\n" {
 		t.Errorf("converted twice: %q and\n%s", out, readTestFile(t, again))
 	}
@@ -110,11 +110,11 @@
 	cl.send("mg k v O1a Pc=read,t=acme,d=480 q\r\n")
 	cl.expect("VA 4 O1a", "held")
 	if !strings.Contains(n.log(), "event=no_probes") {
-		t.Error("a node that cannot probe does not say so at its start")
+		t.Error("a node that cannot probe does not log that at its start")
 	}
 }
 
-// A node's configuration is converted, what the platform's settings hold beside stays, and the built node serves with it.
+// A node's configuration is converted with the platform's other settings kept, and the built program serves with the result.
 func TestMigratedConfigurationServes(t *testing.T) {
 	cache, origin := startCache(t, answerMiss), startOrigin(t, respondText("fetched"))
 	d := startDiscovery(t, servingEntry("s-1", cache.Addr(), "m2"), servingEntry("s-0", origin.Addr(), "origin"))
@@ -136,7 +136,7 @@
 	for _, want := range []string{"changed: settings.Balancers: 900, was 1", "changed: name: beside-7, was pool-1", "not carried over: seed: ",
 		"not carried over: known: ", "not carried over: settings.Az: "} {
 		if !strings.Contains(out, want) {
-			t.Errorf("%q is not told in\n%s", want, out)
+			t.Errorf("%q is not reported in\n%s", want, out)
 		}
 	}
 	if text, err := exec.Command(binary, "check", target).CombinedOutput(); err != nil {
@@ -156,7 +156,7 @@
 	cl.expect("VA 7 O1a", "fetched")
 }
 
-// A fault is one plain line with file, line and key, the usual status, and no file, whole or half.
+// An invalid source or target is reported in one line with file, line and key and the usual exit code, and no file is left behind.
 func TestMigrateNamesFaults(t *testing.T) {
 	good := strings.Replace(poolNodeConfig, "%s", "127.0.0.1:8500", 1)
 	whole, err := json.MarshalIndent(map[string]any{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": testSettings()}, "", " ")
@@ -187,7 +187,7 @@
 		{"z.toml", good, "zone \"a b\": must be a zone's name", 1, []string{"--nodes", "4", "--zone", "a b"}},
 		{"p.toml", good, "position 4: must be 0 to one less", 1, []string{"--nodes", "4", "--position", "4"}},
 		{"q.toml", good, "listen \"here\" must be an address", 1, []string{"--nodes", "4", "--listen", "here"}},
-		{"r.toml", good, "migrate wants --nodes", 2, []string{"--dry-run"}},
+		{"r.toml", good, "migrate requires --nodes", 2, []string{"--dry-run"}},
 	} {
 		dir := t.TempDir()
 		args := c.args
--- a/cmd/lapisshelf/planning.go
+++ b/cmd/lapisshelf/planning.go
@@ -20,14 +20,14 @@
 	"lapisshelf/internal/planner"
 )
 
-// runPlanner serves as a planner until it is told to end. SIGHUP rereads the certificates.
+// runPlanner runs a planner until SIGTERM or SIGINT. SIGHUP reloads the certificates.
 func runPlanner(file string) error {
 	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC)
 	lines := newLogWriter(os.Stderr)
 	log.SetOutput(lines)
 	defer lines.Close()
 	if file == "" {
-		return usageError{errors.New("plan needs an operator's file (--config or LAPISSHELF_CONFIG) with a [planner] table")}
+		return usageError{errors.New("plan requires an operator's file (--config or LAPISSHELF_CONFIG) with a [planner] table")}
 	}
 	op, err := operator.Read(file)
 	if err != nil {
@@ -55,17 +55,17 @@
 	return p.Run(ctx)
 }
 
-// exactArgs wants so many arguments.
+// exactArgs accepts exactly n arguments; what describes them in the error.
 func exactArgs(n int, what string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != n {
-			return usageError{fmt.Errorf("wants %s", what)}
+			return usageError{fmt.Errorf("requires %s", what)}
 		}
 		return nil
 	}
 }
 
-// keysCommand makes, renews and shows certificates.
+// keysCommand builds the command that creates, renews and lists certificates.
 func keysCommand() *cobra.Command {
 	validity := func(c *cobra.Command) (time.Duration, error) {
 		days, err := c.Flags().GetInt("days")
@@ -86,11 +86,11 @@
 			return keys.Issue(args[0], args[2], keys.Role(args[1]), time.Now(), d, renew)
 		}
 	}
-	root := &cobra.Command{Use: "keys", Short: "Make, renew and show the certificates of forwarders and planners", Args: exactArgs(0, "authority, make, renew or show")}
+	root := &cobra.Command{Use: "keys", Short: "Create, renew and list the certificates of forwarders and planners", Args: exactArgs(0, "authority, make, renew or show")}
 	root.RunE = func(*cobra.Command, []string) error {
-		return usageError{errors.New("wants authority, make, renew or show")}
+		return usageError{errors.New("requires authority, make, renew or show")}
 	}
-	authority := &cobra.Command{Use: "authority DIR", Short: "Make an authority, and the secret that planners share", Args: exactArgs(1, "a directory"),
+	authority := &cobra.Command{Use: "authority DIR", Short: "Create a certificate authority and the secret that planners share", Args: exactArgs(1, "a directory"),
 		RunE: func(c *cobra.Command, args []string) error {
 			d, err := validity(c)
 			if err != nil {
@@ -98,15 +98,15 @@
 			}
 			return keys.CreateAuthority(args[0], time.Now(), d)
 		}}
-	authority.Flags().Int("days", 3650, "how long it stands")
+	authority.Flags().Int("days", 3650, "validity in days")
 	for _, c := range []*cobra.Command{
-		{Use: "make DIR forwarder|planner NAME", Short: "Make NAME.pem and NAME.key", Args: exactArgs(3, "a directory, forwarder or planner, and a name"), RunE: issue(false)},
-		{Use: "renew DIR forwarder|planner NAME", Short: "Make them anew, in place of the old ones", Args: exactArgs(3, "a directory, forwarder or planner, and a name"), RunE: issue(true)},
+		{Use: "make DIR forwarder|planner NAME", Short: "Create NAME.pem and NAME.key", Args: exactArgs(3, "a directory, forwarder or planner, and a name"), RunE: issue(false)},
+		{Use: "renew DIR forwarder|planner NAME", Short: "Replace NAME.pem and NAME.key by new ones", Args: exactArgs(3, "a directory, forwarder or planner, and a name"), RunE: issue(true)},
 	} {
-		c.Flags().Int("days", 365, "how long it stands")
+		c.Flags().Int("days", 365, "validity in days")
 		root.AddCommand(c)
 	}
-	root.AddCommand(authority, &cobra.Command{Use: "show DIR", Short: "Say whose certificates are there, and until when they stand", Args: exactArgs(1, "a directory"),
+	root.AddCommand(authority, &cobra.Command{Use: "show DIR", Short: "List the certificates, their holders and when they expire", Args: exactArgs(1, "a directory"),
 		RunE: func(c *cobra.Command, args []string) error {
 			list, err := keys.List(args[0])
 			if err != nil {
@@ -128,10 +128,10 @@
 	return root
 }
 
-// printView prints what a planner or forwarder acts on.
+// printView prints the view that a planner or forwarder uses, fetched from its control address.
 func printView(c *cobra.Command, args []string) error {
 	if _, err := netip.ParseAddrPort(args[0]); err != nil {
-		return usageError{fmt.Errorf("%q is no address and port", args[0])}
+		return usageError{fmt.Errorf("%q is not an address and port", args[0])}
 	}
 	client := http.Client{Timeout: 5 * time.Second}
 	answer, err := client.Get("http://" + args[0] + "/_view")
@@ -140,7 +140,7 @@
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answers %s: it has no views", args[0], answer.Status)
+		return fmt.Errorf("%s answered %s: it has no view", args[0], answer.Status)
 	}
 	_, err = io.Copy(c.OutOrStdout(), io.LimitReader(answer.Body, 16<<20))
 	return err
--- a/cmd/lapisshelf/serve.go
+++ b/cmd/lapisshelf/serve.go
@@ -13,15 +13,15 @@
 	"lapisshelf/internal/operator"
 )
 
-// serve runs a node until it is told to end. The operator's file may be none.
+// serve runs a node until SIGTERM or SIGINT. An empty file means that there is no operator's file.
 func serve(file string) error {
 	log.SetFlags(log.LstdFlags | log.Lmicroseconds | log.LUTC)
 	lines := newLogWriter(os.Stderr)
 	log.SetOutput(lines)
 	defer lines.Close()
-	// From the first moment: a SIGHUP that finds nobody listening ends the program. The end has a channel of its own,
-	// so that no crowd of other signals can displace it; so has the change of the configuration: one that waits is enough, since
-	// the file is read when it is taken.
+	// Handlers are installed first, because an unhandled SIGHUP ends the program. Shutdown signals have a channel of their own,
+	// so that a burst of other signals cannot displace them. Reloads have one too; one pending signal is enough, since the file
+	// is read when the signal is handled.
 	shutdowns, reloads, dumps := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(shutdowns, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reloads, syscall.SIGHUP)
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(2) // the loop, and the collector or the runtime's own beside it, on one core
+	runtime.GOMAXPROCS(2) // on one core: one for the event loop, one for the garbage collector and the runtime
 	l, err := loop.New()
 	if err != nil {
 		return err
@@ -48,7 +48,7 @@
 	}()
 	go func() {
 		for range reloads {
-			cfg, err := configure(file) // here, so that a slow disk does not stop the loop
+			cfg, err := configure(file) // off the event loop, so that a slow disk does not block it
 			l.Post(func() { n.Reload(cfg, err) })
 		}
 	}()
@@ -62,7 +62,8 @@
 	return err
 }
 
-// configure reads the operator's file, if there is one, and the platform's configuration.
+// configure reads the operator's file, if any, and the platform's configuration, and logs a warning if the fleet is too large for
+// its permitted rate of registry calls.
 func configure(file string) (node.Config, error) {
 	var op *operator.File
 	if file != "" {
@@ -80,5 +81,6 @@
 	return cfg, err
 }
 
-// setMemoryLimit has the collector work harder well before the limit at which the program is killed.
+// setMemoryLimit sets the runtime's soft limit to two thirds of the limit at which the process is killed, so that the garbage
+// collector runs more often well before that.
 func setMemoryLimit(mb int) { debug.SetMemoryLimit(int64(mb) << 20 * 2 / 3) }
