--- a/floors_test.go
+++ b/floors_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// layers of the architecture; a package imports from its own floor or below. The longest prefix counts.
+// layers maps folders to the layers of the architecture; a package imports only from its own layer or below. The longest matching
+// prefix applies.
 var layers = map[string]int{
 	"cmd/": 5, "lab/": 4,
 	"internal/node": 3, "internal/control": 3, "internal/handover": 3, "internal/simhost": 3, "internal/operator": 3, "internal/registry": 3,
@@ -22,6 +23,7 @@
 	"internal/system": 1, "internal/loop": 1, "internal/meta": 1, "internal/httpc": 1, "internal/tomlfile": 1,
 }
 
+// layerOf returns the layer of a package's folder, 0 if it has none.
 func layerOf(path string) int {
 	best, level := "", 0
 	for prefix, f := range layers {
@@ -32,7 +34,7 @@
 	return level
 }
 
-// packageFiles gives the module's Go files by folder, tests left out.
+// packageFiles parses the module's Go files, without tests, and returns them by folder.
 func packageFiles(t *testing.T) map[string][]*ast.File {
 	t.Helper()
 	all := map[string][]*ast.File{}
@@ -55,6 +57,7 @@
 	return all
 }
 
+// imports returns the import paths of a file.
 func imports(f *ast.File) (all []string) {
 	for _, i := range f.Imports {
 		path, _ := strconv.Unquote(i.Path.Value)
@@ -63,27 +66,27 @@
 	return all
 }
 
-// No package imports from a floor above its own, and the lab is no part of the node.
+// No package imports from a layer above its own, and only the lab's own command imports the lab.
 func TestLayers(t *testing.T) {
 	for dir, list := range packageFiles(t) {
 		if layerOf(dir) == 0 {
-			t.Errorf("%s stands on no floor: name it in floors", dir)
+			t.Errorf("%s has no layer: add it to layers", dir)
 		}
 		for _, f := range list {
 			for _, path := range imports(f) {
 				rest, ours := strings.CutPrefix(path, "lapisshelf/")
 				if ours && layerOf(rest) > layerOf(dir) {
-					t.Errorf("%s (floor %d) imports %s (floor %d)", dir, layerOf(dir), rest, layerOf(rest))
+					t.Errorf("%s (layer %d) imports %s (layer %d)", dir, layerOf(dir), rest, layerOf(rest))
 				}
 				if ours && strings.HasPrefix(rest, "lab/") && !strings.HasPrefix(dir, "lab/") && dir != "cmd/lapislab" {
-					t.Errorf("%s imports %s: the lab is no part of it", dir, rest)
+					t.Errorf("%s imports %s, a package of the lab", dir, rest)
 				}
 			}
 		}
 	}
 }
 
-// Decision modules are free of I/O, clocks, goroutines and variables of the package: the same events give the same actions.
+// Decision modules use no I/O, clocks, goroutines or package variables, so that the same events give the same actions.
 func TestDecisionsArePure(t *testing.T) {
 	allowed := []string{"cmp", "container/heap", "container/list", "encoding/binary", "errors", "fmt", "hash", "hash/fnv", "iter", "maps", "math",
 		"math/bits", "math/rand", "math/rand/v2", "slices", "sort", "strconv", "strings", "time", "golang.org/x/crypto/blake2b",
@@ -103,19 +106,19 @@
 			}
 			for _, d := range f.Decls {
 				if g, ok := d.(*ast.GenDecl); ok && g.Tok == token.VAR {
-					t.Errorf("%s has a variable of the package", dir)
+					t.Errorf("%s has a package variable", dir)
 				}
 			}
 			ast.Inspect(f, func(n ast.Node) bool {
 				switch n := n.(type) {
 				case *ast.GoStmt, *ast.SelectStmt, *ast.ChanType, *ast.SendStmt:
-					t.Errorf("%s has a goroutine or a channel", dir)
+					t.Errorf("%s uses goroutines or channels", dir)
 				case *ast.SelectorExpr:
 					if x, ok := n.X.(*ast.Ident); ok && x.Name == "time" && slices.Contains(clocks, n.Sel.Name) {
 						t.Errorf("%s calls time.%s", dir, n.Sel.Name)
 					}
 					if x, ok := n.X.(*ast.Ident); ok && x.Name == "rand" && !slices.Contains([]string{"New", "NewSource", "NewPCG", "Rand", "Source", "NewZipf", "Zipf", "PCG"}, n.Sel.Name) {
-						t.Errorf("%s draws from the runtime's own randomness: rand.%s", dir, n.Sel.Name)
+						t.Errorf("%s uses the global random source: rand.%s", dir, n.Sel.Name)
 					}
 				}
 				return true
@@ -123,6 +126,6 @@
 		}
 	}
 	if seen == 0 {
-		t.Error("no decision module was looked at")
+		t.Error("no decision module was checked")
 	}
 }
--- a/knownred_test.go
+++ b/knownred_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// writeRedModule is a module of two packages with tests of the same names, each of which writes to a file that it ran. TestRed fails
-// in both, and so does TestRedToo where TOO_RED is set. TestRedToo goes on where the other's name ends; a subtest bears that name.
+// writeRedModule writes a module of two packages with tests of the same names, each of which appends its name to a file when it runs.
+// TestRed fails in both, and so does TestRedToo if TOO_RED is set. The name TestRedToo begins with TestRed, and a subtest is called
+// TestRed too.
 func writeRedModule(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -43,11 +44,11 @@
 	return dir
 }
 
-// allTests are the module's tests that run without a list of known red ones.
+// allTests are the module's tests that run without a list of known failing tests.
 var allTests = []string{"one TestRed", "one TestRedToo", "one TestGreen/TestRed", "one FuzzRed",
 	"two TestRed", "two TestRedToo", "two TestGreen/TestRed", "two FuzzRed"}
 
-// runCITest runs .ci/test in a module and gives what it printed, how often each test ran, and whether it passed.
+// runCITest runs .ci/test in a module and returns its output, how often each test ran, and whether it passed.
 func runCITest(t *testing.T, dir string, env ...string) (string, map[string]int, bool) {
 	t.Helper()
 	script, err := filepath.Abs(".ci/test")
@@ -64,7 +65,7 @@
 	if _, failed := err.(*exec.ExitError); err != nil && !failed {
 		t.Fatal(err)
 	}
-	text, _ := os.ReadFile(record) // none: no test ran
+	text, _ := os.ReadFile(record) // the file is missing if no test ran
 	ran := map[string]int{}
 	for line := range strings.Lines(string(text)) {
 		ran[strings.TrimSpace(line)]++
@@ -72,6 +73,7 @@
 	return string(out), ran, err == nil
 }
 
+// writeKnownRed writes the list of known failing tests of a module.
 func writeKnownRed(t *testing.T, dir, text string) {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(dir, "KNOWN-RED.txt"), []byte(text), 0o644); err != nil {
@@ -79,18 +81,18 @@
 	}
 }
 
-// CI runs .ci/test, and nothing else in it runs tests: else a list of known red tests would be passed over at one place only.
+// CI runs tests only through .ci/test. Tests run elsewhere would not honor the list of known failing tests.
 func TestCIRunsTestsThroughTheKnownRed(t *testing.T) {
 	text, err := os.ReadFile(".ci/run")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.HasSuffix(string(text), "\nbash .ci/test\n") || strings.Contains(string(text), "go test") {
-		t.Error(".ci/run does not end in .ci/test, or runs tests beside it")
+		t.Error(".ci/run does not end with .ci/test, or runs other tests")
 	}
 }
 
-// Without the list all tests run, and one that fails fails CI.
+// Without the list all tests run, and a failing test fails CI.
 func TestNoKnownRedRunsAll(t *testing.T) {
 	t.Parallel()
 	out, ran, passed := runCITest(t, writeRedModule(t))
@@ -104,16 +106,16 @@
 	}
 }
 
-// Just what is named is passed over: the same name in another package, a longer name and a subtest of that name run, and a
-// red one among them fails CI.
+// Only the named tests are skipped: a test of the same name in another package, a test with a longer name and a subtest of that name
+// run, and one that fails among them fails CI.
 func TestKnownRedPassesOverOnlyWhatItNames(t *testing.T) {
 	t.Parallel()
 	dir := writeRedModule(t)
 	both := "./one TestRed | fails for a fault | 33\n./two TestRed | fails for a fault | 33\n"
-	three := both + "./one TestRedToo | a cause, with: signs (of all kinds) | 7" // no newline at its end
+	three := both + "./one TestRedToo | a cause, with: signs (of all kinds) | 7" // no newline at the end of the list
 	for _, c := range []struct {
 		name, list, tooRed string
-		over               []string
+		skipped            []string
 		pass               bool
 	}{
 		{"one of two packages", "./one TestRed | fails for a fault | 33\n", "", []string{"one TestRed"}, false},
@@ -129,7 +131,7 @@
 			out, ran, passed := runCITest(t, dir, "TOO_RED="+c.tooRed)
 			for _, name := range allTests {
 				want := 1
-				if slices.Contains(c.over, name) {
+				if slices.Contains(c.skipped, name) {
 					want = 0
 				}
 				if ran[name] != want {
@@ -144,16 +146,16 @@
 					t.Errorf("not printed: %s", line)
 				}
 			}
-			for _, p := range []string{"red/one", "red/two"} { // go test's closing lines
+			for _, p := range []string{"red/one", "red/two"} { // go test's summary lines
 				if !strings.Contains(out, "ok  \t"+p) && !strings.Contains(out, "FAIL\t"+p) {
-					t.Errorf("no closing line for %s:\n%s", p, out)
+					t.Errorf("no summary line for %s:\n%s", p, out)
 				}
 			}
 		})
 	}
 }
 
-// A list that is not as it must be fails CI before any test runs, with the line's number and what is wrong.
+// An invalid list fails CI before any test runs, with the line number and the reason.
 func TestKnownRedRefusesABadList(t *testing.T) {
 	t.Parallel()
 	dir := writeRedModule(t)
@@ -179,7 +181,7 @@
 		{"four fields", "./one TestRed | cause | 33 | more\n", ":1: want"},
 		{"an empty line", "\n" + good, ":1: want"},
 		{"a comment", "# red\n" + good, ":1: want"},
-		{"line ends of another system", "./one TestRed | cause | 33\r\n", ":1: want"},
+		{"CRLF line ends", "./one TestRed | cause | 33\r\n", ":1: want"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			writeKnownRed(t, dir, c.list)
