--- a/cmd/lapisshelf/crossings_test.go
+++ b/cmd/lapisshelf/crossings_test.go
@@ -11,7 +11,7 @@
 	"lapisshelf/lab/standin"
 )
 
-// withReadDeadline has reads wait for up to so long.
+// withReadDeadline sets the latency target and the deadline of reads.
 func withReadDeadline(wait time.Duration) func(map[string]any) {
 	return func(config map[string]any) {
 		c := config["settings"].(map[string]any)["Classes"].([]any)[0].(map[string]any)
@@ -19,8 +19,8 @@
 	}
 }
 
-// A planned end leaves a process the longest deadline, 3 s at most, and 0.7 s more, then it is killed: requests whose clients
-// would wait longer are answered before, those taken ahead of the signal and behind it, one out at a hanging cache and one held.
+// A process is killed once the longest deadline, 3 s at most, and 0.7 s more have passed since SIGTERM. Requests with longer
+// deadlines must be answered before: those taken before the signal and after it, in flight at a hanging cache and queued.
 func TestTerminateWithDeadlinesBeyondTheKill(t *testing.T) {
 	c := startCache(t, answerNothing)
 	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), withReadDeadline(20*time.Second))
@@ -31,12 +31,12 @@
 		all = append(all, cl)
 	}
 	ask(0)
-	eventually(t, "it is out", func() bool { return len(c.Lines()) == 1 })
+	eventually(t, "the request is in flight", func() bool { return len(c.Lines()) == 1 })
 	ask(1)
 	n.signal(syscall.SIGTERM)
 	kill := time.AfterFunc(3700*time.Millisecond, func() { n.signal(syscall.SIGKILL) })
 	defer kill.Stop()
-	eventually(t, "the node says that it leaves", func() bool { return strings.Contains(n.log(), "event=leaving") })
+	eventually(t, "the node logs that it is leaving", func() bool { return strings.Contains(n.log(), "event=leaving") })
 	ask(2)
 	for i, cl := range all {
 		if line, _ := cl.readAnswer(); !strings.HasPrefix(line, "SERVER_ERROR ") {
@@ -44,21 +44,21 @@
 		}
 	}
 	if strings.Contains(n.log(), "event=overdue") {
-		t.Error("what a planned end cuts off is told as a fault")
+		t.Error("a request that shutdown ended early is logged as overdue")
 	}
 }
 
-// Events that cross are laid while the process stands still (SIGSTOP): all of them wait in the system when it goes on, and come in
-// the same turn of its loop.
+// whileStopped creates events while the process is stopped (SIGSTOP). All of them are pending in the kernel when it continues, so
+// that its event loop receives them in the same iteration.
 func (n *process) whileStopped(events func()) {
 	n.t.Helper()
 	n.signal(syscall.SIGSTOP)
-	eventually(n.t, "the process stands still", func() bool { return processState(n.Pid()) == "T" })
+	eventually(n.t, "the process is stopped", func() bool { return processState(n.Pid()) == "T" })
 	events()
 	n.signal(syscall.SIGCONT)
 }
 
-// processState is the one letter that the system has for a process's state.
+// processState returns the one-letter state of a process from /proc, or an empty string.
 func processState(pid int) string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if _, rest, ok := strings.Cut(string(text), ") "); err == nil && ok {
@@ -67,9 +67,9 @@
 	return ""
 }
 
-// What a client has written when the process is told to end is answered, whatever comes with it and in whichever order: in a
-// connection that stands, half of it, in a new one of the same turn, in one that waits in the listen queue while the
-// listener closes, behind a request that is out, with a second SIGTERM, a SIGHUP and list news.
+// Requests that a client has written when SIGTERM arrives are answered, whatever else happens at the same time and in whichever
+// order: on an established connection, half written, on a new connection in the same iteration of the event loop, in the listen
+// queue while the listener closes, behind a request in flight, with a second SIGTERM, a SIGHUP and a list change.
 func TestTerminateCrosses(t *testing.T) {
 	get := func(id string) string { return "mg k-" + id + " v O" + id + " Pc=read,d=9000\r\n" }
 	waitUntilClosing := func() { time.Sleep(600 * time.Millisecond) } // until connections begin to close
@@ -110,7 +110,7 @@
 		},
 		"in the listen queue as the listener closes": func(w *fixture) (senders []*client) {
 			term(w)
-			eventually(t, "it leaves", func() bool { return strings.Contains(w.n.log(), "event=leaving") })
+			eventually(t, "the node is leaving", func() bool { return strings.Contains(w.n.log(), "event=leaving") })
 			w.n.whileStopped(func() {
 				for i := range 5 {
 					c := w.n.dial()
@@ -123,30 +123,30 @@
 		},
 		"written as the connection would close": func(w *fixture) []*client {
 			term(w)
-			eventually(t, "it leaves", func() bool { return strings.Contains(w.n.log(), "event=leaving") })
+			eventually(t, "the node is leaving", func() bool { return strings.Contains(w.n.log(), "event=leaving") })
 			w.n.whileStopped(func() { waitUntilClosing(); waitUntilClosing(); w.open.send(get("1")) })
 			return []*client{w.open}
 		},
 		"behind one that is out": func(w *fixture) []*client {
 			w.open.send(get("slow-1"))
-			eventually(t, "it is out", func() bool { w.n.signal(syscall.SIGUSR1); return strings.Contains(w.n.log(), " attempts=1 ") })
+			eventually(t, "the request is in flight", func() bool { w.n.signal(syscall.SIGUSR1); return strings.Contains(w.n.log(), " attempts=1 ") })
 			w.n.whileStopped(func() { term(w); waitUntilClosing(); w.open.send(get("2")) })
 			return []*client{w.open, w.open}
 		},
 		"unread behind others as its connection would close": func(w *fixture) []*client {
 			w.open.send(get("slow-1"))
 			term(w)
-			eventually(t, "it leaves", func() bool { return strings.Contains(w.n.log(), "event=leaving") })
+			eventually(t, "the node is leaving", func() bool { return strings.Contains(w.n.log(), "event=leaving") })
 			waitUntilClosing()
-			w.open.send(get("2")) // with this one open the connection is not read any more
-			eventually(t, "it is taken", func() bool { w.n.signal(syscall.SIGUSR1); return strings.Contains(w.n.log(), " taken=2 ") })
+			w.open.send(get("2")) // while this request is open the node does not read the connection any more
+			eventually(t, "the request is taken", func() bool { w.n.signal(syscall.SIGUSR1); return strings.Contains(w.n.log(), " taken=2 ") })
 			w.open.send(get("3"))
 			return []*client{w.open, w.open, w.open}
 		},
 		"a retry that is due": func(w *fixture) []*client {
 			w.open.send(get("slow-1"))
-			eventually(t, "it is out", func() bool { w.n.signal(syscall.SIGUSR1); return strings.Contains(w.n.log(), " attempts=1 ") })
-			w.n.whileStopped(func() { // its connection ends in the turn of the signal
+			eventually(t, "the request is in flight", func() bool { w.n.signal(syscall.SIGUSR1); return strings.Contains(w.n.log(), " attempts=1 ") })
+			w.n.whileStopped(func() { // its connection ends in the same iteration of the event loop as the signal
 				for _, c := range w.caches {
 					c.HangUp()
 				}
@@ -192,14 +192,14 @@
 				t.Errorf("ended with status %d", code)
 			}
 			if want := fmt.Sprintf(" taken=%d served=%d ", len(senders), len(senders)); !strings.Contains(w.n.log(), want) || !strings.Contains(w.n.log(), " overdue=0 ") {
-				t.Errorf("no%sin the counters", want)
+				t.Errorf("the last counters lack %q or report overdue requests", want)
 			}
 		})
 	}
 }
 
-// The server closes a connection in the turn in which the node would write to it, and the client's request and its own end come in
-// one turn: a write that may run once runs once, and is answered.
+// A server closes an idle connection in the same iteration of the event loop in which a client's request would be written to it, in
+// either order: an unsafe request reaches the server exactly once and is answered.
 func TestAnIdleConnectionCloses(t *testing.T) {
 	for _, first := range []string{"the end", "the request"} {
 		t.Run(first+" first", func(t *testing.T) {
@@ -212,13 +212,13 @@
 			cl := n.dial()
 			ask := func(i int) { cl.send(fmt.Sprintf("mg k v O%d Pc=pay,d=2500\r\n", i)) }
 			for i := range 6 {
-				if i > 0 { // else there is no connection yet
+				if i > 0 { // the first request opens the connection
 					n.whileStopped(func() {
 						if first == "the request" {
 							ask(i)
 						}
 						c.HangUp()
-						eventually(t, "it has closed", func() bool { open, _ := c.Conns(); return open == 0 })
+						eventually(t, "the server has closed the connection", func() bool { open, _ := c.Conns(); return open == 0 })
 						if first == "the end" {
 							ask(i)
 						}
@@ -235,7 +235,8 @@
 	}
 }
 
-// A connection that is about to be closed as idle, in the turn in which its client's next request is read: the request goes first.
+// A client's next request arrives in the same iteration of the event loop in which its connection is due to be closed as idle: the
+// request is answered.
 func TestARequestOnAConnectionDueToClose(t *testing.T) {
 	c := startCache(t, answerValue("v"))
 	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
@@ -246,14 +247,15 @@
 	cl.expect("VA 1 O2", "v")
 }
 
-// An answer that comes in the turn of its attempt's time-out, and of the client's end of patience: one answer, no more.
+// An answer arrives in the same iteration of the event loop as the timeout of its attempt and the request's deadline: the client
+// gets exactly one answer.
 func TestAnAnswerInTheTurnOfItsTimeOut(t *testing.T) {
 	gate := make(chan struct{})
 	c := startCache(t, func(line string, v []byte) string { <-gate; return answerValue("v")(line, v) })
 	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=700\r\n")
-	eventually(t, "it is out", func() bool { return len(c.Lines()) == 1 })
+	eventually(t, "the request is in flight", func() bool { return len(c.Lines()) == 1 })
 	n.whileStopped(func() { close(gate); time.Sleep(800 * time.Millisecond) })
 	if line, _ := cl.readAnswer(); !strings.HasPrefix(line, "VA 1 O1") && !strings.HasPrefix(line, "SERVER_ERROR ") {
 		t.Errorf("%q", line)
--- a/cmd/lapisshelf/descriptors_test.go
+++ b/cmd/lapisshelf/descriptors_test.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// clientFlood are clients that fill all descriptors they get and keep asking for more, until told to stop.
+// clientFlood is a number of clients that take all the file descriptors they can get and keep reconnecting until close is called.
 type clientFlood struct {
 	stopping atomic.Bool
 	clients  sync.WaitGroup
 	opened   atomic.Int64
 }
 
-// startFlood has so many clients connect, each again and again: it sends something and then stays, until the node has closed the
-// connection and a while beyond it.
+// startFlood starts clients that connect again and again. On each connection a client sends the text that send returns, waits until
+// the node closes the connection, and holds its own end open for holdFor after that.
 func startFlood(addr string, clients int, send func(i int64) string, holdFor time.Duration) *clientFlood {
 	c := &clientFlood{}
 	for range clients {
@@ -60,17 +60,17 @@
 	c.clients.Wait()
 }
 
-// Idle clients fill all descriptors they get while discovery is down, refused or hanging, and go on after it. When it is back
-// with a drain and a new server, the list is called and applied, requests go through the pools to the new server, which had
-// no connection yet, operators' calls are answered, and another process takes over and serves. The system gives the process
-// exactly as many descriptors as its settings say.
+// Idle clients take all the descriptors they can get while discovery refuses connections or hangs, and continue after the outage.
+// When discovery is back with one server removed and a new one added, the node fetches and applies the list, serves requests from
+// the new server, to which it had no connection, answers calls to its control address, and another process takes over and serves.
+// The system limits the process to exactly the descriptors in its configuration.
 func TestIdleClientsFillTheDescriptorsInAnOutage(t *testing.T) {
-	const sockets, clients, asks = 64, 80, 20
+	const sockets, clients, wanted = 64, 80, 20
 	ask := func(i int64) string { return fmt.Sprintf("mg k%d v Ocrowd%d Pc=read,d=2500\r\n", i%50, i) }
 	for _, kind := range []struct {
-		name  string
-		send  func(i int64) string
-		stays time.Duration
+		name    string
+		send    func(i int64) string
+		holdFor time.Duration
 	}{
 		{"silent", func(int64) string { return "" }, 0},
 		{"half a command", func(int64) string { return "mg k v" }, 0},
@@ -94,7 +94,7 @@
 				} else {
 					d.Cut(0, true)
 				}
-				flood := startFlood(n.addr, clients, kind.send, kind.stays)
+				flood := startFlood(n.addr, clients, kind.send, kind.holdFor)
 				defer flood.close()
 				eventually(t, "all descriptors are taken during the outage", func() bool {
 					return flood.opened.Load() > sockets && strings.Contains(n.log(), "event=list_failed")
@@ -118,38 +118,38 @@
 					}
 				}
 				before, asked := len(one.Lines()), 0
-				for served := range asks {
+				for served := range wanted {
 					eventually(t, fmt.Sprintf("request %d is served", served), func() bool {
 						asked++
 						return requestOnce(t, n.addr, fmt.Sprintf("good%d", asked))
 					})
 				}
 				if got := len(one.Lines()) - before; got > 0 {
-					t.Errorf("%d requests went to the server that left", got)
+					t.Errorf("%d requests went to the removed server", got)
 				}
 				next, nextControl := n.startSuccessor(nil)
 				eventually(t, "another process takes over", isReady(t, nextControl))
 				for i := range 3 {
-					eventually(t, "it serves beside the old one", func() bool { return requestOnce(t, n.addr, fmt.Sprintf("both%d-%d", i, time.Now().UnixNano())) })
+					eventually(t, "the node serves with both processes running", func() bool { return requestOnce(t, n.addr, fmt.Sprintf("both%d-%d", i, time.Now().UnixNano())) })
 				}
 				n.signal(syscall.SIGTERM)
 				if code := n.waitExit(); code != 0 {
 					t.Errorf("the old process ended with status %d", code)
 				}
-				eventually(t, "it serves alone", func() bool { return requestOnce(t, n.addr, fmt.Sprintf("alone%d", time.Now().UnixNano())) })
+				eventually(t, "the new process serves alone", func() bool { return requestOnce(t, n.addr, fmt.Sprintf("alone%d", time.Now().UnixNano())) })
 				for _, p := range []*process{n, next} {
 					if strings.Contains(p.log(), "too many open files") || strings.Contains(p.log(), "event=accept_failed") {
-						t.Error("the system had no descriptor left")
+						t.Error("the process ran out of descriptors")
 					}
 				}
-				t.Logf("%d of %d requests served, the crowd connected %d times", asks, asked, flood.opened.Load())
+				t.Logf("%d of %d requests served, idle clients connected %d times", wanted, asked, flood.opened.Load())
 			})
 		}
 	}
 }
 
-// requestOnce asks on a connection of its own and reports whether a value came. A refusal, or an end of the connection before the request
-// was read, is none; no answer at all, or any other, is a fault.
+// requestOnce sends a read on a new connection and reports whether a value came. A refusal, or a connection that ends before the
+// request was read, gives false; a timeout or any other answer fails the test.
 func requestOnce(t *testing.T, addr, id string) bool {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -163,7 +163,7 @@
 	n, err := conn.Read(buf)
 	line := string(buf[:n])
 	if unread := line == "" && (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)); unread {
-		return false // closed in a full house before it had asked
+		return false // the node was at its descriptor limit and closed the connection before reading from it
 	}
 	if !strings.HasPrefix(line, "VA ") && line != "SERVER_ERROR busy\r\n" {
 		t.Errorf("request %s: %q, %v", id, line, err)
--- a/cmd/lapisshelf/harness_test.go
+++ b/cmd/lapisshelf/harness_test.go
@@ -1,6 +1,6 @@
 package main
 
-// The built node among the lab's stand-ins, which say what each test tells them to.
+// Helpers that run the built program against the lab's stand-ins for cache servers, the origin and discovery.
 
 import (
 	"bufio"
@@ -27,7 +27,7 @@
 	"lapisshelf/lab/world"
 )
 
-// waitTimeout is how long a test waits for what should come soon.
+// waitTimeout is the maximum time that a test waits for a condition, an answer or an exit.
 const waitTimeout = 10 * time.Second
 
 var binary string
@@ -39,7 +39,7 @@
 	}
 	binary = filepath.Join(dir, "lapisshelf")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
-		fmt.Fprintf(os.Stderr, "building the node: %v\n%s", err, out)
+		fmt.Fprintf(os.Stderr, "building the program: %v\n%s", err, out)
 		os.Exit(1)
 	}
 	code := m.Run()
@@ -47,7 +47,7 @@
 	os.Exit(code)
 }
 
-// eventually waits until a condition holds.
+// eventually polls a condition and fails the test if it does not hold within waitTimeout.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -55,18 +55,18 @@
 			return
 		}
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
 
 func newCommon() *standin.Common { return standin.NewCommon(seen.NewLog(), 1, nil) }
 
-// host is this run's own, on which nothing but what it starts there takes a port.
+// host is a random loopback address for this run, so that no other process on the machine takes its ports.
 var (
 	host      = fmt.Sprintf("127.%d.%d.%d", 10+rand.IntN(200), rand.IntN(250), 1+rand.IntN(250))
 	usedAddrs sync.Map
 )
 
-// unusedAddr is an address that refuses connections until something is started there; each is given out once.
+// unusedAddr returns an address that refuses connections until a server is started there. Each address is returned once.
 func unusedAddr(t *testing.T) string {
 	t.Helper()
 	for {
@@ -75,20 +75,20 @@
 			t.Fatal(err)
 		}
 		ln.Close()
-		// Guards against two addresses of one node that are the same, since the system may give a port out again.
+		// The system may assign a port again, which would give two addresses of one node the same value.
 		if _, reused := usedAddrs.LoadOrStore(ln.Addr().String(), true); !reused {
 			return ln.Addr().String()
 		}
 	}
 }
 
-// startCache starts a cache server whose answers are up to reply, which is given the command's line and value.
+// startCache starts a cache server that answers with reply, which is given the command's line and value.
 func startCache(t *testing.T, reply standin.Script) *standin.Cache {
 	t.Helper()
 	return startCacheWithScripts(t, func() standin.Script { return reply })
 }
 
-// startCacheWithScripts starts one that has a script for each connection.
+// startCacheWithScripts starts a cache server that calls scripts for each connection and answers with the result.
 func startCacheWithScripts(t *testing.T, scripts func() standin.Script) *standin.Cache {
 	t.Helper()
 	c, err := standin.NewCache(newCommon(), standin.CacheOptions{Addr: "127.0.0.1:0", Scripts: scripts})
@@ -99,7 +99,7 @@
 	return c
 }
 
-// opaqueFlag gives the O flag of a line.
+// opaqueFlag returns the O flag of a command line, which an answer repeats.
 func opaqueFlag(line string) string {
 	for _, w := range strings.Fields(line) {
 		if w[0] == 'O' {
@@ -109,15 +109,17 @@
 	return "O"
 }
 
-// answerValue answers every read with a value, missing answers it with a miss.
+// answerValue returns a script that answers every read with a value, a report of low load and a hit flag.
 func answerValue(value string) standin.Script {
 	return func(line string, _ []byte) string {
 		return fmt.Sprintf("VA %d %s h1 Lutil=0.5,queue=1\r\n%s\r\n", len(value), opaqueFlag(line), value)
 	}
 }
 
+// answerMiss answers every read with a miss.
 func answerMiss(line string, _ []byte) string { return "EN " + opaqueFlag(line) + " h0\r\n" }
 
+// answerNothing leaves commands without an answer.
 func answerNothing(string, []byte) string { return "" }
 
 func startOrigin(t *testing.T, handle http.HandlerFunc) *standin.Origin {
@@ -130,7 +132,7 @@
 	return o
 }
 
-// discovery is the list service, which tells whole lists.
+// discovery is a stand-in for the discovery service that always sends complete server lists.
 type discovery struct{ *standin.List }
 
 func startDiscovery(t *testing.T, list ...world.Member) discovery {
@@ -143,25 +145,26 @@
 	return discovery{l}
 }
 
+// polledRevisions returns the revision that each call for the list asked from.
 func (d discovery) polledRevisions() []string { return d.Asked(0) }
 
-// process is the built program, running.
+// process is a running instance of the built program.
 type process struct {
 	t *testing.T
 	*stage.Node
 	addr   string
-	tmp    string         // its directory for temporary files
-	config map[string]any // as it was at the start
+	tmp    string         // TMPDIR of the process, where processes of one node exchange state
+	config map[string]any // the configuration last written
 }
 
 func (n *process) log() string { return n.Text() }
 
-// servingEntry is an entry that serves.
+// servingEntry returns a server list entry in the serving phase, with weight 1.
 func servingEntry(id, addr, kind string) world.Member {
 	return world.Member{ID: id, Addr: addr, Zone: "a", Kind: kind, Weight: 1}
 }
 
-// testSettings is what the nodes of these tests are told; a test changes what it needs to.
+// testSettings returns the settings of the nodes in these tests; a test changes those that it depends on.
 func testSettings() map[string]any {
 	class := func(name, effect string) map[string]any {
 		return map[string]any{"Name": name, "Effect": effect, "DedupScope": "all", "Aim": int64(600 * time.Millisecond),
@@ -179,18 +182,18 @@
 	}
 }
 
-// raiseReadAim makes reads worth as much after seconds: the module neither cuts them off nor turns them away early.
+// raiseReadAim sets the latency target of reads to 3 s, so that the node neither times attempts out nor refuses reads early.
 func raiseReadAim(config map[string]any) {
 	config["settings"].(map[string]any)["Classes"].([]any)[0].(map[string]any)["Aim"] = int64(3 * time.Second)
 }
 
-// startNode runs a node that knows no list yet; change may alter its configuration.
+// startNode starts a node that has no server list yet and waits until it is ready. change may alter its configuration.
 func startNode(t *testing.T, d discovery, change func(config map[string]any)) *process {
 	t.Helper()
 	return startNodeLoggingTo(t, d, change, nil)
 }
 
-// startNodeLoggingTo runs a node whose log goes to a file; nil keeps it.
+// startNodeLoggingTo starts a node that logs to a file. If the file is nil, the log is kept for process.log.
 func startNodeLoggingTo(t *testing.T, d discovery, change func(config map[string]any), to *os.File) *process {
 	t.Helper()
 	config := map[string]any{"name": "n1", "listen": unusedAddr(t), "discovery": d.Addr(0), "seed": "8c1f30d27a5be964",
@@ -210,18 +213,18 @@
 	return n
 }
 
-// startProcess starts the program with a configuration file.
+// startProcess starts the program with the given configuration, without waiting until it is ready.
 func startProcess(t *testing.T, config, listen string, to *os.File, args ...string) *process {
 	t.Helper()
 	return startProcessIn(t, t.TempDir(), config, listen, to, args...)
 }
 
-// startProcessIn starts it with a directory for temporary files, which another process may share.
+// startProcessIn starts the program with a directory for temporary files, which another process may share.
 func startProcessIn(t *testing.T, tmp, config, listen string, to *os.File, args ...string) *process {
 	t.Helper()
 	var parsed struct{ Limits struct{ Sockets int } }
 	json.Unmarshal([]byte(config), &parsed)
-	sockets := 1024 // also where the configuration is bad
+	sockets := 1024 // also if the configuration is invalid
 	if parsed.Limits.Sockets >= 64 {
 		sockets = parsed.Limits.Sockets
 	}
@@ -232,8 +235,8 @@
 	}
 	t.Cleanup(func() {
 		n.Kill()
-		if to == nil && strings.Contains(n.log(), "event=violation ") { // in no test may a guard fail
-			t.Error("the node has counted a violation")
+		if to == nil && strings.Contains(n.log(), "event=violation ") { // an internal invariant failed, which is a fault in every test
+			t.Error("the node has logged a violation")
 		}
 		if t.Failed() && to == nil {
 			t.Logf("the node's log:\n%s", n.log())
@@ -242,12 +245,12 @@
 	return n
 }
 
-// waitExit waits for the program's end and gives its status.
+// waitExit waits until the process exits and returns its exit code, -1 if a signal killed it.
 func (n *process) waitExit() int {
 	n.t.Helper()
 	status, ended := n.Wait(waitTimeout)
 	if !ended {
-		n.t.Fatal("the node never ended")
+		n.t.Fatal("the node did not exit")
 	}
 	code, err := strconv.Atoi(strings.TrimPrefix(status, "exit status "))
 	if err != nil {
@@ -256,7 +259,7 @@
 	return code
 }
 
-// reload replaces the configuration file and tells the node.
+// reload replaces the configuration file and sends SIGHUP.
 func (n *process) reload(text string) {
 	n.t.Helper()
 	if err := n.WriteConfig([]byte(text)); err != nil {
@@ -265,7 +268,7 @@
 	n.signal(syscall.SIGHUP)
 }
 
-// configWith is the configuration with changes.
+// configWith applies changes to the configuration and returns its text. The changes are kept for the next call.
 func (n *process) configWith(change func(config map[string]any)) string {
 	n.t.Helper()
 	change(n.config)
@@ -278,7 +281,7 @@
 
 func (n *process) signal(s syscall.Signal) { n.Signal(s) }
 
-// client is a connection to a node.
+// client is a client's connection to a node.
 type client struct {
 	t    *testing.T
 	conn net.Conn
@@ -302,7 +305,7 @@
 	}
 }
 
-// readAnswer reads one answer: its line, and its value if it has one.
+// readAnswer reads one answer and returns its line and its value, if any.
 func (c *client) readAnswer() (line, value string) {
 	c.t.Helper()
 	c.conn.SetReadDeadline(time.Now().Add(waitTimeout))
@@ -315,14 +318,14 @@
 		n, _ := strconv.Atoi(words[1])
 		data := make([]byte, n+2)
 		if _, err := io.ReadFull(c.in, data); err != nil {
-			c.t.Fatalf("no whole value: %v", err)
+			c.t.Fatalf("incomplete value: %v", err)
 		}
 		value = string(data[:n])
 	}
 	return line, value
 }
 
-// closedByNode reports whether the node closes the connection with nothing more said.
+// closedByNode waits until the connection ends and reports whether the node closed it without sending more data.
 func (c *client) closedByNode() bool {
 	c.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	_, err := c.in.ReadByte()
@@ -336,7 +339,7 @@
 	}
 }
 
-// blackholeAddr is an address at which connections never come up, as at a machine that is cut off.
+// blackholeAddr returns an address at which connections are never established, as at an unreachable machine.
 func blackholeAddr(t *testing.T) string {
 	t.Helper()
 	c := startCache(t, answerNothing)
--- a/cmd/lapisshelf/large_test.go
+++ b/cmd/lapisshelf/large_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Values that are far larger than what the node keeps, through the built node.
+// Reads of values that are far larger than the node's buffers, through the built program.
 
 import (
 	"bufio"
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// startRawServer starts a server that is given each line that comes, with its connection to write what it likes, as slowly as it
-// likes; its return closes the connection if it says so.
+// startRawServer starts a server that passes each line it receives to handle, with the connection to write to. It closes the
+// connection if handle returns true.
 func startRawServer(t *testing.T, handle func(conn net.Conn, line string) (closes bool)) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,7 +47,7 @@
 	return ln.Addr().String()
 }
 
-// longValue is a value in which each place is its own, for a key.
+// longValue returns a value for a key in which the content depends on the position, so that misplaced bytes are noticed.
 func longValue(key string, size int) string {
 	var b strings.Builder
 	for b.Len() < size {
@@ -56,7 +56,7 @@
 	return b.String()[:size]
 }
 
-// peakMemoryMB is the most memory that a process has held, in MB.
+// peakMemoryMB returns the process's peak resident memory in MB.
 func (n *process) peakMemoryMB() int {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", n.Pid()))
 	for line := range strings.Lines(string(text)) {
@@ -68,8 +68,8 @@
 	return 0
 }
 
-// Many values of 4 MiB at once, from a cache that gives them in pieces and from the origin, to readers that are slow: far
-// more than the memory holds, each whole, the first bytes at once and small ones not kept waiting.
+// Many values of 4 MiB at once, from a cache that writes them in pieces and from the origin, to slow readers: far more than the
+// node's memory limit. Each arrives complete, its first bytes without delay, and small values are not delayed behind them.
 func TestLongValuesToSlowReaders(t *testing.T) {
 	const size, readers = 4 << 20, 24
 	cache := startRawServer(t, func(conn net.Conn, line string) bool {
@@ -105,7 +105,7 @@
 			defer done.Done()
 			key := fmt.Sprintf("%c%d", "ko"[i%2], i)
 			want := longValue(key, size)
-			for try := 0; ; try++ { // one cache takes only so many at once
+			for try := 0; ; try++ { // the concurrency limit of one cache refuses some
 				conn, err := net.Dial("tcp", n.addr)
 				if err != nil {
 					t.Error(err)
@@ -136,13 +136,13 @@
 					}
 				}
 				if string(got) != want+"\r\n" {
-					t.Errorf("%s: not what was given", key)
+					t.Errorf("%s: the value differs from what was sent", key)
 				}
 				return
 			}
 		}()
 	}
-	eventually(t, "long values flow", func() bool { return begun.Load() > readers/2 })
+	eventually(t, "more than half of the long values have begun", func() bool { return begun.Load() > readers/2 })
 	cl := n.dial()
 	for i := range 20 {
 		cl.send(fmt.Sprintf("mg small%d v Os%d Pc=read,d=500\r\n", i, i))
@@ -150,15 +150,15 @@
 	}
 	done.Wait()
 	if peak := n.peakMemoryMB(); peak >= 32 {
-		t.Errorf("%d MB of memory at the most", peak)
+		t.Errorf("peak memory is %d MB", peak)
 	}
 	if got := readMetrics(t, control); got[requestsMetric("read", "served")] != readers+20 || got["app_in_flight"] != 0 {
 		t.Errorf("served %v, in flight %v", got[requestsMetric("read", "served")], got["app_in_flight"])
 	}
 }
 
-// A long value that breaks off, stops, or does not end where it should: the client can tell, nobody is served with it, and
-// no second answer comes. What waits behind it on the connection is no part of it.
+// A long value that is cut off, stalls, or does not end at its length: the client can tell, the request does not count as served,
+// and there is no second attempt once the answer has begun. No later answer on the connection is mixed into the value.
 func TestLongValuesThatBreak(t *testing.T) {
 	const size = 300_000
 	var times atomic.Int64
@@ -176,7 +176,7 @@
 		case "stops":
 			io.WriteString(conn, head+longValue(key, size-1))
 			return false
-		case "stub": // Guards against an answer made of the little that had come: served, and empty
+		case "stub": // guards against an answer made of the few bytes received, which was empty and counted as served
 			io.WriteString(conn, head+longValue(key, 100))
 			return true
 		case "longer":
@@ -202,14 +202,14 @@
 		}
 	}
 	cl := n.dial()
-	for i, key := range []string{"other", "huge", "stub"} { // told by the head: nothing goes on, and another try may be made
+	for i, key := range []string{"other", "huge", "stub"} { // detected before the answer to the client begins, so that a retry is allowed
 		cl.send(fmt.Sprintf("mg %s v Oc%d Pc=read,d=900\r\n", key, i))
 		if line, _ := cl.readAnswer(); !strings.HasPrefix(line, "SERVER_ERROR ") {
 			t.Errorf("%s: %q", key, line)
 		}
 	}
 	if times.Load() != 1 {
-		t.Errorf("%d attempts for one that had begun to flow", times.Load())
+		t.Errorf("%d attempts for an answer that had begun", times.Load())
 	}
 	got := readMetrics(t, control)
 	if got[requestsMetric("read", "failed")] < 3 || got[requestsMetric("read", "served")] != 3 || got["app_in_flight"] != 0 {
@@ -217,8 +217,7 @@
 	}
 }
 
-// Clients that stop reading a long value, or leave in its midst, give back what it holds; its server's connection is not
-// left behind.
+// Clients that stop reading a long value, or disconnect in the middle of it, do not leak its memory or the connection to the server.
 func TestReadersThatLeave(t *testing.T) {
 	const size = 4 << 20
 	var open atomic.Int64
@@ -240,16 +239,16 @@
 			cl.conn.Close()
 		}
 	}
-	eventually(t, "all is given back", func() bool { return open.Load() == 0 && readMetrics(t, control)["app_in_flight"] == 0 })
+	eventually(t, "all resources are released", func() bool { return open.Load() == 0 && readMetrics(t, control)["app_in_flight"] == 0 })
 }
 
-// A process that is killed at the end of its time, as at an upgrade, leaves what a slow reader has yet to take with the
-// system: the long value comes whole.
+// A process that is killed at the end of its shutdown time, as in an upgrade, has handed the rest of a long value to the kernel's
+// socket buffer: a slow reader still gets all of it.
 func TestALongValueOutlivesItsProcess(t *testing.T) {
 	const size = 4 << 20
 	text, _ := os.ReadFile("/proc/sys/net/core/wmem_max")
 	if maxBytes, _ := strconv.Atoi(strings.TrimSpace(string(text))); maxBytes < size {
-		t.Skipf("the system holds %d bytes of a connection at the most", maxBytes)
+		t.Skipf("the system buffers at most %d bytes for each connection", maxBytes)
 	}
 	cache := startRawServer(t, func(conn net.Conn, line string) bool {
 		fmt.Fprintf(conn, "VA %d %s h1\r\n%s\r\n", size, opaqueFlag(line), longValue("k", size))
@@ -262,7 +261,7 @@
 		t.Fatalf("%q, %v", line, err)
 	}
 	n.signal(syscall.SIGTERM)
-	eventually(t, "it leaves", func() bool { return strings.Contains(n.log(), "event=leaving") })
+	eventually(t, "the node is leaving", func() bool { return strings.Contains(n.log(), "event=leaving") })
 	time.Sleep(2 * time.Second)
 	n.signal(syscall.SIGKILL)
 	n.waitExit()
--- a/cmd/lapisshelf/leave_test.go
+++ b/cmd/lapisshelf/leave_test.go
@@ -12,9 +12,9 @@
 	"lapisshelf/lab/standin"
 )
 
-// Clients that leave while the built node stands still, ends or is succeeded: no attempt begins for them from then on.
+// Clients that disconnect while the built program is stopped, shuts down or has a successor: no attempt starts for them after that.
 
-// disconnects are how a client may leave.
+// disconnects are the ways in which a client may disconnect.
 var disconnects = map[string]func(*net.TCPConn){
 	"close":      func(c *net.TCPConn) { c.Close() },
 	"half-close": func(c *net.TCPConn) { c.CloseWrite() },
@@ -30,18 +30,18 @@
 	}
 }
 
-// disableCancel has attempts run on that nobody waits for.
+// disableCancel lets attempts continue after their client has disconnected.
 func disableCancel(config map[string]any) {
 	config["settings"].(map[string]any)["Limits"].(map[string]any)["Cancel"] = false
 }
 
-// waitForCounters waits until the node's log has a text in its counters.
+// waitForCounters has the node log its counters until the log contains a text.
 func (n *process) waitForCounters(text string) {
 	n.t.Helper()
-	eventually(n.t, "the counters have"+text, func() bool { n.signal(syscall.SIGUSR1); return strings.Contains(n.log(), text) })
+	eventually(n.t, "the counters contain"+text, func() bool { n.signal(syscall.SIGUSR1); return strings.Contains(n.log(), text) })
 }
 
-// sentIDs are the ids of the requests that caches were sent.
+// sentIDs returns the sorted ids of the requests that caches received.
 func sentIDs(caches ...*standin.Cache) (ids []string) {
 	for _, c := range caches {
 		for _, line := range c.Lines() {
@@ -52,20 +52,21 @@
 	return ids
 }
 
-// openConnections has each cache answer once, so that the node has a connection to it, which the next request is written to at once.
+// openConnections sends reads until each cache has answered one, so that the node has a connection to it and sends the next request
+// without delay.
 func (n *process) openConnections(caches ...*standin.Cache) {
 	n.t.Helper()
 	cl := n.dial()
 	for i := 0; slices.ContainsFunc(caches, func(c *standin.Cache) bool { return len(c.Lines()) == 0 }); i++ {
 		if i == 200 {
-			n.t.Fatal("a cache is never asked")
+			n.t.Fatal("a cache receives no request")
 		}
 		cl.send(fmt.Sprintf("mg warm-%d v Owarm%d Pc=read,d=2500\r\n", i, i))
 		cl.readAnswer()
 	}
 }
 
-// answerWarmUpOnly answers the requests of warm, and nothing else.
+// answerWarmUpOnly answers the requests of openConnections and no others.
 func answerWarmUpOnly(line string, v []byte) string {
 	if strings.Contains(line, "warm") {
 		return answerValue("v")(line, v)
@@ -73,7 +74,7 @@
 	return ""
 }
 
-// Guards against a further try that is due when a process that was stopped goes on, its client's end in the system unread.
+// Guards against a retry that is due when a stopped process continues, while its client's disconnect is still unread in the kernel.
 func TestAClientLeavesBeforeADueFurtherTry(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, leave func(*client)) {
 		a, b := startCache(t, answerWarmUpOnly), startCache(t, answerWarmUpOnly)
@@ -82,10 +83,10 @@
 		before := len(sentIDs(a, b))
 		cl := n.dial()
 		cl.send("mg k v Ogone Pc=read,d=2500\r\n")
-		eventually(t, "it is out", func() bool { return len(sentIDs(a, b)) > before })
+		eventually(t, "the request is in flight", func() bool { return len(sentIDs(a, b)) > before })
 		n.whileStopped(func() {
 			leave(cl)
-			time.Sleep(time.Second) // the first try's time is over
+			time.Sleep(time.Second) // the first attempt has timed out
 		})
 		n.waitForCounters(" abandoned=1 ")
 		if got := sentIDs(a, b); len(got) != before+1 {
@@ -94,7 +95,7 @@
 	})
 }
 
-// Guards against a time-out that runs ahead of the answer which came in its time, in a process that was stopped.
+// Guards against an attempt's timeout that a process, continuing after a stop, handles before the answer that arrived in time.
 func TestAnAnswerGoesBeforeItsTimeOut(t *testing.T) {
 	gate := make(chan struct{})
 	script := func(line string, v []byte) string { <-gate; return answerValue("v")(line, v) }
@@ -102,7 +103,7 @@
 	n := startNode(t, startDiscovery(t, servingEntry("s-1", a.Addr(), "m2"), servingEntry("s-2", b.Addr(), "m2")), nil)
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=2500\r\n")
-	eventually(t, "it is out", func() bool { return len(sentIDs(a, b)) == 1 })
+	eventually(t, "the request is in flight", func() bool { return len(sentIDs(a, b)) == 1 })
 	n.whileStopped(func() {
 		close(gate)
 		time.Sleep(time.Second)
@@ -113,8 +114,8 @@
 	}
 }
 
-// A request is held for room by a process that ends, or that another has taken the place of. Its client leaves at once, or once
-// connections close with their next answer.
+// A request waits for a server's concurrency limit in a process that shuts down, with or without a successor. Its client disconnects
+// at once, or after the process has begun to close connections with their next answer.
 func TestAClientLeavesDuringAPlannedEnd(t *testing.T) {
 	for _, succeeded := range []bool{false, true} {
 		for _, late := range []bool{false, true} {
@@ -128,17 +129,17 @@
 					})
 					first, gone, stays := n.dial(), n.dial(), n.dial()
 					first.send("mg k-1 v Ofirst Pc=read,d=20000\r\n")
-					eventually(t, "it is out", func() bool { return len(c.Lines()) == 1 })
+					eventually(t, "the request is in flight", func() bool { return len(c.Lines()) == 1 })
 					gone.send("mg k-2 v Ogone Pc=read,d=20000\r\n")
 					n.waitForCounters(" taken=2 ")
 					stays.send("mg k-3 v Ostays Pc=read,d=20000\r\n")
 					n.waitForCounters(" taken=3 ")
 					if succeeded {
 						_, control := n.startSuccessor(nil)
-						eventually(t, "the new process takes clients", isReady(t, control))
+						eventually(t, "the new process accepts clients", isReady(t, control))
 					}
 					n.signal(syscall.SIGTERM)
-					eventually(t, "it leaves", func() bool { return strings.Contains(n.log(), "event=leaving") })
+					eventually(t, "the node is leaving", func() bool { return strings.Contains(n.log(), "event=leaving") })
 					if late {
 						time.Sleep(600 * time.Millisecond) // until connections begin to close
 					}
@@ -161,7 +162,7 @@
 	}
 }
 
-// Guards against taking a request from the listen queue of a process that ends, its client gone meanwhile.
+// Guards against running a request from the listen queue of a process that shuts down, after its client has disconnected.
 func TestAClientLeavesInTheListenQueueOfAPlannedEnd(t *testing.T) {
 	forEachDisconnect(t, func(t *testing.T, leave func(*client)) {
 		c := startCache(t, answerValue("v"))
--- a/cmd/lapisshelf/node_test.go
+++ b/cmd/lapisshelf/node_test.go
@@ -27,10 +27,12 @@
 	"lapisshelf/lab/world"
 )
 
+// respondText returns an origin's handler that answers with a text.
 func respondText(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) }
 }
 
+// respondStatus returns an origin's handler that answers with a status, and says that the request was not started if notStarted.
 func respondStatus(code int, notStarted bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if notStarted {
@@ -69,7 +71,7 @@
 		t.Fatalf("the cache was sent %q", got[0])
 	}
 	if d, _ := strconv.Atoi(submatch[1]); d <= 0 || d >= 480 {
-		t.Errorf("d=%d went on where the client waits 480", d)
+		t.Errorf("sent d=%d for a client that waits 480 ms", d)
 	}
 	asked := o.Lines()
 	for i, line := range asked {
@@ -78,7 +80,7 @@
 			t.Fatalf("the origin was sent %q", line)
 		}
 		if d, _ := strconv.Atoi(line[at[2]:at[3]]); d <= 0 || d >= 2500 {
-			t.Errorf("d=%d went on where the client waits 2500", d)
+			t.Errorf("sent d=%d for a client that waits 2500 ms", d)
 		}
 		asked[i] = line[:at[2]] + line[at[3]:]
 	}
@@ -88,7 +90,7 @@
 	}
 }
 
-// Bytes come in pieces, requests behind each other; answers go out in the order of the requests.
+// Requests that arrive byte by byte or pipelined are answered in their order.
 func TestPipelinedAnswersComeInOrder(t *testing.T) {
 	var slow atomic.Bool
 	c := startCache(t, func(line string, v []byte) string {
@@ -103,7 +105,7 @@
 	for _, b := range []byte("mg slow v O1 Pc=read,d=2500\r\n") {
 		cl.send(string(b))
 	}
-	eventually(t, "the slow read is out", slow.Load)
+	eventually(t, "the slow read is in flight", slow.Load)
 	cl.send("mg fast v O2 Pc=read,d=2500\r\nmn\r\nnonsense\r\nmg quick v O3 Pc=read,d=2500\r\n")
 	cl.expect("VA 4 O1", "slow")
 	cl.expect("VA 4 O2", "fast")
@@ -112,7 +114,7 @@
 	cl.expect("VA 5 O3", "quick")
 }
 
-// A value over the usual size is passed on whole, from a cache and from the origin, as long as the memory has room.
+// A value over the usual size, from a cache or from the origin, is forwarded completely while there is memory for it.
 func TestLargeValues(t *testing.T) {
 	large := strings.Repeat("large", 80<<10)
 	o := startOrigin(t, respondText("o"+large))
@@ -129,7 +131,7 @@
 	cl.expect(fmt.Sprintf("VA %d O2", len(large)+1), "o"+large)
 }
 
-// More requests at once than are taken at once, and more bytes of answers than are kept at once.
+// A client pipelines more requests, with more bytes of answers, than the node handles for one connection at a time.
 func TestManyLargeValuesToASlowReader(t *testing.T) {
 	const requests = 100
 	large := strings.Repeat("x", 64<<10)
@@ -142,11 +144,11 @@
 			fmt.Fprintf(cl.conn, "mg k%d v O%d Pc=read,d=3000\r\n", i, i)
 		}
 	}()
-	time.Sleep(200 * time.Millisecond) // the reader dawdles
+	time.Sleep(200 * time.Millisecond) // a slow reader
 	for i := range requests {
 		line, v := cl.readAnswer()
 		if line == "SERVER_ERROR busy" || strings.HasPrefix(line, "SERVER_ERROR busy ") {
-			continue // one cache takes only so many at once
+			continue // refused by the concurrency limit of the one cache
 		}
 		if line != fmt.Sprintf("VA 65536 O%d", i) || v != large {
 			t.Fatalf("answer %d is %q with %d bytes", i, line, len(v))
@@ -154,8 +156,8 @@
 	}
 }
 
-// Clients that ask for much and read nothing cost neither the others their answers nor the node its memory: past its
-// bound the worst debtor is closed.
+// Clients that request large values and read nothing neither delay other clients nor exhaust the memory: over the limit the node
+// closes the client with the most unread bytes.
 func TestClientsThatNeverRead(t *testing.T) {
 	const clients, each = 32, 150
 	large := strings.Repeat("x", 64<<10)
@@ -166,7 +168,7 @@
 	})
 	for i := range clients {
 		cl := n.dial()
-		cl.conn.(*net.TCPConn).SetReadBuffer(4 << 10) // else the system reads for it
+		cl.conn.(*net.TCPConn).SetReadBuffer(4 << 10) // else the kernel's buffer would take the answers
 		go func() {                                   // until the node closes the connection or the test ends
 			for j := range each {
 				fmt.Fprintf(cl.conn, "mg k%d v O%d-%d Pc=read,d=3000\r\n", j, i, j)
@@ -180,7 +182,7 @@
 			served++
 			reader.send(fmt.Sprintf("mg k%d v Or%d Pc=read,d=3000\r\n", served, served))
 			if line, _ := reader.readAnswer(); !strings.HasPrefix(line, "VA ") && !strings.HasPrefix(line, "SERVER_ERROR busy") {
-				t.Fatalf("who reads is answered %q", line)
+				t.Fatalf("a client that reads is answered %q", line)
 			}
 		}
 		return regexp.MustCompile(` clients_slow=[1-9]`).MatchString(n.log())
@@ -192,10 +194,10 @@
 	}
 	m := regexp.MustCompile(`VmHWM:\s+(\d+) kB`).FindSubmatch(status)
 	if m == nil {
-		t.Fatal("the system tells no peak of memory")
+		t.Fatal("/proc has no peak memory")
 	}
-	if peak, _ := strconv.Atoi(string(m[1])); peak > 64<<10 { // the bound and the program itself
-		t.Errorf("held %d kB at most", peak)
+	if peak, _ := strconv.Atoi(string(m[1])); peak > 64<<10 { // the limit and the program itself
+		t.Errorf("peak memory is %d kB", peak)
 	}
 }
 
@@ -209,7 +211,7 @@
 	cl.send("ms k 65536 O1 Pc=put,d=2500,k=1\r\n" + body + "\r\n")
 	cl.expect("HD O1 cR", "")
 	if r := o.Lines(); len(r) != 1 || !strings.HasSuffix(r[0], " "+body) {
-		t.Errorf("the origin did not get the value as it came (%d)", got.Load())
+		t.Errorf("the origin did not receive the value unchanged (%d)", got.Load())
 	}
 }
 
@@ -248,7 +250,7 @@
 			}
 			if x.closes {
 				if !cl.closedByNode() {
-					t.Error("the connection goes on though framing is lost")
+					t.Error("the connection stays open although framing is lost")
 				}
 				return
 			}
@@ -261,7 +263,8 @@
 	}
 }
 
-// Who is owed an error or an end gets it though it sends nothing more, and takes nothing of the others'.
+// Clients that stop in the middle of a request get an error or are closed, although they send nothing more, and do not keep
+// descriptors from others.
 func TestClientsWithIncompleteRequests(t *testing.T) {
 	c := startCache(t, answerValue("v"))
 	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), func(config map[string]any) {
@@ -271,12 +274,12 @@
 	kept.send("mg k v Okept Pc=read,d=2500\r\n")
 	kept.expect("VA 1 Okept", "v")
 	var incomplete []*client
-	for i := range 300 { // more than there are descriptors
+	for i := range 300 { // more clients than descriptors
 		cl := n.dial()
 		cl.send([]string{"", "mg k", "ms k 70 O1 Pc=put,d=100\r\nhalf", "ms k 70000 O1 Pc=put,d=100\r\nhalf"}[i%4])
 		incomplete = append(incomplete, cl)
 	}
-	for i := range 20 { // behind them all
+	for i := range 20 { // behind all of these
 		cl := n.dial()
 		cl.send(fmt.Sprintf("mg key%d v O%d Pc=read,d=2500\r\n", i, i))
 		cl.expect(fmt.Sprintf("VA 1 O%d", i), "v")
@@ -284,13 +287,13 @@
 	for i, cl := range incomplete {
 		cl.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 		if text, err := io.ReadAll(cl.in); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("client %d has neither an error nor an end: %q", i, text)
+			t.Fatalf("client %d has neither an error nor a closed connection: %q", i, text)
 		}
 	}
 }
 
-// Clients who ask once and stay hold a third of the descriptors and open no more: theirs are closed soon enough for the
-// next to ask.
+// Clients that send one request and keep their connection hold a third of the descriptors. The node closes these connections soon
+// enough for the next clients to be served.
 func TestClientsThatAskOnceAndStay(t *testing.T) {
 	const sockets, requests = 96, 300
 	c := startCache(t, answerValue("v"))
@@ -303,20 +306,21 @@
 		select {
 		case held <- true:
 		case <-time.After(time.Until(end)):
-			t.Fatalf("only %d of %d have asked", i, requests)
+			t.Fatalf("only %d of %d clients were served", i, requests)
 		}
 		cl := n.dial()
 		cl.send(fmt.Sprintf("mg k v O%d Pc=read,d=2500\r\n", i))
 		cl.expect(fmt.Sprintf("VA 1 O%d", i), "v")
 		go func() {
-			io.Copy(io.Discard, cl.conn) // until the node closes it
+			io.Copy(io.Discard, cl.conn) // until the node closes the connection
 			cl.conn.Close()
 			<-held
 		}()
 	}
 }
 
-// The id of another's request, open or just answered, is no request: it neither gets that one's value nor ends it.
+// A request with the id of another client's request, in flight or just answered, is an error: it neither gets the other's value nor
+// ends it.
 func TestAnIDInUse(t *testing.T) {
 	asked := make(chan bool, 1)
 	answer := make(chan bool)
@@ -340,7 +344,7 @@
 	}
 }
 
-// Hundreds of commands that are none end their connection, and a connection that goes on sending is not read for long.
+// Hundreds of invalid commands end their connection, and a rejected value is not read to its end.
 func TestManyBadCommands(t *testing.T) {
 	c := startCache(t, answerValue("v"))
 	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
@@ -351,7 +355,7 @@
 		cl.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 		got, err := io.ReadAll(cl.in)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Error("the connection goes on")
+			t.Error("the connection stays open")
 		}
 		if len(got) > 600 {
 			t.Errorf("%d bytes of answers", len(got))
@@ -362,7 +366,7 @@
 	}
 }
 
-// What a cache does wrong costs a further try, not the read.
+// A cache that misbehaves costs a retry, not the read.
 func TestReadsOutliveACache(t *testing.T) {
 	for _, x := range []struct {
 		name  string
@@ -395,14 +399,14 @@
 			good := startCache(t, answerValue("v"))
 			n := startNode(t, startDiscovery(t, servingEntry("s-1", good.Addr(), "m2"), servingEntry("s-2", x.addr, "m2")), nil)
 			cl := n.dial()
-			for i := range 6 { // some of the keys are the bad cache's
+			for i := range 6 { // some of the keys belong to the bad cache
 				cl.send(fmt.Sprintf("mg key%d v O%d Pc=read,d=2500\r\n", i, i))
 				cl.expect(fmt.Sprintf("VA 1 O%d", i), "v")
 			}
 			if x.reply != nil && len(bad.Lines()) == 0 {
-				t.Error("the bad cache was never asked: nothing was tried")
+				t.Error("the bad cache received no request: nothing was tested")
 			}
-			// An attempt that was given up has closed its connection.
+			// An abandoned attempt closes its connection.
 			eventually(t, "no connection to the bad cache carries an attempt", func() bool {
 				if bad == nil {
 					return true
@@ -414,7 +418,7 @@
 	}
 }
 
-// Kept connections that end at their next request cost a further try each and tell nothing of their server.
+// A kept connection that ends at its next request costs one retry and does not count against its server.
 func TestKeptConnectionsThatEnd(t *testing.T) {
 	var closing atomic.Bool
 	cut := startCacheWithScripts(t, func() standin.Script {
@@ -448,15 +452,15 @@
 		ask(1)
 	}
 	n.signal(syscall.SIGUSR1)
-	eventually(t, "three kept connections at least were cut", func() bool {
+	eventually(t, "at least three kept connections were closed", func() bool {
 		return regexp.MustCompile(` reset=([3-9]|\d\d)`).MatchString(n.log())
 	})
 	if strings.Contains(n.log(), "skip:") {
-		t.Error("the server is skipped for its connections")
+		t.Error("the server is skipped because its connections ended")
 	}
 }
 
-// A good answer stays good whatever else comes with it, and none of that becomes another request's answer.
+// A valid answer is delivered whatever follows it, and none of the surplus becomes the answer to another request.
 func TestGoodAnswersWithMore(t *testing.T) {
 	for name, reply := range map[string]func(string, []byte) string{
 		"a second copy": func(line string, v []byte) string {
@@ -485,7 +489,7 @@
 	}
 }
 
-// A spoilt answer of the origin, which tells no id, is never passed on: a read is asked again, an unsafe write fails.
+// A malformed answer of the origin, whose answers carry no id, is never forwarded: a read is retried, an unsafe write fails.
 func TestSpoiltAnswersOfTheOrigin(t *testing.T) {
 	for name, spoilt := range map[string]string{
 		"two lengths":         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nhello",
@@ -524,13 +528,13 @@
 			cl.send("ms k 2 O2 Pc=pay,d=2500\r\nhi\r\n")
 			cl.expect("SERVER_ERROR failed", "")
 			if got := asked.Load(); got != 1 {
-				t.Errorf("the origin was asked %d times to pay", got)
+				t.Errorf("the origin received the unsafe write %d times", got)
 			}
 		})
 	}
 }
 
-// Rule 2 on sockets: what may have run is repeated only where that is harmless, and is never refused.
+// A write that may have run is repeated only if its effect allows that, and is never answered with a refusal.
 func TestWritesAreNotRepeated(t *testing.T) {
 	for _, x := range []struct {
 		name    string
@@ -563,27 +567,27 @@
 	}
 }
 
-// A client that closes its connection has gone away: its attempt is given up, which a server sees as the end of the
-// connection, and nothing more is sent for it.
+// When a client closes its connection, its attempt is abandoned, which the server sees as the end of the connection, and nothing
+// more is sent for it.
 func TestAClientGoneEndsItsAttempts(t *testing.T) {
 	c := startCache(t, answerNothing)
 	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=3000\r\n")
-	eventually(t, "the read is out", func() bool { return len(c.Lines()) == 1 })
+	eventually(t, "the read is in flight", func() bool { return len(c.Lines()) == 1 })
 	cl.conn.Close()
 	eventually(t, "the attempt's connection is closed", func() bool { open, _ := c.Conns(); return open == 0 })
 	if got := c.Lines(); len(got) != 1 {
 		t.Errorf("sent after the client had gone: %q", got)
 	}
 	n.signal(syscall.SIGUSR1)
-	eventually(t, "the counters tell of it", func() bool {
+	eventually(t, "the counters report the abandoned request", func() bool {
 		return strings.Contains(n.log(), " taken=1 ") && strings.Contains(n.log(), " abandoned=1 ") &&
 			strings.Contains(n.log(), " now_open=0 ")
 	})
 }
 
-// A request that nothing answers ends before its client stops waiting.
+// A request that no server answers is answered with an error before its deadline.
 func TestNothingAnswers(t *testing.T) {
 	c := startCache(t, answerNothing)
 	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
@@ -594,12 +598,12 @@
 	if line, _ := cl.readAnswer(); !strings.HasPrefix(line, "SERVER_ERROR ") {
 		t.Errorf("answered %q", line)
 	}
-	if took := time.Since(begin); took > wait { // the request's own limit
+	if took := time.Since(begin); took > wait { // the request's own deadline
 		t.Errorf("answered after %v", took)
 	}
 }
 
-// A request with hardly any time is answered by the module within it; the last call is not needed.
+// A request with a deadline of a few milliseconds is answered by the regular decision within it, and is not counted as overdue.
 func TestHardlyAnyTime(t *testing.T) {
 	c := startCache(t, answerNothing)
 	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
@@ -611,7 +615,7 @@
 		}
 	}
 	n.signal(syscall.SIGUSR1)
-	eventually(t, "the counters tell of no last call", func() bool { return strings.Contains(n.log(), " overdue=0 ") })
+	eventually(t, "the counters report no overdue request", func() bool { return strings.Contains(n.log(), " overdue=0 ") })
 }
 
 func TestFollowsTheList(t *testing.T) {
@@ -640,7 +644,7 @@
 	d.Replace(entry("s-1", one, world.Serving), entry("s-2", two, world.Serving))
 	eventually(t, "the new server serves", func() bool { return served(1)["2"] })
 	d.Replace(entry("s-1", one, world.Draining), entry("s-2", two, world.Serving))
-	eventually(t, "the draining server is spared", func() bool { return !served(20)["1"] })
+	eventually(t, "the draining server gets no more requests", func() bool { return !served(20)["1"] })
 	eventually(t, "the draining server's idle connections are closed", func() bool { open, _ := one.Conns(); return open == 0 })
 
 	for name, body := range map[string]string{
@@ -653,24 +657,24 @@
 	} {
 		asks := len(d.polledRevisions())
 		d.SayOnce(body)
-		eventually(t, "asked again after a bad list: "+name, func() bool { return len(d.polledRevisions()) > asks })
+		eventually(t, "the node polls again after an invalid list: "+name, func() bool { return len(d.polledRevisions()) > asks })
 		if by := served(5); by["1"] || !by["2"] {
 			t.Errorf("%s: served by %v", name, by)
 		}
 	}
 	asks := len(d.polledRevisions())
 	d.Down(true)
-	eventually(t, "asked again while discovery is down", func() bool { return len(d.polledRevisions()) >= asks+2 })
+	eventually(t, "the node polls again while discovery is down", func() bool { return len(d.polledRevisions()) >= asks+2 })
 	if by := served(5); !by["2"] {
 		t.Errorf("with discovery down served by %v", by)
 	}
 	d.Down(false)
 	d.Replace(entry("s-1", one, world.Serving))
-	eventually(t, "a whole list replaces what was known", func() bool { by := served(10); return by["1"] && !by["2"] })
+	eventually(t, "a complete list replaces the known one", func() bool { by := served(10); return by["1"] && !by["2"] })
 }
 
-// With the list service down for long a node that is told no limit asks again with growing waits, and the log tells of it
-// now and then: it was ten calls and ten lines a second.
+// During a long outage of the list service, a node without a configured limit retries with increasing delays, and logs only some of
+// the failures. Guards against ten calls and ten log lines a second.
 func TestALongListOutage(t *testing.T) {
 	c := startCache(t, answerValue("v"))
 	d := startDiscovery(t, servingEntry("s-1", c.Addr(), "m2"))
@@ -679,26 +683,26 @@
 	})
 	begin := len(d.polledRevisions())
 	d.Down(true)
-	eventually(t, "it asks again", func() bool { return len(d.polledRevisions()) > begin })
+	eventually(t, "the node polls again", func() bool { return len(d.polledRevisions()) > begin })
 	time.Sleep(2 * time.Second)
 	if asks := len(d.polledRevisions()) - begin; asks > 5 {
-		t.Errorf("asked %d times in 2 s", asks)
+		t.Errorf("%d polls in 2 s", asks)
 	}
 	if lines := strings.Count(n.log(), "event=list_failed"); lines > 4 {
 		t.Errorf("%d log lines", lines)
 	}
 	d.Down(false)
-	eventually(t, "the log tells of the end", func() bool { return strings.Contains(n.log(), "event=list_back failed=") })
+	eventually(t, "the end of the outage is logged", func() bool { return strings.Contains(n.log(), "event=list_back failed=") })
 }
 
-// The watch goes on only if the next call comes soon after each answer, and from the version answered.
+// After each answer the watch continues with a new call from the revision that was answered.
 func TestTheWatchGoesOn(t *testing.T) {
 	c := startCache(t, answerValue("v"))
 	entry := servingEntry("s-1", c.Addr(), "m2")
 	d := startDiscovery(t, entry)
 	startNode(t, d, nil)
 	for i := range 4 {
-		eventually(t, "the next call", func() bool {
+		eventually(t, "the next call asks from the last revision", func() bool {
 			asks := d.polledRevisions()
 			return asks[len(asks)-1] == strconv.Itoa(1+i)
 		})
@@ -706,13 +710,13 @@
 	}
 }
 
-// SIGHUP moves discovery to the address now in the file, with a call open and many times over; a bad
+// SIGHUP switches discovery to the address that is now in the file, also with a call open and many times in a row; an invalid
 // file changes nothing and is counted.
 func TestReload(t *testing.T) {
 	one := startCache(t, answerValue("1"))
 	two := startCache(t, answerValue("2"))
 	first := startDiscovery(t, servingEntry("s-1", one.Addr(), "m2"))
-	// The second service has another numbering: what it says of versions means nothing for the list held.
+	// The second service has its own revisions, which cannot be compared with that of the current list.
 	second := startDiscovery(t, servingEntry("s-2", two.Addr(), "m2"))
 	for range 5 {
 		first.Replace(servingEntry("s-1", one.Addr(), "m2"))
@@ -726,7 +730,7 @@
 		"senseless": n.configWith(func(config map[string]any) { config["discovery"] = 7 })} {
 		bad := strings.Count(n.log(), "event=reload_failed")
 		n.reload(text)
-		eventually(t, "the log tells of a bad file: "+name, func() bool {
+		eventually(t, "the invalid file is logged: "+name, func() bool {
 			return strings.Count(n.log(), "event=reload_failed") > bad
 		})
 		cl.send(fmt.Sprintf("mg k v Obad%d Pc=read,d=2900\r\n", bad))
@@ -740,22 +744,22 @@
 		_, v := cl.readAnswer()
 		return v
 	}
-	eventually(t, "the new service's list counts", func() bool { return served() == "2" })
+	eventually(t, "the new service's list is used", func() bool { return served() == "2" })
 	for i := range 20 {
 		n.reload(at([]discovery{first, second}[i%2]))
 		served()
 	}
-	eventually(t, "the last file counts", func() bool { return served() == "2" })
+	eventually(t, "the last file is used", func() bool { return served() == "2" })
 	first.Down(true)
 	second.Replace(servingEntry("s-1", one.Addr(), "m2"))
-	eventually(t, "the watch goes on at the new service", func() bool { return served() == "1" })
+	eventually(t, "the watch continues at the new service", func() bool { return served() == "1" })
 	n.signal(syscall.SIGUSR1)
-	eventually(t, "the counters tell of it", func() bool {
+	eventually(t, "the counters report the reloads", func() bool {
 		return regexp.MustCompile(` reloads=[1-9]\d* reloads_bad=4 `).MatchString(n.log())
 	})
 }
 
-// A list as old as it may be still serves until discovery is heard.
+// The known list in the configuration is used, however old, until discovery answers.
 func TestServesFromTheKnownList(t *testing.T) {
 	c := startCache(t, answerValue("v"))
 	d := startDiscovery(t)
@@ -768,7 +772,7 @@
 	cl.expect("VA 1 O1", "v")
 }
 
-// A senseless list known before is no reason not to start.
+// An invalid known list in the configuration is ignored and does not prevent the start.
 func TestIgnoresABadKnownList(t *testing.T) {
 	c := startCache(t, answerValue("v"))
 	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), func(config map[string]any) {
@@ -778,11 +782,11 @@
 	cl.send("mg k v O1 Pc=read,d=2500\r\n")
 	cl.expect("VA 1 O1", "v")
 	if !strings.Contains(n.log(), "event=bad_known") {
-		t.Error("the log does not tell")
+		t.Error("the invalid list is not logged")
 	}
 }
 
-// A planned restart loses nothing: for a while all goes on, then connections close between requests.
+// A planned shutdown loses no request: for a while the node serves as before, then it closes connections between requests.
 func TestTerminate(t *testing.T) {
 	var asked atomic.Bool
 	c := startCache(t, func(line string, v []byte) string {
@@ -797,14 +801,14 @@
 	idle.send("mn\r\n")
 	idle.expect("MN", "")
 	n.signal(syscall.SIGTERM)
-	eventually(t, "the node says that it leaves", func() bool { return strings.Contains(n.log(), "event=leaving") })
+	eventually(t, "the node logs that it is leaving", func() bool { return strings.Contains(n.log(), "event=leaving") })
 	fresh := n.dial()
 	fresh.send("mg k v O1 Pc=read,d=2500\r\n")
 	fresh.expect("VA 1 O1", "v")
 	idle.send("mg k v O2 Pc=read,d=2500\r\n")
 	idle.expect("VA 1 O2", "v")
 	busy.send("mg slow v O3 Pc=read,d=2900\r\nmg k v O4 Pc=read,d=2900\r\n")
-	eventually(t, "the slow read is out", asked.Load)
+	eventually(t, "the slow read is in flight", asked.Load)
 	if !idle.closedByNode() || !fresh.closedByNode() {
 		t.Error("idle connections were not closed")
 	}
@@ -817,11 +821,12 @@
 		t.Errorf("ended with status %d", code)
 	}
 	if !regexp.MustCompile(`event=counters taken=4 served=4 .* now_open=0 `).MatchString(n.log()) {
-		t.Error("no counters at the end")
+		t.Error("no counters are logged at exit")
 	}
 }
 
-// A planned restart under load: what the node has taken reaches its client, whatever crosses the end of a connection.
+// A planned shutdown under load: the answer to every request that the node has taken reaches its client, whatever arrives while a
+// connection closes.
 func TestTerminateUnderLoad(t *testing.T) {
 	var caches []world.Member
 	for i := range 4 {
@@ -836,7 +841,7 @@
 	var clients sync.WaitGroup
 	for i := range 40 {
 		clients.Add(1)
-		go func() { // until no connection can be had any more
+		go func() { // until connections are refused
 			defer clients.Done()
 			for j := 0; ; {
 				conn, err := net.Dial("tcp", n.addr)
@@ -851,7 +856,7 @@
 					}
 					line, err := in.ReadString('\n')
 					if err != nil {
-						break // closed between requests, as far as the node knows: once more on another
+						break // the node saw no request on it when it closed the connection: retry on another
 					}
 					if strings.HasPrefix(line, "VA ") {
 						if _, err := io.CopyN(io.Discard, in, 8<<10+2); err != nil {
@@ -883,7 +888,7 @@
 	}
 }
 
-// A node that is killed outright comes back at its address at once, with clients still holding on to the dead one.
+// A node that was killed starts again at its address at once, while clients still hold connections to the old process.
 func TestKilledAndStartedAgain(t *testing.T) {
 	c := startCache(t, answerValue("v"))
 	d := startDiscovery(t, servingEntry("s-1", c.Addr(), "m2"))
@@ -901,7 +906,7 @@
 	}
 }
 
-// A log that nobody reads, or that has been closed, stops nothing.
+// A log pipe that is not read, or is closed, does not block or end the node.
 func TestALogThatNobodyReads(t *testing.T) {
 	for _, closed := range []bool{false, true} {
 		c := startCache(t, answerValue("v"))
@@ -916,7 +921,7 @@
 			r.Close()
 		}
 		cl := n.dial()
-		for i := range 300 { // the counters are some 700 bytes, what the system keeps of a pipe 64 KiB
+		for i := range 300 { // the counters take some 700 bytes, a pipe's buffer 64 KiB
 			n.signal(syscall.SIGUSR1)
 			cl.send(fmt.Sprintf("mg k v O%d Pc=read,d=2500\r\n", i))
 			cl.expect(fmt.Sprintf("VA 1 O%d", i), "v")
@@ -965,7 +970,7 @@
 	t.Run("empty", func(t *testing.T) { expectStartFailure(t, "") })
 }
 
-// An operator's file serves alone, stands in for what the platform does not tell, and is reread at SIGHUP.
+// A node serves with an operator's file alone, if the platform's configuration is empty, and rereads the file on SIGHUP.
 func TestOperatorsFile(t *testing.T) {
 	c := startCache(t, answerValue("v"))
 	d, other := startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), startDiscovery(t, servingEntry("s-1", c.Addr(), "m2"))
@@ -984,17 +989,17 @@
 	cl.expect("VA 1 O1", "v")
 	write(other.Addr(0), "oops = 1\n")
 	n.signal(syscall.SIGHUP)
-	eventually(t, "the log names the fault", func() bool {
+	eventually(t, "the log names the error", func() bool {
 		return strings.Contains(n.log(), "event=reload_failed why=\""+path+":9: class.oops: no such key\"")
 	})
 	write(other.Addr(0), "")
 	n.signal(syscall.SIGHUP)
-	eventually(t, "the list is asked for at its new address", func() bool { return len(other.polledRevisions()) > 0 })
+	eventually(t, "the node polls the new address", func() bool { return len(other.polledRevisions()) > 0 })
 	cl.send("mg k v O2 Pc=read,d=2900\r\n")
 	cl.expect("VA 1 O2", "v")
 }
 
-// A fleet larger than its calls a second let know of changes in time starts all the same, and says so in one line.
+// A fleet that is too large to learn of changes in time at its permitted rate of calls still starts, and logs that in one line.
 func TestAFleetTooLargeForItsCallsStarts(t *testing.T) {
 	c := startCache(t, answerValue("v"))
 	d := startDiscovery(t, servingEntry("s-1", c.Addr(), "m2"))
@@ -1005,7 +1010,7 @@
 	}
 	n := startProcess(t, "{}", addr, nil, "serve", "--config", path)
 	eventually(t, "the node answers mn with MN", func() bool { return load.Ready(addr) })
-	eventually(t, "the log says so", func() bool {
+	eventually(t, "the warning is logged", func() bool {
 		return strings.Count(n.log(), "event=list_too_slow why=\""+path+":5: service.balancers: 100 calls a second let 450 nodes ") == 1
 	})
 }
@@ -1019,18 +1024,19 @@
 	}})
 }
 
+// expectStartFailure expects exit code 1 and a one-line error for a configuration.
 func expectStartFailure(t *testing.T, config string) {
 	n := startProcess(t, config, "127.0.0.1:1", nil)
 	if code := n.waitExit(); code != 1 {
 		t.Errorf("status %d", code)
 	}
 	if out := n.log(); strings.Count(out, "\n") != 1 || !strings.HasPrefix(out, "lapisshelf: ") {
-		t.Errorf("said %q", out)
+		t.Errorf("printed %q", out)
 	}
 }
 
-// With fewer descriptors than clients none waits unread: in a full house a request is refused and its connection closes
-// with that answer; connections that have long been idle make room.
+// With more clients than descriptors no request stays unread: at the limit a request is refused and its connection closed with that
+// answer, and connections that have been idle for long are closed to make room.
 func TestMoreClientsThanDescriptors(t *testing.T) {
 	c := startCache(t, answerValue("v"))
 	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), func(config map[string]any) {
@@ -1048,7 +1054,7 @@
 		case "SERVER_ERROR busy":
 			refused++
 			if !cl.closedByNode() {
-				t.Error("a connection in the reserve stays after its refusal")
+				t.Error("a connection over the limit stays open after its refusal")
 			}
 			cl.conn.Close()
 		default:
@@ -1063,19 +1069,19 @@
 		t.Errorf("%d served, %d refused", served, refused)
 	}
 	i := 60
-	eventually(t, "connections that have rested make room", func() bool { i++; return ask(i) })
+	eventually(t, "idle connections make room", func() bool { i++; return ask(i) })
 	n.signal(syscall.SIGUSR1)
-	eventually(t, "the counters tell of it", func() bool { return strings.Contains(n.log(), "event=counters") })
+	eventually(t, "the counters are logged", func() bool { return strings.Contains(n.log(), "event=counters") })
 	if m := regexp.MustCompile(`now_sockets=(\d+)`).FindStringSubmatch(n.log()); m == nil {
-		t.Error("no count of sockets")
+		t.Error("the counters lack the number of sockets")
 	} else if held, _ := strconv.Atoi(m[1]); held > 64-14 {
 		t.Errorf("%d sockets held", held)
 	}
 }
 
-// Clients may have the descriptors that no server needs: requests that wait unread for one would be lost.
+// Clients may use descriptors that no server connection needs: a request that waits unread for a descriptor would be lost.
 func TestBusyClientsTakeWhatServersLeave(t *testing.T) {
-	const clients = 24 // of 32 descriptors without the reserve
+	const clients = 24 // of 32 descriptors, the reserve not counted
 	c := startCache(t, answerValue("v"))
 	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), func(config map[string]any) {
 		config["limits"] = map[string]any{"sockets": 64}
@@ -1086,7 +1092,7 @@
 		cl.send(fmt.Sprintf("mg k%d v O%d", i, i))
 		all = append(all, cl)
 	}
-	eventually(t, "all are taken in", func() bool {
+	eventually(t, "all clients are accepted", func() bool {
 		n.signal(syscall.SIGUSR1)
 		return strings.Contains(n.log(), fmt.Sprintf(" now_clients=%d ", clients))
 	})
@@ -1095,11 +1101,11 @@
 		cl.expect(fmt.Sprintf("VA 1 O%d", i), "v")
 	}
 	if !strings.Contains(n.log(), " clients_shed=0 ") {
-		t.Error("connections with a part of a request on them were closed")
+		t.Error("connections with an incomplete request were closed")
 	}
 }
 
-// With fewer descriptors than attempts, attempts share connections, within the settings' number.
+// With more attempts than descriptors, attempts share connections, up to the configured number for each connection.
 func TestMoreAttemptsThanDescriptors(t *testing.T) {
 	const requests = 30
 	o := startOrigin(t, respondText("o"))
@@ -1128,7 +1134,8 @@
 	}
 }
 
-// A connection is given back before the server closes it: a request crossing that would end as one that may have run.
+// An idle connection is closed before the server closes it: a request sent while the server closes it would have to be treated as one
+// that may have run.
 func TestIdleConnectionsAreRetired(t *testing.T) {
 	c := startCache(t, answerValue("v"))
 	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), func(config map[string]any) {
@@ -1145,7 +1152,7 @@
 	}
 }
 
-// A connection that the server has closed is not written to.
+// A connection that the server has closed is not used for a request.
 func TestAClosedConnectionIsNotUsed(t *testing.T) {
 	c := startCache(t, answerValue("v"))
 	n := startNode(t, startDiscovery(t, servingEntry("s-1", c.Addr(), "m2")), nil)
--- a/cmd/lapisshelf/operate_test.go
+++ b/cmd/lapisshelf/operate_test.go
@@ -1,6 +1,6 @@
 package main
 
-// The second address of the built node.
+// The control address of the built node.
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 	"lapisshelf/lab/load"
 )
 
-// startNodeWithControl starts a node with a second address.
+// startNodeWithControl starts a node with a control address.
 func startNodeWithControl(t *testing.T, d discovery, change func(map[string]any)) (n *process, control string) {
 	t.Helper()
 	control = unusedAddr(t)
@@ -32,7 +32,8 @@
 	}), control
 }
 
-// callControl makes a call at a second address and gives its status, 0 for none within the second that callers wait, and its text.
+// callControl sends a request to a control address and returns its HTTP status and body. The status is 0 if no answer comes within
+// one second, the time that callers wait.
 func callControl(t *testing.T, addr, method, path string) (int, string) {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
@@ -51,7 +52,7 @@
 	return status, body
 }
 
-// readMetrics fetches and reads the figures as a collector does. What it cannot read fails the test.
+// readMetrics fetches and parses the metrics as a collector does. Text that cannot be parsed fails the test.
 func readMetrics(t *testing.T, addr string) map[string]float64 {
 	t.Helper()
 	status, text := callControl(t, addr, "GET", "/_vars")
@@ -80,6 +81,7 @@
 	return got
 }
 
+// requestsMetric returns the key under which readMetrics has the number of a class's requests with an outcome.
 func requestsMetric(class, outcome string) string {
 	return "app_requests_total class=" + class + " outcome=" + outcome
 }
@@ -102,7 +104,7 @@
 	if err != nil || resp.Header.Get("Allow") != "POST" {
 		t.Errorf("no Allow with a 405: %v", err)
 	}
-	// Guards against callers that finish no call: they cost only themselves, however many.
+	// Callers that never finish their request do not delay others, however many there are.
 	for i := range 60 {
 		conn, err := net.Dial("tcp", control)
 		if err != nil {
@@ -115,7 +117,7 @@
 	}
 	for range 30 {
 		if status, text := callControl(t, control, "GET", "/_vars"); status != 200 {
-			t.Fatalf("among callers that finish nothing: %d %s", status, text)
+			t.Fatalf("among callers that never finish their request: %d %s", status, text)
 		}
 	}
 	if !load.Ready(n.addr) {
@@ -123,7 +125,7 @@
 	}
 }
 
-// With every descriptor that clients may have taken, and more asking, the operators' calls are answered.
+// Calls to the control address are answered while clients hold every descriptor they may have and more try to connect.
 func TestControlCallsWhileClientsExhaustDescriptors(t *testing.T) {
 	n, control := startNodeWithControl(t, startDiscovery(t, servingEntry("s-1", unusedAddr(t), "m2")), func(c map[string]any) {
 		c["limits"] = map[string]any{"memory_mb": 32, "sockets": 64}
@@ -167,7 +169,7 @@
 		t.Errorf("known %v, excluded %v", got["app_cache_servers_known"], got["app_cache_servers_excluded"])
 	}
 	cl := n.dial()
-	for i := range 40 { // enough that the dead server is skipped
+	for i := range 40 { // enough for the unreachable server to be skipped
 		cl.send(fmt.Sprintf("mg k%d v Oa%d Pc=read,d=2500\r\n", i, i))
 		cl.expect(fmt.Sprintf("VA 1 Oa%d", i), "v")
 	}
@@ -176,7 +178,7 @@
 	sent := len(c.Lines())
 	hold.Store(true)
 	cl.send("mg k v Oc Pc=read,d=2500\r\n")
-	eventually(t, "the read is out", func() bool { return len(c.Lines()) > sent })
+	eventually(t, "the read is in flight", func() bool { return len(c.Lines()) > sent })
 	got = readMetrics(t, control)
 	for name, want := range map[string]float64{requestsMetric("read", "served"): 40, requestsMetric("pay", "refused"): 1,
 		requestsMetric("read", "failed"): 0, "app_in_flight": 1, "app_attempts_total": float64(len(c.Lines())),
@@ -192,7 +194,8 @@
 	}
 }
 
-// A drained node says so, closes clients' connections between requests and none under one, and takes clients again.
+// A draining node reports that, closes clients' connections between requests but not during one, and accepts clients again after the
+// drain.
 func TestLameduck(t *testing.T) {
 	c := startCache(t, func(line string, v []byte) string {
 		if strings.HasPrefix(line, "mg slow ") {
@@ -207,7 +210,7 @@
 			t.Errorf("lameduck %s: %d %s", on, status, text)
 		}
 	}
-	setLameduck("off", 200) // when it was not on
+	setLameduck("off", 200) // without a drain
 	idle, busy, spare := n.dial(), n.dial(), n.dial()
 	idle.send("mn\r\n")
 	idle.expect("MN", "")
@@ -219,18 +222,18 @@
 	busy.expect("VA 1 O1", "v")
 	busy.expect("VA 1 O2", "v")
 	if !idle.closedByNode() || !busy.closedByNode() || !spare.closedByNode() {
-		t.Error("a connection is held")
+		t.Error("a connection is kept open")
 	}
-	late := n.dial() // the address still listens: whoever asks is served, and sent away
+	late := n.dial() // the node still listens: a request is served and its connection closed
 	late.send("mg k v O3 Pc=read,d=2900\r\n")
 	late.expect("VA 1 O3", "v")
 	if !late.closedByNode() {
-		t.Error("a late connection is held")
+		t.Error("a late connection is kept open")
 	}
 	setLameduck("off", 200)
-	eventually(t, "clients are taken again", func() bool { return load.Ready(n.addr) })
+	eventually(t, "clients are accepted again", func() bool { return load.Ready(n.addr) })
 	cl := n.dial()
-	for i := range 3 { // and kept
+	for i := range 3 { // and connections are kept open
 		cl.send(fmt.Sprintf("mg k v Ob%d Pc=read,d=2900\r\n", i))
 		cl.expect(fmt.Sprintf("VA 1 Ob%d", i), "v")
 		time.Sleep(100 * time.Millisecond)
@@ -241,7 +244,7 @@
 	cl.expect("VA 1 O5", "v")
 }
 
-// A banned cache server gets nothing, though the list goes on naming it, and is used again after the call back.
+// A banned cache server receives no requests although it is still listed, and is used again after it is attached.
 func TestDetachAndAttach(t *testing.T) {
 	a, b := startCache(t, answerValue("a")), startCache(t, answerValue("b"))
 	entryA, entryB := servingEntry("s-a", a.Addr(), "m2"), servingEntry("s-b", b.Addr(), "m2")
@@ -281,10 +284,10 @@
 	restarted := entryA
 	restarted.Started = time.Second
 	d.Replace(entryB)
-	eventually(t, "it is gone", func() bool { return readMetrics(t, control)["app_cache_servers_known"] == 1 })
-	setBan("detach", "s-a", 200) // listed once and gone
+	eventually(t, "the server is gone from the list", func() bool { return readMetrics(t, control)["app_cache_servers_known"] == 1 })
+	setBan("detach", "s-a", 200) // no longer listed, but known
 	d.Replace(restarted, entryB)
-	eventually(t, "it is listed again", func() bool { return readMetrics(t, control)["app_cache_servers_known"] == 2 })
+	eventually(t, "the server is listed again", func() bool { return readMetrics(t, control)["app_cache_servers_known"] == 2 })
 	ask(40)
 	if got := len(a.Lines()); got != before {
 		t.Errorf("%d reads went to a banned server", got-before)
@@ -294,6 +297,6 @@
 		ask(10)
 	}
 	if len(a.Lines()) == before {
-		t.Error("not used within 5 s of the call back")
+		t.Error("not used within 5 s of being attached")
 	}
 }
--- a/cmd/lapisshelf/planners_test.go
+++ b/cmd/lapisshelf/planners_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Planners and forwarders as built programs.
+// Planners and forwarders, run as built programs.
 
 import (
 	"crypto/tls"
@@ -24,7 +24,7 @@
 	"lapisshelf/policy"
 )
 
-// createCertificates makes an authority and certificates in a directory of the test's.
+// createCertificates creates an authority and certificates for the holders in a temporary directory, which it returns.
 func createCertificates(t *testing.T, holders map[string]keys.Role) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "keys")
@@ -39,13 +39,13 @@
 	return dir
 }
 
-// startPlanner runs the program as a planner and gives the address for forwarders and the one for operators.
+// startPlanner starts a planner that gets its list from discovery. It returns the address for forwarders and the control address.
 func startPlanner(t *testing.T, d discovery, dir, id, more string) (p *process, addr, control string) {
 	t.Helper()
 	return startPlannerWithList(t, fmt.Sprintf("discovery = %q\n", d.Addr(0)), dir, id, more)
 }
 
-// startPlannerWithList runs one that finds its list as the text says, or as more does.
+// startPlannerWithList starts a planner whose source of the list is configured by the text list, or by more.
 func startPlannerWithList(t *testing.T, list, dir, id, more string) (p *process, addr, control string) {
 	t.Helper()
 	addr, control = unusedAddr(t), unusedAddr(t)
@@ -61,7 +61,7 @@
 	return p, addr, control
 }
 
-// startForwarder runs a node that talks to planners.
+// startForwarder starts a node that reports to planners.
 func startForwarder(t *testing.T, d discovery, dir, name, cert string, planners ...string) (n *process, control string) {
 	t.Helper()
 	file := filepath.Join(dir, name+"-"+cert+".toml")
@@ -75,7 +75,7 @@
 	return startNode(t, d, func(c map[string]any) { c["control"], c["name"] = control, name }), control
 }
 
-// runView is what `lapisshelf view` prints.
+// runView returns what `lapisshelf view` prints.
 func runView(t *testing.T, control string) string {
 	t.Helper()
 	out, err := exec.Command(binary, "view", control).CombinedOutput()
@@ -85,9 +85,9 @@
 	return string(out)
 }
 
-// Two forwarders and two planners: a cache that answers late loses weight at both forwarders; when the planner that is
-// followed is killed the other one's view takes over; when that one freezes, connections open, the view fades and the nodes
-// go on by themselves. Every read is answered all the while, each planner's end costs none.
+// Two forwarders and two planners. A cache that answers late loses weight at both forwarders. When the followed planner is killed,
+// the forwarders follow the other one. When that one freezes with its connections open, the view fades and the nodes balance by
+// themselves. Every read is answered throughout, and the failure of a planner costs none.
 func TestPlannersComeAndGo(t *testing.T) {
 	slow := func(line string, _ []byte) string {
 		time.Sleep(350 * time.Millisecond)
@@ -101,25 +101,25 @@
 	for i, id := range []string{"p1", "p2"} {
 		planners[id], addrs[i], controls[i] = startPlanner(t, d, dir, id, fmt.Sprintf("snapshot = \"%s.db\"\ngossip = %q\njoin = [%q]\ngossip_key_file = \"gossip.key\"\n", id, gossip[i], gossip[0]))
 	}
-	eventually(t, "the planners hear of each other", func() bool { return strings.Contains(runView(t, controls[0]), "planners p2") })
+	eventually(t, "the planners have joined", func() bool { return strings.Contains(runView(t, controls[0]), "planners p2") })
 	nodes, nodeControls := [2]*process{}, [2]string{}
 	for i, name := range []string{"f1", "f2"} {
 		nodes[i], nodeControls[i] = startForwarder(t, d, dir, name, name, addrs[:]...)
 	}
-	var crowds []*loadClients
+	var loads []*loadClients
 	for _, n := range nodes {
 		m := &loadClients{t: t, addr: n.addr}
 		m.start(20)
-		crowds = append(crowds, m)
+		loads = append(loads, m)
 	}
 	for _, control := range nodeControls {
-		eventually(t, "the late cache loses weight", func() bool { return strings.Contains(runView(t, control), "server s-0 factor 0.") })
+		eventually(t, "the slow cache loses weight", func() bool { return strings.Contains(runView(t, control), "server s-0 factor 0.") })
 	}
-	eventually(t, "a planner says why", func() bool {
+	eventually(t, "a planner shows the reason", func() bool {
 		text := runView(t, controls[0])
 		return strings.Contains(text, "2 forwarders heard") && strings.Contains(text, "server s-0 weight 1.00 factor 0.") && (strings.Contains(text, "within 512ms") || strings.Contains(text, "within 1.024s"))
 	})
-	// Each node follows whichever it heard first.
+	// Each node follows the planner whose view it received first.
 	follows := func(n *process) string {
 		all := strings.Split(n.log(), "event=follows planner=\"")
 		if len(all) < 2 {
@@ -141,19 +141,19 @@
 	for _, n := range nodes {
 		eventually(t, "the view fades", func() bool { return strings.Contains(n.log(), "event=view_fades trust=0.00") })
 	}
-	served := crowds[0].served.Load()
-	eventually(t, "the node goes on by itself", func() bool { return crowds[0].served.Load() > served+200 })
+	served := loads[0].served.Load()
+	eventually(t, "the node balances by itself", func() bool { return loads[0].served.Load() > served+200 })
 	planners[other].signal(syscall.SIGCONT)
 	for _, control := range nodeControls {
 		eventually(t, "the view is in force again", func() bool { return strings.Contains(runView(t, control), "trusted 1.00") })
 	}
-	for i, m := range crowds {
+	for i, m := range loads {
 		m.stop()
 		if m.unread.Load() > 0 || m.refused.Load() > m.served.Load()/20 {
-			t.Errorf("node %d: %d served, %d refused, %d turned away", i+1, m.served.Load(), m.refused.Load(), m.unread.Load())
+			t.Errorf("node %d: %d served, %d refused, %d closed unread", i+1, m.served.Load(), m.refused.Load(), m.unread.Load())
 		}
 		if strings.Contains(nodes[i].log(), "event=panic") || strings.Contains(nodes[i].log(), "event=overdue") {
-			t.Error("see the log")
+			t.Error("the log has a panic or an overdue request")
 		}
 	}
 	planners[other].signal(syscall.SIGTERM)
@@ -162,8 +162,8 @@
 	}
 }
 
-// Planners that keep leases in a registry: the one that has held its longest leads; when it dies the epoch grows and
-// forwarders take it; with the registry gone nothing changes.
+// Planners that hold leases in a registry: the one with the oldest lease leads. When it dies the epoch increases and forwarders
+// accept the new leader. An outage of the registry changes nothing.
 func TestPlannersLeadByLease(t *testing.T) {
 	r, err := standin.NewRegistry(newCommon(), standin.RegistryOptions{Addr: "127.0.0.1:0", Endpoints: 1, Nodes: 1, Prefix: "lapisshelf/servers/"})
 	if err != nil {
@@ -177,8 +177,8 @@
 	for _, id := range []string{"p1", "p2"} {
 		p, addr, control := startPlannerWithList(t, "", dir, id, fmt.Sprintf("ttl = \"1s\"\n[registry]\nkind = \"etcd\"\nendpoints = [%q]\n", r.Addrs(0)[0]))
 		planners[id], controls[id], addrs = p, control, append(addrs, addr)
-		eventually(t, "it is known", func() bool { return strings.Contains(runView(t, control), "leads") })
-		time.Sleep(1100 * time.Millisecond) // epochs are seconds
+		eventually(t, "the planner sees a leader", func() bool { return strings.Contains(runView(t, control), "leads") })
+		time.Sleep(1100 * time.Millisecond) // epochs have a resolution of one second
 	}
 	for _, control := range controls {
 		eventually(t, "the first leads", func() bool { return strings.Contains(runView(t, control), "p1 leads") })
@@ -189,25 +189,26 @@
 		fmt.Sscan(after, &e)
 		return e
 	}
-	eventually(t, "it has a view", func() bool { return epoch() > 0 })
+	eventually(t, "the forwarder has a view", func() bool { return epoch() > 0 })
 	first := epoch()
 	planners["p1"].Kill()
 	eventually(t, "the other leads", func() bool { return strings.Contains(runView(t, controls["p2"]), "p2 leads") })
-	eventually(t, "the epoch grows", func() bool { return epoch() > first })
+	eventually(t, "the epoch increases", func() bool { return epoch() > first })
 	r.Down(0, true)
 	second := epoch()
 	eventually(t, "the lease is lost", func() bool { return strings.Contains(planners["p2"].log(), "event=lease_lost") })
 	if text := runView(t, control); epoch() != second || !strings.Contains(text, "view of p2") || !strings.Contains(text, "trusted 1.00") {
-		t.Errorf("with the registry gone: %s", text)
+		t.Errorf("during the registry outage: %s", text)
 	}
 	r.Down(0, false)
-	eventually(t, "a later lease", func() bool { return epoch() > second })
+	eventually(t, "a later lease is granted", func() bool { return epoch() > second })
 	cl := n.dial()
 	cl.send("mg k v O1 Pc=read,d=1000\r\n")
 	cl.expect("VA 1 O1", "a")
 }
 
-// Who has no certificate for its part is refused, and both logs say why; a node without a planner serves.
+// A forwarder without a valid certificate for its role and name is refused, and both sides log the reason; a node without a planner
+// serves.
 func TestWrongCertificates(t *testing.T) {
 	d := startDiscovery(t, servingEntry("s-1", startCache(t, answerValue("a")).Addr(), "m2"))
 	dir := createCertificates(t, map[string]keys.Role{"p1": keys.Planner, "p2": keys.Planner, "good": keys.Forwarder})
@@ -216,9 +217,9 @@
 	}
 	p, addr, _ := startPlanner(t, d, dir, "p1", "")
 	for _, c := range []struct{ name, cert, planner, node string }{
-		{"n1", "p2", `does not have the role forwarder`, ""},            // the part of another
-		{"n2", "old", `certificate has expired`, ""},                    // its time over
-		{"n3", "good", `\"good\" sent a digest under another name`, ""}, // another's name
+		{"n1", "p2", `does not have the role forwarder`, ""},            // a planner's certificate
+		{"n2", "old", `certificate has expired`, ""},                    // expired
+		{"n3", "good", `\"good\" sent a digest under another name`, ""}, // the certificate of another node
 	} {
 		n, _ := startForwarder(t, d, dir, c.name, c.cert, addr)
 		eventually(t, c.planner, func() bool { return strings.Contains(p.log(), c.planner) })
@@ -226,21 +227,21 @@
 		cl.send("mg k v O1 Pc=read,d=1000\r\n")
 		cl.expect("VA 1 O1", "a")
 		if c.cert != "good" {
-			eventually(t, "the node says why", func() bool { return strings.Contains(n.log(), "event=planner_down") })
+			eventually(t, "the node logs that the planner refuses it", func() bool { return strings.Contains(n.log(), "event=planner_down") })
 		}
 	}
-	// Renewed, and reread without a restart.
+	// A renewed certificate is accepted, and certificates are reloaded without a restart.
 	if err := keys.Issue(dir, "old", keys.Forwarder, time.Now(), time.Hour, true); err != nil {
 		t.Fatal(err)
 	}
 	n, _ := startForwarder(t, d, dir, "old", "old", addr)
-	eventually(t, "it is followed", func() bool { return strings.Contains(n.log(), "event=follows") })
+	eventually(t, "the planner is followed", func() bool { return strings.Contains(n.log(), "event=follows") })
 	p.signal(syscall.SIGHUP)
-	eventually(t, "certificates are reread", func() bool { return strings.Contains(p.log(), "event=reload certificates=true") })
+	eventually(t, "certificates are reloaded", func() bool { return strings.Contains(p.log(), "event=reload certificates=true") })
 }
 
-// Four hundred forwarders join one planner at once, some of them dumb or nonsense, every other one of before there were
-// changes: each gets views or changes, and the figures tell.
+// Four hundred forwarders join one planner at once. Every other one uses the older protocol without changes, and some read nothing or
+// send garbage. Each of the rest gets views or changes, within limits on traffic and memory, and the metrics count them.
 func TestManyForwardersJoinAtOnce(t *testing.T) {
 	const forwarders, caches = 400, 80
 	var list []world.Member
@@ -303,7 +304,7 @@
 					}
 				}
 			})
-			if i%100 == 98 { // one that reads nothing
+			if i%100 == 98 { // a forwarder that reads nothing
 				return
 			}
 			var input []byte
@@ -343,12 +344,12 @@
 			}
 		})
 	}
-	eventually(t, "each has a view", func() bool { return answered.Load() >= forwarders*98/100 })
-	eventually(t, "all are heard", func() bool { return readMetrics(t, control)["app_planner_forwarders"] == forwarders-forwarders/100 })
-	// While all join, each digest may bring other hot keys, and with them a new set to tell: what changes cost is looked at once
-	// the state stands, and whole states are counted over all of it.
+	eventually(t, "each forwarder has an answer", func() bool { return answered.Load() >= forwarders*98/100 })
+	eventually(t, "the planner has a digest of each forwarder", func() bool { return readMetrics(t, control)["app_planner_forwarders"] == forwarders-forwarders/100 })
+	// While forwarders join, each digest may change the set of hot keys and so the state to send. The cost of changes is therefore
+	// measured once the state is stable, and complete states are counted over the whole test.
 	stableSince, revision := time.Now(), 0.0
-	eventually(t, "the state stands", func() bool {
+	eventually(t, "the state is stable", func() bool {
 		if now := readMetrics(t, control)["app_planner_revision"]; now != revision {
 			stableSince, revision = time.Now(), now
 		}
@@ -358,12 +359,12 @@
 	time.Sleep(2 * time.Second)
 	seconds := time.Since(start).Seconds()
 	bytesPerView, changeBytesPerSecond := float64(viewBytes.Load()-viewBytesBefore)/seconds/forwarders*2/10, float64(changeBytes.Load()-changeBytesBefore)/seconds/forwarders*2
-	t.Logf("a digest %d bytes, a view some %.0f, changes %.0f a second, %d MB of memory at most", frame.Load(), bytesPerView, changeBytesPerSecond, p.peakMemoryMB())
+	t.Logf("a digest has %d bytes, a view about %.0f, changes take %.0f a second, peak memory is %d MB", frame.Load(), bytesPerView, changeBytesPerSecond, p.peakMemoryMB())
 	if bytesPerView > 8<<10 || changeBytesPerSecond > 512 || p.peakMemoryMB() > 200 {
-		t.Error("that is too much")
+		t.Error("views, changes or memory exceed their limits")
 	}
 	if got := readMetrics(t, control)["app_planner_states_total"]; got != forwarders/2-forwarders/100 {
-		t.Errorf("%v whole states for the %d that take changes", got, forwarders/2-forwarders/100)
+		t.Errorf("%v complete states for %d forwarders that take changes", got, forwarders/2-forwarders/100)
 	}
 	close(stop)
 	clients.Wait()
--- a/cmd/lapisshelf/restart_test.go
+++ b/cmd/lapisshelf/restart_test.go
@@ -16,18 +16,18 @@
 	"lapisshelf/lab/world"
 )
 
-// slowDiscovery is a discovery, at an address for each node, that answers one read at a time and turns away who comes meanwhile.
-// Watches say nothing until their wait is over.
+// slowDiscovery is a discovery service, with an address for each node, that answers one read at a time and rejects others meanwhile.
+// Watches time out without a change.
 type slowDiscovery struct {
 	answer   []byte
-	readTime time.Duration // a read takes so long
+	readTime time.Duration // duration of a read
 	addrs    []string
 
 	mu            sync.Mutex
 	down          bool
 	busy          bool
-	calls         []int // of each node since the service is up
-	callsToAnswer []int // how many a node had made with its answered read, in the order of the answers
+	calls         []int // by node, since the start or restore
+	callsToAnswer []int // for each answered read, the number of calls its node had made, in order of the answers
 }
 
 func startSlowDiscovery(t *testing.T, nodes int, down bool, each time.Duration, members ...world.Member) *slowDiscovery {
@@ -79,7 +79,7 @@
 	w.Write(s.answer)
 }
 
-// restore takes the service up, and counts from then on.
+// restore ends the outage and resets the number of calls.
 func (s *slowDiscovery) restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,14 +87,14 @@
 	clear(s.calls)
 }
 
-// minCalls is the fewest calls that a node has made.
+// minCalls returns the smallest number of calls that any node has made.
 func (s *slowDiscovery) minCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Min(s.calls)
 }
 
-// startAll starts so many processes at once and waits for none of them.
+// startAll starts a process for each address of the service, without waiting until they are ready.
 func startAll(t *testing.T, s *slowDiscovery, change func(config map[string]any)) (all []*process) {
 	t.Helper()
 	for i, addr := range s.addrs {
@@ -113,7 +113,7 @@
 	return all
 }
 
-// waitAllReady waits until each process takes clients.
+// waitAllReady waits until each process accepts clients.
 func waitAllReady(t *testing.T, all []*process) {
 	t.Helper()
 	for i, n := range all {
@@ -121,10 +121,10 @@
 	}
 }
 
-// Nine in ten of the processes that start together are ready within 10 s, with no list known and a discovery that answers one
-// read at a time, slow from the first or just back. Counted in calls, not by the clock: a process that is answered with its
-// Kth call has paused K - 1 times, by these settings for 1 s at most where it asks for the list (a quarter of AskWithin), and for
-// 0.1 s where the list is pushed to it.
+// 90% of the processes that start together are ready within 10 s, without a known list and with a discovery service that answers one
+// read at a time, either from the start or after an outage. The test counts calls instead of measuring time: a process whose Kth
+// call is answered has paused K - 1 times, with these settings for at most 1 s if it polls for the list (a quarter of AskWithin),
+// and for 0.1 s if the list is pushed to it.
 func TestProcessesThatStartTogether(t *testing.T) {
 	const nodes, maxCalls = 30, 9
 	for _, mode := range []string{"subscribe", "automatic"} {
@@ -134,7 +134,7 @@
 				s := startSlowDiscovery(t, nodes, back, 20*time.Millisecond, servingEntry("s-1", c.Addr(), "m2"))
 				all := startAll(t, s, func(config map[string]any) { config["settings"].(map[string]any)["MembershipMode"] = mode })
 				if back {
-					eventually(t, "all have been turned away", func() bool { return s.minCalls() >= 3 })
+					eventually(t, "each node has been rejected several times", func() bool { return s.minCalls() >= 3 })
 					s.restore()
 				}
 				waitAllReady(t, all)
@@ -146,7 +146,7 @@
 					limit = 10 * maxCalls
 				}
 				if got := s.callsToAnswer[len(s.callsToAnswer)*9/10-1]; len(s.callsToAnswer) < nodes || got > limit {
-					t.Errorf("nine in ten of %d were answered within %d calls, more than %d: %v", len(s.callsToAnswer), got, limit, s.callsToAnswer)
+					t.Errorf("90%% of %d were answered within %d calls, more than %d: %v", len(s.callsToAnswer), got, limit, s.callsToAnswer)
 				}
 				t.Logf("calls until an answer: %v", s.callsToAnswer)
 			})
@@ -154,8 +154,8 @@
 	}
 }
 
-// Processes that start together with a list known and discovery down, turning calls away or without a word, are ready two seconds after
-// their start: by the list known, before anything has been answered.
+// Processes that start together with a known list, while discovery rejects calls or hangs, become ready two seconds after their
+// start with the known list, before discovery has answered.
 func TestProcessesThatStartTogetherByAKnownList(t *testing.T) {
 	const nodes = 30
 	c := startCache(t, answerValue("v"))
--- a/cmd/lapisshelf/stopped_test.go
+++ b/cmd/lapisshelf/stopped_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A process that is stopped tells servers no more than what is left to those who asked meanwhile, on connections that stand and
-// on new ones; whose time is over is refused.
+// A process that was stopped forwards no more than the remaining time of requests that arrived meanwhile, on established and on new
+// connections; a request whose deadline has passed is refused.
 func TestAStoppedProcessTellsWhatIsLeft(t *testing.T) {
 	const (
 		stopped = 1200 * time.Millisecond
@@ -33,7 +33,7 @@
 	for i, cl := range standing {
 		ids[fmt.Sprint("stands", i)] = cl
 	}
-	for i := range 80 { // more than are accepted in a turn
+	for i := range 80 { // more than one iteration of the event loop accepts
 		ids[fmt.Sprint("new", i)] = n.dial()
 	}
 	for id, cl := range ids {
@@ -43,13 +43,13 @@
 	late.send("mg k v Olate Pc=read,d=600\r\n")
 	time.Sleep(stopped)
 	n.signal(syscall.SIGCONT)
-	for id, cl := range ids { // one cache takes only so many at once
+	for id, cl := range ids { // the concurrency limit of the one cache refuses some
 		if line, _ := cl.readAnswer(); line != "VA 1 O"+id && !strings.HasPrefix(line, "SERVER_ERROR busy") {
 			t.Errorf("%s is answered %q", id, line)
 		}
 	}
 	if line, _ := late.readAnswer(); !strings.HasPrefix(line, "SERVER_ERROR busy") {
-		t.Errorf("one whose time was over is answered %q", line)
+		t.Errorf("a request whose deadline has passed is answered %q", line)
 	}
 	maxDeadline := asked - int(stopped/time.Millisecond) + slack
 	if got := len(c.Lines()); got <= len(standing) {
@@ -62,9 +62,9 @@
 		switch {
 		case strings.Contains(line, " Owarm"):
 		case strings.Contains(line, " Olate"):
-			t.Errorf("sent on: %q", line)
+			t.Errorf("forwarded after its deadline: %q", line)
 		case deadline > maxDeadline:
-			t.Errorf("%q, with %d ms left at most", line, asked-int(stopped/time.Millisecond))
+			t.Errorf("%q, with at most %d ms remaining", line, asked-int(stopped/time.Millisecond))
 		}
 	}
 }
--- a/cmd/lapisshelf/upgrade_test.go
+++ b/cmd/lapisshelf/upgrade_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Another process of the built node takes its place.
+// Upgrades, in which another process of a node takes the place of the running one.
 
 import (
 	"bufio"
@@ -20,7 +20,7 @@
 	"lapisshelf/lab/load"
 )
 
-// startSuccessor starts another process of the node, with a second address of its own.
+// startSuccessor starts another process of the node, with a control address of its own.
 func (n *process) startSuccessor(change func(map[string]any)) (next *process, control string) {
 	n.t.Helper()
 	control = unusedAddr(n.t)
@@ -35,6 +35,7 @@
 	return next, control
 }
 
+// isReady returns a condition that holds once the process at a control address is ready.
 func isReady(t *testing.T, control string) func() bool {
 	return func() bool {
 		status, _ := callControl(t, control, "GET", "/_ready")
@@ -42,14 +43,14 @@
 	}
 }
 
-// loadClients plays clients that keep connections and open new ones, until told to stop. None may be turned away, and none may
-// lose a request that was taken.
+// loadClients is a number of clients that send requests on kept and on new connections until stop is called. A refused connection or
+// a lost request fails the test.
 type loadClients struct {
 	t               *testing.T
 	addr            string
 	stopping        atomic.Bool
 	served, refused atomic.Int64
-	unread          atomic.Int64 // requests that were not heard, by a close between requests
+	unread          atomic.Int64 // requests that the node did not read because it closed the connection between requests
 	clients         sync.WaitGroup
 }
 
@@ -61,7 +62,7 @@
 			for j := 0; !m.stopping.Load(); {
 				conn, err := net.Dial("tcp", m.addr)
 				if err != nil {
-					m.t.Errorf("a client was turned away: %v", err)
+					m.t.Errorf("a connection was refused: %v", err)
 					return
 				}
 				in := bufio.NewReader(conn)
@@ -96,7 +97,7 @@
 	}
 }
 
-// closedByPeer reports whether the other end has closed a connection between requests, which a client sees before it sends.
+// closedByPeer reports, without reading, whether the other end has closed a connection, so that a client need not send on it.
 func closedByPeer(conn net.Conn) (ended bool) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -114,8 +115,8 @@
 	m.clients.Wait()
 }
 
-// A node is upgraded under load, twice: no client is turned away, what was said by hand to either process holds in both
-// and over the end of the old one, and the node's figures are its own from the start.
+// A node is upgraded under load, twice: no connection is refused, bans set at either process hold in both and after the end of the
+// old one, and the new process's metrics start from zero.
 func TestUpgradeUnderLoad(t *testing.T) {
 	a, b := startCache(t, answerValue("a")), startCache(t, answerValue("b"))
 	d := startDiscovery(t, servingEntry("s-a", a.Addr(), "m2"), servingEntry("s-b", b.Addr(), "m2"), servingEntry("s-c", unusedAddr(t), "m2"))
@@ -128,30 +129,30 @@
 	}
 	setBan(oldControl, "detach", "s-a")
 	setBan(oldControl, "detach", "s-c")
-	crowd := &loadClients{t: t, addr: old.addr}
-	crowd.start(30)
+	clients := &loadClients{t: t, addr: old.addr}
+	clients.start(30)
 	for round := range 2 {
 		before := len(a.Lines())
 		next, control := old.startSuccessor(nil)
-		eventually(t, "the new process takes clients", isReady(t, control))
+		eventually(t, "the new process accepts clients", isReady(t, control))
 		if _, text := callControl(t, oldControl, "GET", "/_ready"); text != "ready\n" {
-			t.Errorf("the old process says %q", text)
+			t.Errorf("the old process reports %q", text)
 		}
 		if got := readMetrics(t, control)["app_cache_servers_excluded"]; got != 2 {
-			t.Errorf("round %d: the new process avoids %v", round, got)
+			t.Errorf("round %d: the new process excludes %v servers", round, got)
 		}
-		setBan(control, "attach", "s-c") // by either, while both run
-		eventually(t, "the old process hears of it", func() bool { return readMetrics(t, oldControl)["app_cache_servers_excluded"] == 1 })
+		setBan(control, "attach", "s-c") // bans can be changed at either process while both run
+		eventually(t, "the old process has the change", func() bool { return readMetrics(t, oldControl)["app_cache_servers_excluded"] == 1 })
 		setBan(oldControl, "detach", "s-c")
-		eventually(t, "the new process hears of it", func() bool { return readMetrics(t, control)["app_cache_servers_excluded"] == 2 })
-		served := crowd.served.Load()
+		eventually(t, "the new process has the change", func() bool { return readMetrics(t, control)["app_cache_servers_excluded"] == 2 })
+		served := clients.served.Load()
 		old.signal(syscall.SIGTERM)
 		if code := old.waitExit(); code != 0 {
 			t.Fatalf("round %d: the old process ended with status %d", round, code)
 		}
-		eventually(t, "the new one serves", func() bool { return crowd.served.Load() > served+200 })
+		eventually(t, "the new one serves", func() bool { return clients.served.Load() > served+200 })
 		if !strings.Contains(old.log(), "succeeded=true") || !strings.Contains(old.log(), " abandoned=0 overdue=0 ") {
-			t.Errorf("round %d: the old process's end", round)
+			t.Errorf("round %d: the old process logs no successor, or abandoned or overdue requests", round)
 		}
 		if got := len(a.Lines()); got != before {
 			t.Errorf("round %d: %d reads went to a banned server", round, got-before)
@@ -163,36 +164,36 @@
 	}
 	setBan(oldControl, "attach", "s-a")
 	before := len(a.Lines())
-	eventually(t, "it is used again", func() bool { return len(a.Lines()) > before })
-	crowd.stop()
-	// Those that cross a connection's close: of 30 clients a few at each of two ends, however many requests a machine serves.
-	if turned, served := crowd.unread.Load(), crowd.served.Load(); turned > 20 || crowd.refused.Load() > served/20 {
-		t.Errorf("%d served, %d turned back unheard, %d refused", served, turned, crowd.refused.Load())
+	eventually(t, "the server is used again", func() bool { return len(a.Lines()) > before })
+	clients.stop()
+	// Requests sent while their connection closes: a few of 30 clients at the end of each old process, independent of throughput.
+	if unread, served := clients.unread.Load(), clients.served.Load(); unread > 20 || clients.refused.Load() > served/20 {
+		t.Errorf("%d served, %d closed unread, %d refused", served, unread, clients.refused.Load())
 	}
-	t.Logf("%d served, %d turned back unheard, %d refused", crowd.served.Load(), crowd.unread.Load(), crowd.refused.Load())
+	t.Logf("%d served, %d closed unread, %d refused", clients.served.Load(), clients.unread.Load(), clients.refused.Load())
 	files, _ := filepath.Glob(filepath.Join(old.tmp, "*"))
-	files = slices.DeleteFunc(files, func(path string) bool { return strings.HasSuffix(path, ".entry") }) // the lock under which all enter
+	files = slices.DeleteFunc(files, func(path string) bool { return strings.HasSuffix(path, ".entry") }) // the lock that serializes the start of processes
 	if len(files) != 2 {
-		t.Errorf("left behind: %v", files)
+		t.Errorf("files left behind: %v", files)
 	}
 }
 
-// The old process goes on serving when the new one dies before its yes; what a killed process and a stranger left costs
-// nothing but what was said by hand.
+// The old process continues to serve when the new one dies before it is ready. Files left by a killed process or by others do not
+// prevent the next start, and bans survive.
 func TestANewProcessThatDies(t *testing.T) {
 	a, b := startCache(t, answerValue("a")), startCache(t, answerValue("b"))
 	d := startDiscovery(t, servingEntry("s-a", a.Addr(), "m2"), servingEntry("s-b", b.Addr(), "m2"))
 	old, oldControl := startNodeWithControl(t, d, nil)
 	if status, _ := callControl(t, oldControl, "POST", "/_cache-servers/detach/s-a"); status != 200 {
-		t.Fatal("no ban")
+		t.Fatal("the ban failed")
 	}
-	unavailable := startDiscovery(t) // it never says a list, and none is known: the new process waits
+	unavailable := startDiscovery(t) // with no list from discovery and none known, the new process does not become ready
 	unavailable.Down(true)
 	next, control := old.startSuccessor(func(c map[string]any) { c["discovery"] = unavailable.Addr(0) })
 	eventually(t, "the new process answers", func() bool { status, _ := callControl(t, control, "GET", "/_ready"); return status == 503 })
-	eventually(t, "the old one makes room", func() bool { return strings.Contains(readState(t, old), `"Room":512`) })
+	eventually(t, "the old process frees descriptors", func() bool { return strings.Contains(readState(t, old), `"Room":512`) })
 	next.Kill()
-	eventually(t, "the old one takes it back", func() bool { return strings.Contains(readState(t, old), `"Room":1024`) })
+	eventually(t, "the old process takes them back", func() bool { return strings.Contains(readState(t, old), `"Room":1024`) })
 	if !load.Ready(old.addr) {
 		t.Fatal("the old process does not serve")
 	}
@@ -203,32 +204,33 @@
 		}
 	}
 	third, thirdControl := old.startSuccessor(func(c map[string]any) { c["discovery"] = d.Addr(0) })
-	eventually(t, "a third takes clients", isReady(t, thirdControl))
+	eventually(t, "a third process accepts clients", isReady(t, thirdControl))
 	if got := readMetrics(t, thirdControl)["app_cache_servers_excluded"]; got != 1 {
-		t.Errorf("the ban is gone with the killed process: %v avoided", got)
+		t.Errorf("the ban is lost with the killed process: %v excluded", got)
 	}
 	if strings.Count(third.log(), "event=handover_refused") != 3 {
-		t.Error("what a stranger left is not told of")
+		t.Error("invalid state files are not logged")
 	}
 }
 
-// statePath is the file in which a node's process makes itself known, the earliest where there are several.
+// statePath returns the file through which a node's process is found by others, the first if there are several.
 func statePath(t *testing.T, n *process) string {
 	t.Helper()
 	names, _ := filepath.Glob(filepath.Join(n.tmp, "lapisshelf-*.json"))
 	if len(names) == 0 {
-		t.Fatal("no process is known")
+		t.Fatal("no state file")
 	}
 	return names[0]
 }
 
+// readState returns the content of the file at statePath.
 func readState(t *testing.T, n *process) string {
 	t.Helper()
 	text, _ := os.ReadFile(statePath(t, n))
 	return string(text)
 }
 
-// Processes that are not of one node don't share its address: the second is refused, with one line.
+// Processes that do not belong to the same node cannot share its address: the second one exits with an error.
 func TestOtherNodesCannotShareTheAddress(t *testing.T) {
 	d := startDiscovery(t, servingEntry("s-a", unusedAddr(t), "m2"))
 	n, _ := startNodeWithControl(t, d, nil)
@@ -244,27 +246,27 @@
 		}
 	}
 	if !load.Ready(n.addr) {
-		t.Error("the first does not serve")
+		t.Error("the first process does not serve")
 	}
 }
 
-// A drain is the node's: a process that comes in its midst drains too, and a call to either ends it for both.
+// A drain applies to the node: a process that starts during it drains too, and a call to either process ends it for both.
 func TestUpgradeOfADrainedNode(t *testing.T) {
 	d := startDiscovery(t, servingEntry("s-a", unusedAddr(t), "m2"))
 	old, oldControl := startNodeWithControl(t, d, nil)
 	if status, _ := callControl(t, oldControl, "POST", "/_lameduck/on"); status != 200 {
-		t.Fatal("no drain")
+		t.Fatal("the drain failed")
 	}
 	next, control := old.startSuccessor(nil)
 	eventually(t, "the new process is ready", isReady(t, control))
 	if load.Ready(next.addr) {
-		t.Error("a drained node takes clients after its upgrade")
+		t.Error("a draining node accepts clients after its upgrade")
 	}
 	if status, _ := callControl(t, oldControl, "POST", "/_lameduck/off"); status != 200 {
-		t.Error("no end of the drain")
+		t.Error("ending the drain failed")
 	}
-	eventually(t, "both take clients again", func() bool { return load.Ready(next.addr) })
+	eventually(t, "clients are accepted again", func() bool { return load.Ready(next.addr) })
 	if _, text := callControl(t, control, "GET", "/_ready"); text != "ready\n" {
-		t.Errorf("the new process says %q", text)
+		t.Errorf("the new process reports %q", text)
 	}
 }
--- a/cmd/lapisshelf/upload_test.go
+++ b/cmd/lapisshelf/upload_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Writes of values that are far larger than what the node keeps, through the built node.
+// Writes of values that are far larger than the node's buffers, through the built program.
 
 import (
 	"fmt"
@@ -14,15 +14,15 @@
 	"time"
 )
 
-// startStreamingOrigin starts an origin that is given each request before its body.
+// startStreamingOrigin starts an origin whose handler is called before the request's body has arrived.
 func startStreamingOrigin(t *testing.T, handle http.HandlerFunc) (addr string) {
 	o := httptest.NewServer(handle)
 	t.Cleanup(o.Close)
 	return o.Listener.Addr().String()
 }
 
-// Many writes of 4 MiB at once from clients that are slow: far more than the memory holds, each whole at the origin and run
-// once, though none counts as taken before its last byte; small ones are not kept waiting.
+// Many writes of 4 MiB at once from slow clients: far more than the node's memory limit. Each reaches the origin complete and runs
+// once, none counts as in flight before its last byte, and small writes are not delayed behind them.
 func TestLongWritesFromSlowClients(t *testing.T) {
 	const size, writers = 4 << 20, 24
 	var ran sync.Map
@@ -37,7 +37,7 @@
 	})
 	n, control := startNodeWithControl(t, startDiscovery(t, servingEntry("s-1", startCache(t, answerMiss).Addr(), "m2"), servingEntry("s-0", o, "origin")), func(c map[string]any) {
 		c["limits"] = map[string]any{"memory_mb": 32, "sockets": 1024}
-		for _, class := range c["settings"].(map[string]any)["Classes"].([]any) { // however slow the machine is
+		for _, class := range c["settings"].(map[string]any)["Classes"].([]any) { // long enough for a slow machine
 			class.(map[string]any)["Aim"], class.(map[string]any)["Deadline"] = int64(20*time.Second), int64(20*time.Second)
 		}
 	})
@@ -49,7 +49,7 @@
 			defer done.Done()
 			key := fmt.Sprintf("k%d", i)
 			value := longValue(key, size)
-			for try := 0; try < 100; try++ { // the origin takes only so many at once
+			for try := 0; try < 100; try++ { // the concurrency limit of the origin refuses some
 				cl := n.dial()
 				fmt.Fprintf(cl.conn, "ms %s %d O%d-%d Pc=pay,d=20000\r\n", key, size, i, try)
 				for at := 0; at < size; at += 64<<10 + 1 {
@@ -67,36 +67,36 @@
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
-			t.Errorf("%s: refused again and again", key)
+			t.Errorf("%s: refused 100 times", key)
 		}()
 	}
-	eventually(t, "long values come", func() bool { return begun.Load() > 4*writers })
+	eventually(t, "long values are arriving", func() bool { return begun.Load() > 4*writers })
 	if got := readMetrics(t, control)["app_in_flight"]; got > writers/2 {
-		t.Errorf("%v count as taken while they come", got)
+		t.Errorf("%v writes count as in flight while they arrive", got)
 	}
 	cl := n.dial()
-	for try := 0; ; try++ { // small ones have their turn among those that are whole, at an origin that is busy with these
+	for try := 0; ; try++ { // a small write gets its turn at an origin that is busy with complete long ones
 		cl.send(fmt.Sprintf("ms small 5 Os%d Pc=pay,d=20000\r\nhello\r\n", try))
 		line, _ := cl.readAnswer()
 		if line == fmt.Sprintf("HD Os%d cRsmall", try) {
 			break
 		}
 		if !strings.HasPrefix(line, "SERVER_ERROR busy") || try == 100 {
-			t.Fatalf("a small one, try %d: %q", try, line)
+			t.Fatalf("small write, try %d: %q", try, line)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	done.Wait()
 	if peak := n.peakMemoryMB(); peak >= 32 {
-		t.Errorf("%d MB of memory at the most", peak)
+		t.Errorf("peak memory is %d MB", peak)
 	}
 	if got := readMetrics(t, control); got[requestsMetric("pay", "served")] != writers+1 || got["app_in_flight"] != 0 || wrong.Load() != 0 {
-		t.Errorf("served %v, in flight %v, %d not as they came or twice", got[requestsMetric("pay", "served")], got["app_in_flight"], wrong.Load())
+		t.Errorf("served %v, in flight %v, %d changed or repeated", got[requestsMetric("pay", "served")], got["app_in_flight"], wrong.Load())
 	}
 }
 
-// A long write that breaks off on either side before its last byte has never run and is refused or forgotten; after it, it
-// may have run. One whose first bytes are still kept is made again elsewhere.
+// A long write that either side breaks off before its last byte has not run and is refused or dropped; after its last byte it may
+// have run. A write of which only the first, still buffered bytes were sent is retried.
 func TestLongWritesThatBreak(t *testing.T) {
 	const size = 1 << 20
 	var tries, whole sync.Map
@@ -107,7 +107,7 @@
 	o := startStreamingOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		key := r.URL.Path[1:]
 		try := count(&tries, key)
-		hang := func() { // the connection ends
+		hang := func() { // closes the connection without an answer
 			conn, _, _ := w.(http.Hijacker).Hijack()
 			conn.Close()
 		}
@@ -116,7 +116,7 @@
 			io.CopyN(io.Discard, r.Body, size/2)
 			hang()
 			return
-		case key == "early" && try == 1: // while only the first bytes have come
+		case key == "early" && try == 1: // while only the first bytes have arrived
 			hang()
 			return
 		case key == "unwanted":
@@ -151,32 +151,32 @@
 		value := longValue(c.key, size)
 		cl.send(fmt.Sprintf("ms %s %d Ob%d Pc=pay,d=2500\r\n", c.key, size, i))
 		cl.send(value[:64<<10])
-		eventually(t, "its attempts", func() bool {
+		eventually(t, "the origin has its attempts", func() bool {
 			v, ok := tries.Load(c.key)
 			return ok && v.(*atomic.Int64).Load() >= min(c.tries, 2)
 		})
 		if c.key == "stops" {
 			if !cl.closedByNode() {
-				t.Error("who stops midway is waited for")
+				t.Error("the node keeps waiting for a client that stopped midway")
 			}
 		} else {
 			rest := value[64<<10:] + c.end
 			if c.key == "midway" {
-				// The rest comes once the client has its answer: the sockets' buffers hold all of it, and a write whose last
-				// byte the node had given them before the origin broke off may have run.
+				// The client sends the rest after its answer. The socket buffers could hold all of it, and a write whose last
+				// byte the node has written to them before the origin breaks off may have run.
 				cl.send(rest[:3*size/4-64<<10])
 				rest = rest[3*size/4-64<<10:]
 			} else {
-				io.WriteString(cl.conn, rest) // what the node does not want it may turn away
+				io.WriteString(cl.conn, rest) // an error is allowed: the node may close the connection
 				rest = ""
 			}
 			if line, _ := cl.readAnswer(); !strings.HasPrefix(line, c.want) {
 				t.Errorf("%s: %q", c.key, line)
 			}
-			if rest != "" { // it is passed over, and the connection goes on
+			if rest != "" { // the rest is skipped, and the connection stays usable
 				cl.send(rest + "mg k v Oafter Pc=read,d=300\r\n")
 				if line, _ := cl.readAnswer(); !strings.Contains(line, "Oafter") && !strings.HasPrefix(line, "SERVER_ERROR") {
-					t.Errorf("behind %s: %q", c.key, line)
+					t.Errorf("after %s: %q", c.key, line)
 				}
 			}
 		}
@@ -184,14 +184,14 @@
 			t.Errorf("%s: not %d attempts", c.key, c.tries)
 		}
 		if v, ok := whole.Load(c.key); ok != (c.whole > 0) || ok && v.(*atomic.Int64).Load() != c.whole {
-			t.Errorf("%s: ran, or not: %v", c.key, ok)
+			t.Errorf("%s: wrong number of complete writes, any: %v", c.key, ok)
 		}
 	}
-	eventually(t, "all is given back", func() bool { return readMetrics(t, control)["app_in_flight"] == 0 })
+	eventually(t, "all resources are released", func() bool { return readMetrics(t, control)["app_in_flight"] == 0 })
 	cl := n.dial()
 	cl.send("mg k v Oz Pc=read,d=300\r\n")
 	cl.readAnswer()
 	if strings.Contains(n.log(), "event=panic") || strings.Contains(n.log(), "event=overdue") {
-		t.Error("see the log")
+		t.Error("the log has a panic or an overdue request")
 	}
 }
