--- a/cmd/lapisshelf/node_test.go
+++ b/cmd/lapisshelf/node_test.go
@@ -652,7 +652,7 @@
 		"no revision":   `{"complete":true,"members":[]}`,
 		"unknown phase": `{"revision":99,"complete":true,"members":[{"id":"s-2","host_port":"127.0.0.1:1","phase":"ASLEEP"}]}`,
 		"bad address":   `{"revision":99,"complete":true,"members":[{"id":"s-2","host_port":"there","phase":"SERVING"}]}`,
-		"told twice": `{"revision":99,"complete":true,"members":[{"id":"s-2","host_port":"127.0.0.1:1","phase":"SERVING"},
+		"listed twice": `{"revision":99,"complete":true,"members":[{"id":"s-2","host_port":"127.0.0.1:1","phase":"SERVING"},
 			{"id":"s-2","host_port":"127.0.0.1:1","phase":"SERVING"}]}`,
 	} {
 		asks := len(d.polledRevisions())
