--- a/cmd/lapisshelf/harness_test.go
+++ b/cmd/lapisshelf/harness_test.go
@@ -1,6 +1,6 @@
 package main
 
-// The built node among the lab's stand-ins, which say what each test tells them to.
+// Helpers that run the built program against the lab's stand-ins for cache servers, the origin and discovery.
 
 import (
 	"bufio"
@@ -27,8 +27,8 @@
 	"lapisshelf/lab/world"
 )
 
-// patience is how long a test waits for what should come soon.
-const patience = 10 * time.Second
+// waitTimeout is the maximum time that a test waits for a condition, an answer or an exit.
+const waitTimeout = 10 * time.Second
 
 var binary string
 
@@ -39,7 +39,7 @@
 	}
 	binary = filepath.Join(dir, "lapisshelf")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
-		fmt.Fprintf(os.Stderr, "building the node: %v\n%s", err, out)
+		fmt.Fprintf(os.Stderr, "building the program: %v\n%s", err, out)
 		os.Exit(1)
 	}
 	code := m.Run()
@@ -47,27 +47,27 @@
 	os.Exit(code)
 }
 
-// eventually waits until a condition holds.
+// eventually polls a condition and fails the test if it does not hold within waitTimeout.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
 
-func common() *standin.Common { return standin.NewCommon(seen.NewLog(), 1, nil) }
+func newCommon() *standin.Common { return standin.NewCommon(seen.NewLog(), 1, nil) }
 
-// host is this run's own, on which nothing but what it starts there takes a port.
+// host is a random loopback address for this run, so that no other process on the machine takes its ports.
 var (
-	host  = fmt.Sprintf("127.%d.%d.%d", 10+rand.IntN(200), rand.IntN(250), 1+rand.IntN(250))
-	taken sync.Map
+	host      = fmt.Sprintf("127.%d.%d.%d", 10+rand.IntN(200), rand.IntN(250), 1+rand.IntN(250))
+	usedAddrs sync.Map
 )
 
-// refusing is an address that refuses connections until something is started there; each is given out once.
-func refusing(t *testing.T) string {
+// unusedAddr returns an address that refuses connections until a server is started there. Each address is returned once.
+func unusedAddr(t *testing.T) string {
 	t.Helper()
 	for {
 		ln, err := net.Listen("tcp", host+":0")
@@ -75,23 +75,23 @@
 			t.Fatal(err)
 		}
 		ln.Close()
-		// Guards against two addresses of one node that are the same, since the system may give a port out again.
-		if _, twice := taken.LoadOrStore(ln.Addr().String(), true); !twice {
+		// The system may assign a port again, which would give two addresses of one node the same value.
+		if _, reused := usedAddrs.LoadOrStore(ln.Addr().String(), true); !reused {
 			return ln.Addr().String()
 		}
 	}
 }
 
-// startCache starts a cache server whose answers are up to reply, which is given the command's line and value.
+// startCache starts a cache server that answers with reply, which is given the command's line and value.
 func startCache(t *testing.T, reply standin.Script) *standin.Cache {
 	t.Helper()
-	return startCaches(t, func() standin.Script { return reply })
+	return startCacheWithScripts(t, func() standin.Script { return reply })
 }
 
-// startCaches starts one that has a script for each connection.
-func startCaches(t *testing.T, scripts func() standin.Script) *standin.Cache {
+// startCacheWithScripts starts a cache server that calls scripts for each connection and answers with the result.
+func startCacheWithScripts(t *testing.T, scripts func() standin.Script) *standin.Cache {
 	t.Helper()
-	c, err := standin.NewCache(common(), standin.CacheOptions{Addr: "127.0.0.1:0", NewScript: scripts})
+	c, err := standin.NewCache(newCommon(), standin.CacheOptions{Addr: "127.0.0.1:0", NewScript: scripts})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,8 +99,8 @@
 	return c
 }
 
-// opaque gives the O flag of a line.
-func opaque(line string) string {
+// opaqueFlag returns the O flag of a command line, which an answer repeats.
+func opaqueFlag(line string) string {
 	for _, w := range strings.Fields(line) {
 		if w[0] == 'O' {
 			return w
@@ -109,20 +109,22 @@
 	return "O"
 }
 
-// holding answers every read with a value, missing answers it with a miss.
-func holding(value string) standin.Script {
+// answerValue returns a script that answers every read with a value, a report of low load and a hit flag.
+func answerValue(value string) standin.Script {
 	return func(line string, _ []byte) string {
-		return fmt.Sprintf("VA %d %s h1 Lutil=0.5,queue=1\r\n%s\r\n", len(value), opaque(line), value)
+		return fmt.Sprintf("VA %d %s h1 Lutil=0.5,queue=1\r\n%s\r\n", len(value), opaqueFlag(line), value)
 	}
 }
 
-func missing(line string, _ []byte) string { return "EN " + opaque(line) + " h0\r\n" }
+// answerMiss answers every read with a miss.
+func answerMiss(line string, _ []byte) string { return "EN " + opaqueFlag(line) + " h0\r\n" }
 
-func silent(string, []byte) string { return "" }
+// answerNothing leaves commands without an answer.
+func answerNothing(string, []byte) string { return "" }
 
 func startOrigin(t *testing.T, handle http.HandlerFunc) *standin.Origin {
 	t.Helper()
-	o, err := standin.NewOrigin(common(), standin.OriginOptions{Addr: "127.0.0.1:0", Script: handle})
+	o, err := standin.NewOrigin(newCommon(), standin.OriginOptions{Addr: "127.0.0.1:0", Script: handle})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,12 +132,12 @@
 	return o
 }
 
-// discovery is the list service, which tells whole lists.
+// discovery is a stand-in for the discovery service that always sends complete server lists.
 type discovery struct{ *standin.List }
 
 func startDiscovery(t *testing.T, list ...world.Member) discovery {
 	t.Helper()
-	l, err := standin.NewList(common(), standin.ListOptions{Addr: "127.0.0.1:0", Nodes: 1, SnapshotsOnly: true}, list...)
+	l, err := standin.NewList(newCommon(), standin.ListOptions{Addr: "127.0.0.1:0", Nodes: 1, SnapshotsOnly: true}, list...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,26 +145,27 @@
 	return discovery{l}
 }
 
-func (d discovery) asked() []string { return d.SinceValues(0) }
+// polledRevisions returns the revision that each call for the list asked from.
+func (d discovery) polledRevisions() []string { return d.SinceValues(0) }
 
-// process is the built program, running.
+// process is a running instance of the built program.
 type process struct {
 	t *testing.T
 	*stage.Node
 	addr   string
-	tmp    string         // its directory for temporary files
-	config map[string]any // as it was at the start
+	tmp    string         // TMPDIR of the process, where processes of one node exchange state
+	config map[string]any // the configuration last written
 }
 
 func (n *process) log() string { return n.LogText() }
 
-// serving is an entry that serves.
-func serving(id, addr, kind string) world.Member {
+// servingEntry returns a server list entry in the serving phase, with weight 1.
+func servingEntry(id, addr, kind string) world.Member {
 	return world.Member{ID: id, Addr: addr, Zone: "a", Kind: kind, Weight: 1}
 }
 
-// settings is what the nodes of these tests are told; a test changes what it needs to.
-func settings() map[string]any {
+// testSettings returns the settings of the nodes in these tests; a test changes those that it depends on.
+func testSettings() map[string]any {
 	class := func(name, effect string) map[string]any {
 		return map[string]any{"Name": name, "Effect": effect, "DedupScope": "all", "Aim": int64(600 * time.Millisecond),
 			"Deadline": int64(3 * time.Second), "KeyTtl": int64(2 * time.Second), "Worth": 1}
@@ -179,24 +182,24 @@
 	}
 }
 
-// patientReads makes reads worth as much after seconds: the module neither cuts them off nor turns them away early.
-func patientReads(config map[string]any) {
+// raiseReadAim sets the latency target of reads to 3 s, so that the node neither times attempts out nor refuses reads early.
+func raiseReadAim(config map[string]any) {
 	config["settings"].(map[string]any)["Classes"].([]any)[0].(map[string]any)["Aim"] = int64(3 * time.Second)
 }
 
-// start runs a node that knows no list yet; change may alter its configuration.
-func start(t *testing.T, d discovery, change func(config map[string]any)) *process {
+// startNode starts a node that has no server list yet and waits until it is ready. change may alter its configuration.
+func startNode(t *testing.T, d discovery, change func(config map[string]any)) *process {
 	t.Helper()
-	return startLogging(t, d, change, nil)
+	return startNodeLoggingTo(t, d, change, nil)
 }
 
-// startLogging runs a node whose log goes to a file; nil keeps it.
-func startLogging(t *testing.T, d discovery, change func(config map[string]any), to *os.File) *process {
+// startNodeLoggingTo starts a node that logs to a file. If the file is nil, the log is kept for process.log.
+func startNodeLoggingTo(t *testing.T, d discovery, change func(config map[string]any), to *os.File) *process {
 	t.Helper()
-	config := map[string]any{"name": "n1", "listen": refusing(t), "discovery": d.Addr(0), "seed": "8c1f30d27a5be964",
+	config := map[string]any{"name": "n1", "listen": unusedAddr(t), "discovery": d.Addr(0), "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"known":    map[string]any{"revision": 0, "complete": true, "members": []any{}},
-		"settings": settings()}
+		"settings": testSettings()}
 	if change != nil {
 		change(config)
 	}
@@ -204,26 +207,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := launch(t, string(text), config["listen"].(string), to)
+	n := startProcess(t, string(text), config["listen"].(string), to)
 	n.config = config
 	eventually(t, "the node answers mn with MN", func() bool { return load.Ready(n.addr) })
 	return n
 }
 
-// launch starts the program with a configuration file.
-func launch(t *testing.T, config, listen string, to *os.File, args ...string) *process {
+// startProcess starts the program with the given configuration, without waiting until it is ready.
+func startProcess(t *testing.T, config, listen string, to *os.File, args ...string) *process {
 	t.Helper()
-	return launchIn(t, t.TempDir(), config, listen, to, args...)
+	return startProcessIn(t, t.TempDir(), config, listen, to, args...)
 }
 
-// launchIn starts it with a directory for temporary files, which another process may share.
-func launchIn(t *testing.T, tmp, config, listen string, to *os.File, args ...string) *process {
+// startProcessIn starts the program with a directory for temporary files, which another process may share.
+func startProcessIn(t *testing.T, tmp, config, listen string, to *os.File, args ...string) *process {
 	t.Helper()
-	var told struct{ Limits struct{ Sockets int } }
-	json.Unmarshal([]byte(config), &told)
-	sockets := 1024 // also where the configuration is bad
-	if told.Limits.Sockets >= 64 {
-		sockets = told.Limits.Sockets
+	var parsed struct{ Limits struct{ Sockets int } }
+	json.Unmarshal([]byte(config), &parsed)
+	sockets := 1024 // also if the configuration is invalid
+	if parsed.Limits.Sockets >= 64 {
+		sockets = parsed.Limits.Sockets
 	}
 	n := &process{t: t, addr: listen, tmp: tmp, Node: stage.NewNode(stage.NodeOptions{Log: seen.NewLog(), Command: strings.Join(append([]string{binary}, args...), " "),
 		Dir: t.TempDir(), Listen: listen, MemoryMB: 1 << 10, Sockets: sockets, ConfigText: config, LogOutput: to, Env: []string{"TMPDIR=" + tmp}})}
@@ -232,8 +235,8 @@
 	}
 	t.Cleanup(func() {
 		n.Kill()
-		if to == nil && strings.Contains(n.log(), "event=violation ") { // in no test may a guard fail
-			t.Error("the node has counted a violation")
+		if to == nil && strings.Contains(n.log(), "event=violation ") { // an internal invariant failed, which is a fault in every test
+			t.Error("the node has logged a violation")
 		}
 		if t.Failed() && to == nil {
 			t.Logf("the node's log:\n%s", n.log())
@@ -242,12 +245,12 @@
 	return n
 }
 
-// wait waits for the program's end and gives its status.
-func (n *process) wait() int {
+// waitExit waits until the process exits and returns its exit code, -1 if a signal killed it.
+func (n *process) waitExit() int {
 	n.t.Helper()
-	status, ended := n.Wait(patience)
+	status, ended := n.Wait(waitTimeout)
 	if !ended {
-		n.t.Fatal("the node never ended")
+		n.t.Fatal("the node did not exit")
 	}
 	code, err := strconv.Atoi(strings.TrimPrefix(status, "exit status "))
 	if err != nil {
@@ -256,7 +259,7 @@
 	return code
 }
 
-// reload replaces the configuration file and tells the node.
+// reload replaces the configuration file and sends SIGHUP.
 func (n *process) reload(text string) {
 	n.t.Helper()
 	if err := n.WriteConfig([]byte(text)); err != nil {
@@ -265,8 +268,8 @@
 	n.signal(syscall.SIGHUP)
 }
 
-// text is the configuration with changes.
-func (n *process) text(change func(config map[string]any)) string {
+// configWith applies changes to the configuration and returns its text. The changes are kept for the next call.
+func (n *process) configWith(change func(config map[string]any)) string {
 	n.t.Helper()
 	change(n.config)
 	text, err := json.Marshal(n.config)
@@ -278,7 +281,7 @@
 
 func (n *process) signal(s syscall.Signal) { n.Signal(s) }
 
-// client is a connection to a node.
+// client is a client's connection to a node.
 type client struct {
 	t    *testing.T
 	conn net.Conn
@@ -302,10 +305,10 @@
 	}
 }
 
-// answer reads one answer: its line, and its value if it has one.
-func (c *client) answer() (line, value string) {
+// readAnswer reads one answer and returns its line and its value, if any.
+func (c *client) readAnswer() (line, value string) {
 	c.t.Helper()
-	c.conn.SetReadDeadline(time.Now().Add(patience))
+	c.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	line, err := c.in.ReadString('\n')
 	if err != nil {
 		c.t.Fatalf("no answer: %v", err)
@@ -315,31 +318,31 @@
 		n, _ := strconv.Atoi(words[1])
 		data := make([]byte, n+2)
 		if _, err := io.ReadFull(c.in, data); err != nil {
-			c.t.Fatalf("no whole value: %v", err)
+			c.t.Fatalf("incomplete value: %v", err)
 		}
 		value = string(data[:n])
 	}
 	return line, value
 }
 
-// ended reports whether the node closes the connection with nothing more said.
-func (c *client) ended() bool {
-	c.conn.SetReadDeadline(time.Now().Add(patience))
+// closedByNode waits until the connection ends and reports whether the node closed it without sending more data.
+func (c *client) closedByNode() bool {
+	c.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	_, err := c.in.ReadByte()
 	return err == io.EOF
 }
 
-func (c *client) want(line, value string) {
+func (c *client) expect(line, value string) {
 	c.t.Helper()
-	if l, v := c.answer(); l != line || v != value {
+	if l, v := c.readAnswer(); l != line || v != value {
 		c.t.Errorf("answer %q with %d bytes, want %q with %d", l, len(v), line, len(value))
 	}
 }
 
-// deaf is an address at which connections never come up, as at a machine that is cut off.
-func deaf(t *testing.T) string {
+// blackholeAddr returns an address at which connections are never established, as at an unreachable machine.
+func blackholeAddr(t *testing.T) string {
 	t.Helper()
-	c := startCache(t, silent)
+	c := startCache(t, answerNothing)
 	c.SetSilent(true)
 	return c.Addr()
 }
