--- a/decide/plan/brief_test.go
+++ b/decide/plan/brief_test.go
@@ -375,7 +375,7 @@
 	}
 }
 
-// A server that is an outlier at a node is reported in full then and for gatherSpan afterwards, and after that within Rest.
+// A server that is an outlier at a node is reported in full then and for collectorDecay afterwards, and after that within Rest.
 func TestAnExceptionStaysNamed(t *testing.T) {
 	now := 100 * sec
 	g := NewCollector(now, "f")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -240,7 +240,7 @@
 func (n *Node) capTimeout(timeout, now time.Duration) time.Duration {
 	if n.shuttingDown { // what is unanswered when the process is killed is lost, however long its client would wait
 		return min(timeout, n.answerDeadline-now)
-	} else if n.draining && n.drainDeadline-now < drainRequestAge { // at the drain deadline no request that is younger than lameYoung may be left
+	} else if n.draining && n.drainDeadline-now < drainRequestAge { // at the drain deadline no request that is younger than drainRequestAge may be left
 		return max(min(timeout, n.drainDeadline-now), drainMinWait)
 	}
 	return timeout
